--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,9 @@
 # The developers' commands; README.md explains them.
 GO ?= go
 STATICCHECK_VERSION = v0.8.2
+DEADCODE_VERSION = v0.52.0
 
-.PHONY: run test smoke slopes lint build model promises soak
+.PHONY: run test smoke lint build model promises soak
 
 run:
 	$(GO) run ./tools/lab run
@@ -29,9 +30,6 @@
 soak:
 	$(GO) test -count=1 -timeout=60m ./platform/soak -args -soak.seed=$(SEED) -soak.seeds=$(SEEDS) -soak.time=$(TIME)
 
-slopes:
-	$(GO) run ./tools/lab slopes
-
 build:
 	$(GO) build ./...
 
@@ -41,4 +39,5 @@
 	@! $(GO) list -deps ./cmd/rockcleat ./cmd/rockcleat-entry ./cmd/rockcleat-agent ./cmd/rockcleat-gateway | \
 		grep -E 'toxiproxy|internal/(lab|standin|proofs)' || { echo 'a product program imports test code'; exit 1; }
 	$(GO) run ./tools/names
+	tools/deadcode $(DEADCODE_VERSION)
 	$(GO) run honnef.co/go/tools/cmd/staticcheck@$(STATICCHECK_VERSION) -checks all ./...
--- a/clock/manual.go
+++ b/clock/clocktest/clock.go
@@ -1,12 +1,14 @@
-package clock
+// Package clocktest provides a clock.Service for tests, whose time moves only when a
+// test says so.
+package clocktest
 
 import (
 	"sync"
 	"time"
 )
 
-// Manual is a Service whose time moves only when Advance is called.
-type Manual struct {
+// A Clock is a clock.Service whose time moves only when Advance is called.
+type Clock struct {
 	mu   sync.Mutex
 	now  time.Time
 	subs map[*subscription]struct{}
@@ -18,20 +20,20 @@
 	f        func(time.Time)
 }
 
-// NewManual returns a Manual service that starts at the given time.
-func NewManual(start time.Time) *Manual {
-	return &Manual{now: start, subs: make(map[*subscription]struct{})}
+// New returns a Clock that starts at the given time.
+func New(start time.Time) *Clock {
+	return &Clock{now: start, subs: make(map[*subscription]struct{})}
 }
 
 // Now returns the service's time.
-func (m *Manual) Now() time.Time {
+func (m *Clock) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
 // Subscribe registers f to be called by Advance.
-func (m *Manual) Subscribe(interval time.Duration, f func(now time.Time)) (stop func()) {
+func (m *Clock) Subscribe(interval time.Duration, f func(now time.Time)) (stop func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := &subscription{interval: interval, next: m.now.Add(interval), f: f}
@@ -45,7 +47,7 @@
 
 // Advance moves the time by d and calls, in the caller's goroutine, every
 // subscriber whose tick has come, once for each tick passed.
-func (m *Manual) Advance(d time.Duration) {
+func (m *Clock) Advance(d time.Duration) {
 	m.mu.Lock()
 	end := m.now.Add(d)
 	m.mu.Unlock()
@@ -63,7 +65,7 @@
 
 // dueBefore returns the subscription with the earliest tick up to end and moves
 // the clock to that tick.
-func (m *Manual) dueBefore(end time.Time) (*subscription, time.Time) {
+func (m *Clock) dueBefore(end time.Time) (*subscription, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var first *subscription
--- a/clock/example_test.go
+++ b/clock/example_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"time"
 
-	"rockcleat/clock"
+	"rockcleat/clock/clocktest"
 )
 
 func Example() {
-	c := clock.NewManual(time.Unix(0, 0))
+	c := clocktest.New(time.Unix(0, 0))
 	stop := c.Subscribe(time.Second, func(now time.Time) { fmt.Println("tick", now.Unix()) })
 	c.Advance(2500 * time.Millisecond)
 	stop()
--- a/dispatch/balance_test.go
+++ b/dispatch/balance_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"rockcleat/backend"
-	"rockcleat/clock"
+	"rockcleat/clock/clocktest"
 )
 
 // TestYields asks for requests of priority 2 after others have fared well or badly.
@@ -64,7 +64,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := clock.NewManual(time.Unix(1000, 0))
+			c := clocktest.New(time.Unix(1000, 0))
 			d := New(Options{ID: "g", Hall: "h", Clock: c, Fill: 1, Memory: func(string) int { return 100 }})
 			var r backend.Registry
 			r.Replace([]backend.Server{{
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -13,6 +13,7 @@
 
 	"rockcleat/backend"
 	"rockcleat/clock"
+	"rockcleat/clock/clocktest"
 	"rockcleat/dispatch"
 )
 
@@ -139,7 +140,7 @@
 }
 
 func TestNotEveryServerIsChosen(t *testing.T) {
-	c := clock.NewManual(time.Now())
+	c := clocktest.New(time.Now())
 	leaving, empty := engine("leaving"), engine("empty")
 	leaving.Leaving = true
 	empty.Residents = nil
@@ -162,7 +163,7 @@
 }
 
 func TestAdapters(t *testing.T) {
-	c := clock.NewManual(time.Now())
+	c := clocktest.New(time.Now())
 	without, with := engine("a"), engine("b")
 	with.Residents = []backend.Resident{{Model: model, Adapters: []string{"a1"}}}
 	missing := 0
@@ -225,7 +226,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := clock.NewManual(time.Now())
+			c := clocktest.New(time.Now())
 			s := engine("a")
 			s.Slots = 1
 			d := dispatcher(c, s)
@@ -268,7 +269,7 @@
 }
 
 func TestOneGatewayFeedsAnEngineFirst(t *testing.T) {
-	c := clock.NewManual(time.Now())
+	c := clocktest.New(time.Now())
 	gateways := []dispatch.Gateway{{ID: "g1", Hall: "h"}, {ID: "g2", Hall: "h"}, {ID: "g3", Hall: "elsewhere"}}
 	var servers []backend.Server
 	for i := range 8 {
@@ -289,7 +290,7 @@
 }
 
 func TestSilentServer(t *testing.T) {
-	c := clock.NewManual(time.Now())
+	c := clocktest.New(time.Now())
 	d := dispatcher(c, engine("a"), engine("b"))
 	first, err := d.Acquire(now(), request(c))
 	assert.NilError(t, err)
@@ -307,7 +308,7 @@
 }
 
 func TestFailingServerReturns(t *testing.T) {
-	c := clock.NewManual(time.Now())
+	c := clocktest.New(time.Now())
 	d := dispatcher(c, engine("a"), engine("b"))
 	bad, err := d.Acquire(now(), request(c))
 	assert.NilError(t, err)
@@ -328,7 +329,7 @@
 }
 
 func TestKeptPrompts(t *testing.T) {
-	c := clock.NewManual(time.Now())
+	c := clocktest.New(time.Now())
 	d := dispatcher(c, engine("a"), engine("b"))
 	shared := []dispatch.Part{{ID: "common", Tokens: 900}}
 	r := request(c)
@@ -351,7 +352,7 @@
 // without requests counts none, and never more on an engine than it has slots.
 func TestNothingIsLeftOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := clock.NewManual(time.Unix(1000, 0))
+		c := clocktest.New(time.Unix(1000, 0))
 		d := dispatcher(c, engine("a"), engine("b"), engine("c"))
 		var open []*dispatch.Ticket
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"rockcleat/backend"
-	"rockcleat/clock"
+	"rockcleat/clock/clocktest"
 	"rockcleat/dispatch"
 )
 
 // Two requests go to the two servers of a service; a third goes where one has ended.
 func Example() {
-	c := clock.NewManual(time.Unix(1000, 0))
+	c := clocktest.New(time.Unix(1000, 0))
 	var servers backend.Registry
 	servers.Replace([]backend.Server{
 		{ID: "a", Service: "checks", Hall: "kita", Slots: 1}, {ID: "b", Service: "checks", Hall: "kita", Slots: 1},
--- a/dispatch/places_test.go
+++ b/dispatch/places_test.go
@@ -13,6 +13,7 @@
 
 	"rockcleat/backend"
 	"rockcleat/clock"
+	"rockcleat/clock/clocktest"
 	"rockcleat/dispatch"
 )
 
@@ -74,7 +75,7 @@
 // TestPlacesAreGrantedOnce has many gateways send at the same moment, before any has
 // heard of the others' requests: each engine gets one prompt.
 func TestPlacesAreGrantedOnce(t *testing.T) {
-	c := clock.NewManual(time.Unix(1000, 0))
+	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 6, engine("a"), engine("b"), engine("d"))
 	taken := make(map[string]int)
 	for _, d := range g.dispatchers {
@@ -98,7 +99,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := clock.NewManual(time.Unix(1000, 0))
+			c := clocktest.New(time.Unix(1000, 0))
 			g := newGroup(c, 2, engine("a"))
 			before, err := g.dispatchers[test.first].Acquire(context.Background(), reading(c))
 			assert.NilError(t, err)
@@ -124,7 +125,7 @@
 // TestSilentOwnerIsPassedOver checks that requests go on when the owner of the
 // only engine does not answer, and that it is not asked for each of them.
 func TestSilentOwnerIsPassedOver(t *testing.T) {
-	c := clock.NewManual(time.Unix(1000, 0))
+	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 2, engine("a"))
 	g.silent["g0"], g.silent["g1"] = true, true
 	for range 5 {
@@ -148,7 +149,7 @@
 // TestGrantCountsUntilItIsReported checks that a granted place takes slots and
 // memory of the engine until gateways' reports tell of it.
 func TestGrantCountsUntilItIsReported(t *testing.T) {
-	c := clock.NewManual(time.Unix(1000, 0))
+	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 1, engine("a"))
 	d := g.dispatchers["g0"]
 	ask := dispatch.PlaceRequest{Server: "a", Model: model, Prompt: 100, Output: 100}
@@ -164,7 +165,7 @@
 }
 
 func TestGrantOfAnotherGatewaysEngine(t *testing.T) {
-	c := clock.NewManual(time.Unix(1000, 0))
+	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 2, engine("a"))
 	owned := 0
 	for _, d := range g.dispatchers {
@@ -179,7 +180,7 @@
 // TestGrantKnowsKeptPrompts checks that the owner remembers the prompts of all
 // gateways: the second one with the same parts needs less reading.
 func TestGrantKnowsKeptPrompts(t *testing.T) {
-	c := clock.NewManual(time.Unix(1000, 0))
+	c := clocktest.New(time.Unix(1000, 0))
 	d := newGroup(c, 1, engine("a")).dispatchers["g0"]
 	ask := dispatch.PlaceRequest{
 		Server: "a", Model: model, Prompt: 1000, Output: 10, Pace: reads(60), Parts: []dispatch.Part{{ID: "p", Tokens: 950}},
@@ -193,7 +194,7 @@
 // TestDeniedPromptIsNotKept checks that a prompt which was not sent for want of a
 // place does not count as kept by the engine.
 func TestDeniedPromptIsNotKept(t *testing.T) {
-	c := clock.NewManual(time.Unix(1000, 0))
+	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 2, engine("a"))
 	other := g.dispatchers["g0"]
 	for _, d := range g.dispatchers {
@@ -221,7 +222,7 @@
 
 // TestNoPlaceAtALeavingEngine asks the owner, who knows first that its engine leaves.
 func TestNoPlaceAtALeavingEngine(t *testing.T) {
-	c := clock.NewManual(time.Unix(1000, 0))
+	c := clocktest.New(time.Unix(1000, 0))
 	leaving := engine("a")
 	leaving.Leaving = true
 	d := newGroup(c, 1, leaving).dispatchers["g0"]
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -67,7 +67,6 @@
 // An Agent is the process beside one backend server.
 type Agent struct {
 	settings    config.Agent
-	store       kv.Store
 	engine      Engine
 	vms         VMLister
 	clock       clock.Service
@@ -130,7 +129,6 @@
 func New(o Options) *Agent {
 	a := &Agent{
 		settings:    o.Settings,
-		store:       o.Store,
 		engine:      o.Engine,
 		vms:         o.VMs,
 		clock:       o.Clock,
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"rockcleat/clock"
+	"rockcleat/clock/clocktest"
 	"rockcleat/fleet"
 	"rockcleat/internal/config"
 	"rockcleat/internal/engine"
@@ -44,7 +44,7 @@
 type fixture struct {
 	*Agent
 	engine *fakeEngine
-	clock  *clock.Manual
+	clock  *clocktest.Clock
 	kv     *standin.KV
 	store  kv.Store
 }
@@ -63,7 +63,7 @@
 	var settings config.Agent
 	config.Defaults(&settings)
 	settings.ID, settings.Secret = "w", secret
-	f := &fixture{engine: &fakeEngine{}, clock: clock.NewManual(time.Unix(1000, 0)), kv: s, store: store}
+	f := &fixture{engine: &fakeEngine{}, clock: clocktest.New(time.Unix(1000, 0)), kv: s, store: store}
 	f.engine.status = engine.Status{MemoryMiB: []int{100}, Slots: 4}
 	f.Agent = New(Options{
 		Settings: settings, Store: store, Engine: f.engine, Clock: f.clock, Log: zap.NewNop(),
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -25,9 +25,9 @@
 	"rockcleat/clock"
 	"rockcleat/internal/config"
 	"rockcleat/internal/gateway"
-	"rockcleat/internal/standin"
 	"rockcleat/internal/wire"
 	"rockcleat/kv"
+	"rockcleat/kv/kvtest"
 	"rockcleat/table"
 )
 
@@ -238,7 +238,7 @@
 // A world is a gateway with its store and backend servers.
 type world struct {
 	t       *testing.T
-	store   *standin.MemoryStore
+	store   *kvtest.Store
 	gateway *gateway.Gateway
 	front   string
 	ready   string
@@ -310,11 +310,11 @@
 // prepareWorld starts a gateway that has no configuration yet.
 func prepareWorld(t *testing.T, change func(*config.Gateway), workers ...*worker) *world {
 	core, logs := observer.New(zap.InfoLevel)
-	w := &world{t: t, log: zap.New(core), logs: logs, store: standin.NewMemoryStore(clock.Real{}), client: &http.Client{Transport: &http.Transport{}}}
+	w := &world{t: t, log: zap.New(core), logs: logs, store: kvtest.New(clock.Real{}), client: &http.Client{Transport: &http.Transport{}}}
 	w.routing = routingFile{
 		Version: 1, Routes: routes(),
 		Services: []table.Service{
-			{Name: "app"}, {Name: "llm", Engine: &table.EngineSpec{CacheTokens: 1000, EventTokens: 1, Slots: 4}},
+			{Name: "app"}, {Name: "llm", Engine: &table.EngineSpec{CacheTokens: 1000, EventTokens: 1}},
 		},
 		Limits: table.RequestLimits{HeaderBytes: 4000, BodyBytes: 5000, IdleTime: time.Minute},
 	}
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -14,6 +14,7 @@
 
 	"rockcleat/backend"
 	"rockcleat/clock"
+	"rockcleat/clock/clocktest"
 	"rockcleat/dispatch"
 	"rockcleat/internal/placer"
 	"rockcleat/kv"
@@ -150,7 +151,7 @@
 // A world is a placer with its surroundings.
 type world struct {
 	t        *testing.T
-	clock    *clock.Manual
+	clock    *clocktest.Clock
 	lease    *fakeLease
 	engines  *fakeEngines
 	registry backend.Registry
@@ -163,7 +164,7 @@
 // newWorld returns, in a bubble of synctest, a world of models of 60 GB and engines of 200 GB that hold the
 // named models.
 func newWorld(t *testing.T, models int, held ...[]string) *world {
-	c := clock.NewManual(time.Unix(1000, 0))
+	c := clocktest.New(time.Unix(1000, 0))
 	w := &world{t: t, clock: c, lease: &fakeLease{token: 7}}
 	w.engines = &fakeEngines{clock: c, engines: make(map[string]*fakeEngine)}
 	w.spec = &table.EngineSpec{WeightsMB: 200_000, AdapterSlots: 2, LoadsPerSecond: 1}
--- a/kv/example_test.go
+++ b/kv/example_test.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"rockcleat/clock"
-	"rockcleat/internal/standin"
 	"rockcleat/kv"
+	"rockcleat/kv/kvtest"
 )
 
 // A rowPrinter prints the rows that it follows, and ends when one has changed.
 type rowPrinter struct {
-	store *standin.MemoryStore
+	store *kvtest.Store
 	end   context.CancelFunc
 }
 
@@ -37,7 +37,7 @@
 func (p rowPrinter) Heard()     {}
 
 func ExampleFollow() {
-	store := standin.NewMemoryStore(clock.Real{})
+	store := kvtest.New(clock.Real{})
 	store.Set("rows/hint", []byte("weight 1"))
 	ctx, end := context.WithCancel(context.Background())
 	kv.Follow(ctx, store, "rows/", time.Second, rowPrinter{store: store, end: end})
--- a/kv/follow_test.go
+++ b/kv/follow_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/poll"
 
 	"rockcleat/clock"
-	"rockcleat/internal/standin"
 	"rockcleat/kv"
+	"rockcleat/kv/kvtest"
 )
 
 // A mirror keeps what it is told.
@@ -76,7 +76,7 @@
 
 func TestFollow(t *testing.T) {
 	type world struct {
-		store *standin.MemoryStore
+		store *kvtest.Store
 		m     *mirror
 	}
 	tests := map[string]struct {
@@ -126,7 +126,7 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			w := world{store: standin.NewMemoryStore(clock.Real{}), m: &mirror{}}
+			w := world{store: kvtest.New(clock.Real{}), m: &mirror{}}
 			w.store.Set("a/1", []byte("1"))
 			w.store.Set("a/2", []byte("2"))
 			go kv.Follow(ctx, w.store, "a/", time.Minute, w.m)
@@ -140,7 +140,7 @@
 func TestFollowCallsNoMoreThanItMust(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	store := standin.NewMemoryStore(clock.Real{})
+	store := kvtest.New(clock.Real{})
 	store.Set("a/1", []byte("1"))
 	m := &mirror{}
 	go kv.Follow(ctx, store, "a/", time.Minute, m)
--- a/internal/standin/memory.go
+++ b/kv/kvtest/store.go
@@ -1,4 +1,6 @@
-package standin
+// Package kvtest provides a store for tests, within the process, whose calls fail and
+// whose history is forgotten on demand.
+package kvtest
 
 import (
 	"context"
@@ -11,43 +13,42 @@
 	"rockcleat/kv"
 )
 
-// A MemoryStore is a kv.Store and kv.PrefixStore within the process, whose calls
-// fail and whose history is forgotten on demand.
-type MemoryStore struct {
+// A Store is a kv.Store and a kv.PrefixStore; it is safe for concurrent use.
+type Store struct {
 	clock clock.Service
 
 	mu      sync.Mutex
 	rev     kv.Revision
-	entries map[string]memoryEntry
+	entries map[string]entry
 	history []kv.Event
 	floor   kv.Revision
-	leases  map[kv.LeaseID]*memoryLease
+	leases  map[kv.LeaseID]*leaseState
 	fail    func(call string) error
 	lose    func(call string) bool
 	calls   map[string]int
 	changed chan struct{}
 }
 
-type memoryEntry struct {
+type entry struct {
 	kv.Entry
 	lease kv.LeaseID
 }
 
-type memoryLease struct {
+type leaseState struct {
 	ttl time.Duration
 	end time.Time
 }
 
-// NewMemoryStore returns an empty store whose leases run on the clock.
-func NewMemoryStore(c clock.Service) *MemoryStore {
-	return &MemoryStore{
-		clock: c, entries: make(map[string]memoryEntry), leases: make(map[kv.LeaseID]*memoryLease),
+// New returns an empty store whose leases run on the clock.
+func New(c clock.Service) *Store {
+	return &Store{
+		clock: c, entries: make(map[string]entry), leases: make(map[kv.LeaseID]*leaseState),
 		calls: make(map[string]int), changed: make(chan struct{}),
 	}
 }
 
 // Fail makes calls fail with what f returns, if it is not nil, before they are done.
-func (s *MemoryStore) Fail(f func(call string) error) {
+func (s *Store) Fail(f func(call string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fail = f
@@ -56,14 +57,14 @@
 
 // Lose makes the answers of calls get lost for which f returns true: they are
 // done and answer kv.ErrUnknown.
-func (s *MemoryStore) Lose(f func(call string) bool) {
+func (s *Store) Lose(f func(call string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lose = f
 }
 
 // Compact forgets the history.
-func (s *MemoryStore) Compact() {
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
@@ -72,14 +73,14 @@
 }
 
 // Calls returns the number of calls of a kind so far.
-func (s *MemoryStore) Calls(call string) int {
+func (s *Store) Calls(call string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[call]
 }
 
 // begin counts a call and returns the error that it is to fail with.
-func (s *MemoryStore) begin(call string) error {
+func (s *Store) begin(call string) error {
 	s.calls[call]++
 	s.expire()
 	if s.fail != nil {
@@ -88,24 +89,24 @@
 	return nil
 }
 
-func (s *MemoryStore) end(call string) error {
+func (s *Store) end(call string) error {
 	if s.lose != nil && s.lose(call) {
 		return kv.ErrUnknown
 	}
 	return nil
 }
 
-func (s *MemoryStore) wake() {
+func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *MemoryStore) note(e kv.Event) {
+func (s *Store) note(e kv.Event) {
 	s.history = append(s.history, e)
 	s.wake()
 }
 
-func (s *MemoryStore) expire() {
+func (s *Store) expire() {
 	now := s.clock.Now()
 	for id, l := range s.leases {
 		if now.After(l.end) {
@@ -115,7 +116,7 @@
 }
 
 // drop ends a lease and removes its keys.
-func (s *MemoryStore) drop(id kv.LeaseID) {
+func (s *Store) drop(id kv.LeaseID) {
 	delete(s.leases, id)
 	for key, e := range s.entries {
 		if e.lease == id {
@@ -124,36 +125,36 @@
 	}
 }
 
-func (s *MemoryStore) remove(key string) {
+func (s *Store) remove(key string) {
 	s.rev++
 	delete(s.entries, key)
 	s.note(kv.Event{Entry: kv.Entry{Key: key, Revision: s.rev}, Deleted: true})
 }
 
 // Set writes a key as somebody else would, with no condition.
-func (s *MemoryStore) Set(key string, value []byte) kv.Revision {
+func (s *Store) Set(key string, value []byte) kv.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set(key, value, 0)
 }
 
 // Remove removes a key as somebody else would.
-func (s *MemoryStore) Remove(key string) {
+func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
 }
 
-func (s *MemoryStore) set(key string, value []byte, lease kv.LeaseID) kv.Revision {
+func (s *Store) set(key string, value []byte, lease kv.LeaseID) kv.Revision {
 	s.rev++
 	e := kv.Entry{Key: key, Value: value, Revision: s.rev}
-	s.entries[key] = memoryEntry{Entry: e, lease: lease}
+	s.entries[key] = entry{Entry: e, lease: lease}
 	s.note(kv.Event{Entry: e})
 	return s.rev
 }
 
 // Get implements kv.Store.
-func (s *MemoryStore) Get(_ context.Context, key string) (kv.Entry, error) {
+func (s *Store) Get(_ context.Context, key string) (kv.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("get"); err != nil {
@@ -167,13 +168,13 @@
 }
 
 // List implements kv.Store.
-func (s *MemoryStore) List(ctx context.Context, prefix string) ([]kv.Entry, error) {
+func (s *Store) List(ctx context.Context, prefix string) ([]kv.Entry, error) {
 	entries, _, err := s.ListPrefix(ctx, prefix)
 	return entries, err
 }
 
 // ListPrefix implements kv.PrefixStore.
-func (s *MemoryStore) ListPrefix(_ context.Context, prefix string) ([]kv.Entry, kv.Revision, error) {
+func (s *Store) ListPrefix(_ context.Context, prefix string) ([]kv.Entry, kv.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("list"); err != nil {
@@ -190,7 +191,7 @@
 }
 
 // WatchPrefix implements kv.PrefixStore.
-func (s *MemoryStore) WatchPrefix(
+func (s *Store) WatchPrefix(
 	ctx context.Context, prefix string, after kv.Revision, wait time.Duration,
 ) ([]kv.Event, kv.Revision, error) {
 	timer := time.NewTimer(wait)
@@ -226,7 +227,7 @@
 	return nil, after, err
 }
 
-func (s *MemoryStore) since(prefix string, after kv.Revision) ([]kv.Event, kv.Revision, chan struct{}) {
+func (s *Store) since(prefix string, after kv.Revision) ([]kv.Event, kv.Revision, chan struct{}) {
 	var events []kv.Event
 	for _, e := range s.history {
 		if e.Entry.Revision > after && strings.HasPrefix(e.Entry.Key, prefix) {
@@ -237,7 +238,7 @@
 }
 
 // Watch implements kv.Store.
-func (s *MemoryStore) Watch(ctx context.Context, key string, after kv.Revision, wait time.Duration) (kv.Entry, error) {
+func (s *Store) Watch(ctx context.Context, key string, after kv.Revision, wait time.Duration) (kv.Entry, error) {
 	if _, _, err := s.WatchPrefix(ctx, key, after, wait); err != nil {
 		return kv.Entry{}, err
 	}
@@ -245,7 +246,7 @@
 }
 
 // Put implements kv.Store.
-func (s *MemoryStore) Put(_ context.Context, w kv.Write) (kv.Revision, error) {
+func (s *Store) Put(_ context.Context, w kv.Write) (kv.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("put"); err != nil {
@@ -262,7 +263,7 @@
 }
 
 // Delete implements kv.Store.
-func (s *MemoryStore) Delete(_ context.Context, key string, expect kv.Revision) error {
+func (s *Store) Delete(_ context.Context, key string, expect kv.Revision) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("delete"); err != nil {
@@ -276,7 +277,7 @@
 }
 
 // Grant implements kv.Store.
-func (s *MemoryStore) Grant(_ context.Context, ttl time.Duration) (kv.LeaseID, error) {
+func (s *Store) Grant(_ context.Context, ttl time.Duration) (kv.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("grant"); err != nil {
@@ -284,12 +285,12 @@
 	}
 	s.rev++
 	id := kv.LeaseID(s.rev)
-	s.leases[id] = &memoryLease{ttl: ttl, end: s.clock.Now().Add(ttl)}
+	s.leases[id] = &leaseState{ttl: ttl, end: s.clock.Now().Add(ttl)}
 	return id, s.end("grant")
 }
 
 // KeepAlive implements kv.Store.
-func (s *MemoryStore) KeepAlive(_ context.Context, id kv.LeaseID) error {
+func (s *Store) KeepAlive(_ context.Context, id kv.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("keep"); err != nil {
@@ -304,7 +305,7 @@
 }
 
 // Revoke implements kv.Store.
-func (s *MemoryStore) Revoke(_ context.Context, id kv.LeaseID) error {
+func (s *Store) Revoke(_ context.Context, id kv.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("revoke"); err != nil {
--- a/kv/relay_test.go
+++ b/kv/relay_test.go
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/poll"
 
 	"rockcleat/clock"
-	"rockcleat/internal/standin"
 	"rockcleat/kv"
+	"rockcleat/kv/kvtest"
 )
 
 // A relayPair is a process that watches the service and one that is handed what
 // the first one sees.
 type relayPair struct {
-	store *standin.MemoryStore
+	store *kvtest.Store
 	// direct is the service as the second process reaches it.
 	direct *watchCounter
 	// cut tells that nothing is handed on.
@@ -60,7 +60,7 @@
 
 func newRelayPair(ctx context.Context, t *testing.T, trust time.Duration) *relayPair {
 	t.Helper()
-	p := &relayPair{store: standin.NewMemoryStore(clock.Real{}), sourceSees: &mirror{}, otherSees: &mirror{}}
+	p := &relayPair{store: kvtest.New(clock.Real{}), sourceSees: &mirror{}, otherSees: &mirror{}}
 	p.sourceIsSource.Store(true)
 	p.alone.Store(true)
 	p.source = kv.NewRelay(kv.RelayOptions{Clock: clock.Real{}, Trust: trust, IsSource: p.sourceIsSource.Load})
@@ -207,7 +207,7 @@
 func TestRelayLeavesOutWhatDoesNotMatter(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	store := standin.NewMemoryStore(clock.Real{})
+	store := kvtest.New(clock.Real{})
 	firstByte := func(_ string, e kv.Entry) uint64 { return uint64(e.Value[0]) }
 	options := kv.RelayOptions{Clock: clock.Real{}, Trust: longTrust, Digest: firstByte, IsSource: func() bool { return true }}
 	source := kv.NewRelay(options)
--- a/lease/campaign_test.go
+++ b/lease/campaign_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/poll"
 
 	"rockcleat/clock"
-	"rockcleat/internal/standin"
 	"rockcleat/kv"
+	"rockcleat/kv/kvtest"
 	"rockcleat/lease"
 )
 
@@ -33,7 +33,7 @@
 func TestCampaign(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	store := standin.NewMemoryStore(clock.Real{})
+	store := kvtest.New(clock.Real{})
 	a, b := contender(store, "a"), contender(store, "b")
 	first, endFirst := context.WithCancel(ctx)
 	go a.Campaign(first, store)
@@ -60,7 +60,7 @@
 func TestCampaignTakesNothingWhileTheStoreIsDown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	store := standin.NewMemoryStore(clock.Real{})
+	store := kvtest.New(clock.Real{})
 	store.Fail(func(string) error { return kv.ErrUnavailable })
 	a := contender(store, "a")
 	go a.Campaign(ctx, store)
@@ -80,7 +80,7 @@
 func TestCampaignOutlivesForgottenHistory(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	store := standin.NewMemoryStore(clock.Real{})
+	store := kvtest.New(clock.Real{})
 	a, b := contender(store, "a"), contender(store, "b")
 	go a.Campaign(ctx, store)
 	poll.WaitOn(t, holds(a, true))
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"rockcleat/clock"
-	"rockcleat/internal/standin"
+	"rockcleat/clock/clocktest"
+	"rockcleat/kv/kvtest"
 	"rockcleat/lease"
 )
 
@@ -14,8 +14,8 @@
 // with a higher token.
 func Example() {
 	ctx := context.Background()
-	c := clock.NewManual(time.Unix(1000, 0))
-	store := standin.NewMemoryStore(c)
+	c := clocktest.New(time.Unix(1000, 0))
+	store := kvtest.New(c)
 	holder := func(name string) *lease.Holder {
 		return lease.New(store, c, lease.Options{Name: "placer", Holder: name, TTL: 3 * time.Second})
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"rockcleat/clock"
+	"rockcleat/clock/clocktest"
 	"rockcleat/internal/standin"
 	"rockcleat/internal/standin/standintest"
 	"rockcleat/kv"
@@ -28,7 +29,7 @@
 func TestOneHolder(t *testing.T) {
 	ctx := context.Background()
 	_, store := standintest.KV(t)
-	c := clock.NewManual(time.Now())
+	c := clocktest.New(time.Now())
 	a, b := holder(store, c, "a"), holder(store, c, "b")
 	assert.NilError(t, a.Step(ctx))
 	assert.NilError(t, b.Step(ctx))
@@ -45,7 +46,7 @@
 // hold the lease any more, whatever the service says.
 func TestPausedHolder(t *testing.T) {
 	_, store := standintest.KV(t)
-	c := clock.NewManual(time.Now())
+	c := clocktest.New(time.Now())
 	a := holder(store, c, "a")
 	assert.NilError(t, a.Step(context.Background()))
 	c.Advance(ttl)
@@ -58,7 +59,7 @@
 	for lost := 1; lost <= 3; lost++ {
 		ctx := context.Background()
 		s, store := standintest.KV(t)
-		c := clock.NewManual(time.Now())
+		c := clocktest.New(time.Now())
 		a, b := holder(store, c, "a"), holder(store, c, "b")
 		s.SetFaults(standin.Faults{LoseAnswers: lost})
 		for range 4 {
@@ -72,7 +73,7 @@
 
 func TestOutage(t *testing.T) {
 	s, store := standintest.KV(t)
-	c := clock.NewManual(time.Now())
+	c := clocktest.New(time.Now())
 	a := holder(store, c, "a")
 	assert.NilError(t, a.Step(context.Background()))
 	s.SetFaults(standin.Faults{Outage: true})
--- a/placement/relocate.go
+++ b/placement/relocate.go
@@ -13,7 +13,6 @@
 type relocation struct {
 	row table.Row
 	to  *acc
-	mib int
 }
 
 // relocate makes room for a row whose memory is free only in pieces: it loads
@@ -61,7 +60,7 @@
 			continue
 		}
 		taken[to] += mib
-		moves = append(moves, relocation{row: row, to: to, mib: mib})
+		moves = append(moves, relocation{row: row, to: to})
 		total += mib
 		if total >= need {
 			return moves, total
--- a/table/routing.go
+++ b/table/routing.go
@@ -63,7 +63,6 @@
 
 // An EngineSpec tells what the engines of a service can hold.
 type EngineSpec struct {
-	Slots int
 	// CacheTokens is the memory for running requests and kept prompts, in tokens.
 	CacheTokens int
 	// EventTokens is the number of tokens that one event of a stream carries.
--- a/tools/lab/main.go
+++ b/tools/lab/main.go
@@ -1,5 +1,5 @@
 // Command lab starts rockcleat on loopback with stand-ins for the platform, to
-// try it out, to check it and to measure it.
+// try it out and to check it.
 package main
 
 import (
@@ -20,11 +20,10 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	root := &ffcli.Command{
-		Name: "lab", ShortUsage: "lab run|smoke|slopes", FlagSet: flag.NewFlagSet("lab", flag.ExitOnError),
+		Name: "lab", ShortUsage: "lab run|smoke", FlagSet: flag.NewFlagSet("lab", flag.ExitOnError),
 		Subcommands: []*ffcli.Command{
 			plain("run", "Start a small system until a signal.", runSystem),
 			plain("smoke", "Start a small system, use every part once and stop it.", smoke),
-			plain("slopes", "Measure what control costs as each number grows.", slopes),
 		},
 		Exec: func(context.Context, []string) error { return flag.ErrHelp },
 	}
