--- a/backend/backend.go
+++ b/backend/backend.go
@@ -40,7 +40,7 @@
 	Leaving   bool
 	Residents []Resident
 	// InMemory and OnDisk name the models whose weights the server has at hand.
-	InMemory, OnDisk []string
+	CachedInMemory, CachedOnDisk []string
 }
 
 // Holds reports whether the server has a model and adapter ready.
@@ -101,7 +101,7 @@
 // A vanished server is no longer listed and never said that it leaves.
 type vanished struct {
 	Server
-	when time.Time
+	since time.Time
 }
 
 // A Registry holds the known servers; its zero value is empty and ready to use.
@@ -110,12 +110,12 @@
 // same time, the platform has lost its list, not the servers: they are kept for a
 // moment, in which those that live are listed again.
 type Registry struct {
-	mu        sync.Mutex
-	listed    map[string]Server
-	vanished  map[string]vanished
-	residency map[string]Residency
-	heard     time.Time
-	snapshot  atomic.Pointer[Snapshot]
+	mu          sync.Mutex
+	listed      map[string]Server
+	vanished    map[string]vanished
+	residency   map[string]Residency
+	residencyAt time.Time
+	snapshot    atomic.Pointer[Snapshot]
 }
 
 // Snapshot returns the servers as they are known now.
@@ -152,7 +152,7 @@
 	if r.vanished == nil {
 		r.vanished = make(map[string]vanished)
 	}
-	r.vanished[s.ID] = vanished{Server: s, when: now}
+	r.vanished[s.ID] = vanished{Server: s, since: now}
 }
 
 // A Change is a server that came or changed, or one that is no longer listed.
@@ -172,7 +172,7 @@
 	differs := false
 	for _, c := range changes {
 		old, known := r.listed[c.ID]
-		differs = differs || c.Gone || !known || r.matters(old, c.Server)
+		differs = differs || c.Gone || !known || r.visible(old, c.Server)
 		if c.Gone {
 			if known {
 				r.vanish(old, now)
@@ -190,7 +190,7 @@
 
 // matters reports whether a server's new record shows in a snapshot: what it holds
 // does not while the holder of orders tells that.
-func (r *Registry) matters(old, s Server) bool {
+func (r *Registry) visible(old, s Server) bool {
 	if _, told := r.residency[s.ID]; !told {
 		return true
 	}
@@ -210,7 +210,7 @@
 func (r *Registry) SetResidency(all map[string]Residency, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.residency, r.heard = all, now
+	r.residency, r.residencyAt = all, now
 	r.rebuild(now)
 }
 
@@ -218,7 +218,7 @@
 func (r *Registry) MergeResidency(changed map[string]Residency, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard = now
+	r.residencyAt = now
 	if len(changed) == 0 {
 		return
 	}
@@ -231,7 +231,7 @@
 
 // Told reports whether a holder's word is known; after it was forgotten all of it
 // must be asked for again.
-func (r *Registry) Told() bool {
+func (r *Registry) HasResidency() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.residency != nil
@@ -243,12 +243,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
-	if r.residency != nil && now.Sub(r.heard) >= residencyTrust {
+	if r.residency != nil && now.Sub(r.residencyAt) >= residencyTrust {
 		r.residency = nil
 		changed = true
 	}
 	for id, v := range r.vanished {
-		if now.Sub(v.when) >= vanishTime {
+		if now.Sub(v.since) >= vanishTime {
 			delete(r.vanished, id)
 			changed = true
 		}
@@ -261,7 +261,7 @@
 
 // kept returns the vanished servers of services that have lost more than half of
 // their servers.
-func (r *Registry) kept(now time.Time) []Server {
+func (r *Registry) retained(now time.Time) []Server {
 	if len(r.vanished) == 0 {
 		return nil
 	}
@@ -274,7 +274,7 @@
 	}
 	var list []Server
 	for _, v := range r.vanished {
-		if balance[v.Service] > 0 && now.Sub(v.when) < vanishTime {
+		if balance[v.Service] > 0 && now.Sub(v.since) < vanishTime {
 			list = append(list, v.Server)
 		}
 	}
@@ -282,7 +282,7 @@
 }
 
 func (r *Registry) rebuild(now time.Time) {
-	all := r.kept(now)
+	all := r.retained(now)
 	for _, s := range r.listed {
 		all = append(all, s)
 	}
--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -88,9 +88,9 @@
 	assert.Assert(t, srv.Holds("told", "a1"), "what has not changed stands")
 	r.MergeResidency(nil, now.Add(2*time.Second))
 	assert.Assert(t, !r.Expire(now.Add(4*time.Second)))
-	assert.Assert(t, r.Told())
+	assert.Assert(t, r.HasResidency())
 	assert.Assert(t, r.Expire(now.Add(6*time.Second)))
-	assert.Assert(t, !r.Told(), "what was forgotten must be asked for again")
+	assert.Assert(t, !r.HasResidency(), "what was forgotten must be asked for again")
 	srv, _ = r.Snapshot().Server("s0")
 	assert.Assert(t, srv.Holds("listed", ""), "a holder that is silent is not believed for long")
 }
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -11,13 +11,13 @@
 type Report struct {
 	Residents []Resident
 	// Coming lists the adapters on their way.
-	Coming []Adapter
+	LoadingAdapters []Adapter
 	// Busy tells that an order is being carried out.
-	Busy bool
+	OrderInProgress bool
 	// Sequence is the number of orders that the engine has taken.
 	Sequence int
 	// InMemory and OnDisk name the models whose weights are at hand.
-	InMemory, OnDisk []string
+	CachedInMemory, CachedOnDisk []string
 }
 
 // An Order tells an engine to load or unload a model or, with Adapter, one of
@@ -32,39 +32,39 @@
 }
 
 // An Outcome is an engine's answer to an order.
-type Outcome int
+type OrderOutcome int
 
 // The outcomes of an order.
 const (
 	// OutcomeUnknown tells that no answer came: the order may be carried out later.
-	OutcomeUnknown Outcome = iota
+	OrderUnanswered OrderOutcome = iota
 	// OutcomeTaken tells that the order is being carried out.
-	OutcomeTaken
+	OrderAccepted
 	// OutcomeDone tells that nothing was left to do.
-	OutcomeDone
+	OrderAlreadyDone
 	// OutcomeConflict tells that another order is under way or the sequence differs.
-	OutcomeConflict
+	OrderConflict
 	// OutcomeFenced tells that another holder has a higher fencing token.
-	OutcomeFenced
+	OrderFenced
 	// OutcomeGone tells that another server has the address.
-	OutcomeGone
+	OrderWrongServer
 	// OutcomeRejected tells that the engine does not take such an order.
-	OutcomeRejected
+	OrderRejected
 )
 
 // String returns the outcome's name for logs.
-func (o Outcome) String() string {
-	names := map[Outcome]string{
-		OutcomeUnknown: "unknown", OutcomeTaken: "taken", OutcomeDone: "done", OutcomeConflict: "conflict",
-		OutcomeFenced: "fenced", OutcomeGone: "gone", OutcomeRejected: "rejected",
+func (o OrderOutcome) String() string {
+	names := map[OrderOutcome]string{
+		OrderUnanswered: "unknown", OrderAccepted: "taken", OrderAlreadyDone: "done", OrderConflict: "conflict",
+		OrderFenced: "fenced", OrderWrongServer: "gone", OrderRejected: "rejected",
 	}
 	return names[o]
 }
 
 // Engines gives orders to engines and reads their reports.
-type Engines interface {
+type EngineClient interface {
 	// Report reads what an engine tells of itself.
 	Report(ctx context.Context, s *Server) (Report, error)
 	// Order gives one order.
-	Order(ctx context.Context, s *Server, o Order) (Outcome, error)
+	Order(ctx context.Context, s *Server, o Order) (OrderOutcome, error)
 }
--- a/dispatch/balance_test.go
+++ b/dispatch/balance_test.go
@@ -34,14 +34,14 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var b balance
+			var b shedder
 			now := time.Unix(1000, 0)
 			for _, o := range test.outcomes {
 				for range o.count {
-					b.note(o.priority, o.earned, now)
+					b.observe(o.priority, o.earned, now)
 				}
 			}
-			assert.Equal(t, b.yields(2, now.Add(test.after)), test.want)
+			assert.Equal(t, b.sheds(2, now.Add(test.after)), test.want)
 		})
 	}
 }
@@ -56,29 +56,29 @@
 		model string
 		want  error
 	}{
-		"an urgent one waits":   {urgentWaits: true, model: "m", want: ErrYields},
-		"for a model not there": {urgentWaits: true, model: "other", want: ErrWaited},
-		"none waits":            {want: ErrWaited},
-		"it may have run":       {urgentWaits: true, model: "m", begun: true, want: ErrWaited},
-		"none waits, has run":   {begun: true, want: ErrWaited},
+		"an urgent one waits":   {urgentWaits: true, model: "m", want: ErrShed},
+		"for a model not there": {urgentWaits: true, model: "other", want: ErrWaitTimeout},
+		"none waits":            {want: ErrWaitTimeout},
+		"it may have run":       {urgentWaits: true, model: "m", begun: true, want: ErrWaitTimeout},
+		"none waits, has run":   {begun: true, want: ErrWaitTimeout},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := clocktest.New(time.Unix(1000, 0))
-			d := New(Options{ID: "g", Hall: "h", Clock: c, Fill: 1, Memory: func(string) int { return 100 }})
+			d := New(Options{ID: "g", Hall: "h", Clock: c, Utilization: 1, CacheTokens: func(string) int { return 100 }})
 			var r backend.Registry
 			r.Replace([]backend.Server{{
 				ID: "a", Service: "llm", Hall: "h", Slots: 1, Residents: []backend.Resident{{Model: "m"}},
 			}}, c.Now())
 			d.SetServers(r.Snapshot())
 			request := func(priority int, wait time.Duration) *Request {
-				return &Request{Service: "llm", Model: "m", Prompt: 10, Priority: priority, Until: c.Now().Add(wait)}
+				return &Request{Service: "llm", Model: "m", PromptTokens: 10, Priority: priority, WaitUntil: c.Now().Add(wait)}
 			}
 			_, err := d.Acquire(context.Background(), request(1, time.Minute))
 			assert.NilError(t, err)
 			for range 10 {
-				d.Attained(request(1, 0), 0)
-				d.Attained(request(2, 0), 1)
+				d.RecordResult(request(1, 0), 0)
+				d.RecordResult(request(2, 0), 1)
 			}
 			if test.urgentWaits {
 				d.mu.Lock()
@@ -88,7 +88,7 @@
 				d.mu.Unlock()
 			}
 			less := request(2, time.Millisecond)
-			less.Begun = test.begun
+			less.MayHaveRun = test.begun
 			_, err = d.Acquire(context.Background(), less)
 			assert.Equal(t, err, test.want)
 		})
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -16,9 +16,9 @@
 	ErrNoServer = errors.New("dispatch: no server")
 	// ErrYields tells that the request would have to wait and gives way to more urgent
 	// ones, which fare worse.
-	ErrYields = errors.New("dispatch: gives way")
+	ErrShed = errors.New("dispatch: gives way")
 	// ErrWaited tells that the request waited as long as it may.
-	ErrWaited = errors.New("dispatch: waited too long")
+	ErrWaitTimeout = errors.New("dispatch: waited too long")
 )
 
 // A Request is what a choice needs to know of a request.
@@ -27,26 +27,26 @@
 	// Model and Adapter are empty for a plain service.
 	Model, Adapter string
 	// Prompt and Output are the tokens to read and the most to generate.
-	Prompt, Output int
-	Parts          []Part
+	PromptTokens, MaxOutputTokens int
+	Prefix                        []PrefixBlock
 	// Priority orders waiting requests; 0 goes first.
 	Priority int
 	// Until is when the request stops waiting.
-	Until time.Time
+	WaitUntil time.Time
 	// Due is when the answer should have begun; a request for which that is past
 	// gives way to those that can still be in time.
-	Due time.Time
+	SendBy time.Time
 	// Pace is what pauses running streams of its kind bear.
-	Pace Pace
+	Gap GapBudget
 	// Avoid names servers that are not to be chosen.
-	Avoid []string
+	Exclude []string
 	// Begun tells that the request may have run, so that it gives way to none.
-	Begun bool
+	MayHaveRun bool
 	// Asked counts the places that other gateways were asked for, Granted and Denied
 	// those that they granted and did not grant; the rest had no answer.
-	Asked, Granted, Denied int
+	GrantsAsked, GrantsGiven, GrantsDenied int
 	// order is the request's place in the order of arrival; 0 before it has one.
-	order uint64
+	sequence uint64
 }
 
 func (r *Request) name() string {
@@ -61,9 +61,9 @@
 	// Running is the number of requests.
 	Running int `json:"n"`
 	// Reading is the time to read the prompts whose first event has not come, in milliseconds.
-	Reading int `json:"r,omitempty"`
+	PrefillMs int `json:"r,omitempty"`
 	// Used is the memory that the requests take at most, in tokens.
-	Used int `json:"u,omitempty"`
+	UsedTokens int `json:"u,omitempty"`
 }
 
 // A remoteLoad is what other processes had at one server at a time.
@@ -75,7 +75,7 @@
 // now returns the load as it should be now: prompts are read as time passes.
 func (l remoteLoad) now(now time.Time) Load {
 	out := l.Load
-	out.Reading = max(out.Reading-int(now.Sub(l.at)/time.Millisecond), 0)
+	out.PrefillMs = max(out.PrefillMs-int(now.Sub(l.at)/time.Millisecond), 0)
 	return out
 }
 
@@ -86,17 +86,17 @@
 	Hall  string
 	Clock clock.Service
 	// Fill is the part of an engine's slots and memory that is used.
-	Fill float64
+	Utilization float64
 	// Memory returns the memory of a service's engines in tokens, 0 for a plain service.
-	Memory func(service string) int
+	CacheTokens func(service string) int
 	// Places, if not nil, asks other gateways for places at the engines that they own.
-	Places Places
+	Owners Owners
 	// OwnerSilent, if not nil, is called with the owner that did not answer and is not
 	// asked for a while. It is called with the Dispatcher locked and must not block.
-	OwnerSilent func(owner string, err error)
+	OnOwnerSilent func(owner string, err error)
 	// Missing, if not nil, is called when a request waits for a model or adapter
 	// that no server holds. It is called with the Dispatcher locked and must not block.
-	Missing func()
+	OnModelMissing func()
 }
 
 // A Dispatcher gives requests their servers; it is safe for concurrent use.
@@ -105,21 +105,21 @@
 
 	mu      sync.Mutex
 	servers *backend.Snapshot
-	loads   map[string]*load
+	loads   map[string]*serverLoad
 	remote  map[string]remoteLoad
 	// partial tells that remote holds the busiest servers only.
-	partial bool
-	waiting []*waiter
-	demand  map[string]*Demand
-	speeds  speeds
+	busiestOnly   bool
+	waiting       []*waiter
+	demand        map[string]*Demand
+	prefillSpeeds prefillSpeeds
 	// balances holds how requests of each service fare.
-	balances map[string]*balance
+	shedders map[string]*shedder
 	gateways []Gateway
 	owners   map[string]string
 	// silent tells until when owners that did not answer are not asked.
-	silent map[string]time.Time
+	suspended map[string]time.Time
 	// wakeAt is when waiting requests are looked at next; zero if that is not set.
-	wakeAt time.Time
+	nextServe time.Time
 	// arrivals counts requests, so that those that wait again keep their order.
 	arrivals uint64
 }
@@ -128,8 +128,8 @@
 type Demand struct {
 	// Arrived counts requests since the start, Tokens their prompt tokens and
 	// ten times the tokens they may generate.
-	Arrived int `json:"a"`
-	Tokens  int `json:"t"`
+	Arrived    int `json:"a"`
+	WorkTokens int `json:"t"`
 	// Waiting is the number of requests that wait for it now.
 	Waiting int `json:"w,omitempty"`
 	// Running is the number of requests that run with it now.
@@ -139,32 +139,32 @@
 }
 
 // load is what this process has at one server and has seen of it.
-type load struct {
+type serverLoad struct {
 	Load
-	kept    keptParts
-	failure failureShare
-	heard   time.Time
-	sent    []*Ticket
+	prefixes   prefixCache
+	failures   failureRate
+	lastAnswer time.Time
+	awaiting   []*Reservation
 	// grants are the places given to other gateways' requests lately.
 	grants []grant
 	// reading is what an own engine reads.
-	reading readingLine
+	prefill prefillQueue
 	// deniedUntil is until when the engine's owner grants no place.
 	deniedUntil time.Time
 }
 
 type waiter struct {
-	req    *Request
-	ticket *Ticket
-	ready  chan struct{}
+	req         *Request
+	reservation *Reservation
+	ready       chan struct{}
 }
 
 // New returns a Dispatcher that knows no server.
 func New(o Options) *Dispatcher {
 	return &Dispatcher{
-		opts: o, servers: &backend.Snapshot{}, loads: make(map[string]*load),
+		opts: o, servers: &backend.Snapshot{}, loads: make(map[string]*serverLoad),
 		remote: make(map[string]remoteLoad), demand: make(map[string]*Demand),
-		silent: make(map[string]time.Time), balances: make(map[string]*balance),
+		suspended: make(map[string]time.Time), shedders: make(map[string]*shedder),
 	}
 }
 
@@ -188,7 +188,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.opts.Clock.Now()
-	d.partial = partial
+	d.busiestOnly = partial
 	d.remote = make(map[string]remoteLoad, len(remote))
 	for id, l := range remote {
 		d.remote[id] = remoteLoad{Load: l, at: now}
@@ -221,7 +221,7 @@
 }
 
 // Count counts the arrival of a request for a model.
-func (d *Dispatcher) Count(r *Request) {
+func (d *Dispatcher) CountArrival(r *Request) {
 	if r.Model == "" {
 		return
 	}
@@ -229,11 +229,11 @@
 	defer d.mu.Unlock()
 	x := d.demandOf(r)
 	x.Arrived++
-	x.Tokens += r.Prompt + outputWeight*r.Output
+	x.WorkTokens += r.PromptTokens + outputTokenWeight*r.MaxOutputTokens
 }
 
 // outputWeight is how many prompt tokens one generated token counts as.
-const outputWeight = 10
+const outputTokenWeight = 10
 
 func (d *Dispatcher) demandOf(r *Request) *Demand {
 	x := d.demand[r.name()]
@@ -246,35 +246,37 @@
 
 // choose takes a place at the best server, or returns nil. Waiting requests are
 // looked at again when it is known that a place may come free by time alone.
-func (d *Dispatcher) choose(r *Request) *Ticket {
+func (d *Dispatcher) choose(r *Request) *Reservation {
 	now := d.opts.Clock.Now()
 	servers, list := d.candidates(r, now)
 	limits := d.limits(r)
 	i := Choose(list, limits)
 	if i < 0 {
-		d.serveAfterReading(servers, list, limits, now)
+		d.serveAfterPrefill(servers, list, limits, now)
 		return nil
 	}
 	t := d.take(r, servers[i], list[i])
-	t.among = len(list)
+	t.candidates = len(list)
 	return t
 }
 
 // HasServer reports whether there is a server that could take the request now.
-func (d *Dispatcher) HasServer(r *Request) bool {
+func (d *Dispatcher) CanSend(r *Request) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, list := d.candidates(r, d.opts.Clock.Now())
 	return Choose(list, d.limits(r)) >= 0
 }
 
-func (d *Dispatcher) limits(r *Request) Limits { return Limits{Pace: r.Pace, Fill: d.opts.Fill} }
+func (d *Dispatcher) limits(r *Request) Limits {
+	return Limits{Gap: r.Gap, Utilization: d.opts.Utilization}
+}
 
 // candidates returns the servers that hold what the request needs and may be asked now.
 func (d *Dispatcher) candidates(r *Request, now time.Time) (servers []*backend.Server, list []Candidate) {
-	memory := d.opts.Memory(r.Service)
+	memory := d.opts.CacheTokens(r.Service)
 	for _, s := range d.servers.Holding(r.Service, r.Model) {
-		if s.Leaving || slices.Contains(r.Avoid, s.ID) || r.Model != "" && !s.Holds(r.Model, r.Adapter) {
+		if s.Leaving || slices.Contains(r.Exclude, s.ID) || r.Model != "" && !s.Holds(r.Model, r.Adapter) {
 			continue
 		}
 		if l := d.load(s.ID); now.Before(l.deniedUntil) {
@@ -288,32 +290,32 @@
 }
 
 // silentAfter is how long a server may owe a first answer and say nothing at all.
-const silentAfter = 1500 * time.Millisecond
+const stallTime = 1500 * time.Millisecond
 
 func (d *Dispatcher) candidate(r *Request, s *backend.Server, memory int, now time.Time) Candidate {
 	l := d.load(s.ID)
 	c := Candidate{
-		Memory: memory, Slots: s.Slots, Near: s.Hall == d.opts.Hall, Own: d.owns(s), Failure: l.failure.at(now),
-		Need: r.Prompt + r.Output,
+		CacheTokens: memory, Slots: s.Slots, SameHall: s.Hall == d.opts.Hall, Owned: d.owns(s), FailureRate: l.failures.at(now),
+		NeedTokens: r.PromptTokens + r.MaxOutputTokens,
 	}
-	c.Asked = !c.Own && r.Model != "" && d.asks(d.ownerOf(s), now)
+	c.NeedsGrant = !c.Owned && r.Model != "" && d.asksOwner(d.ownerOf(s), now)
 	d.addLoads(&c, l, s.ID, now)
-	if _, known := d.remote[s.ID]; d.partial && !known && !c.Own {
-		c.Spread = d.spread(s.ID)
+	if _, known := d.remote[s.ID]; d.busiestOnly && !known && !c.Owned {
+		c.Jitter = d.jitter(s.ID)
 	}
 	if r.Model != "" {
-		c.Tokens = max(r.Prompt-l.kept.kept(r.name(), r.Parts), 0)
-		c.Read = d.speeds.reading(r.Model, c.Tokens)
+		c.PrefillTokens = max(r.PromptTokens-l.prefixes.cachedTokens(r.name(), r.Prefix), 0)
+		c.Prefill = d.prefillSpeeds.prefillTime(r.Model, c.PrefillTokens)
 	}
-	if c.Own && r.Pace.Pause > 0 {
-		c.Lately = inMilliseconds(l.reading.busy(milliseconds(c.Read), milliseconds(r.Pace.Pause), now))
+	if c.Owned && r.Gap.MaxGap > 0 {
+		c.PrefillInGap = inMilliseconds(l.prefill.busyWithin(milliseconds(c.Prefill), milliseconds(r.Gap.MaxGap), now))
 	}
-	if len(l.sent) > 0 {
-		since := l.sent[0].sent
-		if l.heard.After(since) {
-			since = l.heard
+	if len(l.awaiting) > 0 {
+		since := l.awaiting[0].sent
+		if l.lastAnswer.After(since) {
+			since = l.lastAnswer
 		}
-		c.Silent = now.Sub(since) > silentAfter
+		c.Stalled = now.Sub(since) > stallTime
 	}
 	return c
 }
@@ -321,49 +323,49 @@
 // addLoads adds up what is at a server: the own requests, those that other
 // gateways report and, for an engine of its own, the places granted. There the
 // prompts being read are known from the grants, and better than from reports.
-func (d *Dispatcher) addLoads(c *Candidate, l *load, id string, now time.Time) {
+func (d *Dispatcher) addLoads(c *Candidate, l *serverLoad, id string, now time.Time) {
 	others := d.remote[id].now(now)
 	c.Running = l.Running + others.Running
-	c.Used = l.Used + others.Used
-	c.Reading = float64(l.Reading + others.Reading)
-	if c.Own && d.opts.Places != nil {
+	c.UsedTokens = l.UsedTokens + others.UsedTokens
+	c.PrefillAhead = float64(l.PrefillMs + others.PrefillMs)
+	if c.Owned && d.opts.Owners != nil {
 		granted := l.granted(now)
 		c.Running += granted.Running
-		c.Used += granted.Used
-		c.Reading = max(inMilliseconds(l.reading.end(now).Sub(now)), float64(l.Reading))
+		c.UsedTokens += granted.UsedTokens
+		c.PrefillAhead = max(inMilliseconds(l.prefill.end(now).Sub(now)), float64(l.PrefillMs))
 	}
 }
 
-func (d *Dispatcher) load(id string) *load {
+func (d *Dispatcher) load(id string) *serverLoad {
 	l := d.loads[id]
 	if l == nil {
-		l = &load{}
+		l = &serverLoad{}
 		d.loads[id] = l
 	}
 	return l
 }
 
-func (d *Dispatcher) take(r *Request, s *backend.Server, c Candidate) *Ticket {
+func (d *Dispatcher) take(r *Request, s *backend.Server, c Candidate) *Reservation {
 	l := d.load(s.ID)
-	t := &Ticket{d: d, req: r, server: s, load: l, tokens: c.Tokens, choice: c, reading: int(c.Read + 0.5), used: c.Need, sent: d.opts.Clock.Now()}
+	t := &Reservation{d: d, req: r, server: s, load: l, prefillTokens: c.PrefillTokens, choice: c, prefillMs: int(c.Prefill + 0.5), used: c.NeedTokens, sent: d.opts.Clock.Now()}
 	if r.Model == "" {
 		t.used = 0
 	}
-	if c.Asked {
+	if c.NeedsGrant {
 		t.owner = d.ownerOf(s)
 	}
 	l.Running++
-	l.Reading += t.reading
-	l.Used += t.used
-	l.sent = append(l.sent, t)
-	if c.Own {
-		t.read = l.reading.add(milliseconds(c.Read), t.sent)
+	l.PrefillMs += t.prefillMs
+	l.UsedTokens += t.used
+	l.awaiting = append(l.awaiting, t)
+	if c.Owned {
+		t.prefillEnd = l.prefill.add(milliseconds(c.Prefill), t.sent)
 	}
 	if r.Model != "" {
 		d.demandOf(r).Running++
 	}
 	if r.Model != "" && t.owner == "" {
-		l.kept.add(r.name(), r.Parts)
+		l.prefixes.touch(r.name(), r.Prefix)
 	}
 	return t
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -38,7 +38,7 @@
 
 func dispatcher(c clock.Service, servers ...backend.Server) *dispatch.Dispatcher {
 	d := dispatch.New(dispatch.Options{
-		ID: "g", Hall: "h", Clock: c, Fill: 1, Memory: func(string) int { return memory },
+		ID: "g", Hall: "h", Clock: c, Utilization: 1, CacheTokens: func(string) int { return memory },
 	})
 	d.SetServers(snapshot(servers...))
 	return d
@@ -46,8 +46,8 @@
 
 func request(c clock.Service) *dispatch.Request {
 	return &dispatch.Request{
-		Service: service, Model: model, Prompt: 1000, Output: 100, Priority: 5,
-		Until: c.Now().Add(time.Minute), Due: c.Now().Add(time.Second),
+		Service: service, Model: model, PromptTokens: 1000, MaxOutputTokens: 100, Priority: 5,
+		WaitUntil: c.Now().Add(time.Minute), SendBy: c.Now().Add(time.Second),
 	}
 }
 
@@ -60,13 +60,13 @@
 
 // reads returns the pace of streams that bear a reading of some milliseconds on an
 // engine where nothing runs.
-func reads(ms float64) dispatch.Pace {
+func reads(ms float64) dispatch.GapBudget {
 	const step, share = 10.5, 0.93
-	return dispatch.Pace{Pause: (ms + step) / share, Steps: 1}
+	return dispatch.GapBudget{MaxGap: (ms + step) / share, StepsPerEvent: 1}
 }
 
 func TestChoose(t *testing.T) {
-	idle := dispatch.Candidate{Memory: memory, Slots: 8, Need: 1000, Read: 50, Near: true, Own: true}
+	idle := dispatch.Candidate{CacheTokens: memory, Slots: 8, NeedTokens: 1000, Prefill: 50, SameHall: true, Owned: true}
 	with := func(change func(c *dispatch.Candidate)) dispatch.Candidate {
 		c := idle
 		change(&c)
@@ -78,61 +78,61 @@
 		want   int
 	}{
 		"none":                  {want: -1},
-		"least reading":         {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Reading = 90 }), idle}, want: 1},
-		"kept prompt":           {list: []dispatch.Candidate{idle, with(func(c *dispatch.Candidate) { c.Read = 10 })}, want: 1},
-		"own hall":              {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Near = false }), idle}, want: 1},
-		"own engine":            {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Own = false }), idle}, want: 1},
-		"silent comes last":     {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Silent = true }), with(func(c *dispatch.Candidate) { c.Reading = 900 })}, want: 1},
-		"silent before nothing": {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Silent = true })}, want: 0},
-		"failing comes last":    {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Failure = 0.5 }), with(func(c *dispatch.Candidate) { c.Reading = 500 })}, want: 1},
+		"least reading":         {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead = 90 }), idle}, want: 1},
+		"kept prompt":           {list: []dispatch.Candidate{idle, with(func(c *dispatch.Candidate) { c.Prefill = 10 })}, want: 1},
+		"own hall":              {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.SameHall = false }), idle}, want: 1},
+		"own engine":            {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Owned = false }), idle}, want: 1},
+		"silent comes last":     {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Stalled = true }), with(func(c *dispatch.Candidate) { c.PrefillAhead = 900 })}, want: 1},
+		"silent before nothing": {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Stalled = true })}, want: 0},
+		"failing comes last":    {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.FailureRate = 0.5 }), with(func(c *dispatch.Candidate) { c.PrefillAhead = 500 })}, want: 1},
 		"slots full":            {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Running = 8 })}, want: -1},
-		"memory full":           {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Running, c.Used = 1, memory })}, want: -1},
+		"memory full":           {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Running, c.UsedTokens = 1, memory })}, want: -1},
 		"larger than the memory, alone": {
-			list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Need = 2 * memory })}, want: 0,
+			list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.NeedTokens = 2 * memory })}, want: 0,
 		},
 		"reading limit": {
-			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Reading = 80 })},
-			limits: dispatch.Limits{Pace: reads(100)}, want: -1,
+			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 })},
+			limits: dispatch.Limits{Gap: reads(100)}, want: -1,
 		},
 		"reading limit, nothing on its way": {
-			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Read = 400 })},
-			limits: dispatch.Limits{Pace: reads(100)}, want: 0,
+			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Prefill = 400 })},
+			limits: dispatch.Limits{Gap: reads(100)}, want: 0,
 		},
 		"another's engine that reads, while an own one is full": {
 			list: []dispatch.Candidate{
-				with(func(c *dispatch.Candidate) { c.Reading = 80 }),
-				with(func(c *dispatch.Candidate) { c.Reading, c.Read, c.Own = 1, 30, false }),
+				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
+				with(func(c *dispatch.Candidate) { c.PrefillAhead, c.Prefill, c.Owned = 1, 30, false }),
 			},
-			limits: dispatch.Limits{Pace: reads(100)}, want: -1,
+			limits: dispatch.Limits{Gap: reads(100)}, want: -1,
 		},
 		"another's engine that is idle, for a long prompt": {
 			list: []dispatch.Candidate{
-				with(func(c *dispatch.Candidate) { c.Reading = 80 }),
-				with(func(c *dispatch.Candidate) { c.Read, c.Own = 90, false }),
+				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
+				with(func(c *dispatch.Candidate) { c.Prefill, c.Owned = 90, false }),
 			},
-			limits: dispatch.Limits{Pace: reads(100)}, want: -1,
+			limits: dispatch.Limits{Gap: reads(100)}, want: -1,
 		},
 		"another's engine that is idle": {
 			list: []dispatch.Candidate{
-				with(func(c *dispatch.Candidate) { c.Reading = 80 }),
-				with(func(c *dispatch.Candidate) { c.Read, c.Own = 30, false }),
+				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
+				with(func(c *dispatch.Candidate) { c.Prefill, c.Owned = 30, false }),
 			},
-			limits: dispatch.Limits{Pace: reads(100)}, want: 1,
+			limits: dispatch.Limits{Gap: reads(100)}, want: 1,
 		},
 		"another's engine, where no own one has the model": {
-			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Reading, c.Read, c.Own = 30, 30, false })},
-			limits: dispatch.Limits{Pace: reads(100)}, want: 0,
+			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead, c.Prefill, c.Owned = 30, 30, false })},
+			limits: dispatch.Limits{Gap: reads(100)}, want: 0,
 		},
 		"plain service: fewest requests": {
-			list: []dispatch.Candidate{{Slots: 6, Running: 4, Near: true}, {Slots: 6, Running: 1, Near: true}}, want: 1,
+			list: []dispatch.Candidate{{Slots: 6, Running: 4, SameHall: true}, {Slots: 6, Running: 1, SameHall: true}}, want: 1,
 		},
 		"plain service: never full": {list: []dispatch.Candidate{{Slots: 6, Running: 40}}, want: 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := test.limits
-			if l.Fill == 0 {
-				l.Fill = 1
+			if l.Utilization == 0 {
+				l.Utilization = 1
 			}
 			assert.Equal(t, dispatch.Choose(test.list, l), test.want)
 		})
@@ -148,15 +148,15 @@
 	r := request(c)
 	_, err := d.Acquire(now(), r)
 	assert.Assert(t, errors.Is(err, context.Canceled))
-	r.Until = c.Now()
+	r.WaitUntil = c.Now()
 	_, err = d.Acquire(context.Background(), r)
 	assert.Assert(t, errors.Is(err, dispatch.ErrNoServer))
 	d.SetServers(snapshot(leaving, empty, engine("good")))
 	r = request(c)
-	r.Avoid = []string{"good"}
+	r.Exclude = []string{"good"}
 	_, err = d.Acquire(now(), r)
 	assert.Assert(t, errors.Is(err, context.Canceled))
-	r.Avoid = nil
+	r.Exclude = nil
 	ticket, err := d.Acquire(now(), r)
 	assert.NilError(t, err)
 	assert.Equal(t, ticket.Server().ID, "good")
@@ -168,7 +168,7 @@
 	with.Residents = []backend.Resident{{Model: model, Adapters: []string{"a1"}}}
 	missing := 0
 	d := dispatch.New(dispatch.Options{
-		ID: "g", Clock: c, Fill: 1, Memory: func(string) int { return memory }, Missing: func() { missing++ },
+		ID: "g", Clock: c, Utilization: 1, CacheTokens: func(string) int { return memory }, OnModelMissing: func() { missing++ },
 	})
 	d.SetServers(snapshot(without, with))
 	r := request(c)
@@ -181,15 +181,15 @@
 	r.Adapter = "a2"
 	_, err = d.Acquire(now(), r)
 	assert.Assert(t, err != nil)
-	assert.Equal(t, d.Holders(r), 0)
+	assert.Equal(t, d.HolderCount(r), 0)
 	r.Adapter = ""
-	assert.Equal(t, d.Holders(r), 2)
+	assert.Equal(t, d.HolderCount(r), 2)
 	assert.Equal(t, missing, 1, "the wait for an adapter that nobody holds is told")
 }
 
 // acquire starts an Acquire and returns where its ticket will come.
-func acquire(d *dispatch.Dispatcher, r *dispatch.Request) chan *dispatch.Ticket {
-	out := make(chan *dispatch.Ticket, 1)
+func acquire(d *dispatch.Dispatcher, r *dispatch.Request) chan *dispatch.Reservation {
+	out := make(chan *dispatch.Reservation, 1)
 	go func() {
 		if ticket, err := d.Acquire(context.Background(), r); err == nil {
 			out <- ticket
@@ -232,12 +232,12 @@
 			d := dispatcher(c, s)
 			blocker, err := d.Acquire(now(), request(c))
 			assert.NilError(t, err)
-			var tickets []chan *dispatch.Ticket
+			var tickets []chan *dispatch.Reservation
 			for i, k := range []kind{test.first, test.second} {
 				r := request(c)
 				r.Priority = k.priority
 				if k.late {
-					r.Due = c.Now().Add(-time.Millisecond)
+					r.SendBy = c.Now().Add(-time.Millisecond)
 				}
 				tickets = append(tickets, acquire(d, r))
 				poll.WaitOn(t, waiting(d, i+1))
@@ -262,9 +262,9 @@
 	_, err := d.Acquire(now(), request(c))
 	assert.NilError(t, err)
 	r := request(c)
-	r.Until = c.Now().Add(20 * time.Millisecond)
+	r.WaitUntil = c.Now().Add(20 * time.Millisecond)
 	_, err = d.Acquire(context.Background(), r)
-	assert.Assert(t, errors.Is(err, dispatch.ErrWaited))
+	assert.Assert(t, errors.Is(err, dispatch.ErrWaitTimeout))
 	assert.Equal(t, d.Demands()[model].Waiting, 0)
 }
 
@@ -278,7 +278,7 @@
 	firsts := make(map[string]int)
 	for _, g := range gateways {
 		d := dispatch.New(dispatch.Options{
-			ID: g.ID, Hall: g.Hall, Clock: c, Fill: 1, Memory: func(string) int { return memory },
+			ID: g.ID, Hall: g.Hall, Clock: c, Utilization: 1, CacheTokens: func(string) int { return memory },
 		})
 		d.SetServers(snapshot(servers...))
 		d.SetGateways(gateways)
@@ -299,9 +299,9 @@
 		ticket, err := d.Acquire(now(), request(c))
 		assert.NilError(t, err)
 		assert.Assert(t, ticket.Server().ID != first.Server().ID)
-		ticket.Begun()
+		ticket.FirstByte()
 	}
-	first.Begun()
+	first.FirstByte()
 	ticket, err := d.Acquire(now(), request(c))
 	assert.NilError(t, err)
 	assert.Equal(t, ticket.Server().ID, first.Server().ID, "a server that spoke again is chosen again")
@@ -331,16 +331,16 @@
 func TestKeptPrompts(t *testing.T) {
 	c := clocktest.New(time.Now())
 	d := dispatcher(c, engine("a"), engine("b"))
-	shared := []dispatch.Part{{ID: "common", Tokens: 900}}
+	shared := []dispatch.PrefixBlock{{ID: "common", Tokens: 900}}
 	r := request(c)
-	r.Parts = append(shared, dispatch.Part{ID: "1", Tokens: 100})
+	r.Prefix = append(shared, dispatch.PrefixBlock{ID: "1", Tokens: 100})
 	first, err := d.Acquire(now(), r)
 	assert.NilError(t, err)
-	first.Begun()
+	first.FirstByte()
 	first.Done(dispatch.Answered)
 	for i := range 5 {
 		r := request(c)
-		r.Parts = append(shared, dispatch.Part{ID: fmt.Sprint("own", i), Tokens: 100})
+		r.Prefix = append(shared, dispatch.PrefixBlock{ID: fmt.Sprint("own", i), Tokens: 100})
 		ticket, err := d.Acquire(now(), r)
 		assert.NilError(t, err)
 		assert.Equal(t, ticket.Server().ID, first.Server().ID)
@@ -354,30 +354,30 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := clocktest.New(time.Unix(1000, 0))
 		d := dispatcher(c, engine("a"), engine("b"), engine("c"))
-		var open []*dispatch.Ticket
+		var open []*dispatch.Reservation
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			c.Advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				r := request(c)
-				r.Pace = reads(float64(rapid.IntRange(0, 200).Draw(t, "limit")))
+				r.Gap = reads(float64(rapid.IntRange(0, 200).Draw(t, "limit")))
 				if ticket, err := d.Acquire(now(), r); err == nil {
 					open = append(open, ticket)
 				}
 			case 1:
 				if len(open) > 0 {
-					open[rapid.IntRange(0, len(open)-1).Draw(t, "begun")].Begun()
+					open[rapid.IntRange(0, len(open)-1).Draw(t, "begun")].FirstByte()
 				}
 			case 2:
 				if len(open) > 0 {
 					i := rapid.IntRange(0, len(open)-1).Draw(t, "done")
-					open[i].Done(dispatch.Result(rapid.IntRange(0, 3).Draw(t, "result")))
+					open[i].Done(dispatch.SendResult(rapid.IntRange(0, 3).Draw(t, "result")))
 					open[i].Done(dispatch.Answered)
 					open = append(open[:i], open[i+1:]...)
 				}
 			}
 			for id, l := range d.Loads() {
-				if l.Running > 8 || l.Reading < 0 || l.Used < 0 {
+				if l.Running > 8 || l.PrefillMs < 0 || l.UsedTokens < 0 {
 					t.Fatalf("load of %s: %+v", id, l)
 				}
 			}
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -18,7 +18,7 @@
 		{ID: "a", Service: "checks", Hall: "kita", Slots: 1}, {ID: "b", Service: "checks", Hall: "kita", Slots: 1},
 	}, c.Now())
 	d := dispatch.New(dispatch.Options{
-		ID: "gateway-1", Hall: "kita", Clock: c, Fill: 1, Memory: func(string) int { return 0 },
+		ID: "gateway-1", Hall: "kita", Clock: c, Utilization: 1, CacheTokens: func(string) int { return 0 },
 	})
 	d.SetServers(servers.Snapshot())
 	request := func() *dispatch.Request { return &dispatch.Request{Service: "checks"} }
--- a/dispatch/owners.go
+++ b/dispatch/owners.go
@@ -44,14 +44,14 @@
 }
 
 // spread returns this gateway's own part of a server's cost, in milliseconds.
-func (d *Dispatcher) spread(server string) float64 {
+func (d *Dispatcher) jitter(server string) float64 {
 	weight := route.Rendezvous(d.opts.ID, route.Hash(server))
-	return msSpread * float64(weight) / math.MaxUint64
+	return msJitter * float64(weight) / math.MaxUint64
 }
 
 // asks reports whether a gateway is to be asked for places now.
-func (d *Dispatcher) asks(owner string, now time.Time) bool {
-	return d.opts.Places != nil && len(d.gateways) > 0 && !now.Before(d.silent[owner])
+func (d *Dispatcher) asksOwner(owner string, now time.Time) bool {
+	return d.opts.Owners != nil && len(d.gateways) > 0 && !now.Before(d.suspended[owner])
 }
 
 // ownerOf returns the gateway with the highest weight for the server, those of
--- a/dispatch/places.go
+++ b/dispatch/places.go
@@ -9,46 +9,46 @@
 
 // A PlaceRequest asks the gateway that owns an engine for a place there: the
 // right to send it one request.
-type PlaceRequest struct {
+type AdmissionRequest struct {
 	Server string `json:"s"`
 	// Model and Adapter, Parts, Prompt and Output are the request's.
-	Model   string `json:"m"`
-	Adapter string `json:"a,omitempty"`
-	Parts   []Part `json:"k,omitempty"`
-	Prompt  int    `json:"p"`
-	Output  int    `json:"o"`
+	Model           string        `json:"m"`
+	Adapter         string        `json:"a,omitempty"`
+	Prefix          []PrefixBlock `json:"k,omitempty"`
+	PromptTokens    int           `json:"p"`
+	MaxOutputTokens int           `json:"o"`
 	// Pace is what pauses running streams of the request's kind bear.
-	Pace Pace `json:"l"`
+	Gap GapBudget `json:"l"`
 }
 
 // A PlaceAnswer is the answer of the gateway that was asked.
-type PlaceAnswer struct {
+type AdmissionReply struct {
 	// Owned tells that the answerer owns the engine; all else is empty otherwise.
 	Owned bool `json:"y"`
 	// Granted tells that the request may be sent.
-	Granted bool `json:"g,omitempty"`
+	Admitted bool `json:"g,omitempty"`
 	// Load is what all gateways have at the engine, as the owner knows it.
 	Load Load `json:"l"`
 	// After is when to ask again if the place is not granted, in milliseconds.
-	After int `json:"a,omitempty"`
+	RetryAfterMs int `json:"a,omitempty"`
 }
 
 // Places asks other gateways for places at the engines that they own.
-type Places interface {
+type Owners interface {
 	// Ask returns the owner's answer, or an error if there is none in time.
-	Ask(ctx context.Context, owner string, r PlaceRequest) (PlaceAnswer, error)
+	Admit(ctx context.Context, owner string, r AdmissionRequest) (AdmissionReply, error)
 }
 
 // Times of asking for places.
 const (
 	// ownerSilence is how long an owner that did not answer is not asked again.
-	ownerSilence = 700 * time.Millisecond
+	ownerSuspension = 700 * time.Millisecond
 	// grantAge is after how long a grant's load is in the loads that gateways report.
 	grantAge = 400 * time.Millisecond
 	// leastAfter and fullAfter are the pauses before asking again: at least, and for
 	// an engine whose slots or memory are taken.
-	leastAfter = 5 * time.Millisecond
-	fullAfter  = 50 * time.Millisecond
+	minGrantRetry  = 5 * time.Millisecond
+	fullGrantRetry = 50 * time.Millisecond
 )
 
 // A grant is a place given to another gateway's request.
@@ -58,44 +58,44 @@
 }
 
 // Grant answers another gateway that asks for a place.
-func (d *Dispatcher) Grant(r PlaceRequest) PlaceAnswer {
+func (d *Dispatcher) Admit(r AdmissionRequest) AdmissionReply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s, ok := d.servers.Server(r.Server)
 	if !ok || !d.owns(s) {
-		return PlaceAnswer{}
+		return AdmissionReply{}
 	}
 	req := &Request{
-		Service: s.Service, Model: r.Model, Adapter: r.Adapter, Parts: r.Parts, Prompt: r.Prompt, Output: r.Output,
-		Pace: r.Pace,
+		Service: s.Service, Model: r.Model, Adapter: r.Adapter, Prefix: r.Prefix, PromptTokens: r.PromptTokens, MaxOutputTokens: r.MaxOutputTokens,
+		Gap: r.Gap,
 	}
 	now := d.opts.Clock.Now()
-	c := d.candidate(req, s, d.opts.Memory(s.Service), now)
-	answer := PlaceAnswer{Owned: true, Load: c.load()}
+	c := d.candidate(req, s, d.opts.CacheTokens(s.Service), now)
+	answer := AdmissionReply{Owned: true, Load: c.load()}
 	if s.Leaving {
-		answer.After = int(fullAfter / time.Millisecond)
+		answer.RetryAfterMs = int(fullGrantRetry / time.Millisecond)
 		return answer
 	}
 	limits := d.limits(req)
 	if !c.fits(limits, true) {
-		answer.After = int(d.freeAfter(s, c, limits, now) / time.Millisecond)
+		answer.RetryAfterMs = int(d.freeAfter(s, c, limits, now) / time.Millisecond)
 		return answer
 	}
 	d.grant(req, s, c, now)
-	answer.Granted = true
+	answer.Admitted = true
 	return answer
 }
 
 // grant counts a place that was given away.
 func (d *Dispatcher) grant(r *Request, s *backend.Server, c Candidate, now time.Time) {
 	l := d.load(s.ID)
-	l.grants = append(l.grants, grant{at: now, need: c.Need})
-	l.reading.add(milliseconds(c.Read), now)
-	l.kept.add(r.name(), r.Parts)
+	l.grants = append(l.grants, grant{at: now, need: c.NeedTokens})
+	l.prefill.add(milliseconds(c.Prefill), now)
+	l.prefixes.touch(r.name(), r.Prefix)
 }
 
 // granted returns the load of the places that were given away lately.
-func (l *load) granted(now time.Time) Load {
+func (l *serverLoad) granted(now time.Time) Load {
 	fresh := l.grants[:0]
 	for _, g := range l.grants {
 		if now.Sub(g.at) < grantAge {
@@ -105,91 +105,91 @@
 	l.grants = fresh
 	sum := Load{Running: len(fresh)}
 	for _, g := range fresh {
-		sum.Used += g.need
+		sum.UsedTokens += g.need
 	}
 	return sum
 }
 
 // load returns the candidate's load.
 func (c Candidate) load() Load {
-	return Load{Running: c.Running, Reading: int(c.Reading), Used: c.Used}
+	return Load{Running: c.Running, PrefillMs: int(c.PrefillAhead), UsedTokens: c.UsedTokens}
 }
 
 // freeAfter returns when a place that is not free now may be.
 func (d *Dispatcher) freeAfter(s *backend.Server, c Candidate, l Limits, now time.Time) time.Duration {
 	unread := c
-	unread.Reading, unread.Lately = 0, 0
+	unread.PrefillAhead, unread.PrefillInGap = 0, 0
 	if !unread.fits(l, true) {
-		return fullAfter
+		return fullGrantRetry
 	}
-	limit := l.Pace.reading(c.Running)
-	if c.Own {
-		return d.load(s.ID).reading.freeAfter(milliseconds(c.Read), milliseconds(limit), milliseconds(l.Pace.Pause), now)
+	limit := l.Gap.prefillPerGap(c.Running)
+	if c.Owned {
+		return d.load(s.ID).prefill.nextStart(milliseconds(c.Prefill), milliseconds(limit), milliseconds(l.Gap.MaxGap), now)
 	}
-	return max(milliseconds(c.Reading+min(c.Read, limit)-limit), leastAfter)
+	return max(milliseconds(c.PrefillAhead+min(c.Prefill, limit)-limit), minGrantRetry)
 }
 
 // confirm asks the engine's owner for the ticket's place, if it has to be asked,
 // and reports whether the request may be sent; the ticket is over if not.
-func (d *Dispatcher) confirm(ctx context.Context, t *Ticket) bool {
+func (d *Dispatcher) confirm(ctx context.Context, t *Reservation) bool {
 	if t.owner == "" {
 		return true
 	}
 	r := t.req
-	r.Asked++
-	a, err := d.opts.Places.Ask(ctx, t.owner, PlaceRequest{
-		Server: t.server.ID, Model: r.Model, Adapter: r.Adapter, Parts: r.Parts, Prompt: r.Prompt, Output: r.Output,
-		Pace: r.Pace,
+	r.GrantsAsked++
+	a, err := d.opts.Owners.Admit(ctx, t.owner, AdmissionRequest{
+		Server: t.server.ID, Model: r.Model, Adapter: r.Adapter, Prefix: r.Prefix, PromptTokens: r.PromptTokens, MaxOutputTokens: r.MaxOutputTokens,
+		Gap: r.Gap,
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.opts.Clock.Now()
 	if err != nil || !a.Owned {
 		if ctx.Err() == nil {
-			d.passOver(t.owner, now, err)
+			d.suspendOwner(t.owner, now, err)
 		}
 		t.release()
 		return false
 	}
-	if a.Granted {
-		r.Granted++
+	if a.Admitted {
+		r.GrantsGiven++
 		t.sent = now
-		t.load.kept.add(r.name(), r.Parts)
+		t.load.prefixes.touch(r.name(), r.Prefix)
 		d.remote[t.server.ID] = remoteLoad{Load: a.Load.less(t.load.Load), at: now}
 		return true
 	}
-	r.Denied++
+	r.GrantsDenied++
 	t.release()
 	d.remote[t.server.ID] = remoteLoad{Load: a.Load.less(t.load.Load), at: now}
-	t.load.deniedUntil = now.Add(time.Duration(a.After) * time.Millisecond)
+	t.load.deniedUntil = now.Add(time.Duration(a.RetryAfterMs) * time.Millisecond)
 	return false
 }
 
 // passOver stops asking an owner for a while.
-func (d *Dispatcher) passOver(owner string, now time.Time, err error) {
-	if now.Before(d.silent[owner]) {
+func (d *Dispatcher) suspendOwner(owner string, now time.Time, err error) {
+	if now.Before(d.suspended[owner]) {
 		return
 	}
-	d.silent[owner] = now.Add(ownerSilence)
-	if d.opts.OwnerSilent != nil {
-		d.opts.OwnerSilent(owner, err)
+	d.suspended[owner] = now.Add(ownerSuspension)
+	if d.opts.OnOwnerSilent != nil {
+		d.opts.OnOwnerSilent(owner, err)
 	}
 }
 
 // less returns the load without a part of it.
 func (l Load) less(part Load) Load {
 	return Load{
-		Running: max(l.Running-part.Running, 0),
-		Reading: max(l.Reading-part.Reading, 0),
-		Used:    max(l.Used-part.Used, 0),
+		Running:    max(l.Running-part.Running, 0),
+		PrefillMs:  max(l.PrefillMs-part.PrefillMs, 0),
+		UsedTokens: max(l.UsedTokens-part.UsedTokens, 0),
 	}
 }
 
 // serveAfterReading looks at waiting requests again when an engine should have read
 // enough: nobody tells of that.
-func (d *Dispatcher) serveAfterReading(servers []*backend.Server, list []Candidate, limits Limits, now time.Time) {
+func (d *Dispatcher) serveAfterPrefill(servers []*backend.Server, list []Candidate, limits Limits, now time.Time) {
 	for i, c := range list {
-		if c.Own && c.Lately > 0 || c.Asked && c.Reading > 0 {
+		if c.Owned && c.PrefillInGap > 0 || c.NeedsGrant && c.PrefillAhead > 0 {
 			d.serveAt(now.Add(d.freeAfter(servers[i], c, limits, now)))
 		}
 	}
@@ -198,15 +198,15 @@
 // serveAt looks for servers for waiting requests at a time, if that is not to be
 // done before.
 func (d *Dispatcher) serveAt(when time.Time) {
-	if !d.wakeAt.IsZero() && !when.Before(d.wakeAt) {
+	if !d.nextServe.IsZero() && !when.Before(d.nextServe) {
 		return
 	}
-	d.wakeAt = when
+	d.nextServe = when
 	time.AfterFunc(when.Sub(d.opts.Clock.Now()), func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.wakeAt.Equal(when) {
-			d.wakeAt = time.Time{}
+		if d.nextServe.Equal(when) {
+			d.nextServe = time.Time{}
 		}
 		d.serve()
 	})
--- a/dispatch/places_test.go
+++ b/dispatch/places_test.go
@@ -29,15 +29,15 @@
 }
 
 // Ask implements dispatch.Places.
-func (g *gatewayGroup) Ask(_ context.Context, owner string, r dispatch.PlaceRequest) (dispatch.PlaceAnswer, error) {
+func (g *gatewayGroup) Admit(_ context.Context, owner string, r dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
 	g.mu.Lock()
 	g.asked++
 	d, silent := g.dispatchers[owner], g.silent[owner]
 	g.mu.Unlock()
 	if silent {
-		return dispatch.PlaceAnswer{}, errors.New("no answer")
+		return dispatch.AdmissionReply{}, errors.New("no answer")
 	}
-	return d.Grant(r), nil
+	return d.Admit(r), nil
 }
 
 func (g *gatewayGroup) askedTimes() int {
@@ -55,8 +55,8 @@
 	}
 	for _, x := range list {
 		d := dispatch.New(dispatch.Options{
-			ID: x.ID, Hall: x.Hall, Clock: c, Fill: 1, Memory: func(string) int { return memory }, Places: g,
-			OwnerSilent: func(owner string, _ error) { g.told = append(g.told, owner) },
+			ID: x.ID, Hall: x.Hall, Clock: c, Utilization: 1, CacheTokens: func(string) int { return memory }, Owners: g,
+			OnOwnerSilent: func(owner string, _ error) { g.told = append(g.told, owner) },
 		})
 		d.SetServers(snapshot(servers...))
 		d.SetGateways(list)
@@ -68,7 +68,7 @@
 // reading returns a request whose prompt is about all that an engine may read at once.
 func reading(c clock.Service) *dispatch.Request {
 	r := request(c)
-	r.Pace = reads(60)
+	r.Gap = reads(60)
 	return r
 }
 
@@ -107,7 +107,7 @@
 			req := reading(c)
 			got := acquire(second, req)
 			poll.WaitOn(t, waiting(second, 1))
-			before.Begun()
+			before.FirstByte()
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				c.Advance(10 * time.Millisecond)
 				select {
@@ -117,7 +117,7 @@
 					return poll.Continue("no place")
 				}
 			}, poll.WithDelay(time.Millisecond))
-			assert.Assert(t, req.Asked == 0 || req.Asked > req.Denied, "asked %d, denied %d", req.Asked, req.Denied)
+			assert.Assert(t, req.GrantsAsked == 0 || req.GrantsAsked > req.GrantsDenied, "asked %d, denied %d", req.GrantsAsked, req.GrantsDenied)
 		})
 	}
 }
@@ -132,7 +132,7 @@
 		for _, d := range g.dispatchers {
 			ticket, err := d.Acquire(context.Background(), reading(c))
 			assert.NilError(t, err)
-			ticket.Begun()
+			ticket.FirstByte()
 			ticket.Done(dispatch.Answered)
 		}
 	}
@@ -152,16 +152,16 @@
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 1, engine("a"))
 	d := g.dispatchers["g0"]
-	ask := dispatch.PlaceRequest{Server: "a", Model: model, Prompt: 100, Output: 100}
+	ask := dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 100, MaxOutputTokens: 100}
 	for range 8 {
-		assert.Assert(t, d.Grant(ask).Granted)
+		assert.Assert(t, d.Admit(ask).Admitted)
 	}
-	full := d.Grant(ask)
-	assert.Assert(t, full.Owned && !full.Granted && full.After > 0, "%+v", full)
+	full := d.Admit(ask)
+	assert.Assert(t, full.Owned && !full.Admitted && full.RetryAfterMs > 0, "%+v", full)
 	assert.Equal(t, full.Load.Running, 8)
-	assert.Equal(t, full.Load.Used, 8*200)
+	assert.Equal(t, full.Load.UsedTokens, 8*200)
 	c.Advance(time.Second)
-	assert.Assert(t, d.Grant(ask).Granted)
+	assert.Assert(t, d.Admit(ask).Admitted)
 }
 
 func TestGrantOfAnotherGatewaysEngine(t *testing.T) {
@@ -169,10 +169,10 @@
 	g := newGroup(c, 2, engine("a"))
 	owned := 0
 	for _, d := range g.dispatchers {
-		if d.Grant(dispatch.PlaceRequest{Server: "a", Model: model}).Owned {
+		if d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model}).Owned {
 			owned++
 		}
-		assert.Assert(t, !d.Grant(dispatch.PlaceRequest{Server: "unknown", Model: model}).Owned)
+		assert.Assert(t, !d.Admit(dispatch.AdmissionRequest{Server: "unknown", Model: model}).Owned)
 	}
 	assert.Equal(t, owned, 1)
 }
@@ -182,13 +182,13 @@
 func TestGrantKnowsKeptPrompts(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := newGroup(c, 1, engine("a")).dispatchers["g0"]
-	ask := dispatch.PlaceRequest{
-		Server: "a", Model: model, Prompt: 1000, Output: 10, Pace: reads(60), Parts: []dispatch.Part{{ID: "p", Tokens: 950}},
+	ask := dispatch.AdmissionRequest{
+		Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: reads(60), Prefix: []dispatch.PrefixBlock{{ID: "p", Tokens: 950}},
 	}
-	assert.Assert(t, d.Grant(ask).Granted)
-	assert.Assert(t, d.Grant(ask).Granted, "the prompt is kept, so that both fit")
-	ask.Parts = nil
-	assert.Assert(t, !d.Grant(ask).Granted)
+	assert.Assert(t, d.Admit(ask).Admitted)
+	assert.Assert(t, d.Admit(ask).Admitted, "the prompt is kept, so that both fit")
+	ask.Prefix = nil
+	assert.Assert(t, !d.Admit(ask).Admitted)
 }
 
 // TestDeniedPromptIsNotKept checks that a prompt which was not sent for want of a
@@ -198,12 +198,12 @@
 	g := newGroup(c, 2, engine("a"))
 	other := g.dispatchers["g0"]
 	for _, d := range g.dispatchers {
-		if !d.Grant(dispatch.PlaceRequest{Server: "a", Model: model, Prompt: 1000, Output: 10, Pace: reads(60)}).Owned {
+		if !d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: reads(60)}).Owned {
 			other = d
 		}
 	}
 	req := reading(c)
-	req.Parts = []dispatch.Part{{ID: "p", Tokens: 1000}}
+	req.Prefix = []dispatch.PrefixBlock{{ID: "p", Tokens: 1000}}
 	got := acquire(other, req)
 	poll.WaitOn(t, waiting(other, 1))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -211,13 +211,13 @@
 		select {
 		case ticket := <-got:
 			choice, _ := ticket.Choice()
-			assert.Equal(t, choice.Tokens, 1000)
+			assert.Equal(t, choice.PrefillTokens, 1000)
 			return poll.Success()
 		default:
 			return poll.Continue("no place")
 		}
 	}, poll.WithDelay(time.Millisecond))
-	assert.Assert(t, req.Denied > 0)
+	assert.Assert(t, req.GrantsDenied > 0)
 }
 
 // TestNoPlaceAtALeavingEngine asks the owner, who knows first that its engine leaves.
@@ -226,6 +226,6 @@
 	leaving := engine("a")
 	leaving.Leaving = true
 	d := newGroup(c, 1, leaving).dispatchers["g0"]
-	answer := d.Grant(dispatch.PlaceRequest{Server: "a", Model: model})
-	assert.Assert(t, answer.Owned && !answer.Granted && answer.After > 0, "%+v", answer)
+	answer := d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model})
+	assert.Assert(t, answer.Owned && !answer.Admitted && answer.RetryAfterMs > 0, "%+v", answer)
 }
--- a/dispatch/reading.go
+++ b/dispatch/reading.go
@@ -8,15 +8,15 @@
 // A readingLine is what an engine is expected to read, one prompt after the other.
 //
 // Its zero value is an empty line.
-type readingLine struct {
+type prefillQueue struct {
 	spans []span
 }
 
 // keptSpans is how long spans that are over are kept.
-const keptSpans = 2 * time.Second
+const spanMemory = 2 * time.Second
 
 // end returns when the engine has read everything.
-func (l *readingLine) end(now time.Time) time.Time {
+func (l *prefillQueue) end(now time.Time) time.Time {
 	if n := len(l.spans); n > 0 && l.spans[n-1].to.After(now) {
 		return l.spans[n-1].to
 	}
@@ -24,9 +24,9 @@
 }
 
 // add puts a prompt at the end of the line and returns when it should be read.
-func (l *readingLine) add(read time.Duration, now time.Time) time.Time {
+func (l *prefillQueue) add(read time.Duration, now time.Time) time.Time {
 	first := 0
-	for first < len(l.spans) && now.Sub(l.spans[first].to) > keptSpans {
+	for first < len(l.spans) && now.Sub(l.spans[first].to) > spanMemory {
 		first++
 	}
 	l.spans = append(l.spans[:0], l.spans[first:]...)
@@ -37,7 +37,7 @@
 
 // done tells when a prompt was read that should have been read at another time: the
 // line is that much faster or slower.
-func (l *readingLine) done(expected, actual time.Time) {
+func (l *prefillQueue) finish(expected, actual time.Time) {
 	shift := actual.Sub(expected)
 	for i := range l.spans {
 		s := &l.spans[i]
@@ -60,7 +60,7 @@
 
 // busy returns how long the engine reads other prompts in the time of a length that
 // ends when a prompt put at the end of the line now is read.
-func (l *readingLine) busy(read, length time.Duration, now time.Time) time.Duration {
+func (l *prefillQueue) busyWithin(read, length time.Duration, now time.Time) time.Duration {
 	start := l.end(now).Add(read - length)
 	sum := time.Duration(0)
 	for _, s := range l.spans {
@@ -75,11 +75,11 @@
 
 // freeAfter returns after which time a prompt can be read so that no more than a
 // limit is read in a time of a length.
-func (l *readingLine) freeAfter(read, limit, length time.Duration, now time.Time) time.Duration {
-	for wait := time.Duration(0); wait < length; wait += leastAfter {
-		busy := l.busy(read, length, now.Add(wait))
+func (l *prefillQueue) nextStart(read, limit, length time.Duration, now time.Time) time.Duration {
+	for wait := time.Duration(0); wait < length; wait += minGrantRetry {
+		busy := l.busyWithin(read, length, now.Add(wait))
 		if busy == 0 || busy+read <= limit {
-			return max(wait, leastAfter)
+			return max(wait, minGrantRetry)
 		}
 	}
 	return length
--- a/dispatch/reading_test.go
+++ b/dispatch/reading_test.go
@@ -29,11 +29,11 @@
 		t.Run(name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
 			at := func(n int) time.Time { return start.Add(ms(n)) }
-			var l readingLine
+			var l prefillQueue
 			for _, p := range test.line {
 				l.add(ms(p.read), at(p.at))
 			}
-			assert.Equal(t, l.busy(ms(test.read), window, at(test.at)), ms(test.busy))
+			assert.Equal(t, l.busyWithin(ms(test.read), window, at(test.at)), ms(test.busy))
 		})
 	}
 }
@@ -45,12 +45,12 @@
 func TestReadingLineKeepsPauses(t *testing.T) {
 	const window, limit = 300 * time.Millisecond, 200 * time.Millisecond
 	now := time.Unix(1000, 0)
-	var l readingLine
+	var l prefillQueue
 	var all []span
 	for i := range 40 {
 		read := ms(20 + i*37%120)
-		if busy := l.busy(read, window, now); busy > 0 && busy+read > limit {
-			wait := l.freeAfter(read, limit, window, now)
+		if busy := l.busyWithin(read, window, now); busy > 0 && busy+read > limit {
+			wait := l.nextStart(read, limit, window, now)
 			assert.Assert(t, wait > 0 && wait <= window)
 			now = now.Add(wait)
 		}
@@ -86,30 +86,30 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
-			var l readingLine
+			var l prefillQueue
 			first := l.add(ms(100), start)
 			l.add(ms(100), start)
-			l.done(first, start.Add(ms(test.took)))
+			l.finish(first, start.Add(ms(test.took)))
 			assert.Equal(t, l.end(start).Sub(start), ms(test.end))
-			assert.Equal(t, l.busy(0, time.Second, start), ms(test.took+100))
+			assert.Equal(t, l.busyWithin(0, time.Second, start), ms(test.took+100))
 		})
 	}
 }
 
 func TestPace(t *testing.T) {
 	tests := map[string]struct {
-		pace    Pace
+		pace    GapBudget
 		running int
 		want    float64
 	}{
-		"idle engine":            {pace: Pace{Pause: 300, Steps: 3}, want: 247.5},
-		"full engine":            {pace: Pace{Pause: 300, Steps: 3}, running: 40, want: 223.5},
-		"pause of a few steps":   {pace: Pace{Pause: 60, Steps: 3}, want: 150},
-		"steps that are not set": {pace: Pace{Pause: 300}, want: 268.5},
+		"idle engine":            {pace: GapBudget{MaxGap: 300, StepsPerEvent: 3}, want: 247.5},
+		"full engine":            {pace: GapBudget{MaxGap: 300, StepsPerEvent: 3}, running: 40, want: 223.5},
+		"pause of a few steps":   {pace: GapBudget{MaxGap: 60, StepsPerEvent: 3}, want: 150},
+		"steps that are not set": {pace: GapBudget{MaxGap: 300}, want: 268.5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := test.pace.reading(test.running)
+			got := test.pace.prefillPerGap(test.running)
 			assert.Assert(t, got > test.want-0.01 && got < test.want+0.01, "%v", got)
 		})
 	}
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -16,13 +16,13 @@
 )
 
 // A failureShare is a recent share of failures that fades with time.
-type failureShare struct {
+type failureRate struct {
 	share float64
 	when  time.Time
 }
 
 // at returns the share as it stands at a time.
-func (f *failureShare) at(now time.Time) float64 {
+func (f *failureRate) at(now time.Time) float64 {
 	if f.share == 0 {
 		return 0
 	}
@@ -30,72 +30,72 @@
 }
 
 // note counts one outcome: 1 is a failure, 0 a success.
-func (f *failureShare) note(outcome float64, now time.Time) {
+func (f *failureRate) observe(outcome float64, now time.Time) {
 	share := f.at(now)
 	f.share = share + (outcome-share)*failureStep
 	f.when = now
 }
 
 // A Ticket is a place at a server, taken for one send of a request.
-type Ticket struct {
+type Reservation struct {
 	d      *Dispatcher
 	req    *Request
 	server *backend.Server
-	load   *load
+	load   *serverLoad
 	// tokens is what the server has to read, reading the time for it in milliseconds.
-	tokens  int
-	reading int
-	used    int
-	sent    time.Time
+	prefillTokens int
+	prefillMs     int
+	used          int
+	sent          time.Time
 	// read is when an own engine should have read the prompt; zero for another's.
-	read   time.Time
-	choice Candidate
+	prefillEnd time.Time
+	choice     Candidate
 	// owner is the gateway that must grant the place; empty if none must.
-	owner string
-	among int
-	begun bool
-	over  bool
+	owner      string
+	candidates int
+	answering  bool
+	over       bool
 }
 
 // Server returns the server that the request goes to.
-func (t *Ticket) Server() *backend.Server { return t.server }
+func (t *Reservation) Server() *backend.Server { return t.server }
 
 // Choice returns what the choice of the server was made from and the number of
 // servers that it was made among.
-func (t *Ticket) Choice() (c Candidate, among int) { return t.choice, t.among }
+func (t *Reservation) Choice() (c Candidate, among int) { return t.choice, t.candidates }
 
 // Begun tells that the first part of the answer has come.
-func (t *Ticket) Begun() {
+func (t *Reservation) FirstByte() {
 	t.d.mu.Lock()
 	defer t.d.mu.Unlock()
-	t.load.heard = t.d.opts.Clock.Now()
-	if t.begun || t.over {
+	t.load.lastAnswer = t.d.opts.Clock.Now()
+	if t.answering || t.over {
 		return
 	}
-	t.begin()
-	if !t.read.IsZero() {
-		t.load.reading.done(t.read, t.load.heard.Add(-milliseconds(stepTime)))
+	t.endPrefill()
+	if !t.prefillEnd.IsZero() {
+		t.load.prefill.finish(t.prefillEnd, t.load.lastAnswer.Add(-milliseconds(firstStepTime)))
 	}
-	if t.tokens > 0 {
-		t.d.speeds.note(t.req.Model, t.tokens, float64(t.load.heard.Sub(t.sent))/float64(time.Millisecond))
+	if t.prefillTokens > 0 {
+		t.d.prefillSpeeds.observe(t.req.Model, t.prefillTokens, float64(t.load.lastAnswer.Sub(t.sent))/float64(time.Millisecond))
 	}
 	t.d.serve()
 }
 
 // begin ends the reading of the prompt.
-func (t *Ticket) begin() {
-	t.begun = true
-	t.load.Reading -= t.reading
-	t.load.sent = slices.DeleteFunc(t.load.sent, func(x *Ticket) bool { return x == t })
+func (t *Reservation) endPrefill() {
+	t.answering = true
+	t.load.PrefillMs -= t.prefillMs
+	t.load.awaiting = slices.DeleteFunc(t.load.awaiting, func(x *Reservation) bool { return x == t })
 }
 
 // A Result tells how a send ended.
-type Result int
+type SendResult int
 
 // The results of a send.
 const (
 	// Answered is a whole answer.
-	Answered Result = iota
+	Answered SendResult = iota
 	// Failed is an answer or a break that speaks against the server.
 	Failed
 	// Refused is a refusal by the server, which speaks neither way.
@@ -105,7 +105,7 @@
 )
 
 // Done gives the place back; calls after the first do nothing.
-func (t *Ticket) Done(r Result) {
+func (t *Reservation) Done(r SendResult) {
 	t.d.mu.Lock()
 	defer t.d.mu.Unlock()
 	if t.over {
@@ -114,26 +114,26 @@
 	now := t.d.opts.Clock.Now()
 	switch r {
 	case Answered:
-		t.load.failure.note(0, now)
-		t.load.heard = now
+		t.load.failures.observe(0, now)
+		t.load.lastAnswer = now
 	case Failed:
-		t.load.failure.note(1, now)
+		t.load.failures.observe(1, now)
 	}
 	t.release()
 	t.d.serve()
 }
 
 // release gives the place back; the Dispatcher is locked.
-func (t *Ticket) release() {
+func (t *Reservation) release() {
 	if t.over {
 		return
 	}
 	t.over = true
-	if !t.begun {
-		t.begin()
+	if !t.answering {
+		t.endPrefill()
 	}
 	t.load.Running--
-	t.load.Used -= t.used
+	t.load.UsedTokens -= t.used
 	if t.req.Model != "" {
 		t.d.demandOf(t.req).Running--
 	}
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -7,7 +7,7 @@
 )
 
 // Acquire returns a ticket for a server, waiting for one until the request's limit.
-func (d *Dispatcher) Acquire(ctx context.Context, r *Request) (*Ticket, error) {
+func (d *Dispatcher) Acquire(ctx context.Context, r *Request) (*Reservation, error) {
 	for {
 		t, err := d.reserve(ctx, r)
 		if err != nil {
@@ -23,19 +23,19 @@
 }
 
 // reserve returns a ticket for a server as far as this gateway knows.
-func (d *Dispatcher) reserve(ctx context.Context, r *Request) (*Ticket, error) {
+func (d *Dispatcher) reserve(ctx context.Context, r *Request) (*Reservation, error) {
 	d.mu.Lock()
 	if t := d.choose(r); t != nil {
 		d.mu.Unlock()
 		return t, nil
 	}
-	if r.Model == "" || !d.opts.Clock.Now().Before(r.Until) {
+	if r.Model == "" || !d.opts.Clock.Now().Before(r.WaitUntil) {
 		d.mu.Unlock()
 		return nil, ErrNoServer
 	}
-	if d.yields(r) {
+	if d.sheds(r) {
 		d.mu.Unlock()
-		return nil, ErrYields
+		return nil, ErrShed
 	}
 	w := &waiter{req: r, ready: make(chan struct{})}
 	d.enqueue(w)
@@ -45,9 +45,9 @@
 
 // enqueue puts a request among those that wait, by urgency and arrival.
 func (d *Dispatcher) enqueue(w *waiter) {
-	if w.req.order == 0 {
+	if w.req.sequence == 0 {
 		d.arrivals++
-		w.req.order = d.arrivals
+		w.req.sequence = d.arrivals
 	}
 	i := len(d.waiting)
 	for i > 0 && w.req.before(d.waiting[i-1].req) {
@@ -55,8 +55,8 @@
 	}
 	d.waiting = slices.Insert(d.waiting, i, w)
 	d.demandOf(w.req).Waiting++
-	if d.opts.Missing != nil && !d.held(w.req) {
-		d.opts.Missing()
+	if d.opts.OnModelMissing != nil && !d.held(w.req) {
+		d.opts.OnModelMissing()
 	}
 }
 
@@ -65,7 +65,7 @@
 	if r.Priority != o.Priority {
 		return r.Priority < o.Priority
 	}
-	return r.order < o.order
+	return r.sequence < o.sequence
 }
 
 // held reports whether any server has the model and adapter ready.
@@ -84,30 +84,30 @@
 
 // Holders returns how many servers that stay could serve the request now, were
 // they not full: 0 tells that it was refused for want of a server or a model.
-func (d *Dispatcher) Holders(r *Request) int {
+func (d *Dispatcher) HolderCount(r *Request) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.holders(r)
 }
 
-func (d *Dispatcher) wait(ctx context.Context, w *waiter) (*Ticket, error) {
-	timer := time.NewTimer(w.req.Until.Sub(d.opts.Clock.Now()))
+func (d *Dispatcher) wait(ctx context.Context, w *waiter) (*Reservation, error) {
+	timer := time.NewTimer(w.req.WaitUntil.Sub(d.opts.Clock.Now()))
 	defer timer.Stop()
-	err := ErrWaited
+	err := ErrWaitTimeout
 	select {
 	case <-w.ready:
-		return w.ticket, nil
+		return w.reservation, nil
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-timer.C:
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if w.ticket != nil {
+	if w.reservation != nil {
 		if ctx.Err() == nil {
-			return w.ticket, nil
+			return w.reservation, nil
 		}
-		w.ticket.release()
+		w.reservation.release()
 		d.serve()
 		return nil, err
 	}
@@ -125,16 +125,16 @@
 	now := d.opts.Clock.Now()
 	full := make(map[string]bool)
 	for _, w := range d.waiting {
-		if now.Before(w.req.Due) {
+		if now.Before(w.req.SendBy) {
 			d.offer(w, full)
 		}
 	}
 	for _, w := range d.waiting {
-		if w.ticket == nil {
+		if w.reservation == nil {
 			d.offer(w, full)
 		}
 	}
-	d.waiting = slices.DeleteFunc(d.waiting, func(w *waiter) bool { return w.ticket != nil })
+	d.waiting = slices.DeleteFunc(d.waiting, func(w *waiter) bool { return w.reservation != nil })
 }
 
 // offer gives a waiting request a server if one can take it; full remembers the
@@ -146,10 +146,10 @@
 	}
 	t := d.choose(w.req)
 	if t == nil {
-		full[name] = len(w.req.Avoid) == 0
+		full[name] = len(w.req.Exclude) == 0
 		return
 	}
 	d.demandOf(w.req).Waiting--
-	w.ticket = t
+	w.reservation = t
 	close(w.ready)
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -14,12 +14,12 @@
 const maxHeldAnswer = 256 << 10
 
 // passWhole passes an answer on that is no stream.
-func (x *exchange) passWhole(ctx context.Context, t *dispatch.Ticket, resp *http.Response) bool {
-	t.Begun()
+func (x *exchange) passWhole(ctx context.Context, t *dispatch.Reservation, resp *http.Response) bool {
+	t.FirstByte()
 	if resp.StatusCode >= http.StatusInternalServerError && x.mayRepeat() && x.allowed() {
 		t.Done(dispatch.Failed)
 		x.g.logFailed(x, t, "answered "+strconv.Itoa(resp.StatusCode), nil)
-		x.req.Avoid = append(x.req.Avoid, t.Server().ID)
+		x.req.Exclude = append(x.req.Exclude, t.Server().ID)
 		return false
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHeldAnswer))
@@ -43,7 +43,7 @@
 	return true
 }
 
-func (x *exchange) finish(t *dispatch.Ticket, status int) {
+func (x *exchange) finish(t *dispatch.Reservation, status int) {
 	x.status = status
 	if status >= http.StatusInternalServerError {
 		t.Done(dispatch.Failed)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -45,7 +45,7 @@
 	status    int
 	firstByte time.Time
 	// ticket is the last place at a server; nil if there was none.
-	ticket *dispatch.Ticket
+	ticket *dispatch.Reservation
 	// version is that of the configuration that the request was matched with.
 	version uint64
 	// waited is the time to the first send, longestPause the longest between two events.
@@ -202,31 +202,31 @@
 	if x.service.Engine != nil {
 		x.req.Model, x.req.Adapter, _ = strings.Cut(h.Get(x.g.names.Model), "/")
 		prompt, output, _ := strings.Cut(h.Get(x.g.names.Tokens), ",")
-		x.req.Prompt, _ = strconv.Atoi(strings.TrimSpace(prompt))
-		x.req.Output, _ = strconv.Atoi(strings.TrimSpace(output))
-		x.req.Parts = parts(h.Get(x.g.names.Prefix))
+		x.req.PromptTokens, _ = strconv.Atoi(strings.TrimSpace(prompt))
+		x.req.MaxOutputTokens, _ = strconv.Atoi(strings.TrimSpace(output))
+		x.req.Prefix = parts(h.Get(x.g.names.Prefix))
 	}
-	x.req.Until = x.arrived.Add(x.holdTime())
-	x.req.Due = x.arrived.Add(x.route.Objective * dueShare / 100)
+	x.req.WaitUntil = x.arrived.Add(x.holdTime())
+	x.req.SendBy = x.arrived.Add(x.route.FirstByteObjective * dueShare / 100)
 	if x.service.Engine != nil {
-		x.req.Pace = dispatch.Pace{
-			Pause: float64(x.route.PauseObjective) / float64(time.Millisecond), Steps: x.service.Engine.EventTokens,
+		x.req.Gap = dispatch.GapBudget{
+			MaxGap: float64(x.route.EventGapObjective) / float64(time.Millisecond), StepsPerEvent: x.service.Engine.TokensPerEvent,
 		}
 	}
 }
 
 // parts decodes a list of prompt parts; what is not one is passed over.
-func parts(list string) []dispatch.Part {
+func parts(list string) []dispatch.PrefixBlock {
 	if list == "" {
 		return nil
 	}
 	items := strings.Split(list, ",")
-	out := make([]dispatch.Part, 0, len(items))
+	out := make([]dispatch.PrefixBlock, 0, len(items))
 	for _, item := range items {
 		id, size, ok := strings.Cut(strings.TrimSpace(item), ":")
 		tokens, err := strconv.Atoi(size)
 		if ok && err == nil {
-			out = append(out, dispatch.Part{ID: id, Tokens: tokens})
+			out = append(out, dispatch.PrefixBlock{ID: id, Tokens: tokens})
 		}
 	}
 	return out
@@ -248,7 +248,7 @@
 
 // holdTime returns how long the request may wait before it is sent.
 func (x *exchange) holdTime() time.Duration {
-	patience := max(shortestGiveUp, giveUpFactor*x.route.Objective, 2*giveUpFactor*x.route.PauseObjective)
+	patience := max(shortestGiveUp, giveUpFactor*x.route.FirstByteObjective, 2*giveUpFactor*x.route.EventGapObjective)
 	hold := time.Duration(float64(patience) * holdShare)
 	return max(min(hold, x.end.Sub(x.arrived)-holdReserve), 0)
 }
@@ -256,7 +256,7 @@
 // run sends the request until it has an answer.
 func (x *exchange) run() {
 	x.g.budgetOf(x.service.Name).First(x.arrived)
-	x.g.dispatcher.Count(&x.req)
+	x.g.dispatcher.CountArrival(&x.req)
 	for {
 		t, err := x.g.dispatcher.Acquire(x.ctx, &x.req)
 		if err != nil {
@@ -279,7 +279,7 @@
 		x.cut(eris.Wrap(err, "gateway: no server to go on with"))
 	case x.runs > 0:
 		x.refuse(outcomeUnknown, &refusal{status: http.StatusBadGateway, reason: "the request may have run"})
-	case errors.Is(err, dispatch.ErrYields):
+	case errors.Is(err, dispatch.ErrShed):
 		x.refuse(outcomeRefused, &refusal{status: http.StatusServiceUnavailable, reason: "more urgent requests wait; not run", after: x.yieldTime()})
 	case x.ctx.Err() != nil:
 		x.refuse(outcomeRefused, &refusal{status: http.StatusServiceUnavailable, reason: "no server in time; not run", after: retrySoon})
@@ -299,7 +299,7 @@
 
 // yieldTime returns when a request that gave way should be tried again, spread as comeBack's.
 func (x *exchange) yieldTime() time.Duration {
-	return max(time.Duration(yieldShare*float64(x.route.Objective)), retrySoon) + rand.N(2*retrySoon)
+	return max(time.Duration(yieldShare*float64(x.route.FirstByteObjective)), retrySoon) + rand.N(2*retrySoon)
 }
 
 func (x *exchange) refuse(outcome string, f *refusal) {
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -37,10 +37,10 @@
 }
 
 // Lost implements kv.Follower.
-func (f *configFollower) Lost(err error) { f.g.storeLost(err) }
+func (f *configFollower) Unreachable(err error) { f.g.storeLost(err) }
 
 // Heard implements kv.Follower.
-func (f *configFollower) Heard() { f.g.storeHeard() }
+func (f *configFollower) Reachable() { f.g.storeHeard() }
 
 // offerConfig puts a configuration in force if it is newer than the one that is.
 func (g *Gateway) offerConfig(value []byte, from string) {
@@ -137,10 +137,10 @@
 }
 
 // Lost implements kv.Follower.
-func (f *serverFollower) Lost(err error) { f.g.storeLost(err) }
+func (f *serverFollower) Unreachable(err error) { f.g.storeLost(err) }
 
 // Heard implements kv.Follower.
-func (f *serverFollower) Heard() { f.g.storeHeard() }
+func (f *serverFollower) Reachable() { f.g.storeHeard() }
 
 // digest returns a digest of what other gateways need to know of an entry: of a
 // server all but what it holds, since the holder of orders tells that.
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -33,7 +33,7 @@
 func TestNewListTellsWhoIsGone(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	g := &Gateway{log: zap.New(core), clock: clock.Real{}, decoder: plainDecoder{}}
-	g.dispatcher = dispatch.New(dispatch.Options{Clock: clock.Real{}, Memory: func(string) int { return 0 }})
+	g.dispatcher = dispatch.New(dispatch.Options{Clock: clock.Real{}, CacheTokens: func(string) int { return 0 }})
 	f := &serverFollower{g: g, known: make(map[string]bool)}
 	entry := func(key string) kv.Entry { return kv.Entry{Key: key} }
 	f.Replace([]kv.Entry{entry("s1"), entry("s2")})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,7 +47,7 @@
 	Prefixes kv.PrefixStore
 	OwnKeys  kv.PrefixStore
 	Decoder  Decoder
-	Engines  backend.Engines
+	Engines  backend.EngineClient
 	Clock    clock.Service
 	Log      *zap.Logger
 	Metrics  Metrics
@@ -70,7 +70,7 @@
 	dispatcher *dispatch.Dispatcher
 	placer     *placer.Placer
 	lease      *lease.Holder
-	relay      *kv.Relay
+	relay      *kv.Fanout
 	peers      *peers
 	servers    *http.Transport
 	conns      *conns
@@ -111,20 +111,20 @@
 	g.gateways.Store(int64(o.Settings.Gateways))
 	g.peers = newPeers(g)
 	g.dispatcher = dispatch.New(dispatch.Options{
-		ID: o.Settings.ID, Hall: o.Settings.Hall, Clock: o.Clock, Fill: fill,
-		Memory: g.memory, Missing: g.peers.wakeUp, Places: g.peers, OwnerSilent: g.logSilent,
+		ID: o.Settings.ID, Hall: o.Settings.Hall, Clock: o.Clock, Utilization: fill,
+		CacheTokens: g.memory, OnModelMissing: g.peers.wakeUp, Owners: g.peers, OnOwnerSilent: g.logSilent,
 	})
 	g.lease = lease.New(o.Store, o.Clock, lease.Options{
 		Name: "placer", Holder: o.Settings.ID, Addr: o.Settings.PeerListen, TTL: o.Settings.LeaseTTL.Std(),
 	})
-	g.relay = kv.NewRelay(kv.RelayOptions{
-		Clock: o.Clock, Trust: o.Settings.WatchTime.Std() / 2, IsSource: g.holdsOrders, Told: g.logWatch,
+	g.relay = kv.NewFanout(kv.FanoutOptions{
+		Clock: o.Clock, MaxAge: o.Settings.WatchTime.Std() / 2, IsWatcher: g.holdsOrders, OnSwitch: g.logWatch,
 		Digest: g.digest,
 	})
-	g.prefixes = g.relay.For(o.Prefixes, false)
+	g.prefixes = g.relay.View(o.Prefixes, false)
 	g.placer = placer.New(placer.Options{
-		Lease: g.lease, Keys: g.relay.For(o.OwnKeys, true), Engines: o.Engines, Registry: &g.registry, Routing: g.routing.Load, Clock: o.Clock, Log: o.Log,
-		Settle: o.Settings.LeaseTTL.Std(), First: o.Settings.FirstStart,
+		Lease: g.lease, Keys: g.relay.View(o.OwnKeys, true), Engines: o.Engines, Registry: &g.registry, Routing: g.routing.Load, Clock: o.Clock, Log: o.Log,
+		SettleTime: o.Settings.LeaseTTL.Std(), FirstStart: o.Settings.FirstStart,
 	})
 	return g
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -78,8 +78,8 @@
 	return backend.Report{}, io.EOF
 }
 
-func (noEngines) Order(context.Context, *backend.Server, backend.Order) (backend.Outcome, error) {
-	return backend.OutcomeUnknown, io.EOF
+func (noEngines) Order(context.Context, *backend.Server, backend.Order) (backend.OrderOutcome, error) {
+	return backend.OrderUnanswered, io.EOF
 }
 
 // A call is one request as a backend server got it.
@@ -259,16 +259,16 @@
 )
 
 func routes() []table.Route {
-	r := func(prefix string, repeat table.Repeat, streams bool, service string) table.Route {
+	r := func(prefix string, repeat table.RetryPolicy, streams bool, service string) table.Route {
 		return table.Route{
-			Name: prefix, Host: host, Prefix: prefix, Repeat: repeat, Stream: streams, Timeout: 5 * time.Second,
-			Objective: 400 * time.Millisecond, Attempts: 2, Priority: 1, Shares: []table.Share{{Service: service, Weight: 1}},
+			Name: prefix, Host: host, Prefix: prefix, Retry: repeat, Stream: streams, Timeout: 5 * time.Second,
+			FirstByteObjective: 400 * time.Millisecond, Attempts: 2, Priority: 1, Shares: []table.Share{{Service: service, Weight: 1}},
 		}
 	}
 	return []table.Route{
-		r(pathUnsafe, table.RepeatNever, false, "app"), r(pathSafe, table.RepeatWhole, false, "app"),
-		r(pathStream, table.RepeatNever, true, "app"), r(pathResume, table.RepeatResume, true, "app"),
-		r(pathModel, table.RepeatNever, true, "llm"),
+		r(pathUnsafe, table.RetryNever, false, "app"), r(pathSafe, table.RetryWhole, false, "app"),
+		r(pathStream, table.RetryNever, true, "app"), r(pathResume, table.RetryResume, true, "app"),
+		r(pathModel, table.RetryNever, true, "llm"),
 	}
 }
 
@@ -314,7 +314,7 @@
 	w.routing = routingFile{
 		Version: 1, Routes: routes(),
 		Services: []table.Service{
-			{Name: "app"}, {Name: "llm", Engine: &table.EngineSpec{CacheTokens: 1000, EventTokens: 1}},
+			{Name: "app"}, {Name: "llm", Engine: &table.EngineSpec{CacheTokens: 1000, TokensPerEvent: 1}},
 		},
 		Limits: table.RequestLimits{HeaderBytes: 4000, BodyBytes: 5000, IdleTime: time.Minute},
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -42,7 +42,7 @@
 
 // A peerAnswer is what it gets back.
 type peerAnswer struct {
-	placer.Answer
+	placer.Reply
 	// Holder is where the holder of orders takes messages, if the answerer is not it.
 	Holder string `json:"holder,omitempty"`
 	// Config is the configuration, if it is newer than the asker's.
@@ -96,7 +96,7 @@
 
 // rest waits for the next exchange.
 func (p *peers) rest(started time.Time) {
-	pace := placer.ReportPace(int(p.g.gateways.Load()))
+	pace := placer.ReportInterval(int(p.g.gateways.Load()))
 	timer := time.NewTimer(max(pace-time.Since(started), exchangeSoon))
 	defer timer.Stop()
 	soon := time.NewTimer(exchangeSoon)
@@ -120,7 +120,7 @@
 	all := p.g.dispatcher.Demands()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.g.registry.Told() {
+	if !p.g.registry.HasResidency() {
 		p.residency = 0
 	}
 	changed := make(map[string]dispatch.Demand)
@@ -130,17 +130,17 @@
 		}
 	}
 	return placer.Report{
-		From: p.g.settings.ID, Addr: p.g.settings.PeerListen, Hall: p.g.settings.Hall, Residency: p.residency,
-		Known: p.listed, Loads: p.g.dispatcher.Loads(), Demands: changed, Full: p.told == nil,
+		GatewayID: p.g.settings.ID, Addr: p.g.settings.PeerListen, Hall: p.g.settings.Hall, ResidencyVersion: p.residency,
+		GatewaysVersion: p.listed, Loads: p.g.dispatcher.Loads(), Demands: changed, Full: p.told == nil,
 	}, all
 }
 
 // exchange tells the holder of orders what this gateway has and takes its answer.
 func (p *peers) exchange() {
-	addr, own := p.g.placer.Holder()
+	addr, own := p.g.placer.Leader()
 	if own != p.source {
 		p.source = own
-		p.g.relay.Wake()
+		p.g.relay.Recheck()
 	}
 	if own {
 		r, all := p.report()
@@ -154,7 +154,7 @@
 	ctx, cancel := context.WithTimeout(p.g.ctx, exchangeTimeout)
 	defer cancel()
 	r, all := p.report()
-	req := peerRequest{Report: r, Seen: p.g.relay.Seen()}
+	req := peerRequest{Report: r, Seen: p.g.relay.Revisions()}
 	if routing := p.g.routing.Load(); routing != nil {
 		req.Config = routing.Version()
 	}
@@ -162,20 +162,20 @@
 	sent := p.g.clock.Now()
 	if err := p.http.Call(ctx, http.MethodPost, addr, pathExchange, req, &a); err != nil {
 		p.failed(addr, err)
-		p.g.placer.Answered(addr, false)
+		p.g.placer.NotePeerReply(addr, false)
 		return
 	}
-	p.g.placer.Answered(addr, !a.Held)
+	p.g.placer.NotePeerReply(addr, !a.IsLeader)
 	if len(a.Config) > 0 {
 		p.g.offerConfig(a.Config, "peer")
 	}
-	if a.Held {
-		p.g.relay.Take(a.Changes, sent)
+	if a.IsLeader {
+		p.g.relay.Apply(a.Changes, sent)
 	} else {
-		p.g.relay.Doubt()
+		p.g.relay.Invalidate()
 	}
 	p.setHolder(a.Holder)
-	p.take(a.Answer, all)
+	p.take(a.Reply, all)
 }
 
 // target returns whom to ask: the holder, as the store or the last peer told,
@@ -217,8 +217,8 @@
 
 // take takes in the answer of the holder of orders to a report that was made when
 // demand stood at all.
-func (p *peers) take(a placer.Answer, all map[string]dispatch.Demand) {
-	if !a.Held {
+func (p *peers) take(a placer.Reply, all map[string]dispatch.Demand) {
+	if !a.IsLeader {
 		return
 	}
 	now := p.g.clock.Now()
@@ -232,16 +232,16 @@
 		p.takeGateways(a.Gateways)
 	}
 	p.g.dispatcher.SetServers(p.g.registry.Snapshot())
-	p.g.dispatcher.SetRemote(a.Loads, a.Partial)
+	p.g.dispatcher.SetRemote(a.Loads, a.BusiestOnly)
 }
 
 // remember keeps what the holder knows now. A new holder was told only what has
 // changed since the last one's answer, so it is told everything next.
-func (p *peers) remember(a placer.Answer, all map[string]dispatch.Demand) {
+func (p *peers) remember(a placer.Reply, all map[string]dispatch.Demand) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.residency = a.Version
-	p.listed = a.Known
+	p.residency = a.ResidencyVersion
+	p.listed = a.GatewaysVersion
 	p.told = all
 	if a.Term != p.term {
 		p.term, p.told = a.Term, nil
@@ -274,8 +274,8 @@
 const placeTimeout = 150 * time.Millisecond
 
 // Ask implements dispatch.Places.
-func (p *peers) Ask(ctx context.Context, owner string, r dispatch.PlaceRequest) (dispatch.PlaceAnswer, error) {
-	var a dispatch.PlaceAnswer
+func (p *peers) Admit(ctx context.Context, owner string, r dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
+	var a dispatch.AdmissionReply
 	p.mu.Lock()
 	addr := p.addrs[owner]
 	p.mu.Unlock()
@@ -289,11 +289,11 @@
 }
 
 func (g *Gateway) answerPlace(c echo.Context) error {
-	var r dispatch.PlaceRequest
+	var r dispatch.AdmissionRequest
 	if err := c.Bind(&r); err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, g.dispatcher.Grant(r))
+	return c.JSON(http.StatusOK, g.dispatcher.Admit(r))
 }
 
 // peerRouter answers the other gateways.
@@ -309,12 +309,12 @@
 	if err := c.Bind(&r); err != nil {
 		return err
 	}
-	a := peerAnswer{Answer: g.placer.Report(r.Report)}
-	if !a.Held {
-		a.Holder, _ = g.placer.Holder()
+	a := peerAnswer{Reply: g.placer.Report(r.Report)}
+	if !a.IsLeader {
+		a.Holder, _ = g.placer.Leader()
 	} else {
 		if g.handsOn() {
-			g.relay.Affirm(g.lease.Key())
+			g.relay.MarkCurrent(g.lease.Key())
 			a.Changes = g.relay.Since(r.Seen)
 		}
 		if waits(r.Report) {
@@ -333,7 +333,7 @@
 // handsOn reports whether gateways report so often that what they are handed on is
 // trusted until their next report; more of them watch the store themselves.
 func (g *Gateway) handsOn() bool {
-	return 2*placer.ReportPace(int(g.gateways.Load())) <= g.relay.Trust()
+	return 2*placer.ReportInterval(int(g.gateways.Load())) <= g.relay.MaxAge()
 }
 
 // waits reports whether a gateway has requests that wait for a model.
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -58,10 +58,10 @@
 	}
 	g.metrics.Ended(x.route.Name, x.outcome, first, now.Sub(x.arrived).Seconds())
 	if earned, ok := x.earned(); ok {
-		g.dispatcher.Attained(&x.req, earned)
+		g.dispatcher.RecordResult(&x.req, earned)
 	}
-	if x.req.Asked > 0 {
-		g.metrics.Places(x.req.Granted, x.req.Denied, x.req.Asked-x.req.Granted-x.req.Denied)
+	if x.req.GrantsAsked > 0 {
+		g.metrics.Places(x.req.GrantsGiven, x.req.GrantsDenied, x.req.GrantsAsked-x.req.GrantsGiven-x.req.GrantsDenied)
 	}
 	if x.outcome == outcomeAnswered && !g.answeredLines.Allow() {
 		g.leftOut.Add(1)
@@ -69,7 +69,7 @@
 	}
 	fields := append(x.fields(now, first), x.choiceFields()...)
 	if x.outcome == outcomeRefused {
-		fields = append(fields, zap.Int(fieldHolders, g.dispatcher.Holders(&x.req)))
+		fields = append(fields, zap.Int(fieldHolders, g.dispatcher.HolderCount(&x.req)))
 	}
 	if n := g.leftOut.Swap(0); n > 0 {
 		fields = append(fields, zap.Uint64(fieldLeftOut, n))
@@ -86,7 +86,7 @@
 func (x *exchange) earned() (part float64, ok bool) {
 	switch x.outcome {
 	case outcomeRefused:
-		return 0, x.g.dispatcher.Holders(&x.req) > 0
+		return 0, x.g.dispatcher.HolderCount(&x.req) > 0
 	case outcomeTimeout:
 		return 0, true
 	case outcomeAnswered:
@@ -100,8 +100,8 @@
 
 // inTime reports whether the answer began and went on within the route's objectives.
 func (x *exchange) inTime() bool {
-	pause := x.route.PauseObjective
-	return x.firstByte.Sub(x.arrived) <= x.route.Objective && (pause == 0 || x.longestPause <= pause)
+	pause := x.route.EventGapObjective
+	return x.firstByte.Sub(x.arrived) <= x.route.FirstByteObjective && (pause == 0 || x.longestPause <= pause)
 }
 
 // fields are what the line on a request's end tells of the request.
@@ -113,7 +113,7 @@
 		zap.Int(fieldSends, x.sends), zap.Int(fieldUnsent, x.unsent),
 		zap.Float64(fieldWaited, x.waited.Seconds()), zap.Float64(fieldFirst, first),
 		zap.Float64(fieldPause, x.longestPause.Seconds()), zap.Int(fieldEvents, x.events),
-		zap.Int(fieldAsked, x.req.Asked), zap.Int(fieldDenied, x.req.Denied),
+		zap.Int(fieldAsked, x.req.GrantsAsked), zap.Int(fieldDenied, x.req.GrantsDenied),
 		zap.Float64(fieldTotal, now.Sub(x.arrived).Seconds()),
 		zap.Float64(fieldLimit, x.end.Sub(x.arrived).Seconds()),
 	}
@@ -127,12 +127,12 @@
 	c, among := x.ticket.Choice()
 	return []zap.Field{
 		zap.String(fieldServer, x.ticket.Server().ID), zap.Int(fieldAmong, among), zap.Int(fieldRunning, c.Running),
-		zap.Float64(fieldReading, c.Reading), zap.Float64(fieldRead, c.Read), zap.Bool(fieldOwn, c.Own),
-		zap.Bool(fieldNear, c.Near),
+		zap.Float64(fieldReading, c.PrefillAhead), zap.Float64(fieldRead, c.Prefill), zap.Bool(fieldOwn, c.Owned),
+		zap.Bool(fieldNear, c.SameHall),
 	}
 }
 
-func (g *Gateway) logSend(x *exchange, t *dispatch.Ticket) {
+func (g *Gateway) logSend(x *exchange, t *dispatch.Reservation) {
 	repeat := x.sends > 0
 	g.metrics.Sent(x.service.Name, repeat)
 	if !repeat {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (g *Gateway) logFailed(x *exchange, t *dispatch.Ticket, what string, err error) {
+func (g *Gateway) logFailed(x *exchange, t *dispatch.Reservation, what string, err error) {
 	g.log.Info(msgSendFailed, zap.String(fieldRequest, x.id), zap.String(fieldServer, t.Server().ID),
 		zap.String(fieldAddr, t.Server().Addr), zap.String(fieldReason, what), zap.Int(fieldRuns, x.runs),
 		zap.Float64(fieldAge, g.clock.Now().Sub(x.arrived).Seconds()), telemetry.Error(err))
@@ -161,7 +161,7 @@
 
 // logSilentServer tells that a request stays with a server that says nothing, since no
 // other can take it or the budget of repeats is spent.
-func (g *Gateway) logSilentServer(x *exchange, t *dispatch.Ticket) {
+func (g *Gateway) logSilentServer(x *exchange, t *dispatch.Reservation) {
 	g.log.Info(msgMute, zap.String(fieldRequest, x.id), zap.String(fieldServer, t.Server().ID),
 		zap.Float64(fieldAge, g.clock.Now().Sub(x.arrived).Seconds()))
 }
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -113,7 +113,7 @@
 	w := newWorld(t, x)
 	w.routing.Version = 9
 	w.routing.Routes = append(routes(), table.Route{
-		Name: "new", Host: host, Prefix: "/new/", Repeat: table.RepeatWhole, Timeout: time.Second,
+		Name: "new", Host: host, Prefix: "/new/", Retry: table.RetryWhole, Timeout: time.Second,
 		Attempts: 1, Shares: []table.Share{{Service: "app"}},
 	})
 	w.putConfig()
@@ -122,7 +122,7 @@
 	w.putConfig()
 	w.routing.Version, w.routing.Routes = 11, append(routes(), w.routing.Routes...)
 	w.routing.Routes[0].Prefix = "/newest/"
-	w.routing.Routes[0].Repeat = table.RepeatWhole
+	w.routing.Routes[0].Retry = table.RetryWhole
 	w.putConfig()
 	w.eventually("/newest/x", http.StatusOK)
 	assert.Equal(t, w.get("/new/x").status, http.StatusNotFound, "version 11 has no such route")
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -36,7 +36,7 @@
 var errSilent = eris.New("gateway: server silent")
 
 // send sends the request to one server and reports whether it is over.
-func (x *exchange) send(t *dispatch.Ticket) bool {
+func (x *exchange) send(t *dispatch.Reservation) bool {
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
 	silence := x.watchSilence(t, cancel)
@@ -85,7 +85,7 @@
 }
 
 // outgoing makes the request to a server.
-func (x *exchange) outgoing(ctx context.Context, t *dispatch.Ticket) *http.Request {
+func (x *exchange) outgoing(ctx context.Context, t *dispatch.Reservation) *http.Request {
 	s := t.Server()
 	out := &http.Request{
 		Method: x.r.Method, URL: target(x.r.RequestURI, s.Addr), Host: x.r.Host, Header: x.r.Header.Clone(),
@@ -145,7 +145,7 @@
 
 // failed handles a send without an answer's header and reports whether the
 // request is over.
-func (x *exchange) failed(t *dispatch.Ticket, err error) bool {
+func (x *exchange) failed(t *dispatch.Reservation, err error) bool {
 	if x.r.Context().Err() != nil {
 		t.Done(dispatch.Abandoned)
 		x.outcome = outcomeGone
@@ -155,7 +155,7 @@
 		t.Done(dispatch.Failed)
 		x.g.logFailed(x, t, "not sent", err)
 		x.unsent++
-		x.req.Avoid = append(x.req.Avoid, t.Server().ID)
+		x.req.Exclude = append(x.req.Exclude, t.Server().ID)
 		if x.unsent < maxUnsent {
 			return false
 		}
@@ -169,16 +169,16 @@
 
 // lost handles a send that may have run and brought no usable answer, and
 // reports whether the request is over.
-func (x *exchange) lost(t *dispatch.Ticket, err error) bool {
+func (x *exchange) lost(t *dispatch.Reservation, err error) bool {
 	t.Done(dispatch.Failed)
 	x.g.logFailed(x, t, "lost", err)
 	if x.ctx.Err() != nil {
 		return x.expired()
 	}
 	if x.mayRepeat() && (errors.Is(err, errSilent) || x.allowed()) {
-		x.req.Avoid = append(x.req.Avoid, t.Server().ID)
-		x.req.Begun = true
-		x.req.Until = x.end.Add(-holdReserve)
+		x.req.Exclude = append(x.req.Exclude, t.Server().ID)
+		x.req.MayHaveRun = true
+		x.req.WaitUntil = x.end.Add(-holdReserve)
 		return false
 	}
 	if x.begun.Load() {
@@ -206,10 +206,10 @@
 	if x.runs >= x.route.Attempts {
 		return false
 	}
-	switch x.route.Repeat {
-	case table.RepeatWhole:
+	switch x.route.Retry {
+	case table.RetryWhole:
 		return !x.begun.Load()
-	case table.RepeatResume:
+	case table.RetryResume:
 		return true
 	}
 	return false
@@ -227,7 +227,7 @@
 )
 
 // notRun handles a server's word that it has not run the request.
-func (x *exchange) notRun(t *dispatch.Ticket, resp *http.Response) bool {
+func (x *exchange) notRun(t *dispatch.Reservation, resp *http.Response) bool {
 	t.Done(dispatch.Refused)
 	_, _ = io.CopyN(io.Discard, resp.Body, maxRefusalBody)
 	x.g.logFailed(x, t, "refused", eris.Errorf("status %d", resp.StatusCode))
@@ -242,7 +242,7 @@
 		x.refuse(outcomeRefused, &refusal{status: http.StatusServiceUnavailable, reason: "the servers are full; not run", after: x.g.comeBack()})
 		return true
 	}
-	x.req.Avoid = []string{t.Server().ID}
+	x.req.Exclude = []string{t.Server().ID}
 	if x.sends > 1 {
 		x.pause(refusedPause << x.sends)
 	}
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -24,7 +24,7 @@
 // on unless another server can take the request now and the budget pays for it.
 type silence struct {
 	x      *exchange
-	ticket *dispatch.Ticket
+	ticket *dispatch.Reservation
 	// elsewhere is the request as another server would get it.
 	elsewhere dispatch.Request
 	cancel    context.CancelCauseFunc
@@ -34,16 +34,16 @@
 }
 
 // watchSilence returns the silence of a send, or nil if the request may not be repeated.
-func (x *exchange) watchSilence(t *dispatch.Ticket, cancel context.CancelCauseFunc) *silence {
-	if x.runs+1 >= x.route.Attempts || x.route.Repeat == table.RepeatNever {
+func (x *exchange) watchSilence(t *dispatch.Reservation, cancel context.CancelCauseFunc) *silence {
+	if x.runs+1 >= x.route.Attempts || x.route.Retry == table.RetryNever {
 		return nil
 	}
-	first := max(time.Duration(float64(x.route.Objective)*silentFirstShare), silentFirstLeast)
+	first := max(time.Duration(float64(x.route.FirstByteObjective)*silentFirstShare), silentFirstLeast)
 	if x.route.Stream {
 		first = max(first, silentStream)
 	}
 	s := &silence{x: x, ticket: t, cancel: cancel, gap: silentStream, elsewhere: x.req}
-	s.elsewhere.Avoid = append(slices.Clone(x.req.Avoid), t.Server().ID)
+	s.elsewhere.Exclude = append(slices.Clone(x.req.Exclude), t.Server().ID)
 	s.timer = time.AfterFunc(first, s.over)
 	return s
 }
@@ -53,7 +53,7 @@
 	if s.stopped.Load() {
 		return
 	}
-	if s.x.g.dispatcher.HasServer(&s.elsewhere) && s.x.allowed() {
+	if s.x.g.dispatcher.CanSend(&s.elsewhere) && s.x.allowed() {
 		s.cancel(errSilent)
 		return
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -52,7 +52,7 @@
 }
 
 // passStream passes a stream on, event by event.
-func (x *exchange) passStream(ctx context.Context, t *dispatch.Ticket, resp *http.Response, silence *silence) bool {
+func (x *exchange) passStream(ctx context.Context, t *dispatch.Reservation, resp *http.Response, silence *silence) bool {
 	r := readers.Get().(*bufio.Reader)
 	r.Reset(resp.Body)
 	defer func() {
@@ -69,7 +69,7 @@
 		if err != nil {
 			return x.lost(t, cause(ctx, err))
 		}
-		t.Begun()
+		t.FirstByte()
 		silence.heard()
 		now := x.g.clock.Now()
 		if !last.IsZero() {
@@ -106,7 +106,7 @@
 }
 
 // callerLost ends a request whose caller no longer reads.
-func (x *exchange) callerLost(t *dispatch.Ticket) bool {
+func (x *exchange) callerLost(t *dispatch.Reservation) bool {
 	t.Done(dispatch.Abandoned)
 	x.outcome = outcomeGone
 	return true
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -17,61 +17,61 @@
 // Following of demand: it rises at once and falls slowly, so that copies stay
 // through a lull.
 const (
-	riseTime = 1500 * time.Millisecond
-	fallTime = 8 * time.Second
+	demandRiseTime = 1500 * time.Millisecond
+	demandFallTime = 8 * time.Second
 )
 
 // A gateway is what the holder of orders knows of one gateway.
 type gateway struct {
-	report  Report
-	demands map[string]dispatch.Demand
-	heard   time.Time
+	report     Report
+	demands    map[string]dispatch.Demand
+	reportedAt time.Time
 }
 
 // A rate follows the work asked of one model, in tokens per second.
-type rate struct {
-	fast, slow float64
+type demandRate struct {
+	risen, held float64
 }
 
-func (r *rate) follow(tokens float64, step time.Duration) {
+func (r *demandRate) update(tokens float64, step time.Duration) {
 	now := tokens / step.Seconds()
-	r.fast += (now - r.fast) * (1 - math.Exp(-step.Seconds()/riseTime.Seconds()))
-	r.slow = max(r.fast, r.slow*math.Exp(-step.Seconds()/fallTime.Seconds()))
+	r.risen += (now - r.risen) * (1 - math.Exp(-step.Seconds()/demandRiseTime.Seconds()))
+	r.held = max(r.risen, r.held*math.Exp(-step.Seconds()/demandFallTime.Seconds()))
 }
 
 // A demand sums up what gateways ask for.
 type demand struct {
 	gateways map[string]*gateway
 	// tokens is the work asked for since the last step, by model.
-	tokens map[string]float64
-	rates  map[string]*rate
-	used   map[backend.Adapter]time.Time
+	newTokens       map[string]float64
+	rates           map[string]*demandRate
+	adapterLastUsed map[backend.Adapter]time.Time
 	// loads sums up what gateways have at servers.
 	loads loads
 }
 
 func newDemand() *demand {
 	return &demand{
-		gateways: make(map[string]*gateway), tokens: make(map[string]float64),
-		rates: make(map[string]*rate), used: make(map[backend.Adapter]time.Time), loads: newLoads(),
+		gateways: make(map[string]*gateway), newTokens: make(map[string]float64),
+		rates: make(map[string]*demandRate), adapterLastUsed: make(map[backend.Adapter]time.Time), loads: newLoads(),
 	}
 }
 
 // take counts what is new in a report. The first report of a gateway, and a full
 // one, only tell where its counts stand.
-func (d *demand) take(r Report, now time.Time) {
-	g := d.gateways[r.From]
+func (d *demand) apply(r Report, now time.Time) {
+	g := d.gateways[r.GatewayID]
 	if g == nil || r.Full {
 		if g != nil {
-			d.loads.replace(g.report.Loads, nil)
+			d.loads.update(g.report.Loads, nil)
 		}
 		g = &gateway{demands: make(map[string]dispatch.Demand)}
-		d.gateways[r.From] = g
-		d.loads.replace(nil, r.Loads)
-		g.take(r, now)
+		d.gateways[r.GatewayID] = g
+		d.loads.update(nil, r.Loads)
+		g.apply(r, now)
 		return
 	}
-	d.loads.replace(g.report.Loads, r.Loads)
+	d.loads.update(g.report.Loads, r.Loads)
 	for name, x := range r.Demands {
 		before := g.demands[name]
 		if x.Arrived < before.Arrived {
@@ -81,18 +81,18 @@
 			continue
 		}
 		a := adapterOf(name)
-		d.tokens[a.Model] += float64(x.Tokens - before.Tokens)
+		d.newTokens[a.Model] += float64(x.WorkTokens - before.WorkTokens)
 		if a.Name != "" {
-			d.used[a] = now
+			d.adapterLastUsed[a] = now
 		}
 	}
-	g.take(r, now)
+	g.apply(r, now)
 }
 
 // take keeps what a report tells; demands that it leaves out are as they were.
-func (g *gateway) take(r Report, now time.Time) {
+func (g *gateway) apply(r Report, now time.Time) {
 	maps.Copy(g.demands, r.Demands)
-	g.report, g.heard = r, now
+	g.report, g.reportedAt = r, now
 	g.report.Demands = nil
 }
 
@@ -102,7 +102,7 @@
 	list := make([]Gateway, 0, len(d.gateways))
 	for _, g := range d.gateways {
 		list = append(list, Gateway{
-			Gateway: dispatch.Gateway{ID: g.report.From, Hall: g.report.Hall}, Addr: g.report.Addr,
+			Gateway: dispatch.Gateway{ID: g.report.GatewayID, Hall: g.report.Hall}, Addr: g.report.Addr,
 		})
 	}
 	slices.SortFunc(list, func(x, y Gateway) int { return strings.Compare(x.ID, y.ID) })
@@ -121,32 +121,32 @@
 
 // step moves the rates on by a time.
 func (d *demand) step(by time.Duration) {
-	for model := range d.tokens {
+	for model := range d.newTokens {
 		if d.rates[model] == nil {
-			d.rates[model] = &rate{}
+			d.rates[model] = &demandRate{}
 		}
 	}
 	for model, r := range d.rates {
-		r.follow(d.tokens[model], by)
+		r.update(d.newTokens[model], by)
 	}
-	clear(d.tokens)
+	clear(d.newTokens)
 }
 
 // forget drops gateways that have been silent.
 func (d *demand) forget(now time.Time, after time.Duration) {
 	for id, g := range d.gateways {
-		if now.Sub(g.heard) > after {
-			d.loads.replace(g.report.Loads, nil)
+		if now.Sub(g.reportedAt) > after {
+			d.loads.update(g.report.Loads, nil)
 			delete(d.gateways, id)
 		}
 	}
 }
 
 // wants returns what is asked of each model.
-func (d *demand) wants() map[string]residency.Want {
-	out := make(map[string]residency.Want)
+func (d *demand) modelDemands() map[string]residency.Demand {
+	out := make(map[string]residency.Demand)
 	for model, r := range d.rates {
-		out[model] = residency.Want{Weight: r.slow}
+		out[model] = residency.Demand{TokensPerSecond: r.held}
 	}
 	for _, g := range d.gateways {
 		for name, x := range g.demands {
--- a/internal/placer/engine_test.go
+++ b/internal/placer/engine_test.go
@@ -15,21 +15,21 @@
 func TestKeptWeightsAreDoubtedAfterALoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEngine(&backend.Server{ID: "e"})
-	report := backend.Report{OnDisk: []string{"m2"}, Residents: []backend.Resident{{Model: "m1"}}, Sequence: 1}
-	assert.Assert(t, e.take(report, now))
+	report := backend.Report{CachedOnDisk: []string{"m2"}, Residents: []backend.Resident{{Model: "m1"}}, Sequence: 1}
+	assert.Assert(t, e.apply(report, now))
 	e.pending = []backend.Order{{Model: "m2"}}
 	assert.Assert(t, !e.fromStore(), "on its disk, by a report with no load before it")
 
 	e.pending = []backend.Order{{Model: "m1"}}
-	e.given = true
-	assert.Equal(t, e.settle(now), "m1")
+	e.accepted = true
+	assert.Equal(t, e.completeOrders(now), "m1")
 	e.pending = []backend.Order{{Model: "m2"}}
 	assert.Assert(t, e.fromStore(), "a load has ended since the report")
 
-	assert.Assert(t, e.take(report, now.Add(doubtTime/2)))
+	assert.Assert(t, e.apply(report, now.Add(cacheUnknownTime/2)))
 	assert.Assert(t, e.fromStore(), "the report may be older than the load's end")
-	assert.Assert(t, !e.nextReport.IsZero() && !e.nextReport.After(now.Add(doubtTime)), "a newer report is due")
+	assert.Assert(t, !e.nextReport.IsZero() && !e.nextReport.After(now.Add(cacheUnknownTime)), "a newer report is due")
 
-	assert.Assert(t, e.take(report, now.Add(doubtTime)))
+	assert.Assert(t, e.apply(report, now.Add(cacheUnknownTime)))
 	assert.Assert(t, !e.fromStore())
 }
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -42,7 +42,7 @@
 	engines map[string]*fakeEngine
 	given   []given
 	// answer, if not nil, decides what is answered to an order and whether it is done.
-	answer func(n int, o backend.Order) (out backend.Outcome, done bool, err error)
+	answer func(n int, o backend.Order) (out backend.OrderOutcome, done bool, err error)
 }
 
 type fakeEngine struct {
@@ -62,24 +62,24 @@
 	if !ok {
 		return backend.Report{}, errors.New("no such engine")
 	}
-	r := backend.Report{Sequence: e.sequence, Coming: e.coming, Busy: e.busy}
+	r := backend.Report{Sequence: e.sequence, LoadingAdapters: e.coming, OrderInProgress: e.busy}
 	for _, x := range e.residents {
 		r.Residents = append(r.Residents, x.Clone())
 	}
 	return r, nil
 }
 
-func (f *fakeEngines) Order(_ context.Context, s *backend.Server, o backend.Order) (backend.Outcome, error) {
+func (f *fakeEngines) Order(_ context.Context, s *backend.Server, o backend.Order) (backend.OrderOutcome, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.given = append(f.given, given{server: s.ID, order: o, at: f.clock.Now()})
 	e := f.engines[s.ID]
 	if o.Fence < e.fence {
-		return backend.OutcomeFenced, nil
+		return backend.OrderFenced, nil
 	}
 	e.fence = o.Fence
 	if o.Sequence != e.sequence {
-		return backend.OutcomeConflict, nil
+		return backend.OrderConflict, nil
 	}
 	if f.answer != nil {
 		out, done, err := f.answer(len(f.given), o)
@@ -91,10 +91,10 @@
 	if o.Unload && o.Adapter == "" && e.runs {
 		e.sequence++
 		e.busy = true
-		return backend.OutcomeTaken, nil
+		return backend.OrderAccepted, nil
 	}
 	e.do(o)
-	return backend.OutcomeTaken, nil
+	return backend.OrderAccepted, nil
 }
 
 func (e *fakeEngine) do(o backend.Order) {
@@ -137,7 +137,7 @@
 	return l.token, l.token != 0
 }
 
-func (l *fakeLease) Other() lease.Record { return lease.Record{Addr: "last"} }
+func (l *fakeLease) OtherHolder() lease.Record { return lease.Record{Addr: "last"} }
 
 func (l *fakeLease) HasSeenOther() bool { return l.other }
 
@@ -170,7 +170,7 @@
 	w.spec = &table.EngineSpec{WeightsMB: 200_000, AdapterSlots: 2, LoadsPerSecond: 1}
 	for i := range models {
 		w.spec.Models = append(w.spec.Models, table.ModelSpec{
-			Name: fmt.Sprint("m", i), WeightsMB: 60_000, Adapters: 4, AdapterMB: 10, LoadTime: time.Second,
+			Name: fmt.Sprint("m", i), WeightsMB: 60_000, Adapters: 4, AdapterMB: 10, StoreLoadTime: time.Second,
 		})
 	}
 	var list []backend.Server
@@ -195,8 +195,8 @@
 	routing := table.NewRouting(1, nil, services, table.RequestLimits{})
 	p := placer.New(placer.Options{
 		Lease: w.lease, Engines: w.engines, Registry: &w.registry,
-		Routing: func() *table.Routing { return routing },
-		Settle:  ttl, First: first, Clock: w.clock, Log: zap.NewNop(),
+		Routing:    func() *table.Routing { return routing },
+		SettleTime: ttl, FirstStart: first, Clock: w.clock, Log: zap.NewNop(),
 	})
 	w.placer = p
 	p.Start()
@@ -235,8 +235,8 @@
 }
 
 // ask reports requests that wait for a model or adapter.
-func (w *world) ask(name string, arrived, waiting int) placer.Answer {
-	return w.placer.Report(placer.Report{From: "g", Demands: map[string]dispatch.Demand{
-		name: {Arrived: arrived, Tokens: arrived * 1000, Waiting: waiting, Service: service},
+func (w *world) ask(name string, arrived, waiting int) placer.Reply {
+	return w.placer.Report(placer.Report{GatewayID: "g", Demands: map[string]dispatch.Demand{
+		name: {Arrived: arrived, WorkTokens: arrived * 1000, Waiting: waiting, Service: service},
 	}})
 }
--- a/internal/placer/loads.go
+++ b/internal/placer/loads.go
@@ -11,10 +11,10 @@
 
 // maxTold bounds the servers whose load is told to a gateway: with more of them it
 // hears of the busiest, and learns of the others when it asks for places.
-const maxTold = 64
+const maxReportedServers = 64
 
 // busiestEvery is how often the busiest servers are looked for.
-const busiestEvery = 100 * time.Millisecond
+const rankEvery = 100 * time.Millisecond
 
 // A loads sums up what gateways have at servers.
 type loads struct {
@@ -27,12 +27,12 @@
 func newLoads() loads { return loads{total: make(map[string]dispatch.Load)} }
 
 // replace takes out what a gateway had and adds what it has now.
-func (l *loads) replace(before, now map[string]dispatch.Load) {
+func (l *loads) update(before, now map[string]dispatch.Load) {
 	for id, x := range before {
 		sum := l.total[id]
 		sum.Running -= x.Running
-		sum.Reading -= x.Reading
-		sum.Used -= x.Used
+		sum.PrefillMs -= x.PrefillMs
+		sum.UsedTokens -= x.UsedTokens
 		if sum == (dispatch.Load{}) {
 			delete(l.total, id)
 			continue
@@ -42,23 +42,23 @@
 	for id, x := range now {
 		sum := l.total[id]
 		sum.Running += x.Running
-		sum.Reading += x.Reading
-		sum.Used += x.Used
+		sum.PrefillMs += x.PrefillMs
+		sum.UsedTokens += x.UsedTokens
 		l.total[id] = sum
 	}
 }
 
 // but returns what others than the gateway with these loads have at the servers,
 // and whether only the busiest are told.
-func (l *loads) but(own map[string]dispatch.Load, now time.Time) (others map[string]dispatch.Load, partial bool) {
-	others = make(map[string]dispatch.Load, min(len(l.total), maxTold))
-	if len(l.total) <= maxTold {
+func (l *loads) excluding(own map[string]dispatch.Load, now time.Time) (others map[string]dispatch.Load, partial bool) {
+	others = make(map[string]dispatch.Load, min(len(l.total), maxReportedServers))
+	if len(l.total) <= maxReportedServers {
 		for id := range l.total {
 			l.addOthers(others, id, own[id])
 		}
 		return others, false
 	}
-	l.rank(now)
+	l.rankByRequests(now)
 	for _, id := range l.busiest {
 		l.addOthers(others, id, own[id])
 	}
@@ -68,16 +68,16 @@
 func (l *loads) addOthers(others map[string]dispatch.Load, id string, own dispatch.Load) {
 	sum := l.total[id]
 	sum.Running -= own.Running
-	sum.Reading -= own.Reading
-	sum.Used -= own.Used
+	sum.PrefillMs -= own.PrefillMs
+	sum.UsedTokens -= own.UsedTokens
 	if sum != (dispatch.Load{}) {
 		others[id] = sum
 	}
 }
 
 // rank finds the servers with the most running requests.
-func (l *loads) rank(now time.Time) {
-	if now.Sub(l.ranked) < busiestEvery {
+func (l *loads) rankByRequests(now time.Time) {
+	if now.Sub(l.ranked) < rankEvery {
 		return
 	}
 	l.ranked = now
@@ -88,5 +88,5 @@
 	slices.SortFunc(l.busiest, func(a, b string) int {
 		return cmp.Or(cmp.Compare(l.total[b].Running, l.total[a].Running), strings.Compare(a, b))
 	})
-	l.busiest = l.busiest[:min(len(l.busiest), maxTold)]
+	l.busiest = l.busiest[:min(len(l.busiest), maxReportedServers)]
 }
--- a/internal/placer/loads_test.go
+++ b/internal/placer/loads_test.go
@@ -21,12 +21,12 @@
 			now := make(map[string]dispatch.Load)
 			for range rapid.IntRange(0, 4).Draw(t, "servers") {
 				id := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "server"))
-				now[id] = dispatch.Load{Running: rapid.IntRange(1, 9).Draw(t, "running"), Used: 10}
+				now[id] = dispatch.Load{Running: rapid.IntRange(1, 9).Draw(t, "running"), UsedTokens: 10}
 			}
-			l.replace(had[g], now)
+			l.update(had[g], now)
 			had[g] = now
 		}
-		others, partial := l.but(had[0], time.Unix(1000, 0))
+		others, partial := l.excluding(had[0], time.Unix(1000, 0))
 		assert.Assert(t, !partial)
 		want := make(map[string]dispatch.Load)
 		for g, x := range had {
@@ -34,7 +34,7 @@
 				if g != 0 {
 					sum := want[id]
 					sum.Running += load.Running
-					sum.Used += load.Used
+					sum.UsedTokens += load.UsedTokens
 					want[id] = sum
 				}
 			}
@@ -47,13 +47,13 @@
 func TestOnlyTheBusiestAreTold(t *testing.T) {
 	l := newLoads()
 	all := make(map[string]dispatch.Load)
-	for i := range 3 * maxTold {
+	for i := range 3 * maxReportedServers {
 		all[fmt.Sprint("s", i)] = dispatch.Load{Running: i + 1}
 	}
-	l.replace(nil, all)
-	others, partial := l.but(map[string]dispatch.Load{"s191": {Running: 100}}, time.Unix(1000, 0))
+	l.update(nil, all)
+	others, partial := l.excluding(map[string]dispatch.Load{"s191": {Running: 100}}, time.Unix(1000, 0))
 	assert.Assert(t, partial)
-	assert.Equal(t, len(others), maxTold)
+	assert.Equal(t, len(others), maxReportedServers)
 	assert.Equal(t, others["s191"].Running, 92)
 	assert.Equal(t, others["s190"].Running, 191)
 	_, told := others["s0"]
--- a/internal/placer/messages.go
+++ b/internal/placer/messages.go
@@ -8,8 +8,8 @@
 // A Report is what one gateway tells the holder of orders.
 type Report struct {
 	// From names the gateway, Addr is where it takes messages.
-	From string `json:"from"`
-	Addr string `json:"addr"`
+	GatewayID string `json:"from"`
+	Addr      string `json:"addr"`
 	// Hall is the gateway's data hall.
 	Hall string `json:"hall"`
 	// Loads is what it has at each server.
@@ -20,9 +20,9 @@
 	// Full tells that Demands is all that was asked, for a holder that knows nothing yet.
 	Full bool `json:"full,omitempty"`
 	// Known is the version of the list of gateways that it has.
-	Known uint64 `json:"known,omitempty"`
+	GatewaysVersion uint64 `json:"known,omitempty"`
 	// Residency is the version of the residency that it knows.
-	Residency int64 `json:"residency"`
+	ResidencyVersion int64 `json:"residency"`
 }
 
 // A Gateway is a gateway that reported lately.
@@ -33,22 +33,22 @@
 }
 
 // An Answer is what the holder of orders tells a gateway.
-type Answer struct {
+type Reply struct {
 	// Held tells that the answerer holds the orders; all else is empty otherwise.
-	Held bool `json:"held"`
+	IsLeader bool `json:"held"`
 	// Term is the holder's fencing token.
 	Term int64 `json:"term,omitempty"`
 	// Known and Gateways are the version and the list of the gateways that reported
 	// lately; the list only if its version differs from the one reported.
-	Known    uint64    `json:"known,omitempty"`
-	Gateways []Gateway `json:"gateways,omitempty"`
+	GatewaysVersion uint64    `json:"known,omitempty"`
+	Gateways        []Gateway `json:"gateways,omitempty"`
 	// Loads is what the other gateways have at each server.
 	Loads map[string]dispatch.Load `json:"loads,omitempty"`
 	// Partial tells that there are so many servers that Loads holds the busiest only.
-	Partial bool `json:"partial,omitempty"`
+	BusiestOnly bool `json:"partial,omitempty"`
 	// Version is that of what engines hold; Residency is what has changed of it since
 	// the version reported, or all of it with Full.
-	Version   int64                        `json:"version"`
-	Full      bool                         `json:"full,omitempty"`
-	Residency map[string]backend.Residency `json:"residency,omitempty"`
+	ResidencyVersion int64                        `json:"version"`
+	Full             bool                         `json:"full,omitempty"`
+	Residency        map[string]backend.Residency `json:"residency,omitempty"`
 }
--- a/internal/placer/orders.go
+++ b/internal/placer/orders.go
@@ -13,21 +13,21 @@
 )
 
 // act makes the call to an engine that is due, if there is one.
-func (p *Placer) act(e *engine, spec *table.EngineSpec, now time.Time) {
+func (p *Placer) callIfDue(e *engineState, spec *table.EngineSpec, now time.Time) {
 	switch {
 	case e.calling:
 	case (!e.known || !e.nextReport.IsZero()) && !now.Before(e.nextReport):
-		if p.asked < maxAsked {
-			p.asked++
-			p.askReport(e, spec)
+		if p.reportsRequested < maxReportsPerStep {
+			p.reportsRequested++
+			p.fetchReport(e, spec)
 		}
-	case e.known && len(e.pending) > 0 && !e.given && !now.Before(e.earliest):
-		p.give(e, spec)
+	case e.known && len(e.pending) > 0 && !e.accepted && !now.Before(e.notBefore):
+		p.issueNext(e, spec)
 	}
 }
 
 // askReport reads an engine's report and takes it in.
-func (p *Placer) askReport(e *engine, spec *table.EngineSpec) {
+func (p *Placer) fetchReport(e *engineState, spec *table.EngineSpec) {
 	e.calling = true
 	server := e.server
 	go func() {
@@ -41,18 +41,18 @@
 			e.nextReport = now.Add(2 * pollEvery)
 			return
 		}
-		p.reported(e, r, now)
+		p.applyReport(e, r, now)
 	}()
 }
 
 // reported takes in a report that has come.
-func (p *Placer) reported(e *engine, r backend.Report, now time.Time) {
-	if !e.take(r, now) {
+func (p *Placer) applyReport(e *engineState, r backend.Report, now time.Time) {
+	if !e.apply(r, now) {
 		e.nextReport = now.Add(pollEvery / 2)
 		return
 	}
 	e.nextReport = now.Add(p.refreshTime())
-	if r.Busy {
+	if r.OrderInProgress {
 		e.nextReport = now.Add(pollEvery)
 		if len(e.pending) == 0 {
 			// Another holder's order is under way; wait for its end.
@@ -60,14 +60,14 @@
 		}
 		return
 	}
-	if model := e.settle(now); model != "" {
+	if model := e.completeOrders(now); model != "" {
 		p.opts.Log.Info("model loaded", zap.String("server", e.server.ID), zap.String("model", model))
 	}
-	p.tell(now)
+	p.publish(now)
 }
 
 // give gives the first pending order.
-func (p *Placer) give(e *engine, spec *table.EngineSpec) {
+func (p *Placer) issueNext(e *engineState, spec *table.EngineSpec) {
 	o := e.pending[0]
 	o.Sequence, o.Fence = e.sequence, int64(p.token)
 	takes := e.expected(spec)
@@ -84,10 +84,10 @@
 	e.calling = true
 	server := e.server
 	go func() {
-		out, err := p.order(server, o)
+		out, err := p.send(server, o)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.ordered(e, o, out, err, takes)
+		p.modelOrderAnswered(e, o, out, err, takes)
 	}()
 }
 
@@ -103,32 +103,32 @@
 }
 
 // order gives an order if the lease is still surely held.
-func (p *Placer) order(s *backend.Server, o backend.Order) (backend.Outcome, error) {
+func (p *Placer) send(s *backend.Server, o backend.Order) (backend.OrderOutcome, error) {
 	if token, held := p.opts.Lease.Held(); !held || int64(token) != o.Fence {
-		return backend.OutcomeFenced, nil
+		return backend.OrderFenced, nil
 	}
 	return p.opts.Engines.Order(p.ctx, s, o)
 }
 
 // ordered takes in an engine's answer to an order.
-func (p *Placer) ordered(e *engine, o backend.Order, out backend.Outcome, err error, takes time.Duration) {
+func (p *Placer) modelOrderAnswered(e *engineState, o backend.Order, out backend.OrderOutcome, err error, takes time.Duration) {
 	now := p.opts.Clock.Now()
 	e.calling = false
 	p.opts.Log.Info("order given", zap.String("server", e.server.ID), zap.Bool("unload", o.Unload),
 		zap.String("model", o.Model), zap.String("adapter", o.Adapter), zap.Int("sequence", o.Sequence),
 		zap.Int64("fence", o.Fence), zap.Stringer("outcome", out), telemetry.Error(err))
 	switch out {
-	case backend.OutcomeTaken:
+	case backend.OrderAccepted:
 		e.sequence++
-		e.ordered = now
-		e.given = true
+		e.lastAccepted = now
+		e.accepted = true
 		e.nextReport = now.Add(takes)
-	case backend.OutcomeFenced:
-		p.fenced = lease.Token(o.Fence)
+	case backend.OrderFenced:
+		p.fencedToken = lease.Token(o.Fence)
 		e.pending = nil
-	case backend.OutcomeUnknown:
+	case backend.OrderUnanswered:
 		e.known = false
-		e.nextReport = now.Add(retryOrder)
+		e.nextReport = now.Add(orderRetryDelay)
 	default:
 		e.known = false
 		e.pending = nil
@@ -137,27 +137,27 @@
 }
 
 // moveAdapter brings an adapter to an engine, after its victim has gone.
-func (p *Placer) moveAdapter(e *engine, m residency.AdapterMove) {
+func (p *Placer) moveAdapter(e *engineState, m residency.AdapterMove) {
 	e.calling = true
 	server := e.server
 	load := backend.Order{Model: m.Model, Adapter: m.Name, Sequence: e.sequence, Fence: int64(p.token)}
 	go func() {
-		if m.Victim.Name != "" {
-			drop := backend.Order{Unload: true, Model: m.Victim.Model, Adapter: m.Victim.Name, Sequence: load.Sequence, Fence: load.Fence}
-			out, err := p.order(server, drop)
-			if !p.adapterOrdered(e, drop, out, err) {
+		if m.Evict.Name != "" {
+			drop := backend.Order{Unload: true, Model: m.Evict.Model, Adapter: m.Evict.Name, Sequence: load.Sequence, Fence: load.Fence}
+			out, err := p.send(server, drop)
+			if !p.adapterOrderAnswered(e, drop, out, err) {
 				return
 			}
 			load.Sequence++
 		}
-		out, err := p.order(server, load)
-		p.adapterOrdered(e, load, out, err)
+		out, err := p.send(server, load)
+		p.adapterOrderAnswered(e, load, out, err)
 	}()
 }
 
 // adapterOrdered takes in the answer to an order for an adapter and reports
 // whether it was carried out.
-func (p *Placer) adapterOrdered(e *engine, o backend.Order, out backend.Outcome, err error) bool {
+func (p *Placer) adapterOrderAnswered(e *engineState, o backend.Order, out backend.OrderOutcome, err error) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.opts.Clock.Now()
@@ -165,28 +165,28 @@
 		zap.String("model", o.Model), zap.String("adapter", o.Adapter), zap.Int("sequence", o.Sequence),
 		zap.Int64("fence", o.Fence), zap.Stringer("outcome", out), telemetry.Error(err))
 	a := backend.Adapter{Model: o.Model, Name: o.Adapter}
-	if out != backend.OutcomeTaken && out != backend.OutcomeDone {
+	if out != backend.OrderAccepted && out != backend.OrderAlreadyDone {
 		e.calling, e.known = false, false
 		e.nextReport = now.Add(pollEvery)
-		if out == backend.OutcomeFenced {
-			p.fenced = lease.Token(o.Fence)
+		if out == backend.OrderFenced {
+			p.fencedToken = lease.Token(o.Fence)
 		}
 		return false
 	}
 	e.sequence++
-	e.ordered = now
+	e.lastAccepted = now
 	if o.Unload {
 		e.dropAdapter(a)
 		return true
 	}
 	e.calling = false
 	e.addAdapter(a, now)
-	e.nextReport = now.Add(adapterCheck)
-	if out == backend.OutcomeDone {
+	e.nextReport = now.Add(adapterCheckDelay)
+	if out == backend.OrderAlreadyDone {
 		// Whether this moved the sequence is for the next report to tell.
 		e.known = false
 		e.nextReport = now.Add(pollEvery)
 	}
-	p.tell(now)
+	p.publish(now)
 	return true
 }
--- a/internal/placer/pace_test.go
+++ b/internal/placer/pace_test.go
@@ -26,9 +26,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, ReportPace(test.gateways), test.pace)
-			assert.Assert(t, silence(test.gateways) >= 3*test.pace)
-			assert.Assert(t, silence(test.gateways) >= gatewaySilence)
+			assert.Equal(t, ReportInterval(test.gateways), test.pace)
+			assert.Assert(t, gatewayTimeoutFor(test.gateways) >= 3*test.pace)
+			assert.Assert(t, gatewayTimeoutFor(test.gateways) >= gatewayTimeout)
 		})
 	}
 }
@@ -43,18 +43,18 @@
 	for range 6 {
 		arrived += 10
 		for i := range gateways {
-			d.take(reportOf(i, arrived), now)
+			d.apply(reportOf(i, arrived), now)
 		}
-		now = now.Add(ReportPace(gateways))
-		d.step(ReportPace(gateways))
-		d.forget(now, silence(len(d.gateways)))
+		now = now.Add(ReportInterval(gateways))
+		d.step(ReportInterval(gateways))
+		d.forget(now, gatewayTimeoutFor(len(d.gateways)))
 	}
-	assert.Assert(t, d.wants()["m"].Weight > 0)
+	assert.Assert(t, d.modelDemands()["m"].TokensPerSecond > 0)
 }
 
 func reportOf(i, arrived int) Report {
 	return Report{
-		From:    fmt.Sprint("g", i),
-		Demands: map[string]dispatch.Demand{"m": {Arrived: arrived, Tokens: arrived * 1000, Service: "llm"}},
+		GatewayID: fmt.Sprint("g", i),
+		Demands:   map[string]dispatch.Demand{"m": {Arrived: arrived, WorkTokens: arrived * 1000, Service: "llm"}},
 	}
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -19,39 +19,39 @@
 const (
 	tick = 100 * time.Millisecond
 	// wakeEvery is the least time between two steps that reports cause.
-	wakeEvery = 25 * time.Millisecond
+	minStepInterval = 25 * time.Millisecond
 	// gatewaySilence is after how long a gateway's report no longer counts, at least,
 	// and silentReports after how many that did not come.
-	gatewaySilence = 2 * time.Second
-	silentReports  = 4
+	gatewayTimeout        = 2 * time.Second
+	gatewayTimeoutReports = 4
 	// reportEvery is the time between two reports of a gateway. With more gateways
 	// than reportGateways each reports less often, so that the holder's load stays
 	// bounded, but at least every slowReport.
-	reportEvery    = 80 * time.Millisecond
-	reportGateways = 12
-	slowReport     = time.Second
+	reportEvery        = 80 * time.Millisecond
+	gatewaysAtFullPace = 12
+	maxReportInterval  = time.Second
 	// refreshEvery is how often an engine without orders is asked for a report, with
 	// up to paceEngines of them; with more of them it is done less often.
 	refreshEvery = 6 * time.Second
 	// paceEngines is the number of engines up to which all of them are looked at at
 	// the full pace.
-	paceEngines = 100
+	enginesAtFullPace = 100
 	// maxAsked bounds the reports asked for in one step.
-	maxAsked = 30
+	maxReportsPerStep = 30
 	// tellEvery is the least time between two looks at what engines hold, for gateways.
-	tellEvery = 25 * time.Millisecond
+	publishEvery = 25 * time.Millisecond
 )
 
 // firstSettle is how long the first holder waits, so that the servers have told
 // of themselves and their models are not taken to be missing.
-const firstSettle = 4 * time.Second
+const firstLeaderDelay = 4 * time.Second
 
 // The weight store's budget.
 const (
 	// budgetShare is the part of the store's rate that is used.
-	budgetShare = 0.8
+	storeRateShare = 0.8
 	// budgetBurst is the number of loads that may begin together.
-	budgetBurst = 2
+	storeBurst = 2
 )
 
 // A Lease decides who gives the orders; lease.Holder is one.
@@ -60,7 +60,7 @@
 	Held() (lease.Token, bool)
 	// Other returns the record of the holder seen last, HasSeenOther whether there
 	// ever was one.
-	Other() lease.Record
+	OtherHolder() lease.Record
 	HasSeenOther() bool
 	// Campaign contends for the lease until ctx ends; Release gives it back.
 	Campaign(ctx context.Context, keys kv.PrefixStore)
@@ -72,61 +72,61 @@
 	Lease Lease
 	// Keys is where the lease's key is watched.
 	Keys     kv.PrefixStore
-	Engines  backend.Engines
+	Engines  backend.EngineClient
 	Registry *backend.Registry
 	// Routing returns the configuration in force, or nil.
 	Routing func() *table.Routing
 	// Settle is how long a new holder waits before its first order, so that the
 	// last one's orders are over.
-	Settle time.Duration
+	SettleTime time.Duration
 	// First tells that the whole system starts for the first time, so that there
 	// was no holder before.
-	First bool
-	Clock clock.Service
-	Log   *zap.Logger
+	FirstStart bool
+	Clock      clock.Service
+	Log        *zap.Logger
 }
 
 // A Placer gives the orders while it holds the lease.
 type Placer struct {
 	opts Options
 
-	mu     sync.Mutex
-	token  lease.Token
-	since  time.Time
-	fenced lease.Token
+	mu          sync.Mutex
+	token       lease.Token
+	leaderSince time.Time
+	fencedToken lease.Token
 	// denial is what the last holder says, denied its length when the lease was gained.
-	denial  denial
-	denied  time.Duration
-	engines map[string]*engine
+	formerLeader nonLeaderReplies
+	settleCredit time.Duration
+	engines      map[string]*engineState
 	// followed is the snapshot that engines and services were last taken from.
-	followed *backend.Snapshot
-	routed   uint64
+	syncedWith    *backend.Snapshot
+	syncedVersion uint64
 	// services holds the engines of each service in the order of their ids.
-	services map[string][]*engine
+	services map[string][]*engineState
 	// planned is when each service's models were last planned.
-	planned map[string]time.Time
+	plannedAt map[string]time.Time
 	// asked counts the reports asked for in this step.
-	asked  int
-	demand *demand
+	reportsRequested int
+	demand           *demand
 	// missing tells since when adapters that no engine holds have been waited for.
-	missing map[backend.Adapter]time.Time
+	adapterWaitedSince map[backend.Adapter]time.Time
 	// budget is the number of loads that the weight store bears now.
-	budget  float64
-	stepped time.Time
-	version int64
+	budget           float64
+	stepped          time.Time
+	publishedVersion int64
 	// told is what gateways are told that engines hold, changed the version in which
 	// that changed last.
-	told    map[string]backend.Residency
-	changed map[string]int64
-	toldAt  time.Time
-	stop    func()
-	ctx     context.Context
-	done    context.CancelFunc
+	published   map[string]backend.Residency
+	changedIn   map[string]int64
+	publishedAt time.Time
+	stop        func()
+	ctx         context.Context
+	done        context.CancelFunc
 }
 
 // New returns a Placer that does nothing until Start.
 func New(o Options) *Placer {
-	p := &Placer{opts: o, engines: make(map[string]*engine), demand: newDemand()}
+	p := &Placer{opts: o, engines: make(map[string]*engineState), demand: newDemand()}
 	p.ctx, p.done = context.WithCancel(context.Background())
 	return p
 }
@@ -147,34 +147,34 @@
 }
 
 // Holder returns where the holder of orders takes messages and whether it is this process.
-func (p *Placer) Holder() (addr string, own bool) {
+func (p *Placer) Leader() (addr string, own bool) {
 	if _, held := p.opts.Lease.Held(); held {
 		return "", true
 	}
-	return p.opts.Lease.Other().Addr, false
+	return p.opts.Lease.OtherHolder().Addr, false
 }
 
 // Report takes in what a gateway tells and returns the answer to it.
-func (p *Placer) Report(r Report) Answer {
+func (p *Placer) Report(r Report) Reply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, held := p.opts.Lease.Held(); !held {
-		return Answer{}
+		return Reply{}
 	}
 	now := p.opts.Clock.Now()
-	p.demand.take(r, now)
-	if now.Sub(p.toldAt) >= tellEvery {
-		p.tell(now)
+	p.demand.apply(r, now)
+	if now.Sub(p.publishedAt) >= publishEvery {
+		p.publish(now)
 	}
-	a := Answer{Held: true, Term: int64(p.token), Version: p.version}
-	a.Loads, a.Partial = p.demand.loads.but(r.Loads, now)
+	a := Reply{IsLeader: true, Term: int64(p.token), ResidencyVersion: p.publishedVersion}
+	a.Loads, a.BusiestOnly = p.demand.loads.excluding(r.Loads, now)
 	list, known := p.demand.list()
-	a.Known = known
-	if r.Known != known {
+	a.GatewaysVersion = known
+	if r.GatewaysVersion != known {
 		a.Gateways = list
 	}
-	a.Full = r.Residency>>versionBits != int64(p.token)
-	a.Residency = p.changedSince(r.Residency, a.Full)
+	a.Full = r.ResidencyVersion>>versionBits != int64(p.token)
+	a.Residency = p.changedSince(r.ResidencyVersion, a.Full)
 	return a
 }
 
@@ -191,7 +191,7 @@
 func (p *Placer) steppedLately(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.stepped) < wakeEvery
+	return now.Sub(p.stepped) < minStepInterval
 }
 
 // step does whatever is due.
@@ -200,116 +200,116 @@
 	defer p.mu.Unlock()
 	token, held := p.opts.Lease.Held()
 	if !held {
-		p.lose()
+		p.resign()
 		return
 	}
 	if token != p.token {
-		p.gain(token, now)
+		p.becomeLeader(token, now)
 	}
 	by := now.Sub(p.stepped)
 	if by <= 0 {
 		return
 	}
 	p.stepped = now
-	p.asked = 0
+	p.reportsRequested = 0
 	p.demand.step(by)
-	p.demand.forget(now, silence(len(p.demand.gateways)))
+	p.demand.forget(now, gatewayTimeoutFor(len(p.demand.gateways)))
 	routing := p.opts.Routing()
-	if routing == nil || token == p.fenced || now.Sub(p.since) < p.settle() {
+	if routing == nil || token == p.fencedToken || now.Sub(p.leaderSince) < p.settle() {
 		return
 	}
-	p.follow(p.opts.Registry.Snapshot(), routing)
+	p.syncEngines(p.opts.Registry.Snapshot(), routing)
 	services := routing.Services()
 	p.credit(services, by)
 	for _, s := range services {
 		if s.Engine != nil {
-			p.serve(s, now)
+			p.runService(s, now)
 		}
 	}
-	p.tell(now)
+	p.publish(now)
 }
 
 // ReportPace returns the time between two reports of one of a number of gateways.
-func ReportPace(gateways int) time.Duration {
-	return min(reportEvery*time.Duration(max(1, gateways/reportGateways)), slowReport)
+func ReportInterval(gateways int) time.Duration {
+	return min(reportEvery*time.Duration(max(1, gateways/gatewaysAtFullPace)), maxReportInterval)
 }
 
 // silence returns after how long a gateway's report no longer counts.
-func silence(gateways int) time.Duration {
-	return max(gatewaySilence, silentReports*ReportPace(gateways))
+func gatewayTimeoutFor(gateways int) time.Duration {
+	return max(gatewayTimeout, gatewayTimeoutReports*ReportInterval(gateways))
 }
 
 // isFirst reports whether there was no holder before this one.
-func (p *Placer) isFirst() bool { return p.opts.First && !p.opts.Lease.HasSeenOther() }
+func (p *Placer) isFirst() bool { return p.opts.FirstStart && !p.opts.Lease.HasSeenOther() }
 
 // settle returns how long this holder waits before its first order. The time in
 // which the last holder has said that it gives none counts.
 func (p *Placer) settle() time.Duration {
 	if p.isFirst() {
-		return firstSettle
+		return firstLeaderDelay
 	}
-	return max(p.opts.Settle-p.denied, 0)
+	return max(p.opts.SettleTime-p.settleCredit, 0)
 }
 
 // deniedLately is how old the last holder's word may be that it gives no orders.
-const deniedLately = 500 * time.Millisecond
+const nonLeaderReplyMaxAge = 500 * time.Millisecond
 
 // A denial is the time in which the last holder has said, without a break, that it
 // gives no orders.
-type denial struct {
+type nonLeaderReplies struct {
 	addr        string
 	first, last time.Time
 }
 
 // Answered tells what the process at an address said of holding the orders, or
 // that it did not answer.
-func (p *Placer) Answered(addr string, denied bool) {
+func (p *Placer) NotePeerReply(addr string, denied bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.opts.Clock.Now()
 	switch {
 	case !denied:
-		p.denial = denial{}
-	case p.denial.addr == addr:
-		p.denial.last = now
+		p.formerLeader = nonLeaderReplies{}
+	case p.formerLeader.addr == addr:
+		p.formerLeader.last = now
 	default:
-		p.denial = denial{addr: addr, first: now, last: now}
+		p.formerLeader = nonLeaderReplies{addr: addr, first: now, last: now}
 	}
 }
 
 // deniedFor returns how long the last holder has said that it gives no orders.
-func (p *Placer) deniedFor(now time.Time) time.Duration {
-	last := p.opts.Lease.Other().Addr
-	if last == "" || p.denial.addr != last || now.Sub(p.denial.last) > deniedLately {
+func (p *Placer) formerLeaderQuietFor(now time.Time) time.Duration {
+	last := p.opts.Lease.OtherHolder().Addr
+	if last == "" || p.formerLeader.addr != last || now.Sub(p.formerLeader.last) > nonLeaderReplyMaxAge {
 		return 0
 	}
-	return p.denial.last.Sub(p.denial.first)
+	return p.formerLeader.last.Sub(p.formerLeader.first)
 }
 
 // lose forgets what only a holder may act on.
-func (p *Placer) lose() {
+func (p *Placer) resign() {
 	if p.token == 0 {
 		return
 	}
 	p.opts.Log.Info("orders lost", zap.Int64("token", int64(p.token)))
 	p.token = 0
-	p.engines = make(map[string]*engine)
-	p.followed = nil
+	p.engines = make(map[string]*engineState)
+	p.syncedWith = nil
 	p.demand = newDemand()
-	p.told = nil
+	p.published = nil
 }
 
-func (p *Placer) gain(token lease.Token, now time.Time) {
-	p.denied = p.deniedFor(now)
+func (p *Placer) becomeLeader(token lease.Token, now time.Time) {
+	p.settleCredit = p.formerLeaderQuietFor(now)
 	p.opts.Log.Info("orders gained", zap.Int64("token", int64(token)), zap.Duration("settle", p.settle()))
-	p.token, p.since, p.stepped = token, now, now
+	p.token, p.leaderSince, p.stepped = token, now, now
 	p.budget = 0
 	if p.isFirst() {
-		p.budget = budgetBurst
+		p.budget = storeBurst
 	}
-	p.version = int64(token) << versionBits
-	p.changed = make(map[string]int64)
-	p.planned = make(map[string]time.Time)
+	p.publishedVersion = int64(token) << versionBits
+	p.changedIn = make(map[string]int64)
+	p.plannedAt = make(map[string]time.Time)
 }
 
 // versionBits is the part of a residency's version that counts changes; the
@@ -317,12 +317,12 @@
 const versionBits = 20
 
 // follow adds the engines that have come and drops those that have gone.
-func (p *Placer) follow(s *backend.Snapshot, routing *table.Routing) {
-	if s == p.followed && routing.Version() == p.routed {
+func (p *Placer) syncEngines(s *backend.Snapshot, routing *table.Routing) {
+	if s == p.syncedWith && routing.Version() == p.syncedVersion {
 		return
 	}
-	p.followed, p.routed = s, routing.Version()
-	p.services = make(map[string][]*engine)
+	p.syncedWith, p.syncedVersion = s, routing.Version()
+	p.services = make(map[string][]*engineState)
 	for id := range p.engines {
 		if _, ok := s.Server(id); !ok {
 			delete(p.engines, id)
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -36,11 +36,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 2, []string{"m0"})
-				w.engines.answer = func(n int, _ backend.Order) (backend.Outcome, bool, error) {
+				w.engines.answer = func(n int, _ backend.Order) (backend.OrderOutcome, bool, error) {
 					if n == 1 {
-						return backend.OutcomeUnknown, test.done, errors.New("no answer")
+						return backend.OrderUnanswered, test.done, errors.New("no answer")
 					}
-					return backend.OutcomeTaken, true, nil
+					return backend.OrderAccepted, true, nil
 				}
 				w.start(true)
 				w.run("first order", w.ordered(1))
@@ -79,26 +79,26 @@
 	}{
 		"said for long that it gives none": {say: func(w *world, p *placer.Placer) {
 			for range 40 {
-				p.Answered("last", true)
+				p.NotePeerReply("last", true)
 				w.pass(100 * time.Millisecond)
 			}
 		}},
-		"said so once": {waits: true, say: func(_ *world, p *placer.Placer) { p.Answered("last", true) }},
+		"said so once": {waits: true, say: func(_ *world, p *placer.Placer) { p.NotePeerReply("last", true) }},
 		"did not answer in between": {waits: true, say: func(w *world, p *placer.Placer) {
 			for i := range 40 {
-				p.Answered("last", i != 38)
+				p.NotePeerReply("last", i != 38)
 				w.pass(100 * time.Millisecond)
 			}
 		}},
 		"another said so": {waits: true, say: func(w *world, p *placer.Placer) {
 			for range 40 {
-				p.Answered("other", true)
+				p.NotePeerReply("other", true)
 				w.pass(100 * time.Millisecond)
 			}
 		}},
 		"said so long ago": {waits: true, say: func(w *world, p *placer.Placer) {
 			for range 40 {
-				p.Answered("last", true)
+				p.NotePeerReply("last", true)
 				w.pass(100 * time.Millisecond)
 			}
 			w.pass(2 * time.Second)
@@ -136,7 +136,7 @@
 	w.engines.mu.Unlock()
 	w.pass(5 * time.Second)
 	assert.Equal(t, len(w.engines.orders()), 0)
-	assert.Assert(t, !w.ask("m0", 1, 1).Held)
+	assert.Assert(t, !w.ask("m0", 1, 1).IsLeader)
 }
 
 func TestFencedHolderStops(t *testing.T) { synctest.Test(t, testFencedHolderStops) }
@@ -252,15 +252,15 @@
 	w := newWorld(t, 1, []string{"m0"})
 	p := w.start(true)
 	w.pass(5 * time.Second)
-	p.Report(placer.Report{From: "g1", Addr: "a1", Hall: "h1", Loads: map[string]dispatch.Load{"e0": {Running: 2, Reading: 30, Used: 5}}})
-	a := p.Report(placer.Report{From: "g2", Addr: "a2", Hall: "h2", Loads: map[string]dispatch.Load{"e0": {Running: 7}}})
+	p.Report(placer.Report{GatewayID: "g1", Addr: "a1", Hall: "h1", Loads: map[string]dispatch.Load{"e0": {Running: 2, PrefillMs: 30, UsedTokens: 5}}})
+	a := p.Report(placer.Report{GatewayID: "g2", Addr: "a2", Hall: "h2", Loads: map[string]dispatch.Load{"e0": {Running: 7}}})
 	assert.Equal(t, len(a.Gateways), 2)
-	assert.Equal(t, a.Loads["e0"], dispatch.Load{Running: 2, Reading: 30, Used: 5}, "others' load without the own")
-	again := p.Report(placer.Report{From: "g2", Addr: "a2", Known: a.Known, Residency: a.Version})
+	assert.Equal(t, a.Loads["e0"], dispatch.Load{Running: 2, PrefillMs: 30, UsedTokens: 5}, "others' load without the own")
+	again := p.Report(placer.Report{GatewayID: "g2", Addr: "a2", GatewaysVersion: a.GatewaysVersion, ResidencyVersion: a.ResidencyVersion})
 	assert.Equal(t, len(again.Gateways)+len(again.Residency), 0, "what is known is not told again")
-	assert.Equal(t, again.Known, a.Known)
+	assert.Equal(t, again.GatewaysVersion, a.GatewaysVersion)
 	w.pass(3 * time.Second)
-	a = p.Report(placer.Report{From: "g2", Addr: "a2", Known: a.Known})
+	a = p.Report(placer.Report{GatewayID: "g2", Addr: "a2", GatewaysVersion: a.GatewaysVersion})
 	assert.Equal(t, len(a.Gateways), 1, "a gateway that was silent no longer counts")
 }
 
@@ -272,20 +272,20 @@
 	w := newWorld(t, 2, []string{"m0"}, []string{"m0", "m1"})
 	p := w.start(true)
 	w.pass(5 * time.Second)
-	a := p.Report(placer.Report{From: "g"})
+	a := p.Report(placer.Report{GatewayID: "g"})
 	assert.Assert(t, a.Full && len(a.Residency) == 2, "%+v", a)
 	w.ask("m1/a1", 0, 0)
 	w.ask("m1/a1", 1, 1)
 	p.Wake()
 	w.run("adapter told", func() bool {
-		a = p.Report(placer.Report{From: "g", Residency: a.Version})
+		a = p.Report(placer.Report{GatewayID: "g", ResidencyVersion: a.ResidencyVersion})
 		r := a.Residency["e1"].Residents
 		return len(r) == 2 && r[1].Has("a1")
 	})
 	assert.Assert(t, !a.Full && len(a.Residency) == 1, "%+v", a)
 	w.lease.set(9)
 	w.pass(5 * time.Second)
-	a = p.Report(placer.Report{From: "g", Residency: a.Version})
+	a = p.Report(placer.Report{GatewayID: "g", ResidencyVersion: a.ResidencyVersion})
 	assert.Assert(t, a.Full && len(a.Residency) == 2, "%+v", a)
 }
 
@@ -297,9 +297,9 @@
 	w := newWorld(t, 2, []string{"m0", "m1"}, nil)
 	p := w.start(true)
 	w.pass(5 * time.Second)
-	old := map[string]dispatch.Demand{"m1": {Arrived: 1_000_000, Tokens: 1_000_000_000, Service: service}}
-	p.Report(placer.Report{From: "g"})
-	p.Report(placer.Report{From: "g", Demands: old, Full: true})
+	old := map[string]dispatch.Demand{"m1": {Arrived: 1_000_000, WorkTokens: 1_000_000_000, Service: service}}
+	p.Report(placer.Report{GatewayID: "g"})
+	p.Report(placer.Report{GatewayID: "g", Demands: old, Full: true})
 	w.pass(2 * time.Second)
 	assert.Equal(t, len(w.engines.orders()), 0)
 }
@@ -313,7 +313,7 @@
 	w.pass(5 * time.Second)
 	w.ask("m0/a1", 0, 0)
 	w.ask("m0/a1", 1, 1)
-	p.Report(placer.Report{From: "g"})
+	p.Report(placer.Report{GatewayID: "g"})
 	p.Wake()
 	w.run("adapter", w.ordered(1))
 	assert.Equal(t, w.engines.orders()[0].order.Adapter, "a1")
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -21,101 +21,101 @@
 			rate = min(rate, s.Engine.LoadsPerSecond)
 		}
 	}
-	p.budget = min(p.budget+budgetShare*rate*by.Seconds(), budgetBurst)
+	p.budget = min(p.budget+storeRateShare*rate*by.Seconds(), storeBurst)
 }
 
 // serve plans for one service and does what is due at its engines.
-func (p *Placer) serve(s table.Service, now time.Time) {
+func (p *Placer) runService(s table.Service, now time.Time) {
 	list := p.services[s.Name]
 	p.abandonOverdue(list, now)
 	p.planAdapters(s, list, now)
-	if now.Sub(p.planned[s.Name]) >= planEvery(len(list)) {
-		p.planned[s.Name] = now
+	if now.Sub(p.plannedAt[s.Name]) >= planInterval(len(list)) {
+		p.plannedAt[s.Name] = now
 		p.planModels(s, list, now)
 	}
 	for _, e := range list {
-		p.act(e, s.Engine, now)
+		p.callIfDue(e, s.Engine, now)
 	}
 }
 
 // abandonOverdue drops the loads that wait for too long for an engine to make room, so
 // that they are planned elsewhere and do not hold up others.
-func (p *Placer) abandonOverdue(list []*engine, now time.Time) {
+func (p *Placer) abandonOverdue(list []*engineState, now time.Time) {
 	for _, e := range list {
-		if e.overdue(now) {
+		if e.loadOverdue(now) {
 			p.opts.Log.Warn("move abandoned", zap.String("server", e.server.ID), zap.String("model", e.abandonLoad()))
 		}
 	}
 }
 
 // slowPlan is the longest time between two plans of a service.
-const slowPlan = time.Second
+const maxPlanInterval = time.Second
 
 // planEvery returns the time between two plans for a number of engines: a plan
 // costs as much more as there are engines.
-func planEvery(engines int) time.Duration {
-	if engines <= paceEngines {
+func planInterval(engines int) time.Duration {
+	if engines <= enginesAtFullPace {
 		return 0
 	}
-	return min(tick*time.Duration(engines/paceEngines), slowPlan)
+	return min(tick*time.Duration(engines/enginesAtFullPace), maxPlanInterval)
 }
 
 // refreshTime returns the time between two reports of an engine without orders.
 func (p *Placer) refreshTime() time.Duration {
-	return refreshEvery * time.Duration(max(1, len(p.engines)/paceEngines))
+	return refreshEvery * time.Duration(max(1, len(p.engines)/enginesAtFullPace))
 }
 
-func views(list []*engine, now time.Time) []residency.Engine {
-	out := make([]residency.Engine, len(list))
+func views(list []*engineState, now time.Time) []residency.EngineView {
+	out := make([]residency.EngineView, len(list))
 	for i, e := range list {
 		out[i] = e.view(now)
 	}
 	return out
 }
 
-func (p *Placer) planModels(s table.Service, list []*engine, now time.Time) {
+func (p *Placer) planModels(s table.Service, list []*engineState, now time.Time) {
 	moves := residency.Plan(residency.Input{
-		Spec: s.Engine, Engines: views(list, now), Wants: p.demand.wants(),
-		StoreLoads: int(p.budget) - storeLoadsPending(list),
+		Spec: s.Engine, Engines: views(list, now), Demands: p.demand.modelDemands(),
+		StoreLoadsAllowed: int(p.budget) - storeLoadsPending(list),
 	})
 	for _, m := range moves {
 		p.opts.Log.Info("move planned", zap.String("server", m.Engine), zap.String("model", m.Model),
-			zap.Strings("victims", m.Victims), zap.Int("source", int(m.Source)))
-		p.engines[m.Engine].start(m, now)
+			zap.Strings("victims", m.Evictions), zap.Int("source", int(m.Source)))
+		p.engines[m.Engine].plan(m, now)
 	}
 }
 
 // storeLoadsPending counts the loads from the weight store that are planned and
 // not yet ordered; the budget pays for them when they are.
-func storeLoadsPending(list []*engine) int {
+func storeLoadsPending(list []*engineState) int {
 	n := 0
 	for _, e := range list {
-		if len(e.pending) == 0 || e.given && len(e.pending) == 1 {
+		if len(e.pending) == 0 || e.accepted && len(e.pending) == 1 {
 			continue
 		}
 		last := e.pending[len(e.pending)-1]
-		if !slices.Contains(e.inMemory, last.Model) && !slices.Contains(e.onDisk, last.Model) {
+		if !slices.Contains(e.cachedInMemory, last.Model) && !slices.Contains(e.cachedOnDisk, last.Model) {
 			n++
 		}
 	}
 	return n
 }
 
-func (p *Placer) planAdapters(s table.Service, list []*engine, now time.Time) {
+func (p *Placer) planAdapters(s table.Service, list []*engineState, now time.Time) {
 	waited, running := p.demand.adapters(s.Name)
 	missing := withoutHeld(waited, list)
 	p.noteMissing(missing, now)
 	if len(missing) == 0 {
 		return
 	}
-	idle := slices.DeleteFunc(views(list, now), func(e residency.Engine) bool { return !e.Idle })
+	idle := slices.DeleteFunc(views(list, now), func(e residency.EngineView) bool { return !e.Idle })
 	load := make(map[string]int)
 	for id, l := range p.demand.loads.total {
 		load[id] = l.Running
 	}
 	moves := residency.PlanAdapters(residency.AdapterInput{
 		Slots: s.Engine.AdapterSlots, Engines: idle, Missing: missing,
-		Used: p.demand.used, Running: running, Load: load, Since: p.missing, Now: now,
+		LastUsed: p.demand.adapterLastUsed, RequestsByAdapter: running, RequestsByEngine: load, WaitingSince: p.adapterWaitedSince, Now: now,
 	})
 	for _, m := range moves {
 		p.moveAdapter(p.engines[m.Engine], m)
@@ -123,7 +123,7 @@
 }
 
 // withoutHeld returns the adapters that no engine which stays holds.
-func withoutHeld(adapters []backend.Adapter, list []*engine) []backend.Adapter {
+func withoutHeld(adapters []backend.Adapter, list []*engineState) []backend.Adapter {
 	if len(adapters) == 0 {
 		return nil
 	}
@@ -146,9 +146,9 @@
 	since := make(map[backend.Adapter]time.Time, len(missing))
 	for _, a := range missing {
 		since[a] = now
-		if before, ok := p.missing[a]; ok {
+		if before, ok := p.adapterWaitedSince[a]; ok {
 			since[a] = before
 		}
 	}
-	p.missing = since
+	p.adapterWaitedSince = since
 }
--- a/kv/example_test.go
+++ b/kv/example_test.go
@@ -33,8 +33,8 @@
 }
 
 // Lost and Heard implement kv.Follower.
-func (p rowPrinter) Lost(error) {}
-func (p rowPrinter) Heard()     {}
+func (p rowPrinter) Unreachable(error) {}
+func (p rowPrinter) Reachable()        {}
 
 func ExampleFollow() {
 	store := kvtest.New(clock.Real{})
--- a/kv/follow.go
+++ b/kv/follow.go
@@ -14,8 +14,8 @@
 	// Apply takes changes in their order.
 	Apply(events []Event)
 	// Lost tells that the service cannot be heard, Heard that it was.
-	Lost(err error)
-	Heard()
+	Unreachable(err error)
+	Reachable()
 }
 
 // Pauses between calls that fail.
@@ -31,12 +31,12 @@
 	for ctx.Err() == nil {
 		entries, at, err := s.ListPrefix(ctx, prefix)
 		if err != nil {
-			f.Lost(err)
+			f.Unreachable(err)
 			pause = backOff(ctx, pause)
 			continue
 		}
 		pause = firstPause
-		f.Heard()
+		f.Reachable()
 		f.Replace(entries)
 		follow(ctx, s, prefix, at, wait, f)
 	}
@@ -51,13 +51,13 @@
 			return
 		}
 		if err != nil {
-			f.Lost(err)
+			f.Unreachable(err)
 			pause = backOff(ctx, pause)
 			continue
 		}
 		pause = firstPause
 		at = next
-		f.Heard()
+		f.Reachable()
 		if len(events) > 0 {
 			f.Apply(events)
 		}
--- a/kv/follow_test.go
+++ b/kv/follow_test.go
@@ -45,13 +45,13 @@
 	}
 }
 
-func (m *mirror) Lost(error) {
+func (m *mirror) Unreachable(error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lost++
 }
 
-func (m *mirror) Heard() {
+func (m *mirror) Reachable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.heard++
--- a/kv/relay_test.go
+++ b/kv/relay_test.go
@@ -25,7 +25,7 @@
 	// cut tells that nothing is handed on.
 	mu             sync.Mutex
 	cut            bool
-	source, other  *kv.Relay
+	source, other  *kv.Fanout
 	sourceSees     *mirror
 	otherSees      *mirror
 	sourceIsSource atomic.Bool
@@ -63,14 +63,14 @@
 	p := &relayPair{store: kvtest.New(clock.Real{}), sourceSees: &mirror{}, otherSees: &mirror{}}
 	p.sourceIsSource.Store(true)
 	p.alone.Store(true)
-	p.source = kv.NewRelay(kv.RelayOptions{Clock: clock.Real{}, Trust: trust, IsSource: p.sourceIsSource.Load})
-	p.other = kv.NewRelay(kv.RelayOptions{Clock: clock.Real{}, Trust: trust, IsSource: func() bool { return false },
-		Told: func(_ string, direct bool) { p.alone.Store(direct) },
+	p.source = kv.NewFanout(kv.FanoutOptions{Clock: clock.Real{}, MaxAge: trust, IsWatcher: p.sourceIsSource.Load})
+	p.other = kv.NewFanout(kv.FanoutOptions{Clock: clock.Real{}, MaxAge: trust, IsWatcher: func() bool { return false },
+		OnSwitch: func(_ string, direct bool) { p.alone.Store(direct) },
 	})
 	p.store.Set("a/1", []byte("1"))
-	go kv.Follow(ctx, p.source.For(p.store, false), "a/", time.Second, p.sourceSees)
+	go kv.Follow(ctx, p.source.View(p.store, false), "a/", time.Second, p.sourceSees)
 	p.direct = &watchCounter{PrefixStore: p.store}
-	go kv.Follow(ctx, p.other.For(p.direct, false), "a/", time.Second, p.otherSees)
+	go kv.Follow(ctx, p.other.View(p.direct, false), "a/", time.Second, p.otherSees)
 	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "1"}))
 	poll.WaitOn(t, p.sourceSees.shows(map[string]string{"a/1": "1"}))
 	stop := clock.Real{}.Subscribe(20*time.Millisecond, func(time.Time) { p.handOn() })
@@ -102,7 +102,7 @@
 		return
 	}
 	sent := time.Now()
-	p.other.Take(p.source.Since(p.other.Seen()), sent)
+	p.other.Apply(p.source.Since(p.other.Revisions()), sent)
 }
 
 // TestRelaySparesTheService checks that the second process sees each change without
@@ -130,8 +130,8 @@
 func TestRelayCutOff(t *testing.T) {
 	tests := map[string]func(p *relayPair){
 		"nothing is handed on":             func(p *relayPair) { p.setCut(true) },
-		"the source sees nothing any more": func(p *relayPair) { p.source.Doubt(); p.sourceIsSource.Store(false) },
-		"the source is no longer one":      func(p *relayPair) { p.setCut(true); p.other.Doubt() },
+		"the source sees nothing any more": func(p *relayPair) { p.source.Invalidate(); p.sourceIsSource.Store(false) },
+		"the source is no longer one":      func(p *relayPair) { p.setCut(true); p.other.Invalidate() },
 	}
 	for name, cut := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -153,7 +153,7 @@
 	defer cancel()
 	p := newRelayPair(ctx, t, longTrust)
 	p.setCut(true)
-	p.other.Doubt()
+	p.other.Invalidate()
 	want := map[string]string{"a/1": "1"}
 	for i := range 4 {
 		key := fmt.Sprint("a/n", i)
@@ -192,13 +192,13 @@
 	p.store.Set("a/1", []byte("2"))
 	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "2"}))
 	p.setCut(true)
-	at := p.other.Seen()["a/"]
-	p.other.Take(map[string]kv.Batch{"a/": {
-		From: 0, At: at - 1, Events: []kv.Event{{Entry: kv.Entry{Key: "a/1", Value: []byte("1"), Revision: at - 1}}},
+	at := p.other.Revisions()["a/"]
+	p.other.Apply(map[string]kv.Batch{"a/": {
+		From: 0, To: at - 1, Events: []kv.Event{{Entry: kv.Entry{Key: "a/1", Value: []byte("1"), Revision: at - 1}}},
 	}}, time.Now())
 	p.store.Set("a/3", []byte("3"))
 	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "2", "a/3": "3"}))
-	assert.Assert(t, p.other.Seen()["a/"] > at)
+	assert.Assert(t, p.other.Revisions()["a/"] > at)
 }
 
 // TestRelayLeavesOutWhatDoesNotMatter checks that changes which leave the digest as
@@ -209,25 +209,25 @@
 	defer cancel()
 	store := kvtest.New(clock.Real{})
 	firstByte := func(_ string, e kv.Entry) uint64 { return uint64(e.Value[0]) }
-	options := kv.RelayOptions{Clock: clock.Real{}, Trust: longTrust, Digest: firstByte, IsSource: func() bool { return true }}
-	source := kv.NewRelay(options)
-	options.IsSource = func() bool { return false }
-	other := kv.NewRelay(options)
+	options := kv.FanoutOptions{Clock: clock.Real{}, MaxAge: longTrust, Digest: firstByte, IsWatcher: func() bool { return true }}
+	source := kv.NewFanout(options)
+	options.IsWatcher = func() bool { return false }
+	other := kv.NewFanout(options)
 	store.Set("a/1", []byte("x1"))
 	var sourceSees, otherSees mirror
-	go kv.Follow(ctx, source.For(store, false), "a/", time.Second, &sourceSees)
+	go kv.Follow(ctx, source.View(store, false), "a/", time.Second, &sourceSees)
 	direct := &watchCounter{PrefixStore: store}
 	direct.closed.Store(true)
-	go kv.Follow(ctx, other.For(direct, false), "a/", time.Second, &otherSees)
+	go kv.Follow(ctx, other.View(direct, false), "a/", time.Second, &otherSees)
 	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "x1"}))
 	poll.WaitOn(t, otherSees.shows(map[string]string{"a/1": "x1"}))
 	store.Set("a/1", []byte("x2"))
 	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "x2"}))
 	store.Set("a/2", []byte("y1"))
 	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "x2", "a/2": "y1"}))
-	other.Take(source.Since(other.Seen()), time.Now())
+	other.Apply(source.Since(other.Revisions()), time.Now())
 	poll.WaitOn(t, otherSees.shows(map[string]string{"a/1": "x1", "a/2": "y1"}))
 	direct.closed.Store(false)
-	other.Doubt()
+	other.Invalidate()
 	poll.WaitOn(t, otherSees.shows(map[string]string{"a/1": "x2", "a/2": "y1"}))
 }
--- a/kv/relayed.go
+++ b/kv/relayed.go
@@ -9,44 +9,44 @@
 const (
 	// sourceRounds is how often a source's watch ends within the time of trust, so
 	// that others know how old its view is.
-	sourceRounds = 3
+	watcherRounds = 3
 	// sourceGather and ownGather are the pauses after changes, so that changes which
 	// come close together cost one call. The second one together with a second in
 	// which the service tells nothing stays under the two seconds in which a leaving
 	// server must be known.
-	sourceGather = 150 * time.Millisecond
-	ownGather    = 500 * time.Millisecond
+	watcherBatchTime = 150 * time.Millisecond
+	ownBatchTime     = 500 * time.Millisecond
 )
 
 // A relayed is a service seen through a Relay.
-type relayed struct {
-	relay  *Relay
+type fanoutView struct {
+	relay  *Fanout
 	store  PrefixStore
 	steady bool
 }
 
 // ListPrefix implements PrefixStore.
-func (v *relayed) ListPrefix(ctx context.Context, prefix string) ([]Entry, Revision, error) {
+func (v *fanoutView) ListPrefix(ctx context.Context, prefix string) ([]Entry, Revision, error) {
 	began := v.relay.opts.Clock.Now()
 	entries, at, err := v.store.ListPrefix(ctx, prefix)
 	if err == nil {
-		v.relay.list(prefix, entries, at, began)
+		v.relay.reset(prefix, entries, at, began)
 	}
 	return entries, at, err
 }
 
 // WatchPrefix implements PrefixStore.
-func (v *relayed) WatchPrefix(
+func (v *fanoutView) WatchPrefix(
 	ctx context.Context, prefix string, after Revision, wait time.Duration,
 ) ([]Event, Revision, error) {
 	end := v.relay.opts.Clock.Now().Add(wait)
 	for ctx.Err() == nil {
-		events, at, left, changed := v.relay.look(prefix, after)
+		events, at, left, changed := v.relay.cached(prefix, after)
 		if len(events) > 0 {
-			v.relay.note(prefix, !v.relay.opts.IsSource())
+			v.relay.noteMode(prefix, !v.relay.opts.IsWatcher())
 			return events, at, nil
 		}
-		if begins := v.relay.note(prefix, left > 0); begins {
+		if begins := v.relay.noteMode(prefix, left > 0); begins {
 			return nil, after, ErrCompacted
 		}
 		if left <= 0 {
@@ -63,24 +63,24 @@
 
 // note tells when the way in which a prefix is watched changes, and reports whether
 // the service has to be listed first since changes were left out.
-func (r *Relay) note(prefix string, handedOn bool) (listFirst bool) {
+func (r *Fanout) noteMode(prefix string, handedOn bool) (listFirst bool) {
 	r.mu.Lock()
 	t := r.topics[prefix]
-	differs := t != nil && t.handedOn != handedOn
+	differs := t != nil && t.receiving != handedOn
 	if differs {
-		t.handedOn = handedOn
-		listFirst = !handedOn && t.left
+		t.receiving = handedOn
+		listFirst = !handedOn && t.filtered
 	}
 	r.mu.Unlock()
-	if differs && r.opts.Told != nil {
-		r.opts.Told(prefix, !handedOn)
+	if differs && r.opts.OnSwitch != nil {
+		r.opts.OnSwitch(prefix, !handedOn)
 	}
 	return listFirst
 }
 
 // look returns the changes known after a revision and for how long watches from
 // there may be answered without the service.
-func (r *Relay) look(prefix string, after Revision) (events []Event, at Revision, left time.Duration, changed chan struct{}) {
+func (r *Fanout) cached(prefix string, after Revision) (events []Event, at Revision, left time.Duration, changed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.topics[prefix]
@@ -88,26 +88,26 @@
 		return nil, after, 0, nil
 	}
 	if events = t.after(after); len(events) > 0 {
-		return events, t.at, 0, nil
+		return events, t.to, 0, nil
 	}
-	if r.opts.IsSource() {
+	if r.opts.IsWatcher() {
 		return nil, after, 0, nil
 	}
-	return nil, after, r.opts.Trust - r.opts.Clock.Now().Sub(t.trusted), t.changed
+	return nil, after, r.opts.MaxAge - r.opts.Clock.Now().Sub(t.receivedAt), t.changed
 }
 
 // watch watches the service itself and keeps what it tells.
-func (v *relayed) watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error) {
+func (v *fanoutView) watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error) {
 	r := v.relay
-	source := r.opts.IsSource()
-	gather := ownGather
+	source := r.opts.IsWatcher()
+	gather := ownBatchTime
 	if source {
-		gather = sourceGather
+		gather = watcherBatchTime
 	}
 	if source && !v.steady {
-		wait = min(wait, r.opts.Trust/sourceRounds)
+		wait = min(wait, r.opts.MaxAge/watcherRounds)
 	}
-	sleep(ctx, r.busyUntil(prefix, gather).Sub(r.opts.Clock.Now()))
+	sleep(ctx, r.nextWatch(prefix, gather).Sub(r.opts.Clock.Now()))
 	began := r.opts.Clock.Now()
 	events, at, err := v.store.WatchPrefix(ctx, prefix, after, wait)
 	if err != nil {
@@ -120,28 +120,28 @@
 	if now := r.opts.Clock.Now(); asOf.After(now) {
 		asOf = began
 	}
-	r.take(prefix, Batch{From: after, At: at, Events: events}, asOf)
+	r.appendBatch(prefix, Batch{From: after, To: at, Events: events}, asOf)
 	if len(events) > 0 {
-		r.noteBusy(prefix)
+		r.noteEvents(prefix)
 	}
 	return events, at, nil
 }
 
 // busyUntil returns until when changes are gathered before the next watch.
-func (r *Relay) busyUntil(prefix string, gather time.Duration) time.Time {
+func (r *Fanout) nextWatch(prefix string, gather time.Duration) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t := r.topics[prefix]; t != nil && !t.busy.IsZero() {
-		return t.busy.Add(gather)
+	if t := r.topics[prefix]; t != nil && !t.lastEvents.IsZero() {
+		return t.lastEvents.Add(gather)
 	}
 	return time.Time{}
 }
 
-func (r *Relay) noteBusy(prefix string) {
+func (r *Fanout) noteEvents(prefix string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.topics[prefix]; t != nil {
-		t.busy = r.opts.Clock.Now()
+		t.lastEvents = r.opts.Clock.Now()
 	}
 }
 
--- a/kv/topic.go
+++ b/kv/topic.go
@@ -9,32 +9,32 @@
 )
 
 // A topic is what a Relay knows of one prefix.
-type topic struct {
+type changeLog struct {
 	// floor and at bound the log: it holds every change after floor up to at.
-	floor, at Revision
-	log       []Event
+	floor, to Revision
+	events    []Event
 	// asOf is when this was surely all there was; trusted is the same as far as it was
 	// handed on: what this process has read itself does not spare it the next watch.
-	asOf, trusted time.Time
+	currentAt, receivedAt time.Time
 	// digests are those of the entries, if there is a Digest.
 	digests map[string]uint64
 	// left tells that changes after floor are left out of the log, or were by who
 	// handed it on: whoever watches the service again has to list it first.
-	left bool
+	filtered bool
 	// busy is when the service last told changes.
-	busy time.Time
+	lastEvents time.Time
 	// handedOn tells that watches are answered from what was handed on.
-	handedOn bool
+	receiving bool
 	// changed is closed when any of this changes.
 	changed chan struct{}
 }
 
 // trim drops the oldest changes of a log that is too long, always all of one
 // revision.
-func (t *topic) trim() {
-	size, first := 0, len(t.log)
-	for first > 0 && len(t.log)-first < maxLogged {
-		size += len(t.log[first-1].Entry.Value)
+func (t *changeLog) trim() {
+	size, first := 0, len(t.events)
+	for first > 0 && len(t.events)-first < maxLogged {
+		size += len(t.events[first-1].Entry.Value)
 		if size > maxLoggedBytes {
 			break
 		}
@@ -43,24 +43,24 @@
 	if first == 0 {
 		return
 	}
-	t.floor = t.log[first-1].Entry.Revision
-	for first < len(t.log) && t.log[first].Entry.Revision == t.floor {
+	t.floor = t.events[first-1].Entry.Revision
+	for first < len(t.events) && t.events[first].Entry.Revision == t.floor {
 		first++
 	}
-	t.log = append([]Event(nil), t.log[first:]...)
+	t.events = append([]Event(nil), t.events[first:]...)
 }
 
 // after returns the changes after a revision.
-func (t *topic) after(rev Revision) []Event {
-	for i, e := range t.log {
+func (t *changeLog) after(rev Revision) []Event {
+	for i, e := range t.events {
 		if e.Entry.Revision > rev {
-			return append([]Event(nil), t.log[i:]...)
+			return append([]Event(nil), t.events[i:]...)
 		}
 	}
 	return nil
 }
 
-func (t *topic) tell() {
+func (t *changeLog) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -13,22 +13,22 @@
 	// renewalsPerTTL is how often a held lease is renewed in its ttl.
 	renewalsPerTTL = 3
 	// watchWait is how long one watch of another's lease waits.
-	watchWait = 5 * time.Second
+	watchRound = 5 * time.Second
 	// retryPause is the mean pause after a call that failed.
-	retryPause = 400 * time.Millisecond
+	callRetryPause = 400 * time.Millisecond
 )
 
 // Campaign renews the lease while it is held and otherwise waits for it to come
 // free, until ctx ends. While another holds it, it costs one watch each few seconds.
 func (h *Holder) Campaign(ctx context.Context, s kv.PrefixStore) {
 	w := &watcher{holder: h, free: make(chan struct{}, 1)}
-	go kv.Follow(ctx, s, h.Key(), watchWait, w)
+	go kv.Follow(ctx, s, h.Key(), watchRound, w)
 	for ctx.Err() == nil {
 		if _, held := h.Held(); !held && !w.await(ctx) {
 			return
 		}
 		if err := h.Step(ctx); err != nil {
-			pause(ctx, retryPause/2+rand.N(retryPause))
+			pause(ctx, callRetryPause/2+rand.N(callRetryPause))
 			w.signal()
 			continue
 		}
@@ -67,7 +67,7 @@
 func (w *watcher) Replace(entries []kv.Entry) {
 	for _, e := range entries {
 		if e.Key == w.holder.Key() {
-			w.holder.setOther(e)
+			w.holder.noteOther(e)
 			return
 		}
 	}
@@ -82,16 +82,16 @@
 		case e.Deleted:
 			w.signal()
 		default:
-			w.holder.setOther(e.Entry)
+			w.holder.noteOther(e.Entry)
 		}
 	}
 }
 
 // Lost implements kv.Follower.
-func (w *watcher) Lost(error) {}
+func (w *watcher) Unreachable(error) {}
 
 // Heard implements kv.Follower.
-func (w *watcher) Heard() {}
+func (w *watcher) Reachable() {}
 
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
--- a/lease/campaign_test.go
+++ b/lease/campaign_test.go
@@ -41,7 +41,7 @@
 	assert.Assert(t, !a.HasSeenOther())
 	go b.Campaign(ctx, store)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if b.Other().Holder == "a" {
+		if b.OtherHolder().Holder == "a" {
 			return poll.Success()
 		}
 		return poll.Continue("b has not seen a")
@@ -86,7 +86,7 @@
 	poll.WaitOn(t, holds(a, true))
 	go b.Campaign(ctx, store)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if b.Other().Holder == "a" {
+		if b.OtherHolder().Holder == "a" {
 			return poll.Success()
 		}
 		return poll.Continue("b has not seen a")
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -25,7 +25,7 @@
 	first, held := a.Held()
 	fmt.Println("a holds it:", held)
 	_, held = b.Held()
-	fmt.Println("b holds it:", held, "- it is", b.Other().Holder+"'s")
+	fmt.Println("b holds it:", held, "- it is", b.OtherHolder().Holder+"'s")
 	_ = a.Release(ctx)
 	_ = b.Step(ctx)
 	second, held := b.Held()
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -15,7 +15,7 @@
 const keyPrefix = "lease/"
 
 // safetyDivisor sets the part of the ttl that a holder gives up to clock drift.
-const safetyDivisor = 5
+const driftDivisor = 5
 
 // A Token is a fencing token: a later holder's token is always higher.
 type Token int64
@@ -43,13 +43,13 @@
 	clock clock.Service
 	opts  Options
 
-	mu     sync.Mutex
-	id     kv.LeaseID
-	token  Token
-	expiry time.Time
-	other  Record
+	mu      sync.Mutex
+	leaseID kv.LeaseID
+	token   Token
+	expiry  time.Time
+	other   Record
 	// others tells that another holder's record has been seen.
-	others bool
+	seenOther bool
 }
 
 // New returns a Holder that holds nothing until Step succeeds.
@@ -71,7 +71,7 @@
 }
 
 // Other returns the record of the holder seen last when the lease was not free.
-func (h *Holder) Other() Record {
+func (h *Holder) OtherHolder() Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.other
@@ -81,7 +81,7 @@
 func (h *Holder) HasSeenOther() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.others
+	return h.seenOther
 }
 
 // Step renews the lease if it is held and tries to acquire it otherwise.
@@ -97,8 +97,8 @@
 // Release gives the lease back, so that another can take it at once.
 func (h *Holder) Release(ctx context.Context) error {
 	h.mu.Lock()
-	id := h.id
-	h.id, h.token = 0, 0
+	id := h.leaseID
+	h.leaseID, h.token = 0, 0
 	h.mu.Unlock()
 	if id == 0 {
 		return nil
@@ -109,12 +109,12 @@
 func (h *Holder) renew(ctx context.Context) error {
 	sent := h.clock.Now()
 	h.mu.Lock()
-	id := h.id
+	id := h.leaseID
 	h.mu.Unlock()
 	err := h.store.KeepAlive(ctx, id)
 	if errors.Is(err, kv.ErrLeaseGone) {
 		h.mu.Lock()
-		h.id, h.token = 0, 0
+		h.leaseID, h.token = 0, 0
 		h.mu.Unlock()
 		return nil
 	}
@@ -129,14 +129,14 @@
 func (h *Holder) extend(sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.expiry = sent.Add(h.opts.TTL - h.opts.TTL/safetyDivisor)
+	h.expiry = sent.Add(h.opts.TTL - h.opts.TTL/driftDivisor)
 }
 
 func (h *Holder) acquire(ctx context.Context) error {
 	key := h.Key()
 	e, err := h.store.Get(ctx, key)
 	if err == nil {
-		h.setOther(e)
+		h.noteOther(e)
 		return nil
 	}
 	if !errors.Is(err, kv.ErrNotFound) {
@@ -161,13 +161,13 @@
 		return errors.Join(err, h.store.Revoke(ctx, id))
 	}
 	h.mu.Lock()
-	h.id, h.token = id, Token(rev)
+	h.leaseID, h.token = id, Token(rev)
 	h.mu.Unlock()
 	h.extend(sent)
 	return nil
 }
 
-func (h *Holder) setOther(e kv.Entry) {
+func (h *Holder) noteOther(e kv.Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var r Record
@@ -175,5 +175,5 @@
 		return
 	}
 	h.other = r
-	h.others = h.others || r.Holder != h.opts.Holder
+	h.seenOther = h.seenOther || r.Holder != h.opts.Holder
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -34,7 +34,7 @@
 	assert.NilError(t, a.Step(ctx))
 	assert.NilError(t, b.Step(ctx))
 	assert.Assert(t, held(a) && !held(b))
-	assert.Equal(t, b.Other().Holder, "a")
+	assert.Equal(t, b.OtherHolder().Holder, "a")
 	first, _ := a.Held()
 	assert.NilError(t, a.Release(ctx))
 	assert.NilError(t, b.Step(ctx))
--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -13,23 +13,23 @@
 	Engine string
 	backend.Adapter
 	// Victim is an adapter to unload first, if its name is not empty.
-	Victim backend.Adapter
+	Evict backend.Adapter
 }
 
 // An AdapterInput is what a plan for adapters is made from.
 type AdapterInput struct {
 	// Slots is the number of adapters that an engine holds.
 	Slots   int
-	Engines []Engine
+	Engines []EngineView
 	// Missing lists adapters that are waited for.
 	Missing []backend.Adapter
 	// Used tells when each adapter was last asked for; Running how many requests use it.
-	Used    map[backend.Adapter]time.Time
-	Running map[backend.Adapter]int
+	LastUsed          map[backend.Adapter]time.Time
+	RequestsByAdapter map[backend.Adapter]int
 	// Load is the number of requests at each engine.
-	Load map[string]int
+	RequestsByEngine map[string]int
 	// Since tells since when each missing adapter has been waited for.
-	Since map[backend.Adapter]time.Time
+	WaitingSince map[backend.Adapter]time.Time
 	// Now is when the plan is made.
 	Now time.Time
 }
@@ -60,14 +60,14 @@
 			continue
 		}
 		move := AdapterMove{Engine: e.ID, Adapter: a}
-		cost := in.Load[e.ID] + adapters(e)
-		if adapters(e) >= in.Slots {
-			victim, ok := in.victim(e, a)
+		cost := in.RequestsByEngine[e.ID] + adapterCount(e)
+		if adapterCount(e) >= in.Slots {
+			victim, ok := in.evictionFor(e, a)
 			if !ok {
 				continue
 			}
-			move.Victim = victim
-			cost += fullPenalty
+			move.Evict = victim
+			cost += evictionPenalty
 		}
 		if !found || cost < bestCost {
 			best, bestCost, found = move, cost, true
@@ -77,12 +77,12 @@
 }
 
 // fullPenalty is what an engine with no free place costs, in requests.
-const fullPenalty = 1000
+const evictionPenalty = 1000
 
 // adapterHold is how long an adapter that was asked for stays at least.
-const adapterHold = time.Second
+const minAdapterResidence = time.Second
 
-func adapters(e *Engine) int {
+func adapterCount(e *EngineView) int {
 	n := 0
 	for _, r := range e.Residents {
 		n += len(r.Adapters)
@@ -93,18 +93,18 @@
 // victim returns the adapter to unload for another: the one asked for least
 // recently that no request uses. For an adapter that has been waited for long, one
 // goes first that a further engine holds too, or one asked for just now.
-func (in *AdapterInput) victim(e *Engine, wanted backend.Adapter) (backend.Adapter, bool) {
+func (in *AdapterInput) evictionFor(e *EngineView, wanted backend.Adapter) (backend.Adapter, bool) {
 	var list, doubled []backend.Adapter
-	patient := in.Now.Sub(in.Since[wanted]) > adapterHold && !in.Since[wanted].IsZero()
+	patient := in.Now.Sub(in.WaitingSince[wanted]) > minAdapterResidence && !in.WaitingSince[wanted].IsZero()
 	for _, r := range e.Residents {
 		for _, name := range r.Adapters {
 			a := backend.Adapter{Model: r.Model, Name: name}
-			rested := patient || in.Now.Sub(in.Used[a]) > adapterHold
+			rested := patient || in.Now.Sub(in.LastUsed[a]) > minAdapterResidence
 			switch {
 			case slices.Contains(in.Missing, a):
-			case in.copies(a) > 1 && patient:
+			case in.replicas(a) > 1 && patient:
 				doubled = append(doubled, a)
-			case in.Running[a] == 0 && rested:
+			case in.RequestsByAdapter[a] == 0 && rested:
 				list = append(list, a)
 			}
 		}
@@ -116,12 +116,12 @@
 		return backend.Adapter{}, false
 	}
 	return slices.MinFunc(list, func(a, b backend.Adapter) int {
-		return cmp.Compare(in.Used[a].UnixNano(), in.Used[b].UnixNano())
+		return cmp.Compare(in.LastUsed[a].UnixNano(), in.LastUsed[b].UnixNano())
 	}), true
 }
 
 // copies returns how many engines that stay hold the adapter.
-func (in *AdapterInput) copies(a backend.Adapter) int {
+func (in *AdapterInput) replicas(a backend.Adapter) int {
 	n := 0
 	for i := range in.Engines {
 		for _, r := range in.Engines[i].Residents {
--- a/residency/copies_test.go
+++ b/residency/copies_test.go
@@ -13,7 +13,7 @@
 
 // plainCopies divides memory as Copies is defined to: each next copy goes to the
 // model with the greatest weight for its copies among those that still fit.
-func plainCopies(spec *table.EngineSpec, wants map[string]residency.Want, engines int) map[string]int {
+func plainCopies(spec *table.EngineSpec, wants map[string]residency.Demand, engines int) map[string]int {
 	copies := make(map[string]int)
 	room := spec.WeightsMB * float64(engines)
 	for _, m := range spec.Models {
@@ -24,7 +24,7 @@
 		best, bestShare := -1, 0.0
 		for i, m := range spec.Models {
 			n := copies[m.Name]
-			share := wants[m.Name].Weight / (float64(n) + 0.5)
+			share := wants[m.Name].TokensPerSecond / (float64(n) + 0.5)
 			if n < engines && m.WeightsMB <= room && share > bestShare {
 				best, bestShare = i, share
 			}
@@ -46,7 +46,7 @@
 		}
 		engines := rapid.IntRange(1, 20).Draw(t, "engines")
 		s, w := spec(sizes...), wants(weights...)
-		assert.DeepEqual(t, residency.Copies(s, w, engines), plainCopies(s, w, engines))
+		assert.DeepEqual(t, residency.ReplicaTargets(s, w, engines), plainCopies(s, w, engines))
 	})
 }
 
@@ -59,7 +59,7 @@
 	}
 	s, w := spec(sizes...), wants(weights...)
 	for b.Loop() {
-		residency.Copies(s, w, 300)
+		residency.ReplicaTargets(s, w, 300)
 	}
 }
 
@@ -74,7 +74,7 @@
 	for i := range held {
 		held[i] = []string{fmt.Sprint("m", i%160), fmt.Sprint("m", (i*7+3)%160), fmt.Sprint("m", (i*3+1)%40)}
 	}
-	in := residency.Input{Spec: spec(sizes...), Engines: engines(held...), Wants: wants(weights...), StoreLoads: 2}
+	in := residency.Input{Spec: spec(sizes...), Engines: engines(held...), Demands: wants(weights...), StoreLoadsAllowed: 2}
 	for b.Loop() {
 		residency.Plan(in)
 	}
--- a/residency/example_test.go
+++ b/residency/example_test.go
@@ -16,15 +16,15 @@
 	draft := []backend.Resident{{Model: "draft"}}
 	moves := residency.Plan(residency.Input{
 		Spec: spec,
-		Engines: []residency.Engine{
+		Engines: []residency.EngineView{
 			{ID: "e1", Hall: "kita", Residents: draft, Idle: true},
 			{ID: "e2", Hall: "chuo", Residents: draft, Idle: true},
 		},
-		Wants:      map[string]residency.Want{"hint": {Waiting: 1}},
-		StoreLoads: 1,
+		Demands:           map[string]residency.Demand{"hint": {Waiting: 1}},
+		StoreLoadsAllowed: 1,
 	})
 	for _, m := range moves {
-		fmt.Println(m.Engine, "loads", m.Model, "after", m.Victims)
+		fmt.Println(m.Engine, "loads", m.Model, "after", m.Evictions)
 	}
 	// Output: e1 loads hint after [draft]
 }
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -10,7 +10,7 @@
 )
 
 // An Engine is one engine as a plan sees it.
-type Engine struct {
+type EngineView struct {
 	ID   string
 	Hall string
 	// Residents are the models that are ready or on their way.
@@ -20,15 +20,15 @@
 	// Leaving tells that the engine is about to go; its copies do not count.
 	Leaving bool
 	// InMemory and OnDisk name the models whose weights are at hand.
-	InMemory, OnDisk []string
+	CachedInMemory, CachedOnDisk []string
 	// Fresh names the models that came too recently to go again.
-	Fresh map[string]bool
+	RecentlyLoaded map[string]bool
 }
 
 // A Want is what is asked of one model.
-type Want struct {
+type Demand struct {
 	// Weight is the work asked for per second, in tokens.
-	Weight float64
+	TokensPerSecond float64
 	// Waiting is the number of requests that wait for it.
 	Waiting int
 }
@@ -36,10 +36,10 @@
 // An Input is what a plan is made from.
 type Input struct {
 	Spec    *table.EngineSpec
-	Engines []Engine
-	Wants   map[string]Want
+	Engines []EngineView
+	Demands map[string]Demand
 	// StoreLoads is the number of loads that the weight store bears now.
-	StoreLoads int
+	StoreLoadsAllowed int
 }
 
 // A Source tells where weights are loaded from.
@@ -57,22 +57,22 @@
 	Engine string
 	Model  string
 	// Victims are the models to unload first.
-	Victims []string
-	Source  Source
+	Evictions []string
+	Source    Source
 }
 
 // plan is the working state of one call of Plan.
 type plan struct {
-	in      Input
-	copies  map[string]int
-	desired map[string]int
-	engines []*Engine
+	in       Input
+	replicas map[string]int
+	targets  map[string]int
+	engines  []*EngineView
 }
 
 // Plan returns the moves to start now, the most urgent first; at most one an engine.
 func Plan(in Input) []Move {
-	in.Wants = Anticipate(in.Spec, in.Wants, in.Engines)
-	p := &plan{in: in, copies: make(map[string]int)}
+	in.Demands = Forecast(in.Spec, in.Demands, in.Engines)
+	p := &plan{in: in, replicas: make(map[string]int)}
 	for i := range in.Engines {
 		e := &in.Engines[i]
 		if e.Leaving {
@@ -80,25 +80,25 @@
 		}
 		p.engines = append(p.engines, e)
 		for _, r := range e.Residents {
-			p.copies[r.Model]++
+			p.replicas[r.Model]++
 		}
 	}
-	p.desired = Copies(in.Spec, in.Wants, len(p.engines))
+	p.targets = ReplicaTargets(in.Spec, in.Demands, len(p.engines))
 	return p.moves()
 }
 
 // halfCopy favours models with few copies when memory is divided.
-const halfCopy = 0.5
+const replicaOffset = 0.5
 
 // Copies divides the memory of a number of engines among the models: one copy
 // each, and the rest in proportion to their weights.
-func Copies(spec *table.EngineSpec, wants map[string]Want, engines int) map[string]int {
+func ReplicaTargets(spec *table.EngineSpec, wants map[string]Demand, engines int) map[string]int {
 	room := spec.WeightsMB * float64(engines)
-	var next nextCopies
+	var next replicaHeap
 	for i, m := range spec.Models {
 		room -= m.WeightsMB
-		c := nextCopy{index: i, copies: 1, weight: wants[m.Name].Weight}
-		if c.weight > 0 {
+		c := replicaCandidate{index: i, replicas: 1, tokensPerSecond: wants[m.Name].TokensPerSecond}
+		if c.tokensPerSecond > 0 {
 			next = append(next, c)
 		}
 	}
@@ -110,50 +110,52 @@
 	for len(next) > 0 {
 		c := &next[0]
 		m := &spec.Models[c.index]
-		if c.copies >= engines || m.WeightsMB > room {
+		if c.replicas >= engines || m.WeightsMB > room {
 			// Room only shrinks, so the model gets no further copy.
 			heap.Pop(&next)
 			continue
 		}
 		room -= m.WeightsMB
-		c.copies++
-		copies[m.Name] = c.copies
+		c.replicas++
+		copies[m.Name] = c.replicas
 		heap.Fix(&next, 0)
 	}
 	return copies
 }
 
 // A nextCopy is what speaks for a further copy of one model.
-type nextCopy struct {
-	index  int
-	copies int
-	weight float64
+type replicaCandidate struct {
+	index           int
+	replicas        int
+	tokensPerSecond float64
 }
 
-func (c nextCopy) share() float64 { return c.weight / (float64(c.copies) + halfCopy) }
+func (c replicaCandidate) priority() float64 {
+	return c.tokensPerSecond / (float64(c.replicas) + replicaOffset)
+}
 
 // nextCopies is a heap of them, the greatest share first.
-type nextCopies []nextCopy
+type replicaHeap []replicaCandidate
 
 // Len implements heap.Interface.
-func (c nextCopies) Len() int { return len(c) }
+func (c replicaHeap) Len() int { return len(c) }
 
 // Less implements heap.Interface.
-func (c nextCopies) Less(i, j int) bool {
-	if a, b := c[i].share(), c[j].share(); a != b {
+func (c replicaHeap) Less(i, j int) bool {
+	if a, b := c[i].priority(), c[j].priority(); a != b {
 		return a > b
 	}
 	return c[i].index < c[j].index
 }
 
 // Swap implements heap.Interface.
-func (c nextCopies) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c replicaHeap) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
 // Push implements heap.Interface.
-func (c *nextCopies) Push(x any) { *c = append(*c, x.(nextCopy)) }
+func (c *replicaHeap) Push(x any) { *c = append(*c, x.(replicaCandidate)) }
 
 // Pop implements heap.Interface.
-func (c *nextCopies) Pop() any {
+func (c *replicaHeap) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
 	return last
@@ -162,9 +164,9 @@
 // moves looks for a move for each model that has too few copies.
 func (p *plan) moves() []Move {
 	var moves []Move
-	stores := p.in.StoreLoads
-	for _, m := range p.short() {
-		move, ok := p.best(m, stores > 0)
+	stores := p.in.StoreLoadsAllowed
+	for _, m := range p.underReplicated() {
+		move, ok := p.cheapestMove(m, stores > 0)
 		if !ok {
 			continue
 		}
@@ -178,26 +180,26 @@
 }
 
 // short returns the models with fewer copies than desired, the most urgent first.
-func (p *plan) short() []table.ModelSpec {
+func (p *plan) underReplicated() []table.ModelSpec {
 	var list []table.ModelSpec
 	for _, m := range p.in.Spec.Models {
-		if p.copies[m.Name] < p.desired[m.Name] {
+		if p.replicas[m.Name] < p.targets[m.Name] {
 			list = append(list, m)
 		}
 	}
 	urgency := func(m table.ModelSpec) float64 {
-		w := p.in.Wants[m.Name]
-		if p.copies[m.Name] == 0 {
-			return w.Weight*1e6 + float64(w.Waiting)*1e6 + 1e6
+		w := p.in.Demands[m.Name]
+		if p.replicas[m.Name] == 0 {
+			return w.TokensPerSecond*1e6 + float64(w.Waiting)*1e6 + 1e6
 		}
-		return w.Weight / (float64(p.copies[m.Name]) + halfCopy)
+		return w.TokensPerSecond / (float64(p.replicas[m.Name]) + replicaOffset)
 	}
 	slices.SortStableFunc(list, func(a, b table.ModelSpec) int { return cmp.Compare(urgency(b), urgency(a)) })
 	return list
 }
 
 // best returns the cheapest move that brings a model to an engine.
-func (p *plan) best(m table.ModelSpec, stores bool) (Move, bool) {
+func (p *plan) cheapestMove(m table.ModelSpec, stores bool) (Move, bool) {
 	var best Move
 	found := false
 	bestCost := 0.0
@@ -210,20 +212,20 @@
 		if source == FromStore && !stores {
 			continue
 		}
-		victims, loss, ok := p.victims(e, m)
+		victims, loss, ok := p.evictions(e, m)
 		if !ok {
 			continue
 		}
-		cost := loadSeconds(m, source) + loss + hallPenalty*float64(halls[e.Hall])
+		cost := loadTime(m, source) + loss + sameHallPenalty*float64(halls[e.Hall])
 		if !found || cost < bestCost {
-			best, bestCost, found = Move{Engine: e.ID, Model: m.Name, Victims: victims, Source: source}, cost, true
+			best, bestCost, found = Move{Engine: e.ID, Model: m.Name, Evictions: victims, Source: source}, cost, true
 		}
 	}
 	return best, found
 }
 
 // hallPenalty is what a further copy in the same data hall costs, in seconds of loading.
-const hallPenalty = 1.5
+const sameHallPenalty = 1.5
 
 func (p *plan) halls(model string) map[string]int {
 	halls := make(map[string]int)
@@ -235,27 +237,27 @@
 	return halls
 }
 
-func loadSeconds(m table.ModelSpec, s Source) float64 {
+func loadTime(m table.ModelSpec, s Source) float64 {
 	switch s {
 	case FromMemory:
-		return m.WarmTime.Seconds()
+		return m.MemoryLoadTime.Seconds()
 	case FromDisk:
-		return m.DiskTime.Seconds()
+		return m.DiskLoadTime.Seconds()
 	}
-	return m.LoadTime.Seconds()
+	return m.StoreLoadTime.Seconds()
 }
 
-func sourceOf(e *Engine, model string) Source {
-	if slices.Contains(e.InMemory, model) {
+func sourceOf(e *EngineView, model string) Source {
+	if slices.Contains(e.CachedInMemory, model) {
 		return FromMemory
 	}
-	if slices.Contains(e.OnDisk, model) {
+	if slices.Contains(e.CachedOnDisk, model) {
 		return FromDisk
 	}
 	return FromStore
 }
 
-func holds(e *Engine, model string) bool {
+func holds(e *EngineView, model string) bool {
 	return slices.ContainsFunc(e.Residents, func(r backend.Resident) bool { return r.Model == model })
 }
 
@@ -299,7 +301,7 @@
 }
 
 // victims returns what to unload so that the model fits, and what that loses.
-func (p *plan) victims(e *Engine, m table.ModelSpec) (victims []string, loss float64, ok bool) {
+func (p *plan) evictions(e *EngineView, m table.ModelSpec) (victims []string, loss float64, ok bool) {
 	spec := p.in.Spec
 	bare := Free(spec, withoutAdapters(e.Residents))
 	adapters := max(adapterReserve(spec), bare-Free(spec, e.Residents))
@@ -309,15 +311,15 @@
 	}
 	list := slices.Clone(e.Residents)
 	slices.SortStableFunc(list, func(a, b backend.Resident) int {
-		return cmp.Compare(p.value(a.Model), p.value(b.Model))
+		return cmp.Compare(p.demandPerReplica(a.Model), p.demandPerReplica(b.Model))
 	})
-	urgent := p.copies[m.Name] == 0
+	urgent := p.replicas[m.Name] == 0
 	for _, r := range list {
-		if !p.spare(e, r.Model, urgent) {
+		if !p.evictable(e, r.Model, urgent) {
 			continue
 		}
 		victims = append(victims, r.Model)
-		loss += p.value(r.Model) / (p.value(m.Name) + p.value(r.Model) + 1)
+		loss += p.demandPerReplica(r.Model) / (p.demandPerReplica(m.Name) + p.demandPerReplica(r.Model) + 1)
 		need -= weightOf(spec, backend.Resident{Model: r.Model})
 		if need <= 0 {
 			return victims, loss, true
@@ -327,21 +329,21 @@
 }
 
 // value is what one copy of a model carries.
-func (p *plan) value(model string) float64 {
-	return p.in.Wants[model].Weight / float64(max(p.copies[model], 1))
+func (p *plan) demandPerReplica(model string) float64 {
+	return p.in.Demands[model].TokensPerSecond / float64(max(p.replicas[model], 1))
 }
 
 // spare reports whether a copy of the model may go: never the last one, and
 // otherwise one too many, or any for a model that has none.
-func (p *plan) spare(e *Engine, model string, urgent bool) bool {
-	if p.copies[model] <= 1 {
+func (p *plan) evictable(e *EngineView, model string, urgent bool) bool {
+	if p.replicas[model] <= 1 {
 		_, listed := p.in.Spec.Model(model)
 		return !listed
 	}
-	if e.Fresh[model] && !urgent {
+	if e.RecentlyLoaded[model] && !urgent {
 		return false
 	}
-	return urgent || p.copies[model] > p.desired[model]
+	return urgent || p.replicas[model] > p.targets[model]
 }
 
 // apply counts a move as made.
@@ -351,8 +353,8 @@
 			e.Idle = false
 		}
 	}
-	p.copies[m.Model]++
-	for _, v := range m.Victims {
-		p.copies[v]--
+	p.replicas[m.Model]++
+	for _, v := range m.Evictions {
+		p.replicas[v]--
 	}
 }
--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -20,17 +20,17 @@
 	for i, gb := range sizes {
 		s.Models = append(s.Models, table.ModelSpec{
 			Name: fmt.Sprint("m", i), WeightsMB: gb * 1000, Adapters: 8, AdapterMB: 100,
-			LoadTime: 8 * time.Second, DiskTime: 2 * time.Second, WarmTime: time.Second,
+			StoreLoadTime: 8 * time.Second, DiskLoadTime: 2 * time.Second, MemoryLoadTime: time.Second,
 		})
 	}
 	return s
 }
 
 // engines returns idle engines that hold the named models.
-func engines(held ...[]string) []residency.Engine {
-	var list []residency.Engine
+func engines(held ...[]string) []residency.EngineView {
+	var list []residency.EngineView
 	for i, models := range held {
-		e := residency.Engine{ID: fmt.Sprint("e", i), Hall: fmt.Sprint("h", i%3), Idle: true}
+		e := residency.EngineView{ID: fmt.Sprint("e", i), Hall: fmt.Sprint("h", i%3), Idle: true}
 		for _, m := range models {
 			e.Residents = append(e.Residents, backend.Resident{Model: m})
 		}
@@ -39,10 +39,10 @@
 	return list
 }
 
-func wants(weights ...float64) map[string]residency.Want {
-	w := make(map[string]residency.Want)
+func wants(weights ...float64) map[string]residency.Demand {
+	w := make(map[string]residency.Demand)
 	for i, weight := range weights {
-		w[fmt.Sprint("m", i)] = residency.Want{Weight: weight}
+		w[fmt.Sprint("m", i)] = residency.Demand{TokensPerSecond: weight}
 	}
 	return w
 }
@@ -62,7 +62,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := residency.Copies(spec(test.sizes...), wants(test.weights...), test.engines)
+			got := residency.ReplicaTargets(spec(test.sizes...), wants(test.weights...), test.engines)
 			for i, n := range test.want {
 				assert.Equal(t, got[fmt.Sprint("m", i)], n, "m%d of %v", i, got)
 			}
@@ -76,10 +76,10 @@
 		want []residency.Move
 	}{
 		"nothing to do": {
-			in: residency.Input{Spec: spec(60, 60), Engines: engines([]string{"m0", "m1"}), Wants: wants(1, 1), StoreLoads: 5},
+			in: residency.Input{Spec: spec(60, 60), Engines: engines([]string{"m0", "m1"}), Demands: wants(1, 1), StoreLoadsAllowed: 5},
 		},
 		"a model without a copy": {
-			in:   residency.Input{Spec: spec(60, 60), Engines: engines([]string{"m0"}), StoreLoads: 5},
+			in:   residency.Input{Spec: spec(60, 60), Engines: engines([]string{"m0"}), StoreLoadsAllowed: 5},
 			want: []residency.Move{{Engine: "e0", Model: "m1"}},
 		},
 		"no load that the store does not bear": {
@@ -88,7 +88,7 @@
 		"a load from disk when the store bears none": {
 			in: func() residency.Input {
 				list := engines([]string{"m0"})
-				list[0].OnDisk = []string{"m1"}
+				list[0].CachedOnDisk = []string{"m1"}
 				return residency.Input{Spec: spec(60, 60), Engines: list}
 			}(),
 			want: []residency.Move{{Engine: "e0", Model: "m1", Source: residency.FromDisk}},
@@ -96,23 +96,23 @@
 		"where the weights are at hand": {
 			in: func() residency.Input {
 				list := engines(nil, nil, []string{"m0"})
-				list[1].InMemory = []string{"m1"}
-				return residency.Input{Spec: spec(60, 60), Engines: list, StoreLoads: 5}
+				list[1].CachedInMemory = []string{"m1"}
+				return residency.Input{Spec: spec(60, 60), Engines: list, StoreLoadsAllowed: 5}
 			}(),
 			want: []residency.Move{{Engine: "e1", Model: "m1", Source: residency.FromMemory}},
 		},
 		"the last copy stays": {
-			in: residency.Input{Spec: spec(150, 150), Engines: engines([]string{"m0"}), Wants: wants(0, 10), StoreLoads: 5},
+			in: residency.Input{Spec: spec(150, 150), Engines: engines([]string{"m0"}), Demands: wants(0, 10), StoreLoadsAllowed: 5},
 		},
 		"one copy too many makes room": {
-			in:   residency.Input{Spec: spec(150, 150), Engines: engines([]string{"m0"}, []string{"m0"}), Wants: wants(0, 10), StoreLoads: 5},
-			want: []residency.Move{{Engine: "e0", Model: "m1", Victims: []string{"m0"}}},
+			in:   residency.Input{Spec: spec(150, 150), Engines: engines([]string{"m0"}, []string{"m0"}), Demands: wants(0, 10), StoreLoadsAllowed: 5},
+			want: []residency.Move{{Engine: "e0", Model: "m1", Evictions: []string{"m0"}}},
 		},
 		"an engine that is leaving counts for nothing": {
 			in: func() residency.Input {
 				list := engines([]string{"m0"}, nil)
 				list[0].Leaving = true
-				return residency.Input{Spec: spec(60), Engines: list, StoreLoads: 5}
+				return residency.Input{Spec: spec(60), Engines: list, StoreLoadsAllowed: 5}
 			}(),
 			want: []residency.Move{{Engine: "e1", Model: "m0"}},
 		},
@@ -120,11 +120,11 @@
 			in: func() residency.Input {
 				list := engines([]string{"m0"})
 				list[0].Idle = false
-				return residency.Input{Spec: spec(60, 60), Engines: list, StoreLoads: 5}
+				return residency.Input{Spec: spec(60, 60), Engines: list, StoreLoadsAllowed: 5}
 			}(),
 		},
 		"a model that is not in the configuration makes room": {
-			in:   residency.Input{Spec: spec(150), Engines: engines([]string{"old"}), StoreLoads: 5},
+			in:   residency.Input{Spec: spec(150), Engines: engines([]string{"old"}), StoreLoadsAllowed: 5},
 			want: []residency.Move{{Engine: "e0", Model: "m0"}},
 		},
 	}
@@ -136,7 +136,7 @@
 				assert.Equal(t, got[i].Engine, m.Engine)
 				assert.Equal(t, got[i].Model, m.Model)
 				assert.Equal(t, got[i].Source, m.Source)
-				assert.Assert(t, slices.Equal(got[i].Victims, m.Victims), "%v", got[i].Victims)
+				assert.Assert(t, slices.Equal(got[i].Evictions, m.Evictions), "%v", got[i].Evictions)
 			}
 		})
 	}
@@ -144,11 +144,11 @@
 
 func TestAnticipate(t *testing.T) {
 	s := spec(60, 60, 60, 60)
-	w := residency.Anticipate(s, wants(0, 100, 0, 0), nil)
-	assert.Equal(t, w["m0"].Weight, 0.0)
-	assert.Assert(t, w["m2"].Weight > w["m3"].Weight && w["m3"].Weight > 0, "%v", w)
-	w = residency.Anticipate(s, wants(0, 0, 0, 0), engines([]string{"m0"}, []string{"m0"}, []string{"m0", "m1"}))
-	assert.Assert(t, w["m0"].Weight > w["m1"].Weight && w["m1"].Weight > 0, "before traffic the copies tell: %v", w)
+	w := residency.Forecast(s, wants(0, 100, 0, 0), nil)
+	assert.Equal(t, w["m0"].TokensPerSecond, 0.0)
+	assert.Assert(t, w["m2"].TokensPerSecond > w["m3"].TokensPerSecond && w["m3"].TokensPerSecond > 0, "%v", w)
+	w = residency.Forecast(s, wants(0, 0, 0, 0), engines([]string{"m0"}, []string{"m0"}, []string{"m0", "m1"}))
+	assert.Assert(t, w["m0"].TokensPerSecond > w["m1"].TokensPerSecond && w["m1"].TokensPerSecond > 0, "before traffic the copies tell: %v", w)
 }
 
 // TestPlanKeepsPromises checks on drawn fleets that no plan removes a last copy,
@@ -161,7 +161,7 @@
 		weights := rapid.SliceOfN(rapid.Float64Range(0, 100), len(sizes), len(sizes)).Draw(t, "weights")
 		stores := rapid.IntRange(0, 4).Draw(t, "stores")
 		before := copies(list)
-		moves := residency.Plan(residency.Input{Spec: s, Engines: slices.Clone(list), Wants: wants(weights...), StoreLoads: stores})
+		moves := residency.Plan(residency.Input{Spec: s, Engines: slices.Clone(list), Demands: wants(weights...), StoreLoadsAllowed: stores})
 		seen := make(map[string]bool)
 		for _, m := range moves {
 			if seen[m.Engine] {
@@ -171,7 +171,7 @@
 			if m.Source == residency.FromStore {
 				stores--
 			}
-			for _, v := range m.Victims {
+			for _, v := range m.Evictions {
 				before[v]--
 				if before[v] < 1 {
 					t.Fatalf("the last copy of %s goes", v)
@@ -186,7 +186,7 @@
 	})
 }
 
-func drawEngines(t *rapid.T, s *table.EngineSpec) []residency.Engine {
+func drawEngines(t *rapid.T, s *table.EngineSpec) []residency.EngineView {
 	list := engines(make([][]string, rapid.IntRange(1, 6).Draw(t, "engines"))...)
 	for i := range list {
 		list[i].Idle = rapid.Bool().Draw(t, "idle")
@@ -200,14 +200,14 @@
 				list[i].Residents = with
 			}
 			if rapid.Bool().Draw(t, "disk") {
-				list[i].OnDisk = append(list[i].OnDisk, m.Name)
+				list[i].CachedOnDisk = append(list[i].CachedOnDisk, m.Name)
 			}
 		}
 	}
 	return list
 }
 
-func copies(list []residency.Engine) map[string]int {
+func copies(list []residency.EngineView) map[string]int {
 	n := make(map[string]int)
 	for _, e := range list {
 		for _, r := range e.Residents {
@@ -217,7 +217,7 @@
 	return n
 }
 
-func checkFits(t *rapid.T, s *table.EngineSpec, list []residency.Engine, m residency.Move) {
+func checkFits(t *rapid.T, s *table.EngineSpec, list []residency.EngineView, m residency.Move) {
 	for _, e := range list {
 		if e.ID != m.Engine {
 			continue
@@ -226,7 +226,7 @@
 			t.Fatalf("%s has an order under way", e.ID)
 		}
 		left := slices.DeleteFunc(slices.Clone(e.Residents), func(r backend.Resident) bool {
-			return slices.Contains(m.Victims, r.Model)
+			return slices.Contains(m.Evictions, r.Model)
 		})
 		if free := residency.Free(s, append(left, backend.Resident{Model: m.Model})); free < 0 {
 			t.Fatalf("%s is overfilled by %.0f MB", e.ID, -free)
@@ -236,7 +236,7 @@
 
 func TestPlanAdapters(t *testing.T) {
 	now := time.Unix(1000, 0)
-	full := func(names ...string) []residency.Engine {
+	full := func(names ...string) []residency.EngineView {
 		list := engines([]string{"m0"})
 		list[0].Residents[0].Adapters = names
 		return list
@@ -252,42 +252,42 @@
 		},
 		"to the least loaded": {
 			in: residency.AdapterInput{
-				Slots: 2, Engines: engines([]string{"m0"}, []string{"m0"}), Load: map[string]int{"e0": 9},
+				Slots: 2, Engines: engines([]string{"m0"}, []string{"m0"}), RequestsByEngine: map[string]int{"e0": 9},
 			}, engine: "e1",
 		},
 		"nowhere without its base": {in: residency.AdapterInput{Slots: 2, Engines: engines([]string{"m1"})}},
 		"in the place of one not asked for": {
 			in: residency.AdapterInput{
-				Slots: 2, Engines: full("a1", "a2"), Used: map[backend.Adapter]time.Time{adapter("a1"): now.Add(-time.Minute)},
+				Slots: 2, Engines: full("a1", "a2"), LastUsed: map[backend.Adapter]time.Time{adapter("a1"): now.Add(-time.Minute)},
 			}, engine: "e0", victim: "a2",
 		},
 		"not in the place of one that runs": {
 			in: residency.AdapterInput{
-				Slots: 1, Engines: full("a1"), Running: map[backend.Adapter]int{adapter("a1"): 1},
+				Slots: 1, Engines: full("a1"), RequestsByAdapter: map[backend.Adapter]int{adapter("a1"): 1},
 			},
 		},
 		"after long waiting in the place of one that another engine holds too": {
 			in: residency.AdapterInput{
-				Slots: 1, Engines: append(full("a1"), full("a1")...), Used: map[backend.Adapter]time.Time{adapter("a1"): now},
-				Running: map[backend.Adapter]int{adapter("a1"): 3},
-				Since:   map[backend.Adapter]time.Time{adapter("new"): now.Add(-2 * time.Second)},
+				Slots: 1, Engines: append(full("a1"), full("a1")...), LastUsed: map[backend.Adapter]time.Time{adapter("a1"): now},
+				RequestsByAdapter: map[backend.Adapter]int{adapter("a1"): 3},
+				WaitingSince:      map[backend.Adapter]time.Time{adapter("new"): now.Add(-2 * time.Second)},
 			}, engine: "e0", victim: "a1",
 		},
 		"not at once in the place of one that runs, though another engine holds it too": {
 			in: residency.AdapterInput{
-				Slots: 1, Engines: append(full("a1"), full("a1")...), Running: map[backend.Adapter]int{adapter("a1"): 3},
-				Since: map[backend.Adapter]time.Time{adapter("new"): now},
+				Slots: 1, Engines: append(full("a1"), full("a1")...), RequestsByAdapter: map[backend.Adapter]int{adapter("a1"): 3},
+				WaitingSince: map[backend.Adapter]time.Time{adapter("new"): now},
 			},
 		},
 		"after long waiting in the place of one asked for just now": {
 			in: residency.AdapterInput{
-				Slots: 1, Engines: full("a1"), Used: map[backend.Adapter]time.Time{adapter("a1"): now},
-				Since: map[backend.Adapter]time.Time{adapter("new"): now.Add(-2 * time.Second)},
+				Slots: 1, Engines: full("a1"), LastUsed: map[backend.Adapter]time.Time{adapter("a1"): now},
+				WaitingSince: map[backend.Adapter]time.Time{adapter("new"): now.Add(-2 * time.Second)},
 			}, engine: "e0", victim: "a1",
 		},
 		"not in the place of one asked for just now": {
 			in: residency.AdapterInput{
-				Slots: 1, Engines: full("a1"), Used: map[backend.Adapter]time.Time{adapter("a1"): now},
+				Slots: 1, Engines: full("a1"), LastUsed: map[backend.Adapter]time.Time{adapter("a1"): now},
 			},
 		},
 	}
@@ -302,7 +302,7 @@
 			}
 			assert.Equal(t, len(moves), 1)
 			assert.Equal(t, moves[0].Engine, test.engine)
-			assert.Equal(t, moves[0].Victim.Name, test.victim)
+			assert.Equal(t, moves[0].Evict.Name, test.victim)
 		})
 	}
 }
--- a/table/routing.go
+++ b/table/routing.go
@@ -7,16 +7,16 @@
 )
 
 // A Repeat tells what may happen to a request whose first send failed.
-type Repeat string
+type RetryPolicy string
 
 // The kinds of requests by what may be repeated.
 const (
 	// RepeatNever is a request that runs at most once.
-	RepeatNever Repeat = "never"
+	RetryNever RetryPolicy = "never"
 	// RepeatWhole is a request that may run any number of times.
-	RepeatWhole Repeat = "whole"
+	RetryWhole RetryPolicy = "whole"
 	// RepeatResume is a stream that may go on at another server after its last event.
-	RepeatResume Repeat = "resume"
+	RetryResume RetryPolicy = "resume"
 )
 
 // A Share is a service's part of a route's requests.
@@ -33,15 +33,15 @@
 	Prefix string
 	// Shares lists the services; one for most routes.
 	Shares []Share
-	Repeat Repeat
+	Retry  RetryPolicy
 	// Stream tells that answers are server-sent events.
 	Stream bool
 	// Timeout is the longest time that a request may be held.
 	Timeout time.Duration
 	// Objective is the time to the answer, or to a stream's first event, that callers are promised.
-	Objective time.Duration
+	FirstByteObjective time.Duration
 	// PauseObjective is the longest pause between events that callers are promised.
-	PauseObjective time.Duration
+	EventGapObjective time.Duration
 	// Attempts is the greatest number of backend servers that may run one request.
 	Attempts int
 	// Priority is the route's rank; 0 is the most urgent.
@@ -55,7 +55,7 @@
 	WeightsMB float64
 	// LoadTime is how long it takes from the weight store, WarmTime from the
 	// server's memory and DiskTime from its disk.
-	LoadTime, WarmTime, DiskTime time.Duration
+	StoreLoadTime, MemoryLoadTime, DiskLoadTime time.Duration
 	// Adapters is the number of its adapters, named a1 and so on.
 	Adapters  int
 	AdapterMB float64
@@ -66,7 +66,7 @@
 	// CacheTokens is the memory for running requests and kept prompts, in tokens.
 	CacheTokens int
 	// EventTokens is the number of tokens that one event of a stream carries.
-	EventTokens int
+	TokensPerEvent int
 	// WeightsMB is the memory for models and adapters of one engine.
 	WeightsMB    float64
 	AdapterSlots int
