--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,17 +1,47 @@
 package clock
 
 import (
+	"context"
 	"sync"
 	"time"
 )
 
-// A Service tells the time and calls subscribers at their intervals.
+// A Service tells the time and makes calls at their times.
 type Service interface {
 	// Now returns the current time.
 	Now() time.Time
 	// Subscribe calls f every interval until the returned stop function is called.
 	// Calls of one subscription never overlap; a tick that would is dropped.
 	Subscribe(interval time.Duration, f func(now time.Time)) (stop func())
+	// AfterFunc calls f once, after d, unless the timer is stopped before.
+	AfterFunc(d time.Duration, f func()) Timer
+}
+
+// A Timer is one call that AfterFunc has scheduled.
+type Timer interface {
+	// Stop cancels the call and reports whether it was still to come.
+	Stop() bool
+	// Reset schedules the call anew, after d from now, and reports whether it was still to come.
+	Reset(d time.Duration) bool
+}
+
+// Sleep waits for d, or until ctx ends; it returns at once if d is not above 0.
+func Sleep(ctx context.Context, s Service, d time.Duration) { Await(ctx, s, nil, d) }
+
+// Await waits until a channel can be received from or is closed, for at most d and
+// until ctx ends; it returns at once if d is not above 0.
+func Await(ctx context.Context, s Service, c <-chan struct{}, d time.Duration) {
+	if d <= 0 {
+		return
+	}
+	over := make(chan struct{})
+	timer := s.AfterFunc(d, func() { close(over) })
+	defer timer.Stop()
+	select {
+	case <-over:
+	case <-c:
+	case <-ctx.Done():
+	}
 }
 
 // Real is a Service on the machine's clock.
@@ -47,3 +77,6 @@
 		<-exited
 	}
 }
+
+// AfterFunc calls f in a goroutine of its own after d.
+func (Real) AfterFunc(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) }
--- a/clock/clocktest/clock.go
+++ b/clock/clocktest/clock.go
@@ -5,71 +5,96 @@
 import (
 	"sync"
 	"time"
+
+	"rockcleat/clock"
 )
 
 // A Clock is a clock.Service whose time moves only when Advance is called.
 type Clock struct {
-	mu   sync.Mutex
-	now  time.Time
-	subs map[*subscription]struct{}
+	mu    sync.Mutex
+	now   time.Time
+	calls map[*call]struct{}
 }
 
-type subscription struct {
-	interval time.Duration
+// A call is a function to be called at a time, and again after each interval if that
+// is not 0.
+type call struct {
+	clock    *Clock
 	next     time.Time
+	interval time.Duration
 	f        func(time.Time)
 }
 
 // New returns a Clock that starts at the given time.
 func New(start time.Time) *Clock {
-	return &Clock{now: start, subs: make(map[*subscription]struct{})}
+	return &Clock{now: start, calls: make(map[*call]struct{})}
 }
 
-// Now returns the service's time.
-func (m *Clock) Now() time.Time {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.now
+// Now returns the clock's time.
+func (c *Clock) Now() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.now
 }
 
 // Subscribe registers f to be called by Advance.
-func (m *Clock) Subscribe(interval time.Duration, f func(now time.Time)) (stop func()) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	s := &subscription{interval: interval, next: m.now.Add(interval), f: f}
-	m.subs[s] = struct{}{}
-	return func() {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		delete(m.subs, s)
-	}
+func (c *Clock) Subscribe(interval time.Duration, f func(now time.Time)) (stop func()) {
+	s := &call{clock: c, interval: interval, f: f}
+	s.Reset(interval)
+	return func() { s.Stop() }
+}
+
+// AfterFunc registers f to be called once by Advance.
+func (c *Clock) AfterFunc(d time.Duration, f func()) clock.Timer {
+	s := &call{clock: c, f: func(time.Time) { f() }}
+	s.Reset(d)
+	return s
 }
 
-// Advance moves the time by d and calls, in the caller's goroutine, every
-// subscriber whose tick has come, once for each tick passed.
-func (m *Clock) Advance(d time.Duration) {
-	m.mu.Lock()
-	end := m.now.Add(d)
-	m.mu.Unlock()
+// Stop implements clock.Timer.
+func (s *call) Stop() bool {
+	s.clock.mu.Lock()
+	defer s.clock.mu.Unlock()
+	_, pending := s.clock.calls[s]
+	delete(s.clock.calls, s)
+	return pending
+}
+
+// Reset implements clock.Timer.
+func (s *call) Reset(d time.Duration) bool {
+	s.clock.mu.Lock()
+	defer s.clock.mu.Unlock()
+	_, pending := s.clock.calls[s]
+	s.next = s.clock.now.Add(d)
+	s.clock.calls[s] = struct{}{}
+	return pending
+}
+
+// Advance moves the time by d and makes, in the caller's goroutine, every call whose
+// time has come, those of a subscription once for each tick passed.
+func (c *Clock) Advance(d time.Duration) {
+	c.mu.Lock()
+	end := c.now.Add(d)
+	c.mu.Unlock()
 	for {
-		s, at := m.dueBefore(end)
+		s, at := c.dueBefore(end)
 		if s == nil {
 			break
 		}
 		s.f(at)
 	}
-	m.mu.Lock()
-	m.now = end
-	m.mu.Unlock()
+	c.mu.Lock()
+	c.now = end
+	c.mu.Unlock()
 }
 
-// dueBefore returns the subscription with the earliest tick up to end and moves
-// the clock to that tick.
-func (m *Clock) dueBefore(end time.Time) (*subscription, time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	var first *subscription
-	for s := range m.subs {
+// dueBefore returns the earliest call up to end, moves the clock to its time and
+// schedules the next call of its subscription.
+func (c *Clock) dueBefore(end time.Time) (*call, time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var first *call
+	for s := range c.calls {
 		if s.next.After(end) {
 			continue
 		}
@@ -81,7 +106,11 @@
 		return nil, time.Time{}
 	}
 	at := first.next
+	c.now = at
+	if first.interval == 0 {
+		delete(c.calls, first)
+		return first, at
+	}
 	first.next = at.Add(first.interval)
-	m.now = at
 	return first, at
 }
