--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -153,8 +153,12 @@
 	if err := g.listen(); err != nil {
 		return err
 	}
-	go kv.Follow(g.ctx, g.prefixes, g.decoder.ConfigKey(), g.settings.WatchTime.Std(), &configFollower{g: g})
-	go kv.Follow(g.ctx, g.prefixes, g.decoder.ServerPrefix(), g.settings.WatchTime.Std(), &serverFollower{g: g, known: make(map[string]bool)})
+	go kv.Follow(g.ctx, kv.FollowOptions{
+		Store: g.prefixes, Prefix: g.decoder.ConfigKey(), Round: g.settings.WatchTime.Std(), Clock: g.clock, Follower: &configFollower{g: g},
+	})
+	go kv.Follow(g.ctx, kv.FollowOptions{
+		Store: g.prefixes, Prefix: g.decoder.ServerPrefix(), Round: g.settings.WatchTime.Std(), Clock: g.clock, Follower: &serverFollower{g: g, known: make(map[string]bool)},
+	})
 	g.placer.Start()
 	go g.peers.run()
 	g.subscribe(time.Second, g.conns.sweep)
--- a/kv/client.go
+++ b/kv/client.go
@@ -16,10 +16,11 @@
 )
 
 // maxAnswer bounds what a Client reads of one answer, in bytes; values are at
-// most 1 MB, in base64 within JSON, and a list holds several.
+// most 1 MB (the brief), in base64 within JSON, and a list holds several.
 const maxAnswer = 16 << 20
 
-// defaultTimeout bounds one call that is not a watch.
+// defaultTimeout bounds one call that is not a watch. The service answers in milliseconds
+// (the brief); the margin is chosen, not measured.
 const defaultTimeout = 3 * time.Second
 
 // Options configure a Client.
@@ -42,7 +43,7 @@
 	counted func(kind string)
 }
 
-// Kinds of calls that Options.Counted tells apart.
+// Kinds of calls for Options.Counted.
 const (
 	CallRead  = "read"
 	CallWrite = "write"
@@ -63,7 +64,7 @@
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
 	var e Entry
-	err := c.call(ctx, c.timeout, http.MethodGet, "/v1/kv?key="+url.QueryEscape(key), nil, &e)
+	err := c.call(ctx, request{method: http.MethodGet, path: "/v1/kv?key=" + url.QueryEscape(key), out: &e})
 	return e, err
 }
 
@@ -75,21 +76,21 @@
 // List implements Store.
 func (c *Client) List(ctx context.Context, prefix string) ([]Entry, error) {
 	var a ListAnswer
-	err := c.call(ctx, c.timeout, http.MethodGet, "/v1/list?prefix="+url.QueryEscape(prefix), nil, &a)
+	err := c.call(ctx, request{method: http.MethodGet, path: "/v1/list?prefix=" + url.QueryEscape(prefix), out: &a})
 	return a.Entries, err
 }
 
 // Put implements Store.
 func (c *Client) Put(ctx context.Context, w Write) (Revision, error) {
 	var e Entry
-	err := c.call(ctx, c.timeout, http.MethodPut, "/v1/kv", w, &e)
+	err := c.call(ctx, request{method: http.MethodPut, path: "/v1/kv", in: w, out: &e})
 	return e.Revision, err
 }
 
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, key string, expect Revision) error {
 	path := "/v1/kv?key=" + url.QueryEscape(key) + "&expect=" + strconv.FormatInt(int64(expect), 10)
-	return c.call(ctx, c.timeout, http.MethodDelete, path, nil, nil)
+	return c.call(ctx, request{method: http.MethodDelete, path: path})
 }
 
 // LeaseMessage is the body of lease calls and answers.
@@ -101,18 +102,18 @@
 // Grant implements Store.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	var a LeaseMessage
-	err := c.call(ctx, c.timeout, http.MethodPost, "/v1/lease", LeaseMessage{TTL: ttl.Milliseconds()}, &a)
+	err := c.call(ctx, request{method: http.MethodPost, path: "/v1/lease", in: LeaseMessage{TTL: ttl.Milliseconds()}, out: &a})
 	return a.ID, err
 }
 
 // KeepAlive implements Store.
 func (c *Client) KeepAlive(ctx context.Context, id LeaseID) error {
-	return c.call(ctx, c.timeout, http.MethodPost, "/v1/lease/keepalive", LeaseMessage{ID: id}, nil)
+	return c.call(ctx, request{method: http.MethodPost, path: "/v1/lease/keepalive", in: LeaseMessage{ID: id}})
 }
 
 // Revoke implements Store.
 func (c *Client) Revoke(ctx context.Context, id LeaseID) error {
-	return c.call(ctx, c.timeout, http.MethodPost, "/v1/lease/revoke", LeaseMessage{ID: id}, nil)
+	return c.call(ctx, request{method: http.MethodPost, path: "/v1/lease/revoke", in: LeaseMessage{ID: id}})
 }
 
 // Watch implements Store.
@@ -122,30 +123,39 @@
 	q.Set("key", key)
 	q.Set("after", strconv.FormatInt(int64(after), 10))
 	q.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
-	err := c.call(ctx, wait+c.timeout, http.MethodGet, "/v1/watch?"+q.Encode(), nil, &e)
+	err := c.call(ctx, request{method: http.MethodGet, path: "/v1/watch?" + q.Encode(), out: &e, wait: wait})
 	return e, err
 }
 
-// call sends one request and decodes the answer into out.
-func (c *Client) call(ctx context.Context, limit time.Duration, method, path string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// A request is one call to the service.
+type request struct {
+	method, path string
+	// in, if not nil, is sent as JSON; the answer is decoded into out, if that is not nil.
+	in, out any
+	// wait is how long the service may wait before it answers, beside the time of a call.
+	wait time.Duration
+}
+
+// call sends one request and decodes its answer.
+func (c *Client) call(ctx context.Context, r request) error {
+	ctx, cancel := context.WithTimeout(ctx, r.wait+c.timeout)
 	defer cancel()
 	var body io.Reader
-	if in != nil {
-		b, err := json.Marshal(in)
+	if r.in != nil {
+		b, err := json.Marshal(r.in)
 		if err != nil {
 			return eris.Wrap(err, "kv: encode request")
 		}
 		body = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	req, err := http.NewRequestWithContext(ctx, r.method, c.base+r.path, body)
 	if err != nil {
 		return eris.Wrap(err, "kv: make request")
 	}
-	if in != nil {
+	if r.in != nil {
 		req.Header.Set("Content-Type", "application/json")
 	}
-	c.count(method)
+	c.count(r.method)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return transportError(err)
@@ -158,10 +168,10 @@
 	if err := statusError(resp.StatusCode); err != nil {
 		return err
 	}
-	if out == nil {
+	if r.out == nil {
 		return nil
 	}
-	if err := json.Unmarshal(data, out); err != nil {
+	if err := json.Unmarshal(data, r.out); err != nil {
 		return eris.Wrap(ErrUnknown, err.Error())
 	}
 	return nil
@@ -178,7 +188,7 @@
 	c.counted(kind)
 }
 
-// transportError tells a call that never left from one whose answer was lost.
+// transportError distinguishes a call that was never sent from one whose answer was lost.
 func transportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/kv/example_test.go
+++ b/kv/example_test.go
@@ -16,7 +16,7 @@
 	end   context.CancelFunc
 }
 
-// Replace implements kv.Follower; it changes a row, which Apply then hears of.
+// Replace implements kv.Follower; it changes a row, which Apply then prints.
 func (p rowPrinter) Replace(entries []kv.Entry) {
 	for _, e := range entries {
 		fmt.Printf("listed %s: %s\n", e.Key, e.Value)
@@ -32,7 +32,7 @@
 	p.end()
 }
 
-// Lost and Heard implement kv.Follower.
+// Unreachable and Reachable implement kv.Follower.
 func (p rowPrinter) Unreachable(error) {}
 func (p rowPrinter) Reachable()        {}
 
@@ -40,7 +40,9 @@
 	store := kvtest.New(clock.Real{})
 	store.Set("rows/hint", []byte("weight 1"))
 	ctx, end := context.WithCancel(context.Background())
-	kv.Follow(ctx, store, "rows/", time.Second, rowPrinter{store: store, end: end})
+	kv.Follow(ctx, kv.FollowOptions{
+		Store: store, Prefix: "rows/", Round: time.Second, Clock: clock.Real{}, Follower: rowPrinter{store: store, end: end},
+	})
 	// Output:
 	// listed rows/hint: weight 1
 	// changed rows/hint: weight 5
--- a/kv/relay_test.go
+++ b/kv/fanout_test.go
@@ -68,9 +68,13 @@
 		OnSwitch: func(_ string, direct bool) { p.alone.Store(direct) },
 	})
 	p.store.Set("a/1", []byte("1"))
-	go kv.Follow(ctx, p.source.View(p.store, false), "a/", time.Second, p.sourceSees)
+	go kv.Follow(ctx, kv.FollowOptions{
+		Store: p.source.View(p.store, false), Prefix: "a/", Round: time.Second, Clock: clock.Real{}, Follower: p.sourceSees,
+	})
 	p.direct = &watchCounter{PrefixStore: p.store}
-	go kv.Follow(ctx, p.other.View(p.direct, false), "a/", time.Second, p.otherSees)
+	go kv.Follow(ctx, kv.FollowOptions{
+		Store: p.other.View(p.direct, false), Prefix: "a/", Round: time.Second, Clock: clock.Real{}, Follower: p.otherSees,
+	})
 	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "1"}))
 	poll.WaitOn(t, p.sourceSees.shows(map[string]string{"a/1": "1"}))
 	stop := clock.Real{}.Subscribe(20*time.Millisecond, func(time.Time) { p.handOn() })
@@ -215,10 +219,14 @@
 	other := kv.NewFanout(options)
 	store.Set("a/1", []byte("x1"))
 	var sourceSees, otherSees mirror
-	go kv.Follow(ctx, source.View(store, false), "a/", time.Second, &sourceSees)
+	go kv.Follow(ctx, kv.FollowOptions{
+		Store: source.View(store, false), Prefix: "a/", Round: time.Second, Clock: clock.Real{}, Follower: &sourceSees,
+	})
 	direct := &watchCounter{PrefixStore: store}
 	direct.closed.Store(true)
-	go kv.Follow(ctx, other.View(direct, false), "a/", time.Second, &otherSees)
+	go kv.Follow(ctx, kv.FollowOptions{
+		Store: other.View(direct, false), Prefix: "a/", Round: time.Second, Clock: clock.Real{}, Follower: &otherSees,
+	})
 	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "x1"}))
 	poll.WaitOn(t, otherSees.shows(map[string]string{"a/1": "x1"}))
 	store.Set("a/1", []byte("x2"))
--- /dev/null
+++ b/kv/fanout_view.go
@@ -0,0 +1,167 @@
+package kv
+
+import (
+	"context"
+	"time"
+
+	"rockcleat/clock"
+)
+
+// Pace of watches of the service itself.
+const (
+	// watcherRounds is how often a watcher's watch ends within MaxAge, so that the
+	// other processes know how old its view is. Chosen, not measured.
+	watcherRounds = 3
+	// After changes the next watch waits, so that changes that come close together
+	// cost one call: watcherBatchTime in the watcher (docs/MEASUREMENTS.md, G2),
+	// ownBatchTime in a process that watches for itself (P8). The latter together with
+	// a second in which the service reports nothing stays under the two seconds in
+	// which a leaving server must be known.
+	watcherBatchTime = 150 * time.Millisecond
+	ownBatchTime     = 500 * time.Millisecond
+)
+
+// A fanoutView is a service seen through a Fanout.
+type fanoutView struct {
+	fanout *Fanout
+	store  PrefixStore
+	steady bool
+}
+
+// ListPrefix implements PrefixStore.
+func (v *fanoutView) ListPrefix(ctx context.Context, prefix string) ([]Entry, Revision, error) {
+	began := v.fanout.opts.Clock.Now()
+	entries, at, err := v.store.ListPrefix(ctx, prefix)
+	if err == nil {
+		v.fanout.reset(prefix, entries, at, began)
+	}
+	return entries, at, err
+}
+
+// WatchPrefix implements PrefixStore.
+func (v *fanoutView) WatchPrefix(
+	ctx context.Context, prefix string, after Revision, wait time.Duration,
+) ([]Event, Revision, error) {
+	f := v.fanout
+	end := f.opts.Clock.Now().Add(wait)
+	for ctx.Err() == nil {
+		c := f.cached(prefix, after)
+		if len(c.events) > 0 {
+			f.noteMode(prefix, !f.opts.IsWatcher())
+			return c.events, c.to, nil
+		}
+		if listFirst := f.noteMode(prefix, c.validFor > 0); listFirst {
+			return nil, after, ErrCompacted
+		}
+		if c.validFor <= 0 {
+			return v.watchService(ctx, prefix, after, wait)
+		}
+		left := min(c.validFor, end.Sub(f.opts.Clock.Now()))
+		if left <= 0 {
+			return nil, after, nil
+		}
+		clock.Await(ctx, f.opts.Clock, c.changed, left)
+	}
+	return nil, after, ctx.Err()
+}
+
+// noteMode notes whether a prefix is watched through another process, and reports
+// whether the service has to be listed first since changes were left out.
+func (f *Fanout) noteMode(prefix string, receiving bool) (listFirst bool) {
+	f.mu.Lock()
+	l := f.logs[prefix]
+	differs := l != nil && l.receiving != receiving
+	if differs {
+		l.receiving = receiving
+		listFirst = !receiving && l.filtered
+	}
+	f.mu.Unlock()
+	if differs && f.opts.OnSwitch != nil {
+		f.opts.OnSwitch(prefix, !receiving)
+	}
+	return listFirst
+}
+
+// A cachedChanges is what a watch finds without the service.
+type cachedChanges struct {
+	// events are the changes after the watch's revision, up to the revision to.
+	events []Event
+	to     Revision
+	// validFor is for how long the watch may wait here when there are no events.
+	validFor time.Duration
+	// changed is closed when there is something new.
+	changed <-chan struct{}
+}
+
+// cached returns the changes known after a revision, or how long to wait for some.
+func (f *Fanout) cached(prefix string, after Revision) cachedChanges {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	l := f.logs[prefix]
+	if l == nil || after < l.floor {
+		return cachedChanges{}
+	}
+	if events := l.after(after); len(events) > 0 {
+		return cachedChanges{events: events, to: l.to}
+	}
+	if f.opts.IsWatcher() {
+		return cachedChanges{}
+	}
+	age := f.opts.Clock.Now().Sub(l.receivedAt)
+	return cachedChanges{validFor: f.opts.MaxAge - age, changed: l.changed}
+}
+
+// watchService watches the service itself and keeps what it returns.
+func (v *fanoutView) watchService(
+	ctx context.Context, prefix string, after Revision, wait time.Duration,
+) ([]Event, Revision, error) {
+	f := v.fanout
+	watcher := f.opts.IsWatcher()
+	batchTime := ownBatchTime
+	if watcher {
+		batchTime = watcherBatchTime
+	}
+	if watcher && !v.steady {
+		wait = min(wait, f.opts.MaxAge/watcherRounds)
+	}
+	clock.Sleep(ctx, f.opts.Clock, f.nextWatch(prefix, batchTime).Sub(f.opts.Clock.Now()))
+	began := f.opts.Clock.Now()
+	events, at, err := v.store.WatchPrefix(ctx, prefix, after, wait)
+	if err != nil {
+		return events, at, err
+	}
+	f.appendBatch(prefix, Batch{From: after, To: at, Events: events}, f.watchedUntil(began, wait, len(events) > 0))
+	if len(events) > 0 {
+		f.noteEvents(prefix)
+	}
+	return events, at, nil
+}
+
+// watchedUntil returns when a watch's answer was surely all there was: at its beginning,
+// or at its end if it returned no change and did not end early.
+func (f *Fanout) watchedUntil(began time.Time, wait time.Duration, changes bool) time.Time {
+	end := began.Add(wait)
+	if changes || end.After(f.opts.Clock.Now()) {
+		return began
+	}
+	return end
+}
+
+// nextWatch returns until when changes are gathered before the next watch.
+func (f *Fanout) nextWatch(prefix string, batchTime time.Duration) time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if l := f.logs[prefix]; l != nil && !l.lastEvents.IsZero() {
+		return l.lastEvents.Add(batchTime)
+	}
+	return time.Time{}
+}
+
+// noteEvents notes that the service has just returned changes.
+func (f *Fanout) noteEvents(prefix string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if l := f.logs[prefix]; l != nil {
+		l.lastEvents = f.opts.Clock.Now()
+	}
+}
--- a/kv/follow.go
+++ b/kv/follow.go
@@ -5,79 +5,82 @@
 	"errors"
 	"math/rand/v2"
 	"time"
+
+	"rockcleat/clock"
 )
 
-// A Follower takes in what stands under a prefix.
+// A Follower keeps its own copy of what stands under a prefix.
 type Follower interface {
-	// Replace takes all entries; whatever is not among them is gone.
+	// Replace sets all entries; whatever is not among them is gone.
 	Replace(entries []Entry)
-	// Apply takes changes in their order.
+	// Apply applies changes in their order.
 	Apply(events []Event)
-	// Lost tells that the service cannot be heard, Heard that it was.
+	// Unreachable reports that a call to the service failed, Reachable that one succeeded.
 	Unreachable(err error)
 	Reachable()
 }
 
-// Pauses between calls that fail.
+// FollowOptions say what Follow follows.
+type FollowOptions struct {
+	Store  PrefixStore
+	Prefix string
+	// Round bounds one watch call, so that a connection that has silently died is noticed.
+	Round    time.Duration
+	Clock    clock.Service
+	Follower Follower
+}
+
+// Pauses between calls that fail: the first one doubles up to the longest, each with
+// jitter of half to one and a half. Chosen, not measured: short against the two seconds
+// in which a leaving server must be known, long enough that 340 gateways do not load a
+// service that comes back (docs/CAPACITY.md).
 const (
-	firstPause = 100 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
+	firstRetryPause = 100 * time.Millisecond
+	maxRetryPause   = 500 * time.Millisecond
 )
 
-// Follow keeps a follower up to date with a prefix until ctx ends. Each watch
-// waits for at most wait, so that a connection which has silently died is noticed.
-func Follow(ctx context.Context, s PrefixStore, prefix string, wait time.Duration, f Follower) {
-	pause := firstPause
+// Follow lists a prefix and watches it for the follower until ctx ends. It lists anew
+// when the service no longer knows the changes since the last watch.
+func Follow(ctx context.Context, o FollowOptions) {
+	pause := firstRetryPause
 	for ctx.Err() == nil {
-		entries, at, err := s.ListPrefix(ctx, prefix)
+		entries, at, err := o.Store.ListPrefix(ctx, o.Prefix)
 		if err != nil {
-			f.Unreachable(err)
-			pause = backOff(ctx, pause)
+			o.Follower.Unreachable(err)
+			pause = o.backOff(ctx, pause)
 			continue
 		}
-		pause = firstPause
-		f.Reachable()
-		f.Replace(entries)
-		follow(ctx, s, prefix, at, wait, f)
+		pause = firstRetryPause
+		o.Follower.Reachable()
+		o.Follower.Replace(entries)
+		o.watchFrom(ctx, at)
 	}
 }
 
-// follow watches from a revision until the service has forgotten it.
-func follow(ctx context.Context, s PrefixStore, prefix string, at Revision, wait time.Duration, f Follower) {
-	pause := firstPause
+// watchFrom watches from a revision until the service has compacted it.
+func (o FollowOptions) watchFrom(ctx context.Context, at Revision) {
+	pause := firstRetryPause
 	for ctx.Err() == nil {
-		events, next, err := s.WatchPrefix(ctx, prefix, at, wait)
+		events, next, err := o.Store.WatchPrefix(ctx, o.Prefix, at, o.Round)
 		if errors.Is(err, ErrCompacted) {
 			return
 		}
 		if err != nil {
-			f.Unreachable(err)
-			pause = backOff(ctx, pause)
+			o.Follower.Unreachable(err)
+			pause = o.backOff(ctx, pause)
 			continue
 		}
-		pause = firstPause
+		pause = firstRetryPause
 		at = next
-		f.Reachable()
+		o.Follower.Reachable()
 		if len(events) > 0 {
-			f.Apply(events)
+			o.Follower.Apply(events)
 		}
 	}
 }
 
 // backOff waits for a pause with jitter and returns the next, longer one.
-func backOff(ctx context.Context, pause time.Duration) time.Duration {
-	sleep(ctx, pause/2+rand.N(pause))
-	return min(2*pause, lastPause)
-}
-
-func sleep(ctx context.Context, d time.Duration) {
-	if d <= 0 {
-		return
-	}
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
+func (o FollowOptions) backOff(ctx context.Context, pause time.Duration) time.Duration {
+	clock.Sleep(ctx, o.Clock, pause/2+rand.N(pause))
+	return min(2*pause, maxRetryPause)
 }
--- a/kv/follow_test.go
+++ b/kv/follow_test.go
@@ -129,7 +129,9 @@
 			w := world{store: kvtest.New(clock.Real{}), m: &mirror{}}
 			w.store.Set("a/1", []byte("1"))
 			w.store.Set("a/2", []byte("2"))
-			go kv.Follow(ctx, w.store, "a/", time.Minute, w.m)
+			go kv.Follow(ctx, kv.FollowOptions{
+				Store: w.store, Prefix: "a/", Round: time.Minute, Clock: clock.Real{}, Follower: w.m,
+			})
 			poll.WaitOn(t, w.m.shows(map[string]string{"a/1": "1", "a/2": "2"}))
 			test.trouble(t, w)
 			poll.WaitOn(t, w.m.shows(test.want))
@@ -143,7 +145,9 @@
 	store := kvtest.New(clock.Real{})
 	store.Set("a/1", []byte("1"))
 	m := &mirror{}
-	go kv.Follow(ctx, store, "a/", time.Minute, m)
+	go kv.Follow(ctx, kv.FollowOptions{
+		Store: store, Prefix: "a/", Round: time.Minute, Clock: clock.Real{}, Follower: m,
+	})
 	poll.WaitOn(t, m.shows(map[string]string{"a/1": "1"}))
 	for range 50 {
 		// Changes elsewhere push the followed key's own revision out of the history.
--- a/kv/kv.go
+++ b/kv/kv.go
@@ -8,17 +8,17 @@
 
 // Outcomes of a call to the service.
 var (
-	// ErrNotFound tells that the key does not exist.
+	// ErrNotFound says that the key does not exist.
 	ErrNotFound = errors.New("kv: key not found")
-	// ErrConflict tells that the key's revision was not the expected one; nothing was written.
+	// ErrConflict says that the key's revision was not the expected one; nothing was written.
 	ErrConflict = errors.New("kv: revision conflict")
-	// ErrLeaseGone tells that the lease has lapsed or was never granted; nothing was written.
+	// ErrLeaseGone says that the lease has lapsed or was never granted; nothing was written.
 	ErrLeaseGone = errors.New("kv: lease gone")
-	// ErrRateLimited tells that the service refused the call for its rate; nothing was written.
+	// ErrRateLimited says that the service refused the call for its rate; nothing was written.
 	ErrRateLimited = errors.New("kv: rate limited")
-	// ErrUnavailable tells that the service did not take the call; nothing was written.
+	// ErrUnavailable says that the service did not take the call; nothing was written.
 	ErrUnavailable = errors.New("kv: unavailable")
-	// ErrUnknown tells that no answer came: a write may or may not have taken effect.
+	// ErrUnknown says that no answer came: a write may or may not have taken effect.
 	ErrUnknown = errors.New("kv: outcome unknown")
 )
 
@@ -73,7 +73,7 @@
 	Watch(ctx context.Context, key string, after Revision, wait time.Duration) (Entry, error)
 }
 
-// IsNotWritten reports whether err tells that a write surely took no effect.
+// IsNotWritten reports whether err says that a write surely took no effect.
 func IsNotWritten(err error) bool {
 	for _, e := range []error{ErrNotFound, ErrConflict, ErrLeaseGone, ErrRateLimited, ErrUnavailable} {
 		if errors.Is(err, e) {
--- a/kv/prefix.go
+++ b/kv/prefix.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// ErrCompacted tells that a watch asked for changes that the service has forgotten;
+// ErrCompacted says that a watch asked for changes that the service no longer keeps;
 // the watcher lists the keys anew.
 var ErrCompacted = errors.New("kv: history compacted")
 
 // An Event is one change of a key.
 type Event struct {
 	Entry Entry
-	// Deleted tells that the key is gone; the entry's value is then empty.
+	// Deleted says that the key is gone; the entry's value is then empty.
 	Deleted bool
 }
 
-// A PrefixStore tells of all keys under a prefix.
+// A PrefixStore lists and watches all keys under a prefix.
 type PrefixStore interface {
 	// ListPrefix returns the entries under a prefix and a revision to watch from:
-	// every change after it is told by WatchPrefix.
+	// WatchPrefix returns every change after it.
 	ListPrefix(ctx context.Context, prefix string) ([]Entry, Revision, error)
 	// WatchPrefix waits for changes after a revision, or for at most wait, and
 	// returns them with the revision to go on from. It returns ErrCompacted if
--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"rockcleat/clock"
 	"rockcleat/kv"
 )
 
@@ -22,24 +23,26 @@
 // free, until ctx ends. While another holds it, it costs one watch each few seconds.
 func (h *Holder) Campaign(ctx context.Context, s kv.PrefixStore) {
 	w := &watcher{holder: h, free: make(chan struct{}, 1)}
-	go kv.Follow(ctx, s, h.Key(), watchRound, w)
+	go kv.Follow(ctx, kv.FollowOptions{
+		Store: s, Prefix: h.Key(), Round: watchRound, Clock: h.clock, Follower: w,
+	})
 	for ctx.Err() == nil {
 		if _, held := h.Held(); !held && !w.await(ctx) {
 			return
 		}
 		if err := h.Step(ctx); err != nil {
-			pause(ctx, callRetryPause/2+rand.N(callRetryPause))
+			clock.Sleep(ctx, h.clock, callRetryPause/2+rand.N(callRetryPause))
 			w.signal()
 			continue
 		}
 		if _, held := h.Held(); held {
-			pause(ctx, h.opts.TTL/renewalsPerTTL)
+			clock.Sleep(ctx, h.clock, h.opts.TTL/renewalsPerTTL)
 			w.signal()
 		}
 	}
 }
 
-// A watcher follows a lease's key and tells when it is free.
+// A watcher follows a lease's key and signals when it is free.
 type watcher struct {
 	holder *Holder
 	free   chan struct{}
@@ -92,12 +95,3 @@
 
 // Heard implements kv.Follower.
 func (w *watcher) Reachable() {}
-
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -167,6 +167,8 @@
 	return nil
 }
 
+// noteOther keeps the record of whoever holds the lease. One that cannot be decoded is
+// left out: the lease is not free either way, only its holder's address stays unknown.
 func (h *Holder) noteOther(e kv.Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -2,9 +2,11 @@
 
 import "sync"
 
-// Defaults of a Budget.
+// Defaults of a Budget; chosen, not measured.
 const (
+	// defaultRatio is the number of retries for each first try.
 	defaultRatio = 0.2
+	// defaultBurst is the number of retries at once after a quiet time.
 	defaultBurst = 10
 )
 
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// windowParts is the number of parts that a Window's time is counted in.
+// windowParts is the number of parts that a Window's time is counted in: counts go out of
+// the window a twentieth of its length late at most. Chosen, not measured.
 const windowParts = 20
 
-// A Window bounds the repeats in any span of a length by a ratio of the first
-// tries in it and a fixed part; it is safe for concurrent use.
+// A Window bounds the retries in any span of a length by a ratio of the first tries in it
+// and a fixed number; it is safe for concurrent use.
 //
-// Its zero value allows no repeat.
+// Its zero value allows no retry.
 type Window struct {
-	// Length is the span that repeats are counted over.
+	// Length is the span that retries are counted over.
 	Length time.Duration
-	// Ratio is the number of repeats allowed for each first try, without a unit.
+	// Ratio is the number of retries allowed for each first try, without a unit.
 	Ratio float64
-	// Fixed is the number of repeats allowed beside those.
+	// Fixed is the number of retries allowed beside those, in all processes together.
 	Fixed float64
 
 	mu    sync.Mutex
 	parts [windowParts + 1]windowPart
 }
 
-// windowPart counts one part of the time; number tells which.
+// windowPart counts one part of the time; number says which.
 type windowPart struct {
 	number          int64
-	firsts, repeats int
+	firsts, retries int
 }
 
 // First counts a first try.
@@ -37,16 +38,16 @@
 	w.part(now).firsts++
 }
 
-// Allow counts a repeat and reports whether there was room for it; share is the
-// part of Fixed that is this process's own, 0 to 1.
+// Allow counts a retry and reports whether there was room for it; share is the part of
+// Fixed that is this process's own, 0 to 1.
 func (w *Window) Allow(now time.Time, share float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	firsts, repeats := w.sum(now)
-	if float64(repeats+1) > w.Ratio*float64(firsts)+w.Fixed*share {
+	firsts, retries := w.sum(now)
+	if float64(retries+1) > w.Ratio*float64(firsts)+w.Fixed*share {
 		return false
 	}
-	w.part(now).repeats++
+	w.part(now).retries++
 	return true
 }
 
@@ -63,13 +64,13 @@
 	return p
 }
 
-func (w *Window) sum(now time.Time) (firsts, repeats int) {
+func (w *Window) sum(now time.Time) (firsts, retries int) {
 	n := w.number(now)
 	for _, p := range w.parts {
 		if p.number > n-int64(len(w.parts)) && p.number <= n {
 			firsts += p.firsts
-			repeats += p.repeats
+			retries += p.retries
 		}
 	}
-	return firsts, repeats
+	return firsts, retries
 }
