--- a/dispatch/places_test.go
+++ b/dispatch/admission_test.go
@@ -65,34 +65,34 @@
 	return g
 }
 
-// reading returns a request whose prompt is about all that an engine may read at once.
-func reading(c clock.Service) *dispatch.Request {
+// longPrompt returns a request whose prompt is about all that an engine may prefill at once.
+func longPrompt(c clock.Service) *dispatch.Request {
 	r := request(c)
-	r.Gap = reads(60)
+	r.Gap = allowing(60)
 	return r
 }
 
-// TestPlacesAreGrantedOnce has many gateways send at the same moment, before any has
+// TestRequestsAreAdmittedOnce has many gateways send at the same moment, before any has
 // heard of the others' requests: each engine gets one prompt.
-func TestPlacesAreGrantedOnce(t *testing.T) {
+func TestRequestsAreAdmittedOnce(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 6, engine("a"), engine("b"), engine("d"))
 	taken := make(map[string]int)
 	for _, d := range g.dispatchers {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
-		ticket, err := d.Acquire(ctx, reading(c))
+		res, err := d.Acquire(ctx, longPrompt(c))
 		cancel()
 		if err == nil {
-			taken[ticket.Server().ID]++
+			taken[res.Server().ID]++
 		}
 	}
 	assert.DeepEqual(t, taken, map[string]int{"a": 1, "b": 1, "d": 1})
 }
 
-// TestDeniedPlaceIsAskedForAgain checks that a request which found every place
+// TestDeniedAdmissionIsAskedForAgain checks that a request which found every place
 // taken waits and gets one when the prompt before it has been read, both at the
 // owner of the engine and at the other gateway.
-func TestDeniedPlaceIsAskedForAgain(t *testing.T) {
+func TestDeniedAdmissionIsAskedForAgain(t *testing.T) {
 	tests := map[string]struct{ first, second string }{
 		"one first":       {first: "g0", second: "g1"},
 		"the other first": {first: "g1", second: "g0"},
@@ -101,10 +101,10 @@
 		t.Run(name, func(t *testing.T) {
 			c := clocktest.New(time.Unix(1000, 0))
 			g := newGroup(c, 2, engine("a"))
-			before, err := g.dispatchers[test.first].Acquire(context.Background(), reading(c))
+			before, err := g.dispatchers[test.first].Acquire(context.Background(), longPrompt(c))
 			assert.NilError(t, err)
 			second := g.dispatchers[test.second]
-			req := reading(c)
+			req := longPrompt(c)
 			got := acquire(second, req)
 			poll.WaitOn(t, waiting(second, 1))
 			before.FirstByte()
@@ -122,25 +122,25 @@
 	}
 }
 
-// TestSilentOwnerIsPassedOver checks that requests go on when the owner of the
+// TestSilentOwnerIsSuspended checks that requests go on when the owner of the
 // only engine does not answer, and that it is not asked for each of them.
-func TestSilentOwnerIsPassedOver(t *testing.T) {
+func TestSilentOwnerIsSuspended(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 2, engine("a"))
 	g.silent["g0"], g.silent["g1"] = true, true
 	for range 5 {
 		for _, d := range g.dispatchers {
-			ticket, err := d.Acquire(context.Background(), reading(c))
+			res, err := d.Acquire(context.Background(), longPrompt(c))
 			assert.NilError(t, err)
-			ticket.FirstByte()
-			ticket.Done(dispatch.Answered)
+			res.FirstByte()
+			res.Done(dispatch.Answered)
 		}
 	}
 	assert.Equal(t, g.askedTimes(), 1)
 	assert.Equal(t, len(g.told), 1)
 	c.Advance(time.Second)
 	for _, d := range g.dispatchers {
-		_, err := d.Acquire(context.Background(), reading(c))
+		_, err := d.Acquire(context.Background(), longPrompt(c))
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, g.askedTimes(), 2, "asked again after a while")
@@ -164,7 +164,7 @@
 	assert.Assert(t, d.Admit(ask).Admitted)
 }
 
-func TestGrantOfAnotherGatewaysEngine(t *testing.T) {
+func TestAdmissionAtAnotherGatewaysEngine(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 2, engine("a"))
 	owned := 0
@@ -177,13 +177,13 @@
 	assert.Equal(t, owned, 1)
 }
 
-// TestGrantKnowsKeptPrompts checks that the owner remembers the prompts of all
+// TestOwnerKnowsCachedPrefixes checks that the owner remembers the prompts of all
 // gateways: the second one with the same parts needs less reading.
-func TestGrantKnowsKeptPrompts(t *testing.T) {
+func TestOwnerKnowsCachedPrefixes(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := newGroup(c, 1, engine("a")).dispatchers["g0"]
 	ask := dispatch.AdmissionRequest{
-		Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: reads(60), Prefix: []dispatch.PrefixBlock{{ID: "p", Tokens: 950}},
+		Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: allowing(60), Prefix: []dispatch.PrefixBlock{{ID: "p", Tokens: 950}},
 	}
 	assert.Assert(t, d.Admit(ask).Admitted)
 	assert.Assert(t, d.Admit(ask).Admitted, "the prompt is kept, so that both fit")
@@ -191,26 +191,26 @@
 	assert.Assert(t, !d.Admit(ask).Admitted)
 }
 
-// TestDeniedPromptIsNotKept checks that a prompt which was not sent for want of a
+// TestDeniedPromptIsNotCached checks that a prompt which was not sent for want of a
 // place does not count as kept by the engine.
-func TestDeniedPromptIsNotKept(t *testing.T) {
+func TestDeniedPromptIsNotCached(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 2, engine("a"))
 	other := g.dispatchers["g0"]
 	for _, d := range g.dispatchers {
-		if !d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: reads(60)}).Owned {
+		if !d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: allowing(60)}).Owned {
 			other = d
 		}
 	}
-	req := reading(c)
+	req := longPrompt(c)
 	req.Prefix = []dispatch.PrefixBlock{{ID: "p", Tokens: 1000}}
 	got := acquire(other, req)
 	poll.WaitOn(t, waiting(other, 1))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		c.Advance(10 * time.Millisecond)
 		select {
-		case ticket := <-got:
-			choice, _ := ticket.Choice()
+		case res := <-got:
+			choice, _ := res.Choice()
 			assert.Equal(t, choice.PrefillTokens, 1000)
 			return poll.Success()
 		default:
@@ -220,8 +220,8 @@
 	assert.Assert(t, req.GrantsDenied > 0)
 }
 
-// TestNoPlaceAtALeavingEngine asks the owner, who knows first that its engine leaves.
-func TestNoPlaceAtALeavingEngine(t *testing.T) {
+// TestNoAdmissionAtALeavingEngine asks the owner, who knows first that its engine leaves.
+func TestNoAdmissionAtALeavingEngine(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	leaving := engine("a")
 	leaving.Leaving = true
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -58,9 +58,9 @@
 	return ctx
 }
 
-// reads returns the pace of streams that bear a reading of some milliseconds on an
-// engine where nothing runs.
-func reads(ms float64) dispatch.GapBudget {
+// allowing returns the gap budget of streams that allow a prefill of some milliseconds on
+// an engine where nothing runs.
+func allowing(ms dispatch.Milliseconds) dispatch.GapBudget {
 	const step, share = 10.5, 0.93
 	return dispatch.GapBudget{MaxGap: (ms + step) / share, StepsPerEvent: 1}
 }
@@ -92,36 +92,36 @@
 		},
 		"reading limit": {
 			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 })},
-			limits: dispatch.Limits{Gap: reads(100)}, want: -1,
+			limits: dispatch.Limits{Gap: allowing(100)}, want: -1,
 		},
 		"reading limit, nothing on its way": {
 			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Prefill = 400 })},
-			limits: dispatch.Limits{Gap: reads(100)}, want: 0,
+			limits: dispatch.Limits{Gap: allowing(100)}, want: 0,
 		},
 		"another's engine that reads, while an own one is full": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
 				with(func(c *dispatch.Candidate) { c.PrefillAhead, c.Prefill, c.Owned = 1, 30, false }),
 			},
-			limits: dispatch.Limits{Gap: reads(100)}, want: -1,
+			limits: dispatch.Limits{Gap: allowing(100)}, want: -1,
 		},
 		"another's engine that is idle, for a long prompt": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
 				with(func(c *dispatch.Candidate) { c.Prefill, c.Owned = 90, false }),
 			},
-			limits: dispatch.Limits{Gap: reads(100)}, want: -1,
+			limits: dispatch.Limits{Gap: allowing(100)}, want: -1,
 		},
 		"another's engine that is idle": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
 				with(func(c *dispatch.Candidate) { c.Prefill, c.Owned = 30, false }),
 			},
-			limits: dispatch.Limits{Gap: reads(100)}, want: 1,
+			limits: dispatch.Limits{Gap: allowing(100)}, want: 1,
 		},
 		"another's engine, where no own one has the model": {
 			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead, c.Prefill, c.Owned = 30, 30, false })},
-			limits: dispatch.Limits{Gap: reads(100)}, want: 0,
+			limits: dispatch.Limits{Gap: allowing(100)}, want: 0,
 		},
 		"plain service: fewest requests": {
 			list: []dispatch.Candidate{{Slots: 6, Running: 4, SameHall: true}, {Slots: 6, Running: 1, SameHall: true}}, want: 1,
@@ -157,9 +157,9 @@
 	_, err = d.Acquire(now(), r)
 	assert.Assert(t, errors.Is(err, context.Canceled))
 	r.Exclude = nil
-	ticket, err := d.Acquire(now(), r)
+	res, err := d.Acquire(now(), r)
 	assert.NilError(t, err)
-	assert.Equal(t, ticket.Server().ID, "good")
+	assert.Equal(t, res.Server().ID, "good")
 }
 
 func TestAdapters(t *testing.T) {
@@ -173,9 +173,9 @@
 	d.SetServers(snapshot(without, with))
 	r := request(c)
 	r.Adapter = "a1"
-	ticket, err := d.Acquire(now(), r)
+	res, err := d.Acquire(now(), r)
 	assert.NilError(t, err)
-	assert.Equal(t, ticket.Server().ID, "b")
+	assert.Equal(t, res.Server().ID, "b")
 	assert.Equal(t, missing, 0)
 	r = request(c)
 	r.Adapter = "a2"
@@ -187,12 +187,12 @@
 	assert.Equal(t, missing, 1, "the wait for an adapter that nobody holds is told")
 }
 
-// acquire starts an Acquire and returns where its ticket will come.
+// acquire starts an Acquire and returns where its res will come.
 func acquire(d *dispatch.Dispatcher, r *dispatch.Request) chan *dispatch.Reservation {
 	out := make(chan *dispatch.Reservation, 1)
 	go func() {
-		if ticket, err := d.Acquire(context.Background(), r); err == nil {
-			out <- ticket
+		if res, err := d.Acquire(context.Background(), r); err == nil {
+			out <- res
 		}
 	}()
 	return out
@@ -232,18 +232,18 @@
 			d := dispatcher(c, s)
 			blocker, err := d.Acquire(now(), request(c))
 			assert.NilError(t, err)
-			var tickets []chan *dispatch.Reservation
+			var ress []chan *dispatch.Reservation
 			for i, k := range []kind{test.first, test.second} {
 				r := request(c)
 				r.Priority = k.priority
 				if k.late {
 					r.SendBy = c.Now().Add(-time.Millisecond)
 				}
-				tickets = append(tickets, acquire(d, r))
+				ress = append(ress, acquire(d, r))
 				poll.WaitOn(t, waiting(d, i+1))
 			}
 			blocker.Done(dispatch.Answered)
-			winner, loser := tickets[0], tickets[1]
+			winner, loser := ress[0], ress[1]
 			if test.secondWins {
 				winner, loser = loser, winner
 			}
@@ -268,7 +268,7 @@
 	assert.Equal(t, d.Demands()[model].Waiting, 0)
 }
 
-func TestOneGatewayFeedsAnEngineFirst(t *testing.T) {
+func TestOneGatewayOwnsAnEngine(t *testing.T) {
 	c := clocktest.New(time.Now())
 	gateways := []dispatch.Gateway{{ID: "g1", Hall: "h"}, {ID: "g2", Hall: "h"}, {ID: "g3", Hall: "elsewhere"}}
 	var servers []backend.Server
@@ -282,29 +282,29 @@
 		})
 		d.SetServers(snapshot(servers...))
 		d.SetGateways(gateways)
-		ticket, err := d.Acquire(now(), request(c))
+		res, err := d.Acquire(now(), request(c))
 		assert.NilError(t, err)
-		firsts[ticket.Server().ID]++
+		firsts[res.Server().ID]++
 	}
 	assert.Assert(t, firsts["s0"] < 3, "all gateways chose the same engine first: %v", firsts)
 }
 
-func TestSilentServer(t *testing.T) {
+func TestStalledServer(t *testing.T) {
 	c := clocktest.New(time.Now())
 	d := dispatcher(c, engine("a"), engine("b"))
 	first, err := d.Acquire(now(), request(c))
 	assert.NilError(t, err)
 	c.Advance(3 * time.Second)
 	for range 5 {
-		ticket, err := d.Acquire(now(), request(c))
+		res, err := d.Acquire(now(), request(c))
 		assert.NilError(t, err)
-		assert.Assert(t, ticket.Server().ID != first.Server().ID)
-		ticket.FirstByte()
+		assert.Assert(t, res.Server().ID != first.Server().ID)
+		res.FirstByte()
 	}
 	first.FirstByte()
-	ticket, err := d.Acquire(now(), request(c))
+	res, err := d.Acquire(now(), request(c))
 	assert.NilError(t, err)
-	assert.Equal(t, ticket.Server().ID, first.Server().ID, "a server that spoke again is chosen again")
+	assert.Equal(t, res.Server().ID, first.Server().ID, "a server that spoke again is chosen again")
 }
 
 func TestFailingServerReturns(t *testing.T) {
@@ -314,21 +314,21 @@
 	assert.NilError(t, err)
 	bad.Done(dispatch.Failed)
 	for range 3 {
-		ticket, err := d.Acquire(now(), request(c))
+		res, err := d.Acquire(now(), request(c))
 		assert.NilError(t, err)
-		assert.Assert(t, ticket.Server().ID != bad.Server().ID)
+		assert.Assert(t, res.Server().ID != bad.Server().ID)
 	}
 	c.Advance(30 * time.Second)
 	seen := make(map[string]bool)
 	for range 4 {
-		ticket, err := d.Acquire(now(), request(c))
+		res, err := d.Acquire(now(), request(c))
 		assert.NilError(t, err)
-		seen[ticket.Server().ID] = true
+		seen[res.Server().ID] = true
 	}
 	assert.Assert(t, seen[bad.Server().ID], "a server that failed long ago is tried again")
 }
 
-func TestKeptPrompts(t *testing.T) {
+func TestCachedPrefixes(t *testing.T) {
 	c := clocktest.New(time.Now())
 	d := dispatcher(c, engine("a"), engine("b"))
 	shared := []dispatch.PrefixBlock{{ID: "common", Tokens: 900}}
@@ -341,10 +341,10 @@
 	for i := range 5 {
 		r := request(c)
 		r.Prefix = append(shared, dispatch.PrefixBlock{ID: fmt.Sprint("own", i), Tokens: 100})
-		ticket, err := d.Acquire(now(), r)
+		res, err := d.Acquire(now(), r)
 		assert.NilError(t, err)
-		assert.Equal(t, ticket.Server().ID, first.Server().ID)
-		ticket.Done(dispatch.Answered)
+		assert.Equal(t, res.Server().ID, first.Server().ID)
+		res.Done(dispatch.Answered)
 	}
 }
 
@@ -360,9 +360,9 @@
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				r := request(c)
-				r.Gap = reads(float64(rapid.IntRange(0, 200).Draw(t, "limit")))
-				if ticket, err := d.Acquire(now(), r); err == nil {
-					open = append(open, ticket)
+				r.Gap = allowing(dispatch.Milliseconds(rapid.IntRange(0, 200).Draw(t, "limit")))
+				if res, err := d.Acquire(now(), r); err == nil {
+					open = append(open, res)
 				}
 			case 1:
 				if len(open) > 0 {
@@ -382,8 +382,8 @@
 				}
 			}
 		}
-		for _, ticket := range open {
-			ticket.Done(dispatch.Abandoned)
+		for _, res := range open {
+			res.Done(dispatch.Abandoned)
 		}
 		if len(d.Loads()) != 0 || d.Demands()[model].Running != 0 || d.Demands()[model].Waiting != 0 {
 			t.Fatalf("left over: %v %v", d.Loads(), d.Demands())
--- a/dispatch/owners.go
+++ b/dispatch/owners.go
@@ -15,48 +15,73 @@
 	Hall string `json:"hall"`
 }
 
-// SetGateways tells which gateways there are, so that each engine is fed first
-// by one of them, in its own data hall where there is one: what the others have
-// sent is known late, and engines are spoilt by prompts that come together.
-func (d *Dispatcher) SetGateways(list []Gateway) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if slices.Equal(list, d.gateways) {
+// owners divides the engines among the gateways by rendezvous hashing: the owner of an
+// engine admits all requests there, since what other gateways have sent is known late and
+// prompts that come together delay every stream of an engine.
+type owners struct {
+	self     string
+	gateways []Gateway
+	// byServer remembers the owner of each server.
+	byServer map[string]string
+	// suspendedUntil is until when owners that did not answer are not asked.
+	suspendedUntil map[string]time.Time
+}
+
+func newOwners(self string) owners {
+	return owners{self: self, suspendedUntil: make(map[string]time.Time)}
+}
+
+// set sets the gateways.
+func (o *owners) set(list []Gateway) {
+	if slices.Equal(list, o.gateways) {
 		return
 	}
-	d.gateways = list
-	d.owners = make(map[string]string)
+	o.gateways = list
+	o.byServer = make(map[string]string)
 }
 
-// owns reports whether this gateway is the one that feeds the server first.
-func (d *Dispatcher) owns(s *backend.Server) bool {
-	return len(d.gateways) == 0 || d.ownerOf(s) == d.opts.ID
+// forget drops what is remembered of a server that has gone.
+func (o *owners) forget(server string) { delete(o.byServer, server) }
+
+// owns reports whether this gateway owns the server; it does as long as it knows of no
+// gateways.
+func (o *owners) owns(s *backend.Server) bool {
+	return len(o.gateways) == 0 || o.of(s) == o.self
 }
 
-// ownerOf returns the gateway that feeds the server first.
-func (d *Dispatcher) ownerOf(s *backend.Server) string {
-	owner, ok := d.owners[s.ID]
+// of returns the gateway that owns the server.
+func (o *owners) of(s *backend.Server) string {
+	owner, ok := o.byServer[s.ID]
 	if !ok {
-		owner = ownerOf(s, d.gateways)
-		d.owners[s.ID] = owner
+		owner = ownerAmong(o.gateways, s)
+		o.byServer[s.ID] = owner
 	}
 	return owner
 }
 
-// spread returns this gateway's own part of a server's cost, in milliseconds.
-func (d *Dispatcher) jitter(server string) float64 {
-	weight := route.Rendezvous(d.opts.ID, route.Hash(server))
-	return msJitter * float64(weight) / math.MaxUint64
+// mayAsk reports whether an owner is to be asked for admission now.
+func (o *owners) mayAsk(owner string, now time.Time) bool {
+	return !now.Before(o.suspendedUntil[owner])
+}
+
+// suspend stops asking an owner for ownerSuspension and reports whether it was asked before.
+func (o *owners) suspend(owner string, now time.Time) bool {
+	if !o.mayAsk(owner, now) {
+		return false
+	}
+	o.suspendedUntil[owner] = now.Add(ownerSuspension)
+	return true
 }
 
-// asks reports whether a gateway is to be asked for places now.
-func (d *Dispatcher) asksOwner(owner string, now time.Time) bool {
-	return d.opts.Owners != nil && len(d.gateways) > 0 && !now.Before(d.suspended[owner])
+// jitter returns this gateway's own part of a server's cost.
+func (o *owners) jitter(server string) Milliseconds {
+	weight := route.Rendezvous(o.self, route.Hash(server))
+	return msJitter * Milliseconds(weight) / math.MaxUint64
 }
 
-// ownerOf returns the gateway with the highest weight for the server, those of
-// its data hall before others.
-func ownerOf(s *backend.Server, list []Gateway) string {
+// ownerAmong returns the gateway with the highest weight for the server, those of its data
+// hall before others.
+func ownerAmong(list []Gateway, s *backend.Server) string {
 	key := route.Hash(s.ID)
 	best, bestNear, bestWeight := "", false, uint64(0)
 	for _, g := range list {
--- /dev/null
+++ b/dispatch/prefill_queue.go
@@ -0,0 +1,87 @@
+package dispatch
+
+import "time"
+
+// A span is the time in which an engine is expected to prefill one prompt.
+type span struct{ from, to time.Time }
+
+// A prefillQueue is what an engine is expected to prefill, one prompt after the other.
+//
+// Its zero value is empty.
+type prefillQueue struct {
+	spans []span
+}
+
+// spanMemory is how long spans that are over are kept: longer than any gap that a route
+// allows, since prefill counts within the gap that it falls into. Chosen, not measured.
+const spanMemory = 2 * time.Second
+
+// end returns when the engine has prefilled everything.
+func (q *prefillQueue) end(now time.Time) time.Time {
+	if n := len(q.spans); n > 0 && q.spans[n-1].to.After(now) {
+		return q.spans[n-1].to
+	}
+	return now
+}
+
+// add appends a prompt and returns when it should be prefilled.
+func (q *prefillQueue) add(prefill time.Duration, now time.Time) time.Time {
+	first := 0
+	for first < len(q.spans) && now.Sub(q.spans[first].to) > spanMemory {
+		first++
+	}
+	q.spans = append(q.spans[:0], q.spans[first:]...)
+	from := q.end(now)
+	q.spans = append(q.spans, span{from: from, to: from.Add(prefill)})
+	return from.Add(prefill)
+}
+
+// finish notes when a prompt was prefilled that was expected at another time: the queue
+// behind it is that much earlier or later.
+func (q *prefillQueue) finish(expected, actual time.Time) {
+	shift := actual.Sub(expected)
+	for i := range q.spans {
+		s := &q.spans[i]
+		switch {
+		case s.from.After(expected) || s.from.Equal(expected):
+			s.from, s.to = s.from.Add(shift), s.to.Add(shift)
+		case s.to.After(actual) || s.to.Equal(expected):
+			s.to = actual
+			s.from = earlier(s.from, actual)
+		}
+	}
+}
+
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
+
+// busyWithin returns how long the engine prefills other prompts within a window that ends
+// when a prompt appended now is prefilled.
+func (q *prefillQueue) busyWithin(prefill, window time.Duration, now time.Time) time.Duration {
+	start := q.end(now).Add(prefill - window)
+	sum := time.Duration(0)
+	for _, s := range q.spans {
+		from := s.from
+		if from.Before(start) {
+			from = start
+		}
+		sum += max(s.to.Sub(from), 0)
+	}
+	return sum
+}
+
+// nextStart returns after which time a prompt can be appended so that no more than a limit
+// is prefilled within any window.
+func (q *prefillQueue) nextStart(prefill, limit, window time.Duration, now time.Time) time.Duration {
+	for wait := time.Duration(0); wait < window; wait += minGrantRetry {
+		busy := q.busyWithin(prefill, window, now.Add(wait))
+		if busy == 0 || busy+prefill <= limit {
+			return max(wait, minGrantRetry)
+		}
+	}
+	return window
+}
--- a/dispatch/reading_test.go
+++ b/dispatch/prefill_queue_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestReadingLine(t *testing.T) {
+func TestPrefillQueue(t *testing.T) {
 	const window = 300 * time.Millisecond
 	type prompt struct {
 		at, read int
@@ -40,9 +40,9 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// TestReadingLineKeepsPauses sends prompts as soon as the line lets them and checks
+// TestPrefillQueueKeepsGaps sends prompts as soon as the line lets them and checks
 // that in no time as long as a pause more than the limit is read.
-func TestReadingLineKeepsPauses(t *testing.T) {
+func TestPrefillQueueKeepsGaps(t *testing.T) {
 	const window, limit = 300 * time.Millisecond, 200 * time.Millisecond
 	now := time.Unix(1000, 0)
 	var l prefillQueue
@@ -74,7 +74,7 @@
 	return b
 }
 
-func TestReadingLineFollowsTheEngine(t *testing.T) {
+func TestPrefillQueueFollowsTheEngine(t *testing.T) {
 	tests := map[string]struct {
 		// took is what the first of two prompts of 100 ms took, end when both are read.
 		took, end int
@@ -96,20 +96,20 @@
 	}
 }
 
-func TestPace(t *testing.T) {
+func TestGapBudget(t *testing.T) {
 	tests := map[string]struct {
-		pace    GapBudget
+		gap     GapBudget
 		running int
 		want    float64
 	}{
-		"idle engine":            {pace: GapBudget{MaxGap: 300, StepsPerEvent: 3}, want: 247.5},
-		"full engine":            {pace: GapBudget{MaxGap: 300, StepsPerEvent: 3}, running: 40, want: 223.5},
-		"pause of a few steps":   {pace: GapBudget{MaxGap: 60, StepsPerEvent: 3}, want: 150},
-		"steps that are not set": {pace: GapBudget{MaxGap: 300}, want: 268.5},
+		"idle engine":            {gap: GapBudget{MaxGap: 300, StepsPerEvent: 3}, want: 247.5},
+		"full engine":            {gap: GapBudget{MaxGap: 300, StepsPerEvent: 3}, running: 40, want: 223.5},
+		"pause of a few steps":   {gap: GapBudget{MaxGap: 60, StepsPerEvent: 3}, want: 150},
+		"steps that are not set": {gap: GapBudget{MaxGap: 300}, want: 268.5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := test.pace.prefillPerGap(test.running)
+			got := float64(test.gap.prefillPerGap(test.running))
 			assert.Assert(t, got > test.want-0.01 && got < test.want+0.01, "%v", got)
 		})
 	}
--- /dev/null
+++ b/dispatch/prefix_cache.go
@@ -0,0 +1,58 @@
+package dispatch
+
+import "container/list"
+
+// A PrefixBlock is one block of a prompt's beginning; blocks are shared between requests.
+type PrefixBlock struct {
+	ID     string `json:"i"`
+	Tokens int    `json:"t"`
+}
+
+// maxCachedBlocks bounds the blocks remembered for one server. Chosen, not measured: at
+// some 300 tokens a block it is about the cache of an engine of the users' sites.
+const maxCachedBlocks = 512
+
+// A prefixCache remembers which prompt blocks were last sent to a server, as an estimate
+// of what the server has cached.
+//
+// Its zero value is empty.
+type prefixCache struct {
+	order *list.List
+	index map[string]*list.Element
+}
+
+// blockKey names a block as cached for one model or adapter.
+func blockKey(target string, b PrefixBlock) string { return target + "\x00" + b.ID }
+
+// cachedTokens returns how many tokens of the prompt's beginning the server has cached.
+func (k *prefixCache) cachedTokens(target string, blocks []PrefixBlock) int {
+	tokens := 0
+	for _, b := range blocks {
+		if _, ok := k.index[blockKey(target, b)]; !ok {
+			break
+		}
+		tokens += b.Tokens
+	}
+	return tokens
+}
+
+// touch remembers the blocks as the ones used last.
+func (k *prefixCache) touch(target string, blocks []PrefixBlock) {
+	if k.index == nil {
+		k.index = make(map[string]*list.Element)
+		k.order = list.New()
+	}
+	for _, b := range blocks {
+		key := blockKey(target, b)
+		if e, ok := k.index[key]; ok {
+			k.order.MoveToFront(e)
+			continue
+		}
+		k.index[key] = k.order.PushFront(key)
+	}
+	for k.order.Len() > maxCachedBlocks {
+		last := k.order.Back()
+		delete(k.index, last.Value.(string))
+		k.order.Remove(last)
+	}
+}
--- a/dispatch/balance_test.go
+++ b/dispatch/shed_test.go
@@ -8,14 +8,14 @@
 	"gotest.tools/v3/assert"
 
 	"rockcleat/backend"
-	"rockcleat/clock/clocktest"
+	"rockcleat/clock"
 )
 
-// TestYields asks for requests of priority 2 after others have fared well or badly.
-func TestYields(t *testing.T) {
+// TestSheds asks for requests of priority 2 after others were served well or badly.
+func TestSheds(t *testing.T) {
 	type outcome struct {
 		priority, count int
-		earned          float64
+		result          float64
 	}
 	tests := map[string]struct {
 		outcomes []outcome
@@ -38,7 +38,7 @@
 			now := time.Unix(1000, 0)
 			for _, o := range test.outcomes {
 				for range o.count {
-					b.observe(o.priority, o.earned, now)
+					b.observe(o.priority, o.result, now)
 				}
 			}
 			assert.Equal(t, b.sheds(2, now.Add(test.after)), test.want)
@@ -46,10 +46,10 @@
 	}
 }
 
-// TestLessUrgentGiveWay brings a request of priority 2 to a full engine after those of
-// priority 1 have fared worse: it is refused at once only if one of these waits, and only
+// TestLessUrgentAreShed brings a request of priority 2 to a full engine after those of
+// priority 1 were served worse: it is refused at once only if one of these waits, and only
 // if it has not run anywhere yet.
-func TestLessUrgentGiveWay(t *testing.T) {
+func TestLessUrgentAreShed(t *testing.T) {
 	tests := map[string]struct {
 		urgentWaits, begun bool
 		// model is what the urgent one waits for.
@@ -64,7 +64,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := clocktest.New(time.Unix(1000, 0))
+			c := clock.Real{}
 			d := New(Options{ID: "g", Hall: "h", Clock: c, Utilization: 1, CacheTokens: func(string) int { return 100 }})
 			var r backend.Registry
 			r.Replace([]backend.Server{{
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -4,12 +4,56 @@
 	"context"
 	"slices"
 	"time"
+
+	"rockcleat/backend"
+	"rockcleat/clock"
 )
 
-// Acquire returns a ticket for a server, waiting for one until the request's limit.
+// A waiter is a request that waits for a server.
+type waiter struct {
+	req *Request
+	// reservation is set before ready is closed.
+	reservation *Reservation
+	ready       chan struct{}
+}
+
+// A waitQueue holds the waiting requests in the order of priority and arrival.
+//
+// Its zero value is empty.
+type waitQueue struct {
+	list []*waiter
+	// arrivals counts requests, so that those that wait again keep their order.
+	arrivals uint64
+}
+
+// add puts a request among those that wait.
+func (q *waitQueue) add(w *waiter) {
+	if w.req.sequence == 0 {
+		q.arrivals++
+		w.req.sequence = q.arrivals
+	}
+	i := len(q.list)
+	for i > 0 && w.req.before(q.list[i-1].req) {
+		i--
+	}
+	q.list = slices.Insert(q.list, i, w)
+}
+
+// remove takes a request out.
+func (q *waitQueue) remove(w *waiter) {
+	q.list = slices.DeleteFunc(q.list, func(x *waiter) bool { return x == w })
+}
+
+// removeServed takes out all requests that have a reservation.
+func (q *waitQueue) removeServed() {
+	q.list = slices.DeleteFunc(q.list, func(w *waiter) bool { return w.reservation != nil })
+}
+
+// Acquire reserves a server for a request, waiting for one until the request's WaitUntil.
+// The error is ErrNoServer, ErrShed, ErrWaitTimeout or that of ctx.
 func (d *Dispatcher) Acquire(ctx context.Context, r *Request) (*Reservation, error) {
 	for {
-		t, err := d.reserve(ctx, r)
+		t, err := d.reserveOrWait(ctx, r)
 		if err != nil {
 			return nil, err
 		}
@@ -22,8 +66,9 @@
 	}
 }
 
-// reserve returns a ticket for a server as far as this gateway knows.
-func (d *Dispatcher) reserve(ctx context.Context, r *Request) (*Reservation, error) {
+// reserveOrWait reserves a server as far as this gateway knows; another one may have to
+// admit the request yet. Requests of plain services never wait.
+func (d *Dispatcher) reserveOrWait(ctx context.Context, r *Request) (*Reservation, error) {
 	d.mu.Lock()
 	if t := d.choose(r); t != nil {
 		d.mu.Unlock()
@@ -43,113 +88,96 @@
 	return d.wait(ctx, w)
 }
 
-// enqueue puts a request among those that wait, by urgency and arrival.
+// enqueue makes a request wait; the Dispatcher is locked.
 func (d *Dispatcher) enqueue(w *waiter) {
-	if w.req.sequence == 0 {
-		d.arrivals++
-		w.req.sequence = d.arrivals
-	}
-	i := len(d.waiting)
-	for i > 0 && w.req.before(d.waiting[i-1].req) {
-		i--
-	}
-	d.waiting = slices.Insert(d.waiting, i, w)
-	d.demandOf(w.req).Waiting++
-	if d.opts.OnModelMissing != nil && !d.held(w.req) {
+	d.waiting.add(w)
+	d.demand.of(w.req).Waiting++
+	if d.opts.OnModelMissing != nil && d.holderCount(w.req) == 0 {
 		d.opts.OnModelMissing()
 	}
 }
 
-// before reports whether the request goes before another one that waits.
-func (r *Request) before(o *Request) bool {
-	if r.Priority != o.Priority {
-		return r.Priority < o.Priority
-	}
-	return r.sequence < o.sequence
-}
-
-// held reports whether any server has the model and adapter ready.
-func (d *Dispatcher) held(r *Request) bool { return d.holders(r) > 0 }
-
-// holders returns how many servers that stay have the model and adapter ready.
-func (d *Dispatcher) holders(r *Request) int {
-	n := 0
-	for _, s := range d.servers.Holding(r.Service, r.Model) {
-		if !s.Leaving && (r.Model == "" || s.Holds(r.Model, r.Adapter)) {
-			n++
-		}
-	}
-	return n
-}
-
-// Holders returns how many servers that stay could serve the request now, were
-// they not full: 0 tells that it was refused for want of a server or a model.
-func (d *Dispatcher) HolderCount(r *Request) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.holders(r)
-}
-
+// wait waits for a reservation until the request's WaitUntil and ctx end.
 func (d *Dispatcher) wait(ctx context.Context, w *waiter) (*Reservation, error) {
-	timer := time.NewTimer(w.req.WaitUntil.Sub(d.opts.Clock.Now()))
-	defer timer.Stop()
-	err := ErrWaitTimeout
-	select {
-	case <-w.ready:
-		return w.reservation, nil
-	case <-ctx.Done():
-		err = ctx.Err()
-	case <-timer.C:
-	}
+	clock.Await(ctx, d.opts.Clock, w.ready, w.req.WaitUntil.Sub(d.opts.Clock.Now()))
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if w.reservation != nil {
-		if ctx.Err() == nil {
-			return w.reservation, nil
-		}
+	switch {
+	case w.reservation != nil && ctx.Err() == nil:
+		return w.reservation, nil
+	case w.reservation != nil:
 		w.reservation.release()
 		d.serve()
-		return nil, err
+		return nil, ctx.Err()
 	}
-	d.waiting = slices.DeleteFunc(d.waiting, func(x *waiter) bool { return x == w })
-	d.demandOf(w.req).Waiting--
-	return nil, err
+	d.waiting.remove(w)
+	d.demand.of(w.req).Waiting--
+	if ctx.Err() != nil {
+		return nil, ctx.Err()
+	}
+	return nil, ErrWaitTimeout
 }
 
-// serve gives servers to waiting requests: first to those that can still be in
-// time, the most urgent first, then to the others.
+// serve gives servers to waiting requests: first to those that can still be in time, the
+// most urgent first, then to the others. The Dispatcher is locked.
 func (d *Dispatcher) serve() {
-	if len(d.waiting) == 0 {
+	if len(d.waiting.list) == 0 {
 		return
 	}
 	now := d.opts.Clock.Now()
 	full := make(map[string]bool)
-	for _, w := range d.waiting {
+	for _, w := range d.waiting.list {
 		if now.Before(w.req.SendBy) {
 			d.offer(w, full)
 		}
 	}
-	for _, w := range d.waiting {
+	for _, w := range d.waiting.list {
 		if w.reservation == nil {
 			d.offer(w, full)
 		}
 	}
-	d.waiting = slices.DeleteFunc(d.waiting, func(w *waiter) bool { return w.reservation != nil })
+	d.waiting.removeServed()
 }
 
-// offer gives a waiting request a server if one can take it; full remembers the
-// models for which there was none.
+// offer gives a waiting request a server if one admits it; full remembers the models and
+// adapters for which there was none.
 func (d *Dispatcher) offer(w *waiter, full map[string]bool) {
-	name := w.req.name()
-	if full[name] {
+	target := w.req.target()
+	if full[target] {
 		return
 	}
 	t := d.choose(w.req)
 	if t == nil {
-		full[name] = len(w.req.Exclude) == 0
+		full[target] = len(w.req.Exclude) == 0
 		return
 	}
-	d.demandOf(w.req).Waiting--
+	d.demand.of(w.req).Waiting--
 	w.reservation = t
 	close(w.ready)
 }
+
+// serveAfterPrefill looks at waiting requests again when an engine should have prefilled
+// enough, since no event says so.
+func (d *Dispatcher) serveAfterPrefill(servers []*backend.Server, list []Candidate, limits Limits, now time.Time) {
+	for i, c := range list {
+		if c.Owned && c.PrefillInGap > 0 || c.NeedsGrant && c.PrefillAhead > 0 {
+			d.serveAt(now.Add(d.admissionDelay(servers[i], c, limits, now)))
+		}
+	}
+}
+
+// serveAt looks for servers for waiting requests at a time, unless that is to be done before.
+func (d *Dispatcher) serveAt(when time.Time) {
+	if !d.nextServe.IsZero() && !when.Before(d.nextServe) {
+		return
+	}
+	d.nextServe = when
+	d.opts.Clock.AfterFunc(when.Sub(d.opts.Clock.Now()), func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		if d.nextServe.Equal(when) {
+			d.nextServe = time.Time{}
+		}
+		d.serve()
+	})
+}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -210,7 +210,7 @@
 	x.req.SendBy = x.arrived.Add(x.route.FirstByteObjective * dueShare / 100)
 	if x.service.Engine != nil {
 		x.req.Gap = dispatch.GapBudget{
-			MaxGap: float64(x.route.EventGapObjective) / float64(time.Millisecond), StepsPerEvent: x.service.Engine.TokensPerEvent,
+			MaxGap: dispatch.InMilliseconds(x.route.EventGapObjective), StepsPerEvent: x.service.Engine.TokensPerEvent,
 		}
 	}
 }
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -127,7 +127,7 @@
 	c, among := x.ticket.Choice()
 	return []zap.Field{
 		zap.String(fieldServer, x.ticket.Server().ID), zap.Int(fieldAmong, among), zap.Int(fieldRunning, c.Running),
-		zap.Float64(fieldReading, c.PrefillAhead), zap.Float64(fieldRead, c.Prefill), zap.Bool(fieldOwn, c.Owned),
+		zap.Float64(fieldReading, float64(c.PrefillAhead)), zap.Float64(fieldRead, float64(c.Prefill)), zap.Bool(fieldOwn, c.Owned),
 		zap.Bool(fieldNear, c.SameHall),
 	}
 }
