--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -1,7 +1,6 @@
 package residency
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
@@ -12,7 +11,7 @@
 type AdapterMove struct {
 	Engine string
 	backend.Adapter
-	// Victim is an adapter to unload first, if its name is not empty.
+	// Evict is an adapter to unload first, if its name is not empty.
 	Evict backend.Adapter
 }
 
@@ -21,14 +20,15 @@
 	// Slots is the number of adapters that an engine holds.
 	Slots   int
 	Engines []EngineView
-	// Missing lists adapters that are waited for.
+	// Missing lists adapters that are waited for and that no engine holds.
 	Missing []backend.Adapter
-	// Used tells when each adapter was last asked for; Running how many requests use it.
+	// LastUsed is when each adapter was last asked for, RequestsByAdapter how many
+	// requests use it now.
 	LastUsed          map[backend.Adapter]time.Time
 	RequestsByAdapter map[backend.Adapter]int
-	// Load is the number of requests at each engine.
+	// RequestsByEngine is the number of requests at each engine.
 	RequestsByEngine map[string]int
-	// Since tells since when each missing adapter has been waited for.
+	// WaitingSince is since when each missing adapter has been waited for.
 	WaitingSince map[backend.Adapter]time.Time
 	// Now is when the plan is made.
 	Now time.Time
@@ -39,7 +39,7 @@
 	var moves []AdapterMove
 	taken := make(map[string]bool)
 	for _, a := range in.Missing {
-		m, ok := in.best(a, taken)
+		m, ok := in.cheapestMove(a, taken)
 		if !ok {
 			continue
 		}
@@ -49,8 +49,10 @@
 	return moves
 }
 
-// best returns the least loaded engine that holds the base and has room.
-func (in *AdapterInput) best(a backend.Adapter, taken map[string]bool) (AdapterMove, bool) {
+// cheapestMove returns the move to the least loaded engine that holds the adapter's model,
+// one with a free slot first. Requests and adapters count alike: each takes time or memory
+// of the engine.
+func (in *AdapterInput) cheapestMove(a backend.Adapter, taken map[string]bool) (AdapterMove, bool) {
 	var best AdapterMove
 	found := false
 	bestCost := 0
@@ -62,12 +64,12 @@
 		move := AdapterMove{Engine: e.ID, Adapter: a}
 		cost := in.RequestsByEngine[e.ID] + adapterCount(e)
 		if adapterCount(e) >= in.Slots {
-			victim, ok := in.evictionFor(e, a)
+			evict, ok := in.evictionFor(e, a)
 			if !ok {
 				continue
 			}
-			move.Evict = victim
-			cost += evictionPenalty
+			move.Evict = evict
+			cost += fullEnginePenalty
 		}
 		if !found || cost < bestCost {
 			best, bestCost, found = move, cost, true
@@ -76,10 +78,13 @@
 	return best, found
 }
 
-// fullPenalty is what an engine with no free place costs, in requests.
-const evictionPenalty = 1000
+// fullEnginePenalty is what an engine without a free adapter slot costs, in requests: more
+// than an engine serves at once, so that free slots are used first. Chosen, not measured.
+const fullEnginePenalty = 1000
 
-// adapterHold is how long an adapter that was asked for stays at least.
+// minAdapterResidence is how long an adapter that was asked for stays at least, unless
+// another has been waited for as long. Chosen; the exception is from the soak, seed 1
+// (docs/FINDINGS.md).
 const minAdapterResidence = time.Second
 
 func adapterCount(e *EngineView) int {
@@ -90,37 +95,36 @@
 	return n
 }
 
-// victim returns the adapter to unload for another: the one asked for least
-// recently that no request uses. For an adapter that has been waited for long, one
-// goes first that a further engine holds too, or one asked for just now.
+// evictionFor returns the adapter to unload for another: the one asked for least recently
+// that no request uses and nobody waits for. For an adapter that has been waited for
+// longer than minAdapterResidence, one goes first that a further engine holds too.
 func (in *AdapterInput) evictionFor(e *EngineView, wanted backend.Adapter) (backend.Adapter, bool) {
-	var list, doubled []backend.Adapter
-	patient := in.Now.Sub(in.WaitingSince[wanted]) > minAdapterResidence && !in.WaitingSince[wanted].IsZero()
+	var unused, doubled []backend.Adapter
+	overdue := in.Now.Sub(in.WaitingSince[wanted]) > minAdapterResidence && !in.WaitingSince[wanted].IsZero()
 	for _, r := range e.Residents {
 		for _, name := range r.Adapters {
 			a := backend.Adapter{Model: r.Model, Name: name}
-			rested := patient || in.Now.Sub(in.LastUsed[a]) > minAdapterResidence
+			rested := overdue || in.Now.Sub(in.LastUsed[a]) > minAdapterResidence
 			switch {
 			case slices.Contains(in.Missing, a):
-			case in.replicas(a) > 1 && patient:
+			case in.replicas(a) > 1 && overdue:
 				doubled = append(doubled, a)
 			case in.RequestsByAdapter[a] == 0 && rested:
-				list = append(list, a)
+				unused = append(unused, a)
 			}
 		}
 	}
+	list := unused
 	if len(doubled) > 0 {
 		list = doubled
 	}
 	if len(list) == 0 {
 		return backend.Adapter{}, false
 	}
-	return slices.MinFunc(list, func(a, b backend.Adapter) int {
-		return cmp.Compare(in.LastUsed[a].UnixNano(), in.LastUsed[b].UnixNano())
-	}), true
+	return slices.MinFunc(list, func(a, b backend.Adapter) int { return in.LastUsed[a].Compare(in.LastUsed[b]) }), true
 }
 
-// copies returns how many engines that stay hold the adapter.
+// replicas returns how many engines that stay hold the adapter.
 func (in *AdapterInput) replicas(a backend.Adapter) int {
 	n := 0
 	for i := range in.Engines {
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -2,32 +2,33 @@
 
 import (
 	"cmp"
-	"container/heap"
 	"slices"
+	"time"
 
 	"rockcleat/backend"
 	"rockcleat/table"
 )
 
-// An Engine is one engine as a plan sees it.
+// An EngineView is one engine as a plan sees it.
 type EngineView struct {
 	ID   string
 	Hall string
-	// Residents are the models that are ready or on their way.
+	// Residents are the models that are ready or being loaded.
 	Residents []backend.Resident
-	// Idle tells that no order is under way.
+	// Idle says that no order is under way.
 	Idle bool
-	// Leaving tells that the engine is about to go; its copies do not count.
+	// Leaving says that the engine is about to go; its replicas do not count.
 	Leaving bool
-	// InMemory and OnDisk name the models whose weights are at hand.
+	// CachedInMemory and CachedOnDisk name the models whose weights the engine's machine
+	// has cached.
 	CachedInMemory, CachedOnDisk []string
-	// Fresh names the models that came too recently to go again.
+	// RecentlyLoaded names the models that were loaded too recently to be evicted.
 	RecentlyLoaded map[string]bool
 }
 
-// A Want is what is asked of one model.
+// A Demand is what is asked of one model.
 type Demand struct {
-	// Weight is the work asked for per second, in tokens.
+	// TokensPerSecond is the work asked for, in prompt tokens.
 	TokensPerSecond float64
 	// Waiting is the number of requests that wait for it.
 	Waiting int
@@ -37,12 +38,13 @@
 type Input struct {
 	Spec    *table.EngineSpec
 	Engines []EngineView
+	// Demands is what is asked of each model, by name.
 	Demands map[string]Demand
-	// StoreLoads is the number of loads that the weight store bears now.
+	// StoreLoadsAllowed is the number of loads that the weight store allows now.
 	StoreLoadsAllowed int
 }
 
-// A Source tells where weights are loaded from.
+// A Source says where weights are loaded from.
 type Source int
 
 // The sources of weights.
@@ -52,11 +54,22 @@
 	FromMemory
 )
 
+// String returns the source's name for logs.
+func (s Source) String() string {
+	switch s {
+	case FromDisk:
+		return "disk"
+	case FromMemory:
+		return "memory"
+	}
+	return "store"
+}
+
 // A Move brings one model to one engine.
 type Move struct {
 	Engine string
 	Model  string
-	// Victims are the models to unload first.
+	// Evictions are the models to unload first.
 	Evictions []string
 	Source    Source
 }
@@ -66,10 +79,11 @@
 	in       Input
 	replicas map[string]int
 	targets  map[string]int
-	engines  []*EngineView
+	// engines are those that stay.
+	engines []*EngineView
 }
 
-// Plan returns the moves to start now, the most urgent first; at most one an engine.
+// Plan returns the moves to start now, the most urgent first, at most one an engine.
 func Plan(in Input) []Move {
 	in.Demands = Forecast(in.Spec, in.Demands, in.Engines)
 	p := &plan{in: in, replicas: make(map[string]int)}
@@ -87,99 +101,26 @@
 	return p.moves()
 }
 
-// halfCopy favours models with few copies when memory is divided.
-const replicaOffset = 0.5
-
-// Copies divides the memory of a number of engines among the models: one copy
-// each, and the rest in proportion to their weights.
-func ReplicaTargets(spec *table.EngineSpec, wants map[string]Demand, engines int) map[string]int {
-	room := spec.WeightsMB * float64(engines)
-	var next replicaHeap
-	for i, m := range spec.Models {
-		room -= m.WeightsMB
-		c := replicaCandidate{index: i, replicas: 1, tokensPerSecond: wants[m.Name].TokensPerSecond}
-		if c.tokensPerSecond > 0 {
-			next = append(next, c)
-		}
-	}
-	heap.Init(&next)
-	copies := make(map[string]int, len(spec.Models))
-	for _, m := range spec.Models {
-		copies[m.Name] = 1
-	}
-	for len(next) > 0 {
-		c := &next[0]
-		m := &spec.Models[c.index]
-		if c.replicas >= engines || m.WeightsMB > room {
-			// Room only shrinks, so the model gets no further copy.
-			heap.Pop(&next)
-			continue
-		}
-		room -= m.WeightsMB
-		c.replicas++
-		copies[m.Name] = c.replicas
-		heap.Fix(&next, 0)
-	}
-	return copies
-}
-
-// A nextCopy is what speaks for a further copy of one model.
-type replicaCandidate struct {
-	index           int
-	replicas        int
-	tokensPerSecond float64
-}
-
-func (c replicaCandidate) priority() float64 {
-	return c.tokensPerSecond / (float64(c.replicas) + replicaOffset)
-}
-
-// nextCopies is a heap of them, the greatest share first.
-type replicaHeap []replicaCandidate
-
-// Len implements heap.Interface.
-func (c replicaHeap) Len() int { return len(c) }
-
-// Less implements heap.Interface.
-func (c replicaHeap) Less(i, j int) bool {
-	if a, b := c[i].priority(), c[j].priority(); a != b {
-		return a > b
-	}
-	return c[i].index < c[j].index
-}
-
-// Swap implements heap.Interface.
-func (c replicaHeap) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
-
-// Push implements heap.Interface.
-func (c *replicaHeap) Push(x any) { *c = append(*c, x.(replicaCandidate)) }
-
-// Pop implements heap.Interface.
-func (c *replicaHeap) Pop() any {
-	last := (*c)[len(*c)-1]
-	*c = (*c)[:len(*c)-1]
-	return last
-}
-
-// moves looks for a move for each model that has too few copies.
+// moves looks for a move for each model that has too few replicas.
 func (p *plan) moves() []Move {
 	var moves []Move
-	stores := p.in.StoreLoadsAllowed
+	storeLoads := p.in.StoreLoadsAllowed
 	for _, m := range p.underReplicated() {
-		move, ok := p.cheapestMove(m, stores > 0)
+		move, ok := p.cheapestMove(m, storeLoads > 0)
 		if !ok {
 			continue
 		}
 		moves = append(moves, move)
 		if move.Source == FromStore {
-			stores--
+			storeLoads--
 		}
 		p.apply(move)
 	}
 	return moves
 }
 
-// short returns the models with fewer copies than desired, the most urgent first.
+// underReplicated returns the models with fewer replicas than their target, the most
+// urgent first.
 func (p *plan) underReplicated() []table.ModelSpec {
 	var list []table.ModelSpec
 	for _, m := range p.in.Spec.Models {
@@ -187,47 +128,77 @@
 			list = append(list, m)
 		}
 	}
-	urgency := func(m table.ModelSpec) float64 {
-		w := p.in.Demands[m.Name]
-		if p.replicas[m.Name] == 0 {
-			return w.TokensPerSecond*1e6 + float64(w.Waiting)*1e6 + 1e6
-		}
-		return w.TokensPerSecond / (float64(p.replicas[m.Name]) + replicaOffset)
-	}
-	slices.SortStableFunc(list, func(a, b table.ModelSpec) int { return cmp.Compare(urgency(b), urgency(a)) })
+	slices.SortStableFunc(list, func(a, b table.ModelSpec) int { return p.compareUrgency(a.Name, b.Name) })
 	return list
 }
 
-// best returns the cheapest move that brings a model to an engine.
-func (p *plan) cheapestMove(m table.ModelSpec, stores bool) (Move, bool) {
+// compareUrgency orders models by how urgent a further replica is. One without a replica
+// goes first, since its requests cannot be served at all: among these the one with the
+// most demand, where a waiting request counts as a token a second, so that a model which
+// has just been asked for goes before one that nobody asks for. Then the others, by the
+// demand on each replica.
+func (p *plan) compareUrgency(a, b string) int {
+	missingA, missingB := p.replicas[a] == 0, p.replicas[b] == 0
+	switch {
+	case missingA && missingB:
+		return cmp.Compare(p.missingUrgency(b), p.missingUrgency(a))
+	case missingA:
+		return -1
+	case missingB:
+		return 1
+	}
+	return cmp.Compare(p.replicaUrgency(b), p.replicaUrgency(a))
+}
+
+func (p *plan) missingUrgency(model string) float64 {
+	d := p.in.Demands[model]
+	return d.TokensPerSecond + float64(d.Waiting)
+}
+
+func (p *plan) replicaUrgency(model string) float64 {
+	return p.in.Demands[model].TokensPerSecond / (float64(p.replicas[model]) + replicaOffset)
+}
+
+// Penalties of a move, in seconds of loading. Chosen with the first path
+// (docs/MEASUREMENTS.md, P1), not measured alone.
+const (
+	// sameHallPenalty is what each replica in the same data hall costs, so that a hall's
+	// loss does not take all replicas of a model.
+	sameHallPenalty = 1.5
+	// evictionPenalty is what an eviction costs whose replica serves all of the demand
+	// that it and the new one serve together.
+	evictionPenalty = 1.0
+)
+
+// cheapestMove returns the cheapest move that brings a model to an engine, by the time of
+// the load, the demand on what is evicted and the replicas in the engine's data hall.
+func (p *plan) cheapestMove(m table.ModelSpec, storeAllowed bool) (Move, bool) {
 	var best Move
 	found := false
 	bestCost := 0.0
-	halls := p.halls(m.Name)
+	inHall := p.replicasByHall(m.Name)
 	for _, e := range p.engines {
 		if !e.Idle || holds(e, m.Name) {
 			continue
 		}
 		source := sourceOf(e, m.Name)
-		if source == FromStore && !stores {
+		if source == FromStore && !storeAllowed {
 			continue
 		}
-		victims, loss, ok := p.evictions(e, m)
+		evictions, ok := p.evictions(e, m)
 		if !ok {
 			continue
 		}
-		cost := loadTime(m, source) + loss + sameHallPenalty*float64(halls[e.Hall])
+		cost := loadTime(m, source).Seconds() + p.evictionCost(m, evictions) + sameHallPenalty*float64(inHall[e.Hall])
 		if !found || cost < bestCost {
-			best, bestCost, found = Move{Engine: e.ID, Model: m.Name, Evictions: victims, Source: source}, cost, true
+			best, bestCost, found = Move{Engine: e.ID, Model: m.Name, Evictions: evictions, Source: source}, cost, true
 		}
 	}
 	return best, found
 }
 
-// hallPenalty is what a further copy in the same data hall costs, in seconds of loading.
-const sameHallPenalty = 1.5
-
-func (p *plan) halls(model string) map[string]int {
+// replicasByHall counts a model's replicas by data hall.
+func (p *plan) replicasByHall(model string) map[string]int {
 	halls := make(map[string]int)
 	for _, e := range p.engines {
 		if holds(e, model) {
@@ -237,16 +208,18 @@
 	return halls
 }
 
-func loadTime(m table.ModelSpec, s Source) float64 {
+// loadTime returns how long a model takes to load.
+func loadTime(m table.ModelSpec, s Source) time.Duration {
 	switch s {
 	case FromMemory:
-		return m.MemoryLoadTime.Seconds()
+		return m.MemoryLoadTime
 	case FromDisk:
-		return m.DiskLoadTime.Seconds()
+		return m.DiskLoadTime
 	}
-	return m.StoreLoadTime.Seconds()
+	return m.StoreLoadTime
 }
 
+// sourceOf returns where an engine would load a model from.
 func sourceOf(e *EngineView, model string) Source {
 	if slices.Contains(e.CachedInMemory, model) {
 		return FromMemory
@@ -261,91 +234,6 @@
 	return slices.ContainsFunc(e.Residents, func(r backend.Resident) bool { return r.Model == model })
 }
 
-// weightOf returns the memory of a model with its adapters, in MB.
-func weightOf(spec *table.EngineSpec, r backend.Resident) float64 {
-	m, ok := spec.Model(r.Model)
-	if !ok {
-		return 0
-	}
-	return m.WeightsMB + float64(len(r.Adapters))*m.AdapterMB
-}
-
-// Free returns the memory that an engine has left, in MB.
-func Free(spec *table.EngineSpec, residents []backend.Resident) float64 {
-	free := spec.WeightsMB
-	for _, r := range residents {
-		free -= weightOf(spec, r)
-	}
-	return free
-}
-
-// adapterReserve returns the memory that an engine's places for adapters may
-// take, in MB.
-func adapterReserve(spec *table.EngineSpec) float64 {
-	largest := 0.0
-	for _, m := range spec.Models {
-		if m.Adapters > 0 {
-			largest = max(largest, m.AdapterMB)
-		}
-	}
-	return largest * float64(spec.AdapterSlots)
-}
-
-// withoutAdapters returns the models alone.
-func withoutAdapters(residents []backend.Resident) []backend.Resident {
-	out := make([]backend.Resident, len(residents))
-	for i, r := range residents {
-		out[i] = backend.Resident{Model: r.Model}
-	}
-	return out
-}
-
-// victims returns what to unload so that the model fits, and what that loses.
-func (p *plan) evictions(e *EngineView, m table.ModelSpec) (victims []string, loss float64, ok bool) {
-	spec := p.in.Spec
-	bare := Free(spec, withoutAdapters(e.Residents))
-	adapters := max(adapterReserve(spec), bare-Free(spec, e.Residents))
-	need := m.WeightsMB + adapters - bare
-	if need <= 0 {
-		return nil, 0, true
-	}
-	list := slices.Clone(e.Residents)
-	slices.SortStableFunc(list, func(a, b backend.Resident) int {
-		return cmp.Compare(p.demandPerReplica(a.Model), p.demandPerReplica(b.Model))
-	})
-	urgent := p.replicas[m.Name] == 0
-	for _, r := range list {
-		if !p.evictable(e, r.Model, urgent) {
-			continue
-		}
-		victims = append(victims, r.Model)
-		loss += p.demandPerReplica(r.Model) / (p.demandPerReplica(m.Name) + p.demandPerReplica(r.Model) + 1)
-		need -= weightOf(spec, backend.Resident{Model: r.Model})
-		if need <= 0 {
-			return victims, loss, true
-		}
-	}
-	return nil, 0, false
-}
-
-// value is what one copy of a model carries.
-func (p *plan) demandPerReplica(model string) float64 {
-	return p.in.Demands[model].TokensPerSecond / float64(max(p.replicas[model], 1))
-}
-
-// spare reports whether a copy of the model may go: never the last one, and
-// otherwise one too many, or any for a model that has none.
-func (p *plan) evictable(e *EngineView, model string, urgent bool) bool {
-	if p.replicas[model] <= 1 {
-		_, listed := p.in.Spec.Model(model)
-		return !listed
-	}
-	if e.RecentlyLoaded[model] && !urgent {
-		return false
-	}
-	return urgent || p.replicas[model] > p.targets[model]
-}
-
 // apply counts a move as made.
 func (p *plan) apply(m Move) {
 	for _, e := range p.engines {
@@ -354,7 +242,7 @@
 		}
 	}
 	p.replicas[m.Model]++
-	for _, v := range m.Evictions {
-		p.replicas[v]--
+	for _, evicted := range m.Evictions {
+		p.replicas[evicted]--
 	}
 }
--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -39,7 +39,7 @@
 	return list
 }
 
-func wants(weights ...float64) map[string]residency.Demand {
+func demands(weights ...float64) map[string]residency.Demand {
 	w := make(map[string]residency.Demand)
 	for i, weight := range weights {
 		w[fmt.Sprint("m", i)] = residency.Demand{TokensPerSecond: weight}
@@ -47,7 +47,7 @@
 	return w
 }
 
-func TestCopies(t *testing.T) {
+func TestReplicaTargets(t *testing.T) {
 	tests := map[string]struct {
 		sizes   []float64
 		weights []float64
@@ -62,7 +62,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := residency.ReplicaTargets(spec(test.sizes...), wants(test.weights...), test.engines)
+			got := residency.ReplicaTargets(spec(test.sizes...), demands(test.weights...), test.engines)
 			for i, n := range test.want {
 				assert.Equal(t, got[fmt.Sprint("m", i)], n, "m%d of %v", i, got)
 			}
@@ -76,7 +76,7 @@
 		want []residency.Move
 	}{
 		"nothing to do": {
-			in: residency.Input{Spec: spec(60, 60), Engines: engines([]string{"m0", "m1"}), Demands: wants(1, 1), StoreLoadsAllowed: 5},
+			in: residency.Input{Spec: spec(60, 60), Engines: engines([]string{"m0", "m1"}), Demands: demands(1, 1), StoreLoadsAllowed: 5},
 		},
 		"a model without a copy": {
 			in:   residency.Input{Spec: spec(60, 60), Engines: engines([]string{"m0"}), StoreLoadsAllowed: 5},
@@ -102,12 +102,21 @@
 			want: []residency.Move{{Engine: "e1", Model: "m1", Source: residency.FromMemory}},
 		},
 		"the last copy stays": {
-			in: residency.Input{Spec: spec(150, 150), Engines: engines([]string{"m0"}), Demands: wants(0, 10), StoreLoadsAllowed: 5},
+			in: residency.Input{Spec: spec(150, 150), Engines: engines([]string{"m0"}), Demands: demands(0, 10), StoreLoadsAllowed: 5},
 		},
 		"one copy too many makes room": {
-			in:   residency.Input{Spec: spec(150, 150), Engines: engines([]string{"m0"}, []string{"m0"}), Demands: wants(0, 10), StoreLoadsAllowed: 5},
+			in:   residency.Input{Spec: spec(150, 150), Engines: engines([]string{"m0"}, []string{"m0"}), Demands: demands(0, 10), StoreLoadsAllowed: 5},
 			want: []residency.Move{{Engine: "e0", Model: "m1", Evictions: []string{"m0"}}},
 		},
+		"models without a replica first, by what is asked and who waits": {
+			in: residency.Input{
+				Spec: spec(60, 60, 60, 60), Engines: engines([]string{"m0"}, nil, nil), StoreLoadsAllowed: 3,
+				Demands: map[string]residency.Demand{"m0": {TokensPerSecond: 900}, "m2": {Waiting: 1}, "m3": {TokensPerSecond: 9}},
+			},
+			want: []residency.Move{
+				{Engine: "e0", Model: "m1"}, {Engine: "e1", Model: "m2"}, {Engine: "e2", Model: "m3"},
+			},
+		},
 		"an engine that is leaving counts for nothing": {
 			in: func() residency.Input {
 				list := engines([]string{"m0"}, nil)
@@ -142,13 +151,13 @@
 	}
 }
 
-func TestAnticipate(t *testing.T) {
+func TestForecast(t *testing.T) {
 	s := spec(60, 60, 60, 60)
-	w := residency.Forecast(s, wants(0, 100, 0, 0), nil)
+	w := residency.Forecast(s, demands(0, 100, 0, 0), nil)
 	assert.Equal(t, w["m0"].TokensPerSecond, 0.0)
 	assert.Assert(t, w["m2"].TokensPerSecond > w["m3"].TokensPerSecond && w["m3"].TokensPerSecond > 0, "%v", w)
-	w = residency.Forecast(s, wants(0, 0, 0, 0), engines([]string{"m0"}, []string{"m0"}, []string{"m0", "m1"}))
-	assert.Assert(t, w["m0"].TokensPerSecond > w["m1"].TokensPerSecond && w["m1"].TokensPerSecond > 0, "before traffic the copies tell: %v", w)
+	w = residency.Forecast(s, demands(0, 0, 0, 0), engines([]string{"m0"}, []string{"m0"}, []string{"m0", "m1"}))
+	assert.Assert(t, w["m0"].TokensPerSecond > w["m1"].TokensPerSecond && w["m1"].TokensPerSecond > 0, "before traffic the replicas stand for demand: %v", w)
 }
 
 // TestPlanKeepsPromises checks on drawn fleets that no plan removes a last copy,
@@ -161,7 +170,7 @@
 		weights := rapid.SliceOfN(rapid.Float64Range(0, 100), len(sizes), len(sizes)).Draw(t, "weights")
 		stores := rapid.IntRange(0, 4).Draw(t, "stores")
 		before := copies(list)
-		moves := residency.Plan(residency.Input{Spec: s, Engines: slices.Clone(list), Demands: wants(weights...), StoreLoadsAllowed: stores})
+		moves := residency.Plan(residency.Input{Spec: s, Engines: slices.Clone(list), Demands: demands(weights...), StoreLoadsAllowed: stores})
 		seen := make(map[string]bool)
 		for _, m := range moves {
 			if seen[m.Engine] {
--- a/residency/copies_test.go
+++ b/residency/replicas_test.go
@@ -11,9 +11,9 @@
 	"rockcleat/table"
 )
 
-// plainCopies divides memory as Copies is defined to: each next copy goes to the
+// plainTargets divides memory as Copies is defined to: each next copy goes to the
 // model with the greatest weight for its copies among those that still fit.
-func plainCopies(spec *table.EngineSpec, wants map[string]residency.Demand, engines int) map[string]int {
+func plainTargets(spec *table.EngineSpec, demands map[string]residency.Demand, engines int) map[string]int {
 	copies := make(map[string]int)
 	room := spec.WeightsMB * float64(engines)
 	for _, m := range spec.Models {
@@ -24,7 +24,7 @@
 		best, bestShare := -1, 0.0
 		for i, m := range spec.Models {
 			n := copies[m.Name]
-			share := wants[m.Name].TokensPerSecond / (float64(n) + 0.5)
+			share := demands[m.Name].TokensPerSecond / (float64(n) + 0.5)
 			if n < engines && m.WeightsMB <= room && share > bestShare {
 				best, bestShare = i, share
 			}
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestCopiesAsDefined(t *testing.T) {
+func TestReplicaTargetsAsDefined(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sizes, weights []float64
 		for range rapid.IntRange(1, 12).Draw(t, "models") {
@@ -45,19 +45,19 @@
 			weights = append(weights, float64(rapid.IntRange(0, 50).Draw(t, "weight")))
 		}
 		engines := rapid.IntRange(1, 20).Draw(t, "engines")
-		s, w := spec(sizes...), wants(weights...)
-		assert.DeepEqual(t, residency.ReplicaTargets(s, w, engines), plainCopies(s, w, engines))
+		s, w := spec(sizes...), demands(weights...)
+		assert.DeepEqual(t, residency.ReplicaTargets(s, w, engines), plainTargets(s, w, engines))
 	})
 }
 
-// BenchmarkCopies divides the memory of 300 engines among 160 models.
-func BenchmarkCopies(b *testing.B) {
+// BenchmarkReplicaTargets divides the memory of 300 engines among 160 models.
+func BenchmarkReplicaTargets(b *testing.B) {
 	var sizes, weights []float64
 	for i := range 160 {
 		sizes = append(sizes, 42+float64(i%30))
 		weights = append(weights, 1000/float64(i+1))
 	}
-	s, w := spec(sizes...), wants(weights...)
+	s, w := spec(sizes...), demands(weights...)
 	for b.Loop() {
 		residency.ReplicaTargets(s, w, 300)
 	}
@@ -74,7 +74,7 @@
 	for i := range held {
 		held[i] = []string{fmt.Sprint("m", i%160), fmt.Sprint("m", (i*7+3)%160), fmt.Sprint("m", (i*3+1)%40)}
 	}
-	in := residency.Input{Spec: spec(sizes...), Engines: engines(held...), Demands: wants(weights...), StoreLoadsAllowed: 2}
+	in := residency.Input{Spec: spec(sizes...), Engines: engines(held...), Demands: demands(weights...), StoreLoadsAllowed: 2}
 	for b.Loop() {
 		residency.Plan(in)
 	}
