--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -14,37 +14,43 @@
 	"rockcleat/residency"
 )
 
-// Following of demand: it rises at once and falls slowly, so that copies stay
-// through a lull.
+// How measured demand follows what is asked: it rises soon and falls slowly, so that
+// replicas stay through a lull. Demand moves within 4 to 6 s on the users' sites. Chosen
+// with the first path (docs/MEASUREMENTS.md, P1), not measured alone.
 const (
 	demandRiseTime = 1500 * time.Millisecond
 	demandFallTime = 8 * time.Second
 )
 
-// A gateway is what the holder of orders knows of one gateway.
+// A gateway is what the leader knows of one gateway.
 type gateway struct {
+	// report is its last one without Demands, which demands adds up.
 	report     Report
 	demands    map[string]dispatch.Demand
 	reportedAt time.Time
 }
 
-// A rate follows the work asked of one model, in tokens per second.
+// A demandRate follows the work asked of one model, in tokens per second.
 type demandRate struct {
+	// risen follows the work within demandRiseTime; held falls no faster than
+	// demandFallTime allows.
 	risen, held float64
 }
 
+// update counts the work of one step.
 func (r *demandRate) update(tokens float64, step time.Duration) {
 	now := tokens / step.Seconds()
 	r.risen += (now - r.risen) * (1 - math.Exp(-step.Seconds()/demandRiseTime.Seconds()))
 	r.held = max(r.risen, r.held*math.Exp(-step.Seconds()/demandFallTime.Seconds()))
 }
 
-// A demand sums up what gateways ask for.
+// A demand sums up what gateways report.
 type demand struct {
 	gateways map[string]*gateway
-	// tokens is the work asked for since the last step, by model.
-	newTokens       map[string]float64
-	rates           map[string]*demandRate
+	// newTokens is the work asked for since the last step, by model.
+	newTokens map[string]float64
+	rates     map[string]*demandRate
+	// adapterLastUsed is when each adapter was last asked for.
 	adapterLastUsed map[backend.Adapter]time.Time
 	// loads sums up what gateways have at servers.
 	loads loads
@@ -57,24 +63,19 @@
 	}
 }
 
-// take counts what is new in a report. The first report of a gateway, and a full
-// one, only tell where its counts stand.
+// apply counts what is new in a report. The first report of a gateway, and a full one, only
+// show where its counts stand.
 func (d *demand) apply(r Report, now time.Time) {
 	g := d.gateways[r.GatewayID]
 	if g == nil || r.Full {
-		if g != nil {
-			d.loads.update(g.report.Loads, nil)
-		}
-		g = &gateway{demands: make(map[string]dispatch.Demand)}
-		d.gateways[r.GatewayID] = g
-		d.loads.update(nil, r.Loads)
-		g.apply(r, now)
+		d.reset(g, r, now)
 		return
 	}
 	d.loads.update(g.report.Loads, r.Loads)
 	for name, x := range r.Demands {
 		before := g.demands[name]
 		if x.Arrived < before.Arrived {
+			// The gateway has started anew.
 			before = dispatch.Demand{}
 		}
 		if x.Arrived == before.Arrived {
@@ -89,15 +90,27 @@
 	g.apply(r, now)
 }
 
-// take keeps what a report tells; demands that it leaves out are as they were.
+// reset takes a report as the whole state of its gateway; before is what was known of it,
+// or nil.
+func (d *demand) reset(before *gateway, r Report, now time.Time) {
+	if before != nil {
+		d.loads.update(before.report.Loads, nil)
+	}
+	g := &gateway{demands: make(map[string]dispatch.Demand)}
+	d.gateways[r.GatewayID] = g
+	d.loads.update(nil, r.Loads)
+	g.apply(r, now)
+}
+
+// apply keeps what a report says; demands that it leaves out are as they were.
 func (g *gateway) apply(r Report, now time.Time) {
 	maps.Copy(g.demands, r.Demands)
 	g.report, g.reportedAt = r, now
 	g.report.Demands = nil
 }
 
-// list returns the gateways in the order of their names, and a version that is
-// the same for the same gateways.
+// list returns the gateways in the order of their names, and a version that is the same for
+// the same gateways.
 func (d *demand) list() ([]Gateway, uint64) {
 	list := make([]Gateway, 0, len(d.gateways))
 	for _, g := range d.gateways {
@@ -108,41 +121,42 @@
 	slices.SortFunc(list, func(x, y Gateway) int { return strings.Compare(x.ID, y.ID) })
 	h := fnv.New64a()
 	for _, g := range list {
+		// Writing to a hash never fails.
 		_, _ = io.WriteString(h, g.ID+"\x00"+g.Addr+"\x00")
 	}
 	return list, h.Sum64()
 }
 
-// adapterOf returns the model and adapter of a name such as model/adapter.
+// adapterOf returns the model and adapter of a name such as MODEL/ADAPTER.
 func adapterOf(name string) backend.Adapter {
 	model, adapter, _ := strings.Cut(name, "/")
 	return backend.Adapter{Model: model, Name: adapter}
 }
 
 // step moves the rates on by a time.
-func (d *demand) step(by time.Duration) {
+func (d *demand) step(elapsed time.Duration) {
 	for model := range d.newTokens {
 		if d.rates[model] == nil {
 			d.rates[model] = &demandRate{}
 		}
 	}
 	for model, r := range d.rates {
-		r.update(d.newTokens[model], by)
+		r.update(d.newTokens[model], elapsed)
 	}
 	clear(d.newTokens)
 }
 
-// forget drops gateways that have been silent.
-func (d *demand) forget(now time.Time, after time.Duration) {
+// forget drops gateways that have not reported for a time.
+func (d *demand) forget(now time.Time, timeout time.Duration) {
 	for id, g := range d.gateways {
-		if now.Sub(g.reportedAt) > after {
+		if now.Sub(g.reportedAt) > timeout {
 			d.loads.update(g.report.Loads, nil)
 			delete(d.gateways, id)
 		}
 	}
 }
 
-// wants returns what is asked of each model.
+// modelDemands returns what is asked of each model.
 func (d *demand) modelDemands() map[string]residency.Demand {
 	out := make(map[string]residency.Demand)
 	for model, r := range d.rates {
@@ -158,7 +172,8 @@
 	return out
 }
 
-// adapters returns the adapters waited for, and how many requests use each.
+// adapters returns the adapters of a service that are waited for, and how many requests use
+// each.
 func (d *demand) adapters(service string) (waited []backend.Adapter, running map[backend.Adapter]int) {
 	seen := make(map[backend.Adapter]bool)
 	running = make(map[backend.Adapter]int)
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -10,58 +10,65 @@
 	"rockcleat/table"
 )
 
-// Times of giving orders.
+// Times of orders. Those without another source were chosen with the first path
+// (docs/MEASUREMENTS.md, P1), not measured alone.
 const (
-	// retireTime is how long gateways have to hear that a model goes before the
-	// engine is told to unload it.
+	// retireNotice is how long gateways have to learn that a model goes before the
+	// engine is ordered to unload it: some four reports.
 	retireNotice = 350 * time.Millisecond
 	// pollEvery is the time between two reports while an order is carried out.
 	pollEvery = 250 * time.Millisecond
-	// adapterTime is how long an adapter counts as on its way.
+	// adapterLoadTime is how long an adapter takes to load.
 	adapterLoadTime = 40 * time.Millisecond
-	// adapterCheck is when an adapter's arrival is checked by a report.
+	// adapterCheckDelay is when an adapter's arrival is checked by a report.
 	adapterCheckDelay = 500 * time.Millisecond
-	// freshTime is how long a model that came stays at least.
+	// minResidence is how long a model that was loaded stays at least, unless a model
+	// without a replica needs its memory.
 	minResidence = 4 * time.Second
-	// reportLag bounds how much older than an order a report may be that comes after it.
+	// reportLag bounds how much older than an order a report may be that comes after it:
+	// engines' reports are some hundred milliseconds old, and a call may take as long.
 	reportLag = 1500 * time.Millisecond
-	// doubtTime is how long after a load reports may be older than what it pushed out.
+	// cacheUnknownTime is how long after a load reports may be older than what it pushed
+	// out of the machine's caches (docs/MEASUREMENTS.md, P15).
 	cacheUnknownTime = 700 * time.Millisecond
-	// longestUnload is how long a load may wait for the room that is made for it: longer
-	// than an order without an answer may take to be carried out.
+	// maxLoadWait is how long a load may wait for the memory that is made for it: longer
+	// than the 12 s that an order without an answer may take to be carried out
+	// (docs/MEASUREMENTS.md, L1; 4 s was worse, L1a).
 	maxLoadWait = 13 * time.Second
-	// retryOrder is the pause after an order without an answer.
+	// orderRetryDelay is the pause after an order without an answer.
 	orderRetryDelay = 300 * time.Millisecond
 )
 
-// An engine is what the holder of orders knows of one engine.
+// An engineState is what the leader knows of one engine.
 type engineState struct {
 	server *backend.Server
-	// known tells that the engine's own report stands in what follows.
-	known          bool
-	sequence       int
-	residents      []backend.Resident
-	cachedInMemory []string
-	cachedOnDisk   []string
-	// doubtUntil is until when reports may still tell of weights at hand that a load
-	// has just pushed out.
-	cacheUnknownUntil time.Time
-	// pending are the orders still to be given or carried out, the first one first.
+	// known says that the engine's own report stands in what follows; orders are issued
+	// to known engines only.
+	known bool
+	// sequence is the number of orders that the engine has taken.
+	sequence  int
+	residents []backend.Resident
+	// cachedInMemory and cachedOnDisk name the models whose weights the machine has
+	// cached. Until cacheUnknownUntil reports may still list what a load has pushed out.
+	cachedInMemory, cachedOnDisk []string
+	cacheUnknownUntil            time.Time
+	// pending are the orders still to be issued or carried out, the first one first.
 	pending []backend.Order
-	// given tells that the engine has taken the first pending order.
+	// accepted says that the engine has accepted the first pending order.
 	accepted bool
-	// earliest is when the first pending order may be given.
+	// notBefore is when the first pending order may be issued.
 	notBefore time.Time
-	// started is when the pending orders were planned.
+	// plannedAt is when the pending orders were planned.
 	plannedAt time.Time
-	// ordered is when the engine last took an order.
+	// lastAccepted is when the engine last accepted an order.
 	lastAccepted time.Time
-	// calling tells that a call to the engine is under way.
+	// calling says that a call to the engine is under way.
 	calling bool
 	// nextReport is when the next report is due; zero if none is.
 	nextReport time.Time
-	loadedAt   map[string]time.Time
-	// coming tells when adapters that were ordered are expected to be there.
+	// loadedAt is when models were loaded, for minResidence.
+	loadedAt map[string]time.Time
+	// adapterReadyAt is when adapters that were ordered should be loaded.
 	adapterReadyAt map[backend.Adapter]time.Time
 }
 
@@ -72,14 +79,15 @@
 	}
 }
 
-// idle reports whether a new move may be planned for the engine.
-func (e *engineState) idle() bool { return e.known && !e.calling && len(e.pending) == 0 }
+// isIdle reports whether a new move may be planned for the engine.
+func (e *engineState) isIdle() bool { return e.known && !e.calling && len(e.pending) == 0 }
 
-// ready returns the models and adapters that gateways may send requests for.
+// servable returns the models and adapters that gateways may send requests for: what the
+// engine holds, less models that are about to go and adapters that are still loading.
 func (e *engineState) servable(now time.Time) []backend.Resident {
 	var out []backend.Resident
 	for _, r := range e.residents {
-		if e.retiring(r.Model) {
+		if e.isRetiring(r.Model) {
 			continue
 		}
 		r = r.Clone()
@@ -91,15 +99,15 @@
 	return out
 }
 
-func (e *engineState) retiring(model string) bool {
+func (e *engineState) isRetiring(model string) bool {
 	return slices.ContainsFunc(e.pending, func(o backend.Order) bool {
 		return o.Unload && o.Adapter == "" && o.Model == model
 	})
 }
 
-// planned returns what the engine will hold when its pending orders are carried out.
+// afterOrders returns what the engine will hold when its pending orders are carried out.
 func (e *engineState) afterOrders() []backend.Resident {
-	list := slices.DeleteFunc(slices.Clone(e.residents), func(r backend.Resident) bool { return e.retiring(r.Model) })
+	list := slices.DeleteFunc(slices.Clone(e.residents), func(r backend.Resident) bool { return e.isRetiring(r.Model) })
 	for _, o := range e.pending {
 		if !o.Unload && o.Adapter == "" {
 			list = append(list, backend.Resident{Model: o.Model})
@@ -110,27 +118,24 @@
 
 // view returns the engine as a plan sees it.
 func (e *engineState) view(now time.Time) residency.EngineView {
-	var fresh map[string]bool
-	for model, since := range e.loadedAt {
-		if now.Sub(since) >= minResidence {
-			delete(e.loadedAt, model)
-			continue
-		}
-		if fresh == nil {
-			fresh = make(map[string]bool)
+	maps.DeleteFunc(e.loadedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= minResidence })
+	var recent map[string]bool
+	for model := range e.loadedAt {
+		if recent == nil {
+			recent = make(map[string]bool)
 		}
-		fresh[model] = true
+		recent[model] = true
 	}
 	return residency.EngineView{
-		ID: e.server.ID, Hall: e.server.Hall, Residents: e.afterOrders(), Idle: e.idle(), Leaving: e.server.Leaving,
-		CachedInMemory: e.cachedInMemory, CachedOnDisk: e.cachedOnDisk, RecentlyLoaded: fresh,
+		ID: e.server.ID, Hall: e.server.Hall, Residents: e.afterOrders(), Idle: e.isIdle(), Leaving: e.server.Leaving,
+		CachedInMemory: e.cachedInMemory, CachedOnDisk: e.cachedOnDisk, RecentlyLoaded: recent,
 	}
 }
 
-// start queues the orders of a move.
+// plan queues the orders of a move.
 func (e *engineState) plan(m residency.Move, now time.Time) {
-	for _, v := range m.Evictions {
-		e.pending = append(e.pending, backend.Order{Unload: true, Model: v})
+	for _, model := range m.Evictions {
+		e.pending = append(e.pending, backend.Order{Unload: true, Model: model})
 	}
 	e.pending = append(e.pending, backend.Order{Model: m.Model})
 	e.accepted = false
@@ -140,8 +145,8 @@
 	}
 }
 
-// overdue reports whether the engine has been about to make room for a load for too
-// long: it waits for requests to end, or it does not answer.
+// loadOverdue reports whether a load has waited for the engine for longer than maxLoadWait:
+// the engine waits for requests to end before it unloads, or it does not answer.
 func (e *engineState) loadOverdue(now time.Time) bool {
 	n := len(e.pending)
 	if n == 0 || e.pending[n-1].Unload || now.Sub(e.plannedAt) < maxLoadWait {
@@ -150,8 +155,8 @@
 	return n > 1 || !e.accepted && !e.known && !e.calling
 }
 
-// abandonLoad drops the load of the pending orders and returns its model, so that it
-// can be planned elsewhere. What is to go still goes.
+// abandonLoad drops the load of the pending orders and returns its model, so that it can be
+// planned elsewhere. What is to be unloaded still is.
 func (e *engineState) abandonLoad() string {
 	n := len(e.pending)
 	model := e.pending[n-1].Model
@@ -159,7 +164,7 @@
 	return model
 }
 
-// take takes in a report and reports whether it is as new as the orders given.
+// apply applies a report and reports whether it is as new as the orders accepted.
 func (e *engineState) apply(r backend.Report, now time.Time) bool {
 	if e.known && r.Sequence < e.sequence && now.Sub(e.lastAccepted) < reportLag {
 		return false
@@ -178,9 +183,9 @@
 	return true
 }
 
-// settle drops the pending orders that a report of an engine without an order
-// under way shows to be done, also those whose answer was lost, and returns the
-// model that came, if one did.
+// completeOrders drops the pending orders that a report of an engine without an order under
+// way shows to be done, also those whose answer was lost, and returns the model that was
+// loaded, if one was.
 func (e *engineState) completeOrders(now time.Time) (loaded string) {
 	for len(e.pending) > 0 {
 		o := e.pending[0]
@@ -196,28 +201,34 @@
 		}
 	}
 	if e.accepted {
-		// The engine is done and it did not happen: plan anew.
+		// The engine has ended the order and it did not succeed: plan anew.
 		e.pending, e.accepted = nil, false
 	}
 	return loaded
 }
 
-// doubt forgets which weights are at hand until a report that is surely newer than
-// the load that has ended: a load from the weight store may have pushed some out.
+// distrustCache forgets which weights are cached until a report that is surely newer than
+// the load that has just ended: a load from the weight store may have pushed some out, and
+// a load of those would be one from the weight store too.
 func (e *engineState) distrustCache(now time.Time) {
 	e.cachedInMemory, e.cachedOnDisk = nil, nil
 	e.cacheUnknownUntil = now.Add(cacheUnknownTime)
 	e.nextReport = e.cacheUnknownUntil
 }
 
+// isCached reports whether the machine has a model's weights in memory or on disk.
+func (e *engineState) isCached(model string) bool {
+	return slices.Contains(e.cachedInMemory, model) || slices.Contains(e.cachedOnDisk, model)
+}
+
 // fromStore reports whether the first pending order loads from the weight store.
 func (e *engineState) fromStore() bool {
 	o := e.pending[0]
-	return !o.Unload && !slices.Contains(e.cachedInMemory, o.Model) && !slices.Contains(e.cachedOnDisk, o.Model)
+	return !o.Unload && !e.isCached(o.Model)
 }
 
-// expected returns how long the engine's first pending order should take.
-func (e *engineState) expected(spec *table.EngineSpec) time.Duration {
+// expectedTime returns how long the engine's first pending order should take.
+func (e *engineState) expectedTime(spec *table.EngineSpec) time.Duration {
 	o := e.pending[0]
 	m, ok := spec.Model(o.Model)
 	if o.Unload || !ok {
@@ -232,7 +243,7 @@
 	return m.StoreLoadTime
 }
 
-// addAdapter counts an adapter that the engine has taken an order for.
+// addAdapter counts an adapter that the engine has accepted an order for.
 func (e *engineState) addAdapter(a backend.Adapter, now time.Time) {
 	e.residents = slices.Clone(e.residents)
 	for i, r := range e.residents {
@@ -245,6 +256,7 @@
 	e.adapterReadyAt[a] = now.Add(adapterLoadTime)
 }
 
+// dropAdapter counts an adapter as unloaded.
 func (e *engineState) dropAdapter(a backend.Adapter) {
 	e.residents = slices.Clone(e.residents)
 	for i, r := range e.residents {
--- /dev/null
+++ b/internal/placer/engine_table.go
@@ -0,0 +1,49 @@
+package placer
+
+import (
+	"rockcleat/backend"
+	"rockcleat/table"
+)
+
+// An engineTable holds the engines that the leader knows.
+//
+// Its zero value is empty.
+type engineTable struct {
+	byID map[string]*engineState
+	// byService lists the engines of each service in the order of their ids.
+	byService map[string][]*engineState
+	// servers and version are those of the last sync.
+	servers *backend.Snapshot
+	version uint64
+}
+
+// sync adds the engines that have come and drops those that have gone.
+func (t *engineTable) sync(s *backend.Snapshot, routing *table.Routing) {
+	if s == t.servers && routing.Version() == t.version {
+		return
+	}
+	t.servers, t.version = s, routing.Version()
+	if t.byID == nil {
+		t.byID = make(map[string]*engineState)
+	}
+	t.byService = make(map[string][]*engineState)
+	for id := range t.byID {
+		if _, ok := s.Server(id); !ok {
+			delete(t.byID, id)
+		}
+	}
+	for _, service := range routing.Services() {
+		if service.Engine == nil {
+			continue
+		}
+		for _, srv := range s.Service(service.Name) {
+			e := t.byID[srv.ID]
+			if e == nil {
+				e = newEngine(srv)
+				t.byID[srv.ID] = e
+			}
+			e.server = srv
+			t.byService[service.Name] = append(t.byService[service.Name], e)
+		}
+	}
+}
--- a/internal/placer/loads.go
+++ b/internal/placer/load_totals.go
@@ -9,30 +9,30 @@
 	"rockcleat/dispatch"
 )
 
-// maxTold bounds the servers whose load is told to a gateway: with more of them it
-// hears of the busiest, and learns of the others when it asks for places.
-const maxReportedServers = 64
-
-// busiestEvery is how often the busiest servers are looked for.
-const rankEvery = 100 * time.Millisecond
+// Bounds of the loads in a reply. Chosen for growth (docs/design/0009, many servers), not
+// measured alone.
+const (
+	// maxReportedServers bounds the servers whose load a gateway is sent: with more of
+	// them it gets the busiest, and learns of the others when it asks for admission.
+	maxReportedServers = 64
+	// rankEvery is how often the busiest servers are looked for.
+	rankEvery = 100 * time.Millisecond
+)
 
 // A loads sums up what gateways have at servers.
 type loads struct {
 	total map[string]dispatch.Load
-	// busiest are the servers that are told of when there are more than maxTold.
+	// busiest are the servers in a reply when there are more than maxReportedServers.
 	busiest []string
 	ranked  time.Time
 }
 
 func newLoads() loads { return loads{total: make(map[string]dispatch.Load)} }
 
-// replace takes out what a gateway had and adds what it has now.
+// update subtracts what a gateway had and adds what it has now.
 func (l *loads) update(before, now map[string]dispatch.Load) {
 	for id, x := range before {
-		sum := l.total[id]
-		sum.Running -= x.Running
-		sum.PrefillMs -= x.PrefillMs
-		sum.UsedTokens -= x.UsedTokens
+		sum := minus(l.total[id], x)
 		if sum == (dispatch.Load{}) {
 			delete(l.total, id)
 			continue
@@ -48,9 +48,17 @@
 	}
 }
 
-// but returns what others than the gateway with these loads have at the servers,
-// and whether only the busiest are told.
-func (l *loads) excluding(own map[string]dispatch.Load, now time.Time) (others map[string]dispatch.Load, partial bool) {
+// minus subtracts exactly: what is summed up was added before.
+func minus(l, part dispatch.Load) dispatch.Load {
+	l.Running -= part.Running
+	l.PrefillMs -= part.PrefillMs
+	l.UsedTokens -= part.UsedTokens
+	return l
+}
+
+// excluding returns what others than the gateway with these loads have at the servers, and
+// whether only the busiest servers are listed.
+func (l *loads) excluding(own map[string]dispatch.Load, now time.Time) (others map[string]dispatch.Load, busiestOnly bool) {
 	others = make(map[string]dispatch.Load, min(len(l.total), maxReportedServers))
 	if len(l.total) <= maxReportedServers {
 		for id := range l.total {
@@ -66,16 +74,12 @@
 }
 
 func (l *loads) addOthers(others map[string]dispatch.Load, id string, own dispatch.Load) {
-	sum := l.total[id]
-	sum.Running -= own.Running
-	sum.PrefillMs -= own.PrefillMs
-	sum.UsedTokens -= own.UsedTokens
-	if sum != (dispatch.Load{}) {
+	if sum := minus(l.total[id], own); sum != (dispatch.Load{}) {
 		others[id] = sum
 	}
 }
 
-// rank finds the servers with the most running requests.
+// rankByRequests finds the servers with the most running requests.
 func (l *loads) rankByRequests(now time.Time) {
 	if now.Sub(l.ranked) < rankEvery {
 		return
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -1,7 +1,6 @@
 package placer
 
 import (
-	"math"
 	"slices"
 	"time"
 
@@ -12,22 +11,23 @@
 	"rockcleat/table"
 )
 
-// credit adds to the weight store's budget what a span of time allows. There is
-// one store for all services; the lowest rate that they name holds.
-func (p *Placer) credit(services []table.Service, by time.Duration) {
-	rate := math.Inf(1)
-	for _, s := range services {
-		if s.Engine != nil {
-			rate = min(rate, s.Engine.LoadsPerSecond)
-		}
+// maxPlanInterval is the longest time between two plans of a service. Chosen for growth
+// (docs/design/0009, many servers), not measured alone.
+const maxPlanInterval = time.Second
+
+// planInterval returns the time between two plans for a number of engines: a plan costs as
+// much more as there are engines.
+func planInterval(engines int) time.Duration {
+	if engines <= enginesAtFullPace {
+		return 0
 	}
-	p.budget = min(p.budget+storeRateShare*rate*by.Seconds(), storeBurst)
+	return min(tick*time.Duration(engines/enginesAtFullPace), maxPlanInterval)
 }
 
-// serve plans for one service and does what is due at its engines.
+// runService plans for one service and makes the calls that are due at its engines.
 func (p *Placer) runService(s table.Service, now time.Time) {
-	list := p.services[s.Name]
-	p.abandonOverdue(list, now)
+	list := p.engines.byService[s.Name]
+	p.abandonOverdueLoads(list, now)
 	p.planAdapters(s, list, now)
 	if now.Sub(p.plannedAt[s.Name]) >= planInterval(len(list)) {
 		p.plannedAt[s.Name] = now
@@ -38,9 +38,9 @@
 	}
 }
 
-// abandonOverdue drops the loads that wait for too long for an engine to make room, so
-// that they are planned elsewhere and do not hold up others.
-func (p *Placer) abandonOverdue(list []*engineState, now time.Time) {
+// abandonOverdueLoads drops the loads that have waited too long for an engine to make room,
+// so that they are planned elsewhere and do not hold up others.
+func (p *Placer) abandonOverdueLoads(list []*engineState, now time.Time) {
 	for _, e := range list {
 		if e.loadOverdue(now) {
 			p.opts.Log.Warn("move abandoned", zap.String("server", e.server.ID), zap.String("model", e.abandonLoad()))
@@ -48,23 +48,6 @@
 	}
 }
 
-// slowPlan is the longest time between two plans of a service.
-const maxPlanInterval = time.Second
-
-// planEvery returns the time between two plans for a number of engines: a plan
-// costs as much more as there are engines.
-func planInterval(engines int) time.Duration {
-	if engines <= enginesAtFullPace {
-		return 0
-	}
-	return min(tick*time.Duration(engines/enginesAtFullPace), maxPlanInterval)
-}
-
-// refreshTime returns the time between two reports of an engine without orders.
-func (p *Placer) refreshTime() time.Duration {
-	return refreshEvery * time.Duration(max(1, len(p.engines)/enginesAtFullPace))
-}
-
 func views(list []*engineState, now time.Time) []residency.EngineView {
 	out := make([]residency.EngineView, len(list))
 	for i, e := range list {
@@ -73,20 +56,21 @@
 	return out
 }
 
+// planModels plans and queues the moves of models.
 func (p *Placer) planModels(s table.Service, list []*engineState, now time.Time) {
 	moves := residency.Plan(residency.Input{
 		Spec: s.Engine, Engines: views(list, now), Demands: p.demand.modelDemands(),
-		StoreLoadsAllowed: int(p.budget) - storeLoadsPending(list),
+		StoreLoadsAllowed: p.storeLoads.available(now) - storeLoadsPending(list),
 	})
 	for _, m := range moves {
 		p.opts.Log.Info("move planned", zap.String("server", m.Engine), zap.String("model", m.Model),
-			zap.Strings("victims", m.Evictions), zap.Int("source", int(m.Source)))
-		p.engines[m.Engine].plan(m, now)
+			zap.Strings("victims", m.Evictions), zap.Stringer("source", m.Source))
+		p.engines.byID[m.Engine].plan(m, now)
 	}
 }
 
-// storeLoadsPending counts the loads from the weight store that are planned and
-// not yet ordered; the budget pays for them when they are.
+// storeLoadsPending counts the loads from the weight store that are planned and not yet
+// ordered; they count against the store's rate when they are.
 func storeLoadsPending(list []*engineState) int {
 	n := 0
 	for _, e := range list {
@@ -94,31 +78,33 @@
 			continue
 		}
 		last := e.pending[len(e.pending)-1]
-		if !slices.Contains(e.cachedInMemory, last.Model) && !slices.Contains(e.cachedOnDisk, last.Model) {
+		if !e.isCached(last.Model) {
 			n++
 		}
 	}
 	return n
 }
 
+// planAdapters plans the moves of adapters that are waited for, and issues their orders.
 func (p *Placer) planAdapters(s table.Service, list []*engineState, now time.Time) {
 	waited, running := p.demand.adapters(s.Name)
 	missing := withoutHeld(waited, list)
-	p.noteMissing(missing, now)
+	p.noteMissingAdapters(missing, now)
 	if len(missing) == 0 {
 		return
 	}
 	idle := slices.DeleteFunc(views(list, now), func(e residency.EngineView) bool { return !e.Idle })
-	load := make(map[string]int)
+	requests := make(map[string]int)
 	for id, l := range p.demand.loads.total {
-		load[id] = l.Running
+		requests[id] = l.Running
 	}
 	moves := residency.PlanAdapters(residency.AdapterInput{
 		Slots: s.Engine.AdapterSlots, Engines: idle, Missing: missing,
-		LastUsed: p.demand.adapterLastUsed, RequestsByAdapter: running, RequestsByEngine: load, WaitingSince: p.adapterWaitedSince, Now: now,
+		LastUsed: p.demand.adapterLastUsed, RequestsByAdapter: running, RequestsByEngine: requests,
+		WaitingSince: p.adapterWaitedSince, Now: now,
 	})
 	for _, m := range moves {
-		p.moveAdapter(p.engines[m.Engine], m)
+		p.issueAdapterOrders(p.engines.byID[m.Engine], m)
 	}
 }
 
@@ -141,8 +127,8 @@
 	return slices.DeleteFunc(adapters, func(a backend.Adapter) bool { return held[a] })
 }
 
-// noteMissing remembers since when each adapter has been waited for.
-func (p *Placer) noteMissing(missing []backend.Adapter, now time.Time) {
+// noteMissingAdapters remembers since when each adapter has been waited for.
+func (p *Placer) noteMissingAdapters(missing []backend.Adapter, now time.Time) {
 	since := make(map[backend.Adapter]time.Time, len(missing))
 	for _, a := range missing {
 		since[a] = now
--- /dev/null
+++ b/internal/placer/publish.go
@@ -0,0 +1,79 @@
+package placer
+
+import (
+	"slices"
+	"time"
+
+	"rockcleat/backend"
+	"rockcleat/lease"
+)
+
+// publishEvery is the least time between two looks at what engines hold, for gateways.
+// Chosen for growth (docs/design/0009, many servers), not measured alone.
+const publishEvery = 25 * time.Millisecond
+
+// versionBits is the part of a residency's version that counts changes; the rest is the
+// leader's token, so that versions of two leaders differ. A million changes in a term are
+// more than a leader makes in days.
+const versionBits = 20
+
+// versionToken returns the token of the leader that made a version.
+func versionToken(version int64) int64 { return version >> versionBits }
+
+// A publishedResidency is what gateways are informed that engines hold, with the version in
+// which that last changed for each engine.
+type publishedResidency struct {
+	version   int64
+	published map[string]backend.Residency
+	changedIn map[string]int64
+	at        time.Time
+}
+
+// beginTerm starts the versions of a new leader's term. What was published stands until
+// the engines are known again.
+func (r *publishedResidency) beginTerm(token lease.Token) {
+	r.version = int64(token) << versionBits
+	r.changedIn = make(map[string]int64)
+}
+
+// isDue reports whether the last look is older than publishEvery.
+func (r *publishedResidency) isDue(now time.Time) bool { return now.Sub(r.at) >= publishEvery }
+
+// publish makes a new version of what engines hold, if it differs. Of an engine whose state
+// is not known, for a report is due, what was published before stands.
+func (p *Placer) publish(now time.Time) {
+	r := &p.residency
+	r.at = now
+	next := r.version + 1
+	published := make(map[string]backend.Residency, len(p.engines.byID))
+	for id, e := range p.engines.byID {
+		before, ok := r.published[id]
+		if !e.known {
+			if ok {
+				published[id] = before
+			}
+			continue
+		}
+		published[id] = backend.Residency{Residents: e.servable(now)}
+		if !ok || !slices.EqualFunc(before.Residents, published[id].Residents, sameResident) {
+			r.changedIn[id] = next
+			r.version = next
+		}
+	}
+	r.published = published
+}
+
+func sameResident(a, b backend.Resident) bool {
+	return a.Model == b.Model && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
+}
+
+// changedSince returns what has changed since a version, or everything.
+func (r *publishedResidency) changedSince(version int64, everything bool) map[string]backend.Residency {
+	out := make(map[string]backend.Residency)
+	for id, held := range r.published {
+		if everything || r.changedIn[id] > version {
+			out[id] = held
+		}
+	}
+	return out
+}
