--- a/backend/doc.go
+++ b/backend/doc.go
@@ -1,6 +1,9 @@
-// Package backend keeps what a process knows of the backend servers: where they
-// are, what they hold and whether they are leaving.
+// Package backend keeps what a process knows of the backend servers that it speaks to
+// directly: where they are, what engines hold and whether they are leaving. It also
+// declares the orders and reports of engines (EngineClient).
 //
-// A Registry is filled from the platform's list and, for what engines hold, from
-// the holder of orders, whose word is newer. Readers take immutable snapshots.
+// A Registry owns that knowledge. It is filled from two sources: the platform's list, and,
+// for what engines hold, the leader, whose word is newer; it relies on the caller to pass
+// both on with the time. Without the leader the list's word counts again after
+// residencyMaxAge; without the list the last one stands. Readers take immutable Snapshots.
 package backend
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -7,52 +7,52 @@
 	Model, Name string
 }
 
-// A Report is what an engine tells of itself; it may be some hundred milliseconds old.
+// A Report is an engine's report on itself; it may be some hundred milliseconds old.
 type Report struct {
 	Residents []Resident
-	// Coming lists the adapters on their way.
+	// LoadingAdapters lists the adapters that are being loaded.
 	LoadingAdapters []Adapter
-	// Busy tells that an order is being carried out.
+	// OrderInProgress says that an order is being carried out.
 	OrderInProgress bool
 	// Sequence is the number of orders that the engine has taken.
 	Sequence int
-	// InMemory and OnDisk name the models whose weights are at hand.
+	// CachedInMemory and CachedOnDisk name the models whose weights its machine has cached.
 	CachedInMemory, CachedOnDisk []string
 }
 
-// An Order tells an engine to load or unload a model or, with Adapter, one of
-// its adapters.
+// An Order commands an engine to load or unload a model or, with Adapter, one of its
+// adapters.
 type Order struct {
 	Unload         bool
 	Model, Adapter string
 	// Sequence is the number of orders that the engine is expected to have taken.
 	Sequence int
-	// Fence is the fencing token of the giver.
+	// Fence is the fencing token of the leader that issues the order.
 	Fence int64
 }
 
-// An Outcome is an engine's answer to an order.
+// An OrderOutcome is an engine's answer to an order.
 type OrderOutcome int
 
 // The outcomes of an order.
 const (
-	// OutcomeUnknown tells that no answer came: the order may be carried out later.
+	// OrderUnanswered says that no answer came: the order may be carried out later.
 	OrderUnanswered OrderOutcome = iota
-	// OutcomeTaken tells that the order is being carried out.
+	// OrderAccepted says that the order is being carried out.
 	OrderAccepted
-	// OutcomeDone tells that nothing was left to do.
+	// OrderAlreadyDone says that nothing is left to do.
 	OrderAlreadyDone
-	// OutcomeConflict tells that another order is under way or the sequence differs.
+	// OrderConflict says that another order is under way or the sequence differs.
 	OrderConflict
-	// OutcomeFenced tells that another holder has a higher fencing token.
+	// OrderFenced says that the engine has seen a higher fencing token.
 	OrderFenced
-	// OutcomeGone tells that another server has the address.
+	// OrderWrongServer says that another server has the address.
 	OrderWrongServer
-	// OutcomeRejected tells that the engine does not take such an order.
+	// OrderRejected says that the engine does not take such an order.
 	OrderRejected
 )
 
-// String returns the outcome's name for logs.
+// String returns the outcome's name in logs.
 func (o OrderOutcome) String() string {
 	names := map[OrderOutcome]string{
 		OrderUnanswered: "unknown", OrderAccepted: "taken", OrderAlreadyDone: "done", OrderConflict: "conflict",
@@ -61,10 +61,10 @@
 	return names[o]
 }
 
-// Engines gives orders to engines and reads their reports.
+// An EngineClient calls engines.
 type EngineClient interface {
-	// Report reads what an engine tells of itself.
+	// Report reads an engine's report on itself.
 	Report(ctx context.Context, s *Server) (Report, error)
-	// Order gives one order.
+	// Order sends one order, once; an error goes with OrderUnanswered and OrderRejected.
 	Order(ctx context.Context, s *Server, o Order) (OrderOutcome, error)
 }
--- /dev/null
+++ b/backend/registry.go
@@ -0,0 +1,220 @@
+package backend
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// residencyMaxAge is how long the leader's word goes before the platform's list when no
+// further word comes: a leader's lease lasts as long. Chosen with the first path
+// (docs/MEASUREMENTS.md, P1), not measured alone.
+const residencyMaxAge = 3 * time.Second
+
+// vanishedTime is how long servers that vanished from the list together are kept: long
+// enough for a heartbeat (1.2 s) of those that live, and with the time in which changes are
+// noticed short enough for those that left (docs/MEASUREMENTS.md, P11).
+const vanishedTime = 1300 * time.Millisecond
+
+// A vanishedServer is no longer listed and never said that it leaves.
+type vanishedServer struct {
+	Server
+	since time.Time
+}
+
+// A Registry holds the known servers; its zero value is empty and ready to use. It is safe
+// for concurrent use.
+//
+// When more than half of a service's servers vanish from the list at about the same time,
+// the platform has lost its list, not the servers: they are kept for vanishedTime, in which
+// those that live are listed again.
+type Registry struct {
+	mu       sync.Mutex
+	listed   map[string]Server
+	vanished map[string]vanishedServer
+	// residency is the leader's word and residencyAt when it last came; nil without one.
+	residency   map[string]Residency
+	residencyAt time.Time
+	snapshot    atomic.Pointer[Snapshot]
+}
+
+// Snapshot returns the servers as they are known now.
+func (r *Registry) Snapshot() *Snapshot {
+	if s := r.snapshot.Load(); s != nil {
+		return s
+	}
+	return &Snapshot{}
+}
+
+// Replace sets the whole list as it is at a time.
+func (r *Registry) Replace(list []Server, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	before := r.listed
+	r.listed = make(map[string]Server, len(list))
+	for _, s := range list {
+		r.listed[s.ID] = s
+		delete(r.vanished, s.ID)
+	}
+	for id, s := range before {
+		if _, ok := r.listed[id]; !ok {
+			r.noteVanished(s, now)
+		}
+	}
+	r.rebuild(now)
+}
+
+// noteVanished remembers a server that is no longer listed, unless it said that it leaves.
+func (r *Registry) noteVanished(s Server, now time.Time) {
+	if s.Leaving {
+		return
+	}
+	if r.vanished == nil {
+		r.vanished = make(map[string]vanishedServer)
+	}
+	r.vanished[s.ID] = vanishedServer{Server: s, since: now}
+}
+
+// A Change is a server that came or changed, or one that is no longer listed.
+type Change struct {
+	Server
+	// Gone says that the server is no longer listed; only its ID counts then.
+	Gone bool
+}
+
+// Apply applies changes of the list at a time, in their order.
+func (r *Registry) Apply(changes []Change, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.listed == nil {
+		r.listed = make(map[string]Server)
+	}
+	differs := false
+	for _, c := range changes {
+		old, known := r.listed[c.ID]
+		differs = differs || c.Gone || !known || r.isVisible(old, c.Server)
+		if c.Gone {
+			if known {
+				r.noteVanished(old, now)
+			}
+			delete(r.listed, c.ID)
+			continue
+		}
+		r.listed[c.ID] = c.Server
+		delete(r.vanished, c.ID)
+	}
+	if differs {
+		r.rebuild(now)
+	}
+}
+
+// isVisible reports whether a server's new record shows in a snapshot: what it holds does
+// not while the leader's word on it is known.
+func (r *Registry) isVisible(old, s Server) bool {
+	if _, known := r.residency[s.ID]; !known {
+		return true
+	}
+	return old.Service != s.Service || old.Addr != s.Addr || old.Hall != s.Hall || old.Slots != s.Slots ||
+		old.Leaving != s.Leaving
+}
+
+// Update sets one server at a time.
+func (r *Registry) Update(s Server, now time.Time) { r.Apply([]Change{{Server: s}}, now) }
+
+// Remove notes that a server is no longer listed at a time.
+func (r *Registry) Remove(id string, now time.Time) {
+	r.Apply([]Change{{Server: Server{ID: id}, Gone: true}}, now)
+}
+
+// SetResidency sets the leader's word on all engines at a time.
+func (r *Registry) SetResidency(all map[string]Residency, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.residency, r.residencyAt = all, now
+	r.rebuild(now)
+}
+
+// MergeResidency applies what has changed in the leader's word at a time.
+func (r *Registry) MergeResidency(changed map[string]Residency, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.residencyAt = now
+	if len(changed) == 0 {
+		return
+	}
+	all := make(map[string]Residency, len(r.residency)+len(changed))
+	maps.Copy(all, r.residency)
+	maps.Copy(all, changed)
+	r.residency = all
+	r.rebuild(now)
+}
+
+// HasResidency reports whether a leader's word is known; after it was forgotten all of it
+// must be asked for again.
+func (r *Registry) HasResidency() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.residency != nil
+}
+
+// Expire forgets what is too old: the word of a leader that has been silent for long, and
+// vanished servers. It reports whether anything has changed.
+func (r *Registry) Expire(now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	changed := false
+	if r.residency != nil && now.Sub(r.residencyAt) >= residencyMaxAge {
+		r.residency = nil
+		changed = true
+	}
+	for id, v := range r.vanished {
+		if now.Sub(v.since) >= vanishedTime {
+			delete(r.vanished, id)
+			changed = true
+		}
+	}
+	if changed {
+		r.rebuild(now)
+	}
+	return changed
+}
+
+// retained returns the vanished servers of services that have lost more than half of their
+// servers.
+func (r *Registry) retained(now time.Time) []Server {
+	if len(r.vanished) == 0 {
+		return nil
+	}
+	lost := make(map[string]int)
+	for _, s := range r.listed {
+		lost[s.Service]--
+	}
+	for _, v := range r.vanished {
+		lost[v.Service]++
+	}
+	var list []Server
+	for _, v := range r.vanished {
+		if lost[v.Service] > 0 && now.Sub(v.since) < vanishedTime {
+			list = append(list, v.Server)
+		}
+	}
+	return list
+}
+
+// rebuild makes a new snapshot.
+func (r *Registry) rebuild(now time.Time) {
+	all := r.retained(now)
+	for _, s := range r.listed {
+		all = append(all, s)
+	}
+	slices.SortFunc(all, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
+	for i := range all {
+		if held, ok := r.residency[all[i].ID]; ok {
+			all[i].Residents = held.Residents
+		}
+	}
+	r.snapshot.Store(newSnapshot(all))
+}
--- a/cmd/rockcleat-gateway/main.go
+++ b/cmd/rockcleat-gateway/main.go
@@ -36,7 +36,7 @@
 		Prefixes:  store,
 		OwnKeys:   store.Own(),
 		Decoder:   platform.Decoder{},
-		Engines:   platform.NewEngines(s.ID, s.EngineTimeout.Std(), client),
+		Engines:   platform.NewEngineClient(s.ID, s.EngineTimeout.Std(), client),
 		Clock:     clock.Real{},
 		Log:       log,
 		Metrics:   metrics,
