--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -5,79 +5,72 @@
 	"io"
 	"net/http"
 	"strconv"
-	"strings"
 
 	"rockcleat/dispatch"
 )
 
-// maxHeldAnswer bounds an answer that is read whole before any of it is passed on.
+// maxHeldAnswer bounds an answer that is read whole before any of it is passed on, in
+// bytes: until then a server's loss can be made good elsewhere. Chosen, not measured.
 const maxHeldAnswer = 256 << 10
 
-// passWhole passes an answer on that is no stream.
-func (x *exchange) passWhole(ctx context.Context, t *dispatch.Reservation, resp *http.Response) bool {
+// passWhole passes an answer on that is no stream, and reports whether the request is over.
+func (f *forwarder) passWhole(ctx context.Context, t *dispatch.Reservation, resp *http.Response) bool {
 	t.FirstByte()
-	if resp.StatusCode >= http.StatusInternalServerError && x.mayRepeat() && x.allowed() {
+	if resp.StatusCode >= http.StatusInternalServerError && f.mayRetry() && f.proxy.budgets.take(f.in) {
 		t.Done(dispatch.Failed)
-		x.g.logFailed(x, t, "answered "+strconv.Itoa(resp.StatusCode), nil)
-		x.req.Exclude = append(x.req.Exclude, t.Server().ID)
+		f.proxy.lines.sendFailed(f, t, "answered "+strconv.Itoa(resp.StatusCode), nil)
+		f.exclude(t)
 		return false
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHeldAnswer))
 	if err != nil {
-		return x.lost(t, cause(ctx, err))
+		return f.lost(t, cause(ctx, err))
 	}
-	x.begin(resp)
+	f.begin(resp)
 	if len(body) < maxHeldAnswer {
-		x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+		f.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	x.w.WriteHeader(resp.StatusCode)
-	_, err = x.w.Write(body)
+	f.w.WriteHeader(resp.StatusCode)
+	_, err = f.w.Write(body)
 	if err == nil && len(body) == maxHeldAnswer {
-		_, err = io.Copy(x.w, resp.Body)
+		_, err = io.Copy(f.w, resp.Body)
 	}
 	if err != nil {
 		t.Done(dispatch.Abandoned)
-		x.cut(err)
+		f.cut(err)
 	}
-	x.finish(t, resp.StatusCode)
+	f.finish(t, resp.StatusCode)
 	return true
 }
 
-func (x *exchange) finish(t *dispatch.Reservation, status int) {
-	x.status = status
+// finish ends a request whose answer was passed on whole.
+func (f *forwarder) finish(t *dispatch.Reservation, status int) {
+	f.record.status = status
 	if status >= http.StatusInternalServerError {
 		t.Done(dispatch.Failed)
-		x.outcome = outcomeFailed
+		f.record.outcome = outcomeFailed
 		return
 	}
 	t.Done(dispatch.Answered)
-	x.outcome = outcomeAnswered
+	f.record.outcome = outcomeAnswered
 }
 
 // begin copies an answer's header to the caller.
-func (x *exchange) begin(resp *http.Response) {
-	x.begun.Store(true)
-	x.firstByte = x.g.clock.Now()
-	h := x.w.Header()
+func (f *forwarder) begin(resp *http.Response) {
+	f.answering.Store(true)
+	f.record.firstByte = f.proxy.clock.Now()
+	h := f.w.Header()
 	for name, values := range resp.Header {
 		h[name] = values
 	}
-	for _, list := range resp.Header.Values("Connection") {
-		for _, name := range strings.Split(list, ",") {
-			h.Del(strings.TrimSpace(name))
+	removeConnectionHeaders(h)
+	for _, name := range []string{"Content-Type", "Date"} {
+		if _, ok := h[name]; !ok {
+			// net/http would add one.
+			h[name] = nil
 		}
 	}
-	for _, name := range connectionHeaders {
-		h.Del(name)
-	}
-	if _, ok := h["Content-Type"]; !ok {
-		// net/http would guess one.
-		h["Content-Type"] = nil
-	}
-	if _, ok := h["Date"]; !ok {
-		h["Date"] = nil
-	}
-	if x.g.leaving.Load() {
+	if f.proxy.lifecycle.isStopping() {
 		h.Set("Connection", "close")
 	}
 }
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -231,10 +231,10 @@
 	assert.Assert(t, got.err != nil, "%+v", got)
 }
 
-// TestSilentServerIsWaitedFor lets a server fall silent in the middle of a stream that
-// could go on elsewhere, while no other server is there or the budget of repeats is
+// TestStalledServerIsWaitedFor lets a server stall in the middle of a stream that
+// could go on elsewhere, while no other server is there or the retry budget is
 // spent: its answer is passed on when it comes.
-func TestSilentServerIsWaitedFor(t *testing.T) {
+func TestStalledServerIsWaitedFor(t *testing.T) {
 	tests := map[string]struct {
 		change  func(*config.Gateway)
 		servers []string
@@ -264,7 +264,7 @@
 			w := newWorldWith(t, test.change, workers...)
 			done := make(chan reply, 1)
 			go func() { done <- w.post(pathResume, "x") }()
-			w.waitLine("server silent, request stays")
+			w.waitLine("server stalled, request stays")
 			close(release)
 			got := <-done
 			assert.NilError(t, got.err)
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"rockcleat/clock"
 )
 
 // connState is what a caller's connection is doing.
@@ -26,10 +28,24 @@
 	connServing
 	// connResting waits for its next request.
 	connResting
-	// connRefused was told that its header took too long.
+	// connRefused got an answer that its header took too long.
 	connRefused
 )
 
+// connEnd is whether a connection is being ended: its read deadline is then past, so that
+// a read returns.
+type connEnd int
+
+// The ways of ending a connection.
+const (
+	// endNot: it goes on, and reads have the server's deadline.
+	endNot connEnd = iota
+	// endIfUnused: it ends unless a request is coming.
+	endIfUnused
+	// endAlways: it ends, whether or not a request has come.
+	endAlways
+)
+
 // A callerConn is a caller's connection that can be ended between two requests.
 //
 // http.Server takes a connection for idle until a header has been read whole, so its
@@ -37,21 +53,19 @@
 // read by then. A callerConn looks at the bytes themselves.
 type callerConn struct {
 	*net.TCPConn
+	clock clock.Service
 
 	mu    sync.Mutex
 	state connState
 	// since is when the state began.
 	since time.Time
-	// deadline is the server's own bound on reads. While ending is set, one that has
-	// passed stands in its place, so that a read returns.
+	// deadline is the server's own bound on reads, in force while end is endNot.
 	deadline time.Time
-	ending   bool
-	// over tells that no further request is read, whether or not one has come.
-	over bool
+	end      connEnd
 }
 
-func newCallerConn(conn *net.TCPConn) *callerConn {
-	return &callerConn{TCPConn: conn, since: time.Now()}
+func newCallerConn(conn *net.TCPConn, c clock.Service) *callerConn {
+	return &callerConn{TCPConn: conn, clock: c, since: c.Now()}
 }
 
 // Read reads as the connection does, and returns io.EOF on one that was ended while
@@ -60,7 +74,7 @@
 	for {
 		n, err := c.TCPConn.Read(p)
 		if n > 0 {
-			c.heard()
+			c.received()
 			return n, err
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -80,7 +94,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	if c.ending {
+	if c.end != endNot {
 		return nil
 	}
 	return c.TCPConn.SetReadDeadline(t)
@@ -101,13 +115,13 @@
 func (c *callerConn) afterDeadline() readVerdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ending {
+	switch {
+	case c.end == endNot:
 		return readTimedOut
-	}
-	if c.over || c.waits() && !hasUnread(c.TCPConn) {
+	case c.end == endAlways, c.waits() && !hasUnread(c.TCPConn):
 		return readEnded
 	}
-	c.ending = false
+	c.end = endNot
 	if c.TCPConn.SetReadDeadline(c.deadline) != nil {
 		return readEnded
 	}
@@ -119,11 +133,11 @@
 
 func (c *callerConn) enter(s connState) {
 	c.state = s
-	c.since = time.Now()
+	c.since = c.clock.Now()
 }
 
-// heard notes that bytes were read.
-func (c *callerConn) heard() {
+// received notes that bytes were read.
+func (c *callerConn) received() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.waits() {
@@ -143,21 +157,21 @@
 	return true
 }
 
-// rest notes that an answer is over and the connection waits for a request; last tells
-// that it is to take none.
+// rest notes that an answer is over and the connection waits for a request; last says that
+// it is to take none.
 func (c *callerConn) rest(last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.enter(connResting)
 	if last {
-		c.over = true
-		c.end()
+		c.endReads(endAlways)
 	}
 }
 
-// end makes reads return; the connection is locked.
-func (c *callerConn) end() {
-	c.ending = true
+// endReads makes reads return; the connection is locked. One that takes no deadline is
+// closed already.
+func (c *callerConn) endReads(how connEnd) {
+	c.end = how
 	_ = c.TCPConn.SetReadDeadline(past)
 }
 
@@ -169,10 +183,10 @@
 	if c.state == connFresh {
 		limit = fresh
 	}
-	if !c.waits() || c.ending || now.Sub(c.since) < limit {
+	if !c.waits() || c.end != endNot || now.Sub(c.since) < limit {
 		return
 	}
-	c.end()
+	c.endReads(endIfUnused)
 }
 
 // past is a deadline that ends a read at once.
@@ -187,16 +201,19 @@
 		return
 	}
 	c.enter(connRefused)
+	// Errors need nothing done: the connection is closed either way.
 	answer := http.Response{StatusCode: http.StatusRequestTimeout, ProtoMajor: 1, ProtoMinor: 1, Close: true}
 	_ = c.SetWriteDeadline(now.Add(refusalTime))
 	_ = answer.Write(c.TCPConn)
 	_ = c.TCPConn.Close()
 }
 
-// refusalTime bounds the sending of a refusal that nobody may be reading.
+// refusalTime bounds the sending of a refusal that nobody may be reading. Chosen, not
+// measured.
 const refusalTime = 50 * time.Millisecond
 
-// hasUnread reports whether bytes have come on a connection that nobody has read.
+// hasUnread reports whether bytes have come on a connection that nobody has read. One whose
+// state cannot be read is closed: it has none.
 func hasUnread(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -7,6 +7,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"rockcleat/clock"
 )
 
 // connKey is the key of a request's connection in its context.
@@ -16,23 +18,31 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// conns holds callers' open connections and ends those that have rested for too long
-// or whose header takes too long. The bounds may change while they last, which the
-// settings of http.Server cannot.
+// conns holds callers' open connections and ends those that have rested for too long or
+// whose header takes too long. The bounds may change while connections last, which the
+// settings of http.Server cannot. It is safe for concurrent use.
 type conns struct {
+	clock clock.Service
+	// limits returns how long a connection may rest and how long a header may take; 0 is
+	// no limit.
 	limits func() (idle, header time.Duration)
 
-	// draining tells that no connection is to take a further request after its answer.
+	// draining says that no connection is to take a further request after its answer.
 	draining atomic.Bool
 
 	mu   sync.Mutex
 	open map[*callerConn]struct{}
 }
 
-func newConns() *conns { return &conns{open: make(map[*callerConn]struct{})} }
+func newConns(c clock.Service, limits func() (idle, header time.Duration)) *conns {
+	return &conns{clock: c, limits: limits, open: make(map[*callerConn]struct{})}
+}
 
 // callerListener accepts callers' connections.
-type callerListener struct{ *net.TCPListener }
+type callerListener struct {
+	*net.TCPListener
+	clock clock.Service
+}
 
 // Accept implements net.Listener.
 func (l callerListener) Accept() (net.Conn, error) {
@@ -40,10 +50,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return newCallerConn(conn), nil
+	return newCallerConn(conn, l.clock), nil
 }
 
-// note follows the state of connections as the server tells it.
+// note is called by the server with each change of a connection's state.
 func (c *conns) note(conn net.Conn, s http.ConnState) {
 	caller, ok := conn.(*callerConn)
 	if !ok {
@@ -84,7 +94,8 @@
 }
 
 // freshTime is how long a connection that has carried nothing yet is left at a stop. With
-// noticeTime it stays under the three seconds within which requests are still taken.
+// noticeTime it stays under the three seconds within which requests are still taken
+// (docs/FINDINGS.md, LOST).
 const freshTime = 400 * time.Millisecond
 
 // drain ends the connections that wait for a request, and the others with their answers,
--- /dev/null
+++ b/internal/gateway/directory.go
@@ -0,0 +1,71 @@
+package gateway
+
+import (
+	"math/rand/v2"
+	"slices"
+	"sync"
+
+	"rockcleat/dispatch"
+	"rockcleat/internal/placer"
+)
+
+// A directory holds the list of gateways that the leader last sent. It is safe for
+// concurrent use.
+type directory struct {
+	// self is where this gateway takes messages.
+	self string
+
+	mu sync.Mutex
+	// addrs is where each gateway takes messages, by id; others lists the other ones.
+	addrs  map[string]string
+	others []string
+	number int
+}
+
+// newDirectory returns a directory that assumes a number of gateways until it has a list.
+func newDirectory(self string, assumed int) *directory {
+	return &directory{self: self, number: assumed}
+}
+
+// set sets the list and returns it as a Dispatcher needs it.
+func (d *directory) set(gateways []placer.Gateway) []dispatch.Gateway {
+	list := make([]dispatch.Gateway, len(gateways))
+	addrs := make(map[string]string, len(gateways))
+	var others []string
+	for i, x := range gateways {
+		list[i] = x.Gateway
+		addrs[x.ID] = x.Addr
+		if x.Addr != d.self {
+			others = append(others, x.Addr)
+		}
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.addrs, d.others, d.number = addrs, others, len(gateways)
+	return list
+}
+
+// count returns the number of gateways, at least 1.
+func (d *directory) count() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return max(d.number, 1)
+}
+
+// addr returns where a gateway takes messages; empty if that is not known.
+func (d *directory) addr(id string) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.addrs[id]
+}
+
+// random returns where any other gateway but one takes messages; empty if there is none.
+func (d *directory) random(but string) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list := slices.DeleteFunc(slices.Clone(d.others), func(addr string) bool { return addr == but })
+	if len(list) == 0 {
+		return ""
+	}
+	return list[rand.IntN(len(list))]
+}
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,8 +1,22 @@
-// Package gateway is the entry process in front of backend servers that speak to
-// it directly: it takes callers' requests, chooses a server for each, passes
-// answers and streams on, and shares what it has sent with the other gateways.
+// Package gateway is the entry process in front of backend servers that it speaks to
+// directly: it takes callers' requests, chooses a server for each (package dispatch),
+// passes answers and streams on, and reports to the leader among the gateways (package
+// placer), which decides what engines hold.
 //
-// Names of headers come from the platform's adapter; where things are told from
-// comes through small interfaces. Placement is given by the holder of orders, one
-// gateway at a time (package placer).
+// A Gateway joins parts that each own their state:
+//
+//   - conns: callers' connections, and when they end;
+//   - lifecycle: requests in progress, and the stop;
+//   - configuration and serverList: the view of the store, kept by followers;
+//   - directory: the list of gateways;
+//   - reporter: the reports to the leader, and what it has been sent;
+//   - proxy: the way of a request, with an inbound (what is known at its start), a
+//     forwarder (the loop that tries servers) and a record (what happened);
+//   - retryBudgets, requestLog: retries allowed; log lines and metrics.
+//
+// It relies on the store and the leader for news only: while both are away it serves from
+// its last view, whose age the log shows. Nothing of it outlives the process. Header names
+// and formats of records come from the platform's adapter through wire.Names and Decoder.
+//
+// Callers get outcomes, never errors of this package: docs/DECISIONS.md lists the rules.
 package gateway
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/followers_test.go
@@ -28,13 +28,16 @@
 
 func (plainDecoder) ServerID(key string) string { return key }
 
-// TestNewListTellsWhoIsGone checks that a server which went while the store was not
-// watched is told once.
-func TestNewListTellsWhoIsGone(t *testing.T) {
+// TestNewListShowsWhoIsGone checks that a server which went while the store was not
+// watched is logged once.
+func TestNewListShowsWhoIsGone(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
-	g := &Gateway{log: zap.New(core), clock: clock.Real{}, decoder: plainDecoder{}}
-	g.dispatcher = dispatch.New(dispatch.Options{Clock: clock.Real{}, CacheTokens: func(string) int { return 0 }})
-	f := &serverFollower{g: g, known: make(map[string]bool)}
+	d := dispatch.New(dispatch.Options{Clock: clock.Real{}, CacheTokens: func(string) int { return 0 }})
+	log := zap.New(core)
+	f := &serverFollower{
+		storeHealth: newStoreHealth(t.Context(), log), servers: newServerList(plainDecoder{}, clock.Real{}, log, d),
+		known: make(map[string]bool),
+	}
 	entry := func(key string) kv.Entry { return kv.Entry{Key: key} }
 	f.Replace([]kv.Entry{entry("s1"), entry("s2")})
 	f.Apply([]kv.Event{{Entry: entry("s3")}, {Entry: entry("s2"), Deleted: true}})
--- /dev/null
+++ b/internal/gateway/forward.go
@@ -0,0 +1,176 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"rockcleat/clock"
+	"rockcleat/dispatch"
+)
+
+// A forwarder sends one request to servers until it has an answer or is given up.
+type forwarder struct {
+	proxy *proxy
+	in    *inbound
+	w     http.ResponseWriter
+	// ctx ends with the request's deadline, with its caller, or with the gateway.
+	ctx context.Context
+	// req is in.needs with what became known on the way.
+	req    dispatch.Request
+	record record
+	// answering says that the caller has the header of an answer.
+	answering atomic.Bool
+	// retryPaid says that the budget has paid for a retry when this send ends.
+	retryPaid atomic.Bool
+	// lastEvent is the id of the last event that the caller has.
+	lastEvent string
+}
+
+// run sends the request until it is over.
+func (f *forwarder) run() {
+	f.proxy.budgets.first(f.in)
+	f.proxy.dispatcher.CountArrival(&f.req)
+	for {
+		t, err := f.proxy.dispatcher.Acquire(f.ctx, &f.req)
+		if err != nil {
+			f.giveUp(err)
+			return
+		}
+		f.record.reservation = t
+		if over := f.send(t); over {
+			return
+		}
+	}
+}
+
+// giveUp ends a request that no server is left for.
+func (f *forwarder) giveUp(err error) {
+	switch {
+	case f.callerGone():
+		f.record.outcome = outcomeGone
+	case f.answering.Load():
+		f.cut(eris.Wrap(err, "gateway: no server to go on with"))
+	case f.record.runs > 0:
+		f.refuse(outcomeUnknown, mayHaveRun("the request may have run"))
+	case errors.Is(err, dispatch.ErrShed):
+		f.refuse(outcomeRefused, notRun("more urgent requests wait", retryAfterShed(f.in)))
+	case f.ctx.Err() != nil:
+		f.refuse(outcomeRefused, notRun("no server in time", retrySoon))
+	default:
+		f.refuse(outcomeRefused, notRun("no server can take it", retryAfterLoad()))
+	}
+}
+
+// callerGone reports whether the caller no longer waits.
+func (f *forwarder) callerGone() bool { return f.in.Context().Err() != nil }
+
+// Pauses between sends that servers refuse, and how many refusals end a request. Chosen
+// with the first path (docs/MEASUREMENTS.md, P1), not measured alone.
+const (
+	// refusedPause doubles with each send.
+	refusedPause = 30 * time.Millisecond
+	maxRefusals  = 4
+)
+
+// maxRefusalBody bounds what is read of a server's refusal, in bytes. Chosen, not measured.
+const maxRefusalBody = 4 << 10
+
+// maxUnsent bounds the servers that one request could not be sent to. Chosen, not measured.
+const maxUnsent = 6
+
+// notSent handles a send that did not reach its server, and reports whether the request is over.
+func (f *forwarder) notSent(t *dispatch.Reservation, err error) bool {
+	t.Done(dispatch.Failed)
+	f.proxy.lines.sendFailed(f, t, "not sent", err)
+	f.record.unsent++
+	f.exclude(t)
+	if f.record.unsent < maxUnsent {
+		return false
+	}
+	f.refuse(outcomeRefused, notRun("no server can be reached", retryAfterLoad()))
+	return true
+}
+
+// refusedBy handles a server's word that it has not run the request, and reports whether
+// the request is over.
+func (f *forwarder) refusedBy(t *dispatch.Reservation, resp *http.Response) bool {
+	t.Done(dispatch.Refused)
+	// The body is read so that the connection is kept; an error only closes it.
+	_, _ = io.CopyN(io.Discard, resp.Body, maxRefusalBody)
+	f.proxy.lines.sendFailed(f, t, "refused", eris.Errorf("status %d", resp.StatusCode))
+	if f.answering.Load() {
+		f.cut(eris.New("gateway: refused in the middle of a stream"))
+	}
+	if f.record.runs > 0 {
+		f.refuse(outcomeUnknown, mayHaveRun("the request may have run"))
+		return true
+	}
+	if f.record.sends > maxRefusals || !f.proxy.budgets.take(f.in) {
+		f.refuse(outcomeRefused, notRun("the servers are full", retryAfterLoad()))
+		return true
+	}
+	// Only the last server is left out: the others may have room again.
+	f.req.Exclude = []string{t.Server().ID}
+	if f.record.sends > 1 {
+		clock.Sleep(f.ctx, f.proxy.clock, refusedPause<<f.record.sends)
+	}
+	return false
+}
+
+// lost handles a send that may have run and brought no usable answer, and reports whether
+// the request is over.
+func (f *forwarder) lost(t *dispatch.Reservation, err error) bool {
+	t.Done(dispatch.Failed)
+	f.proxy.lines.sendFailed(f, t, "lost", err)
+	if f.ctx.Err() != nil {
+		f.expired()
+		return true
+	}
+	if f.mayRetry() && (f.retryPaid.Load() || f.proxy.budgets.take(f.in)) {
+		f.exclude(t)
+		f.req.MayHaveRun = true
+		f.req.WaitUntil = f.in.deadline.Add(-answerReserve)
+		return false
+	}
+	if f.answering.Load() {
+		f.cut(err)
+	}
+	f.refuse(outcomeUnknown, mayHaveRun("the server was lost; the request may have run"))
+	return true
+}
+
+// expired ends a request whose time is up after it was sent.
+func (f *forwarder) expired() {
+	if f.callerGone() {
+		f.record.outcome = outcomeGone
+		return
+	}
+	if f.answering.Load() {
+		f.cut(context.DeadlineExceeded)
+	}
+	f.refuse(outcomeTimeout, &refusal{status: http.StatusGatewayTimeout, reason: "no answer in time"})
+}
+
+// exclude keeps the request from a server.
+func (f *forwarder) exclude(t *dispatch.Reservation) {
+	f.req.Exclude = append(f.req.Exclude, t.Server().ID)
+}
+
+// refuse ends the request with an answer of the gateway's own.
+func (f *forwarder) refuse(outcome string, r *refusal) {
+	f.record.outcome, f.record.status = outcome, r.status
+	f.proxy.write(f.w, r)
+}
+
+// cut ends an answer that cannot be completed, so that it does not look whole.
+func (f *forwarder) cut(err error) {
+	f.record.outcome = outcomeCut
+	f.proxy.lines.cut(f, err)
+	panic(http.ErrAbortHandler)
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -2,14 +2,9 @@
 
 import (
 	"context"
-	"net/http"
-	"sync"
-	"sync/atomic"
 	"time"
 
-	"github.com/rotisserie/eris"
 	"go.uber.org/zap"
-	"golang.org/x/time/rate"
 
 	"rockcleat/backend"
 	"rockcleat/clock"
@@ -19,14 +14,13 @@
 	"rockcleat/internal/wire"
 	"rockcleat/kv"
 	"rockcleat/lease"
-	"rockcleat/retry"
 	"rockcleat/table"
 )
 
 // A Decoder turns what stands in the platform's store into the product's records.
 type Decoder interface {
-	// ConfigKey is where the configuration stands, ServerPrefix what stands before
-	// the backend servers' keys.
+	// ConfigKey is the key of the configuration, ServerPrefix the prefix of the backend
+	// servers' keys.
 	ConfigKey() string
 	ServerPrefix() string
 	// Routing decodes a configuration, Server a backend server's record.
@@ -53,296 +47,146 @@
 	Metrics  Metrics
 }
 
-// A Gateway is the entry process in front of servers that speak to it directly.
+// A Gateway is the entry process in front of servers that it speaks to directly.
 type Gateway struct {
-	settings   config.Gateway
-	names      wire.Names
-	readyPath  string
-	prefixes   kv.PrefixStore
-	decoder    Decoder
-	clock      clock.Service
-	log        *zap.Logger
-	metrics    Metrics
-	routing    atomic.Pointer[table.Routing]
-	config     atomic.Pointer[[]byte]
-	registry   backend.Registry
-	listed     atomic.Bool
-	dispatcher *dispatch.Dispatcher
-	placer     *placer.Placer
-	lease      *lease.Holder
-	relay      *kv.Fanout
-	peers      *peers
-	servers    *http.Transport
-	conns      *conns
-	listeners  listeners
-	budgets    sync.Map
-	gateways   atomic.Int64
-	leaving    atomic.Bool
-	last       context.Context
-	lastCall   context.CancelFunc
-	inFlight   atomic.Int64
-	// answeredLines bounds the lines on answered requests, leftOut counts the others.
-	answeredLines *rate.Limiter
-	leftOut       atomic.Uint64
-	storeDown     atomic.Bool
-	// lastTick is the time of the last look for pauses.
-	lastTick time.Time
-	stops    []func()
-	ctx      context.Context
-	cancel   context.CancelFunc
-}
-
-// fill is the part of an engine's slots and memory that is used.
-const fill = 0.92
+	settings  config.Gateway
+	decoder   Decoder
+	clock     clock.Service
+	log       *zap.Logger
+	prefixes  kv.PrefixStore
+	config    *configuration
+	servers   *serverList
+	budgets   *retryBudgets
+	placer    *placer.Placer
+	reporter  *reporter
+	conns     *conns
+	lifecycle *lifecycle
+	listeners *listeners
+	pauses    pauseDetector
+	// stops end the subscriptions to the clock.
+	stops []func()
+	// ctx ends with the gateway, after its last request.
+	ctx    context.Context
+	cancel context.CancelFunc
+}
+
+// utilization is the part of an engine's slots and memory that is used: at full use
+// running streams are preempted. Chosen with the first path (docs/MEASUREMENTS.md, P1); all
+// of it was no better (G3a).
+const utilization = 0.92
 
 // New returns a Gateway that does nothing until Start.
 func New(o Options) *Gateway {
-	g := &Gateway{
-		settings: o.Settings, names: o.Names, readyPath: o.ReadyPath, decoder: o.Decoder,
-		clock: o.Clock, log: o.Log, metrics: o.Metrics, conns: newConns(),
-		answeredLines: rate.NewLimiter(answeredRate, answeredBurst),
-		servers:       wire.NewDirectTransport(o.Settings.IdleTime.Std()),
-	}
-	if g.metrics == nil {
-		g.metrics = noMetrics{}
-	}
-	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.last, g.lastCall = context.WithCancel(context.Background())
-	g.gateways.Store(int64(o.Settings.Gateways))
-	g.peers = newPeers(g)
-	g.dispatcher = dispatch.New(dispatch.Options{
-		ID: o.Settings.ID, Hall: o.Settings.Hall, Clock: o.Clock, Utilization: fill,
-		CacheTokens: g.memory, OnModelMissing: g.peers.wakeUp, Owners: g.peers, OnOwnerSilent: g.logSilent,
+	if o.Metrics == nil {
+		o.Metrics = noMetrics{}
+	}
+	s := o.Settings
+	ctx, cancel := context.WithCancel(context.Background())
+	lines := newRequestLog(o.Log, o.Metrics, o.Clock, o.Names)
+	config := newConfiguration(o.Decoder, o.Log)
+	gateways := newDirectory(s.PeerListen, s.Gateways)
+	peers := newPeerClient(gateways)
+	modelMissing := make(signal, 1)
+	dispatcher := dispatch.New(dispatch.Options{
+		ID: s.ID, Hall: s.Hall, Clock: o.Clock, Utilization: utilization, CacheTokens: config.cacheTokens,
+		Owners: peers, OnOwnerSilent: lines.ownerSilent, OnModelMissing: modelMissing.send,
+	})
+	servers := newServerList(o.Decoder, o.Clock, o.Log, dispatcher)
+	holder := lease.New(o.Store, o.Clock, lease.Options{
+		Name: "placer", Holder: s.ID, Addr: s.PeerListen, TTL: s.LeaseTTL.Std(),
 	})
-	g.lease = lease.New(o.Store, o.Clock, lease.Options{
-		Name: "placer", Holder: o.Settings.ID, Addr: o.Settings.PeerListen, TTL: o.Settings.LeaseTTL.Std(),
+	fanout := kv.NewFanout(kv.FanoutOptions{
+		Clock: o.Clock, MaxAge: s.WatchTime.Std() / 2, OnSwitch: lines.watchSwitched, Digest: servers.digest,
+		IsWatcher: func() bool {
+			_, held := holder.Held()
+			return held
+		},
 	})
-	g.relay = kv.NewFanout(kv.FanoutOptions{
-		Clock: o.Clock, MaxAge: o.Settings.WatchTime.Std() / 2, IsWatcher: g.holdsOrders, OnSwitch: g.logWatch,
-		Digest: g.digest,
+	leader := placer.New(placer.Options{
+		Lease: holder, Keys: fanout.View(o.OwnKeys, true), Engines: o.Engines, Registry: &servers.registry,
+		Routing: config.routing, Clock: o.Clock, Log: o.Log, SettleTime: s.LeaseTTL.Std(), FirstStart: s.FirstStart,
 	})
-	g.prefixes = g.relay.View(o.Prefixes, false)
-	g.placer = placer.New(placer.Options{
-		Lease: g.lease, Keys: g.relay.View(o.OwnKeys, true), Engines: o.Engines, Registry: &g.registry, Routing: g.routing.Load, Clock: o.Clock, Log: o.Log,
-		SettleTime: o.Settings.LeaseTTL.Std(), FirstStart: o.Settings.FirstStart,
+	life := newLifecycle()
+	budgets := newRetryBudgets(s.Retry, o.Clock, gateways)
+	g := &Gateway{
+		settings: s, decoder: o.Decoder, clock: o.Clock, log: o.Log, ctx: ctx, cancel: cancel,
+		prefixes: fanout.View(o.Prefixes, false), config: config, servers: servers, budgets: budgets, placer: leader,
+		conns: newConns(o.Clock, config.connLimits), lifecycle: life, pauses: pauseDetector{log: o.Log, inProgress: life.requests},
+		reporter: &reporter{
+			self:       sender{id: s.ID, addr: s.PeerListen, hall: s.Hall},
+			dispatcher: dispatcher, config: config, servers: servers, gateways: gateways, placer: leader,
+			fanout: fanout, peers: peers, clock: o.Clock, log: o.Log, modelMissing: modelMissing,
+		},
+	}
+	proxy := &proxy{
+		names: o.Names, config: config, dispatcher: dispatcher, budgets: budgets, lines: lines, lifecycle: life,
+		conns: g.conns, clock: o.Clock, transport: wire.NewDirectTransport(s.IdleTime.Std()), bodyTime: s.BodyTime.Std(),
+	}
+	peerServer := &peerServer{
+		placer: leader, fanout: fanout, config: config, gateways: gateways, dispatcher: dispatcher,
+		leaseKey: holder.Key(), configKey: o.Decoder.ConfigKey(),
+	}
+	g.listeners = newListeners(listenerOptions{
+		settings: s, log: o.Log, conns: g.conns, proxy: proxy, peers: peerServer.router(),
+		ready: readyRouter(o.ReadyPath, g.ready), metrics: o.Metrics.Handler(),
 	})
 	return g
 }
 
-// holdsOrders reports whether this gateway gives the orders.
-func (g *Gateway) holdsOrders() bool {
-	_, held := g.lease.Held()
-	return held
-}
+// expireInterval is the time between two looks for what is too old. Chosen, not measured.
+const expireInterval = 200 * time.Millisecond
 
-// memory returns the memory of a service's engines in tokens.
-func (g *Gateway) memory(service string) int {
-	r := g.routing.Load()
-	if r == nil {
-		return 0
-	}
-	s, ok := r.Service(service)
-	if !ok || s.Engine == nil {
-		return 0
-	}
-	return s.Engine.CacheTokens
-}
+// sweepInterval is the time between two looks for connections that are over their bounds.
+// Chosen, not measured.
+const sweepInterval = time.Second
 
-// Start binds the listeners and starts the gateway's systems.
+// Start binds the listeners and starts the gateway's parts.
 func (g *Gateway) Start() error {
-	if err := g.listen(); err != nil {
+	if err := g.listeners.start(); err != nil {
 		return err
 	}
-	go kv.Follow(g.ctx, kv.FollowOptions{
-		Store: g.prefixes, Prefix: g.decoder.ConfigKey(), Round: g.settings.WatchTime.Std(), Clock: g.clock, Follower: &configFollower{g: g},
-	})
-	go kv.Follow(g.ctx, kv.FollowOptions{
-		Store: g.prefixes, Prefix: g.decoder.ServerPrefix(), Round: g.settings.WatchTime.Std(), Clock: g.clock, Follower: &serverFollower{g: g, known: make(map[string]bool)},
+	health := newStoreHealth(g.ctx, g.log)
+	g.follow(g.decoder.ConfigKey(), &configFollower{
+		storeHealth: health, config: g.config, servers: g.servers, key: g.decoder.ConfigKey(),
 	})
+	g.follow(g.decoder.ServerPrefix(), &serverFollower{storeHealth: health, servers: g.servers, known: make(map[string]bool)})
 	g.placer.Start()
-	go g.peers.run()
-	g.subscribe(time.Second, g.conns.sweep)
-	g.subscribe(expireTick, g.expire)
-	g.subscribe(pauseTick, g.watchPause)
+	go g.reporter.run(g.ctx)
+	g.subscribe(sweepInterval, g.conns.sweep)
+	g.subscribe(expireInterval, g.servers.expire)
+	g.subscribe(pauseCheckInterval, g.pauses.check)
 	g.log.Info("started", zap.String("hall", g.settings.Hall), zap.Bool("first", g.settings.FirstStart))
 	return nil
 }
 
-// expireTick is the time between two looks for what is too old.
-const expireTick = 200 * time.Millisecond
-
-// expire forgets what is too old of the servers.
-func (g *Gateway) expire(now time.Time) {
-	if g.registry.Expire(now) {
-		g.dispatcher.SetServers(g.registry.Snapshot())
-	}
-}
-
-// Noticing that the process stood still.
-const (
-	pauseTick = 500 * time.Millisecond
-	// longestTick is the time between two ticks beyond which the process stood still.
-	longestTick = 1500 * time.Millisecond
-)
-
-// watchPause tells when the process stood still: what it knew is as old as that,
-// and requests that it held have waited for as long.
-func (g *Gateway) watchPause(now time.Time) {
-	last := g.lastTick
-	g.lastTick = now
-	if !last.IsZero() && now.Sub(last) > longestTick {
-		g.log.Warn("process stood still", zap.Duration("for", now.Sub(last)), zap.Int64("requests", g.inFlight.Load()))
-	}
+// follow keeps a follower up to date with a prefix of the store.
+func (g *Gateway) follow(prefix string, f kv.Follower) {
+	go kv.Follow(g.ctx, kv.FollowOptions{
+		Store: g.prefixes, Prefix: prefix, Round: g.settings.WatchTime.Std(), Clock: g.clock, Follower: f,
+	})
 }
 
 func (g *Gateway) subscribe(every time.Duration, f func(time.Time)) {
 	g.stops = append(g.stops, g.clock.Subscribe(every, f))
 }
 
-// Times of a stop.
-const (
-	// noticeTime is how long a stopping gateway still takes new connections, so
-	// that the balancer learns of the stop first.
-	noticeTime = 2500 * time.Millisecond
-	// lastAnswers is left of the time to stop for answers to those still waiting.
-	lastAnswers = 400 * time.Millisecond
-	// drainPause is the pause between two looks for connections that are still open.
-	drainPause = 10 * time.Millisecond
-	// lastMoment is left of the grace for the process's own end.
-	lastMoment = 700 * time.Millisecond
-)
-
-// Stop turns readiness off, answers what comes while the balancer learns of it,
-// lets requests end until ctx does, and closes.
-func (g *Gateway) Stop(ctx context.Context) error {
-	g.leaving.Store(true)
-	g.log.Info("leaving", zap.Int64("requests", g.inFlight.Load()))
-	g.placer.Stop(ctx)
-	stopLast := time.AfterFunc(g.untilLastAnswers(ctx), g.lastCall)
-	defer stopLast.Stop()
-	wait(ctx, noticeTime)
-	g.listeners.closeFront()
-	left := g.drain(ctx)
-	g.cancel()
-	for _, stop := range g.stops {
-		stop()
-	}
-	if left > 0 {
-		g.log.Warn("requests cut by the end of the grace", zap.Int64("requests", g.inFlight.Load()), zap.Int("connections", left))
-	}
-	g.listeners.close()
-	g.log.Info("stopped")
-	if left > 0 {
-		return eris.Wrap(ctx.Err(), "gateway: stop")
-	}
-	return nil
-}
-
-// drain waits until callers' connections are closed or ctx ends, and returns how many
-// are left. Those that wait for a request are ended, the others with their answer.
-func (g *Gateway) drain(ctx context.Context) int {
-	for {
-		left := g.conns.drain(time.Now())
-		if left == 0 || ctx.Err() != nil {
-			return left
-		}
-		wait(ctx, drainPause)
-	}
-}
-
-// untilLastAnswers returns when requests without an answer are to be given up, so
-// that each still gets one before the process ends.
-func (g *Gateway) untilLastAnswers(ctx context.Context) time.Duration {
-	end, ok := ctx.Deadline()
-	if !ok {
-		return g.Grace()
-	}
-	return max(time.Until(end)-lastAnswers, 0)
-}
-
-// Grace returns how long Stop may take.
-func (g *Gateway) Grace() time.Duration { return g.settings.Grace.Std() - lastMoment }
-
-func wait(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
-
-// ready reports whether the gateway should get new connections.
+// ready reports whether the gateway should get new connections, and why not.
 func (g *Gateway) ready() (bool, string) {
 	switch {
-	case g.leaving.Load():
+	case g.lifecycle.isStopping():
 		return false, "leaving"
-	case g.routing.Load() == nil:
+	case g.config.routing() == nil:
 		return false, "no configuration yet"
-	case !g.listed.Load():
+	case !g.servers.isListed():
 		return false, "no servers known yet"
 	}
 	return true, ""
 }
 
-// budgetOf returns the budget of repeats of a service.
-func (g *Gateway) budgetOf(service string) *retry.Window {
-	if b, ok := g.budgets.Load(service); ok {
-		return b.(*retry.Window)
-	}
-	b, _ := g.budgets.LoadOrStore(service, &retry.Window{
-		Length: g.settings.Retry.Window.Std(),
-		Ratio:  g.settings.Retry.Ratio * retryReserve,
-		Fixed:  g.settings.Retry.Fixed * retryReserve,
-	})
-	return b.(*retry.Window)
-}
-
-// retryReserve is the part of the budget of repeats that is used.
-const retryReserve = 0.8
-
-// ownShare returns this gateway's part of what all gateways share.
-func (g *Gateway) ownShare() float64 { return 1 / float64(max(g.gateways.Load(), 1)) }
-
-// begin counts a request in hand and returns what ends it.
-func (g *Gateway) begin() func() {
-	g.inFlight.Add(1)
-	return func() { g.inFlight.Add(-1) }
-}
-
-// ServeHTTP answers one request of a caller.
-func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer g.begin()()
-	if !g.conns.begin(r.Context()) {
-		panic(http.ErrAbortHandler)
-	}
-	x, f := g.accept(w, r)
-	if f != nil {
-		f.close = f.close || g.leaving.Load()
-		f.write(w)
-		g.logRefusedEarly(r, f)
-		return
-	}
-	ctx, cancel := context.WithDeadline(r.Context(), x.end)
-	defer cancel()
-	x.ctx = ctx
-	defer g.ended(x)
-	defer context.AfterFunc(g.last, func() {
-		if !x.begun.Load() {
-			cancel()
-		}
-	})()
-	x.run()
-}
-
-// Reload takes new settings; what cannot change while the gateway runs is told
-// in the log and stays.
+// Reload takes new settings. The retry budget changes at once; what cannot change while the
+// gateway runs stays, and the log says that a restart is needed.
 func (g *Gateway) Reload(s config.Gateway) {
-	budget := s.Retry != g.settings.Retry
-	if budget {
-		g.settings.Retry = s.Retry
-		g.budgets.Clear()
-	}
-	g.log.Info("settings reloaded", zap.Bool("retry_changed", budget),
+	changed := g.budgets.set(s.Retry)
+	g.log.Info("settings reloaded", zap.Bool("retry_changed", changed),
 		zap.Bool("restart_needed", s.Listen != g.settings.Listen || s.Store != g.settings.Store))
 }
--- /dev/null
+++ b/internal/gateway/inbound.go
@@ -0,0 +1,156 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"rockcleat/dispatch"
+	"rockcleat/table"
+)
+
+// An inbound is what is known of a caller's request at its start; it does not change.
+type inbound struct {
+	*http.Request
+	id      string
+	route   table.Route
+	service table.Service
+	// configVersion is that of the configuration that the request was matched with.
+	configVersion uint64
+	// body is read whole, so that it can be sent again.
+	body    []byte
+	arrived time.Time
+	// deadline is when the caller or the route stops waiting.
+	deadline time.Time
+	// needs is the request as the dispatcher sees it.
+	needs dispatch.Request
+}
+
+// read reads and checks a request, and refuses one that surely cannot be served.
+func (p *proxy) read(w http.ResponseWriter, r *http.Request) (*inbound, *refusal) {
+	now := p.clock.Now()
+	routing := p.config.routing()
+	if routing == nil {
+		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: retryUnready}
+	}
+	limits := routing.Limits()
+	if limits.HeaderBytes > 0 && headerBytes(r) > limits.HeaderBytes {
+		return nil, &refusal{status: http.StatusRequestHeaderFieldsTooLarge, reason: "header too large", closeConn: true}
+	}
+	path, _, _ := strings.Cut(r.RequestURI, "?")
+	route, ok := routing.Match(r.Host, path)
+	if !ok {
+		return nil, &refusal{status: http.StatusNotFound, reason: "no such route"}
+	}
+	ids := r.Header.Values(p.names.RequestID)
+	if len(ids) != 1 || ids[0] == "" {
+		return nil, &refusal{status: http.StatusBadRequest, reason: "one request id is needed"}
+	}
+	body, refused := p.readBody(w, r, limits.BodyBytes)
+	if refused != nil {
+		return nil, refused
+	}
+	service, ok := routing.Service(route.Pick(rand.Uint64()))
+	if !ok {
+		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no such service yet", retryAfter: retrySoon}
+	}
+	deadline, ok := deadlineOf(now, route.Timeout, r.Header.Get(p.names.Deadline))
+	if !ok {
+		return nil, &refusal{status: http.StatusBadRequest, reason: "the deadline is not a number of milliseconds"}
+	}
+	in := &inbound{
+		Request: r, id: ids[0], route: route, service: service, configVersion: routing.Version(), body: body,
+		arrived: now, deadline: deadline,
+	}
+	in.needs = p.needsOf(in)
+	return in, nil
+}
+
+// headerBytes returns the size of a request's header as it was sent, about.
+func headerBytes(r *http.Request) int {
+	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
+	for name, values := range r.Header {
+		for _, v := range values {
+			n += len(name) + len(v) + len(": \r\n")
+		}
+	}
+	return n
+}
+
+// readBody reads the whole body of at most limit bytes, if there is a limit.
+func (p *proxy) readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *refusal) {
+	if r.Body == nil || r.Body == http.NoBody {
+		return nil, nil
+	}
+	tooLong := &refusal{status: http.StatusRequestEntityTooLarge, reason: "body too large", closeConn: true}
+	if limit > 0 && r.ContentLength > limit {
+		return nil, tooLong
+	}
+	// A connection that takes no deadline is closed or about to be: reading says so.
+	rc := http.NewResponseController(w)
+	_ = rc.SetReadDeadline(p.clock.Now().Add(p.bodyTime))
+	var src io.Reader = r.Body
+	if limit > 0 {
+		src = io.LimitReader(src, limit+1)
+	}
+	body, err := readAll(src, r.ContentLength)
+	if errors.Is(err, context.DeadlineExceeded) || isTimeout(err) {
+		return nil, &refusal{status: http.StatusRequestTimeout, reason: "the body came too slowly", closeConn: true}
+	}
+	if err != nil {
+		return nil, &refusal{status: http.StatusBadRequest, reason: "the body ended early", closeConn: true}
+	}
+	if limit > 0 && int64(len(body)) > limit {
+		return nil, tooLong
+	}
+	_ = rc.SetReadDeadline(time.Time{})
+	return body, nil
+}
+
+// maxPresized bounds the buffer that is made for a body by its announced length alone.
+// Chosen, not measured.
+const maxPresized = 1 << 20
+
+// readAll reads to the end, into one buffer if the size is announced.
+func readAll(r io.Reader, size int64) ([]byte, error) {
+	if size <= 0 || size > maxPresized {
+		return io.ReadAll(r)
+	}
+	buf := make([]byte, size)
+	n, err := io.ReadFull(r, buf)
+	return buf[:n], err
+}
+
+func isTimeout(err error) bool {
+	var t net.Error
+	return errors.As(err, &t) && t.Timeout()
+}
+
+// defaultTimeout is how long a request may take whose route and caller set no limit.
+// Chosen, not measured.
+const defaultTimeout = time.Minute
+
+// deadlineOf returns when a request ends: after the shorter of the route's time and the
+// caller's, in milliseconds. It reports false if the caller's is not a number.
+func deadlineOf(arrived time.Time, timeout time.Duration, header string) (time.Time, bool) {
+	if header != "" {
+		ms, err := strconv.ParseInt(strings.TrimSpace(header), 10, 64)
+		if err != nil || ms < 0 {
+			return time.Time{}, false
+		}
+		d := time.Duration(ms) * time.Millisecond
+		if timeout <= 0 || d < timeout {
+			timeout = d
+		}
+	}
+	if timeout <= 0 {
+		timeout = defaultTimeout
+	}
+	return arrived.Add(timeout), true
+}
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -10,109 +10,104 @@
 	"github.com/rotisserie/eris"
 	"go.uber.org/zap"
 
+	"rockcleat/internal/config"
 	"rockcleat/internal/server"
 	"rockcleat/internal/telemetry"
 	"rockcleat/internal/wire"
 )
 
-// listeners are the servers of a gateway.
-type listeners struct {
-	front, ready, peers, metrics *http.Server
-	// callers is where front accepts connections.
-	callers net.Listener
-}
-
 // Bounds of callers' connections that net/http sets before the configuration is known.
+// Chosen, not measured.
 const (
 	// headerTime bounds the reading of a header.
 	headerTime = 10 * time.Second
-	// maxHeader bounds a header; the configuration's own bound is checked after it.
+	// maxHeader bounds a header, in bytes; the configuration's own bound is checked after it.
 	maxHeader = 128 << 10
 )
 
-func (g *Gateway) listen() error {
+// listenerOptions are what listeners are made of.
+type listenerOptions struct {
+	settings                     config.Gateway
+	log                          *zap.Logger
+	conns                        *conns
+	proxy, peers, ready, metrics http.Handler
+}
+
+// listeners are the HTTP servers of a gateway.
+type listeners struct {
+	log     *zap.Logger
+	servers []boundServer
+	// front is where callers' connections are accepted, after start.
+	front net.Listener
+}
+
+// A boundServer is a server and the address that it listens on.
+type boundServer struct {
+	addr   string
+	server *http.Server
+	// wrap is set for callers' connections, and wraps their listener.
+	wrap func(*net.TCPListener) net.Listener
+}
+
+func newListeners(o listenerOptions) *listeners {
 	quiet := zap.NewStdLog(zap.NewNop())
-	g.listeners.front = &http.Server{
-		Handler: g, ReadHeaderTimeout: headerTime, MaxHeaderBytes: maxHeader, ErrorLog: quiet,
-		ConnState: g.conns.note, ConnContext: withConn,
-	}
-	g.conns.limits = g.connLimits
-	g.listeners.ready = &http.Server{Handler: g.readyRouter(), ReadHeaderTimeout: headerTime, ErrorLog: quiet}
-	g.listeners.peers = &http.Server{Handler: g.peerRouter(), ReadHeaderTimeout: headerTime, ErrorLog: quiet}
-	callers, err := listenTCP(g.settings.Listen)
-	if err != nil {
-		return err
-	}
-	g.listeners.callers = callerListener{callers}
-	g.serveOn(g.listeners.callers, g.listeners.front)
-	for _, l := range []struct {
-		addr string
-		s    *http.Server
-	}{
-		{g.settings.ReadyListen, g.listeners.ready},
-		{g.settings.PeerListen, g.listeners.peers},
-	} {
-		if err := g.serve(l.addr, l.s); err != nil {
-			return err
-		}
+	plain := func(addr string, h http.Handler) boundServer {
+		return boundServer{addr: addr, server: &http.Server{Handler: h, ReadHeaderTimeout: headerTime, ErrorLog: quiet}}
 	}
-	if g.settings.MetricsListen == "" {
-		return nil
+	front := plain(o.settings.Listen, o.proxy)
+	front.server.MaxHeaderBytes = maxHeader
+	front.server.ConnState, front.server.ConnContext = o.conns.note, withConn
+	front.wrap = func(l *net.TCPListener) net.Listener { return callerListener{TCPListener: l, clock: o.conns.clock} }
+	servers := []boundServer{front, plain(o.settings.ReadyListen, o.ready), plain(o.settings.PeerListen, o.peers)}
+	if o.settings.MetricsListen != "" {
+		servers = append(servers, plain(o.settings.MetricsListen, o.metrics))
 	}
-	g.listeners.metrics = &http.Server{Handler: g.metrics.Handler(), ReadHeaderTimeout: headerTime, ErrorLog: quiet}
-	return g.serve(g.settings.MetricsListen, g.listeners.metrics)
+	return &listeners{log: o.log, servers: servers}
 }
 
-// serve binds an address and answers on it.
-func (g *Gateway) serve(addr string, s *http.Server) error {
-	l, err := listenTCP(addr)
-	if err != nil {
-		return err
+// start binds all addresses and answers on them.
+func (l *listeners) start() error {
+	for _, s := range l.servers {
+		bound, err := net.Listen("tcp", s.addr)
+		if err != nil {
+			return eris.Wrapf(err, "gateway: listen on %s", s.addr)
+		}
+		if s.wrap != nil {
+			bound = s.wrap(bound.(*net.TCPListener))
+			l.front = bound
+		}
+		go l.serve(bound, s.server)
 	}
-	g.serveOn(l, s)
 	return nil
 }
 
-func (g *Gateway) serveOn(l net.Listener, s *http.Server) {
-	go func() {
-		if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			g.log.Error("listener failed", zap.String("addr", l.Addr().String()), telemetry.Error(err))
-		}
-	}()
-}
-
-func listenTCP(addr string) (*net.TCPListener, error) {
-	l, err := net.Listen("tcp", addr)
-	if err != nil {
-		return nil, eris.Wrapf(err, "gateway: listen on %s", addr)
+func (l *listeners) serve(bound net.Listener, s *http.Server) {
+	err := s.Serve(bound)
+	if err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		l.log.Error("listener failed", zap.String("addr", bound.Addr().String()), telemetry.Error(err))
 	}
-	return l.(*net.TCPListener), nil
 }
 
-// closeFront ends the taking of callers' connections; those that are open stay.
-func (l *listeners) closeFront() { _ = l.callers.Close() }
+// closeFront ends the accepting of callers' connections; those that are open stay.
+func (l *listeners) closeFront() { l.logClose(l.front.Close()) }
 
+// close ends everything.
 func (l *listeners) close() {
-	for _, s := range []*http.Server{l.front, l.ready, l.peers, l.metrics} {
-		if s != nil {
-			_ = s.Close()
-		}
+	for _, s := range l.servers {
+		l.logClose(s.server.Close())
 	}
 }
 
-func (g *Gateway) readyRouter() http.Handler {
+func (l *listeners) logClose(err error) {
+	if err != nil && !errors.Is(err, net.ErrClosed) {
+		l.log.Warn("listener not closed", telemetry.Error(err))
+	}
+}
+
+// readyRouter answers the balancer, and a health check.
+func readyRouter(path string, ready server.Readiness) http.Handler {
 	e := server.NewRouter()
-	e.GET(g.readyPath, server.Readiness(g.ready).Answer)
+	e.GET(path, ready.Answer)
 	e.GET(wire.PathHealth, func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	return e
 }
-
-// connLimits returns how long a caller's connection may rest and how long a
-// header may take; 0 is no limit.
-func (g *Gateway) connLimits() (idle, header time.Duration) {
-	r := g.routing.Load()
-	if r == nil {
-		return 0, 0
-	}
-	return r.Limits().IdleTime, r.Limits().HeaderTime
-}
--- /dev/null
+++ b/internal/gateway/peer_client.go
@@ -0,0 +1,84 @@
+package gateway
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"rockcleat/dispatch"
+	"rockcleat/internal/placer"
+	"rockcleat/internal/wire"
+	"rockcleat/kv"
+)
+
+// Paths of the interface between gateways.
+const (
+	// pathReport is where gateways report to the leader.
+	pathReport = "/v1/gateway"
+	// pathAdmission is where a gateway is asked for admission at the engines that it owns.
+	pathAdmission = "/v1/place"
+)
+
+// Bounds of calls between gateways.
+const (
+	// reportTimeout bounds one report. Chosen with the first path
+	// (docs/MEASUREMENTS.md, P1).
+	reportTimeout = 700 * time.Millisecond
+	// admissionTimeout bounds one request for admission; it takes 1.4 to 3 ms
+	// (docs/design/0009).
+	admissionTimeout = 150 * time.Millisecond
+)
+
+// A reportMessage is a gateway's report to the leader.
+type reportMessage struct {
+	placer.Report
+	// ConfigVersion is the version of the configuration in force.
+	ConfigVersion uint64 `json:"config"`
+	// Revisions is up to which revision the gateway knows the prefixes that it follows.
+	Revisions map[string]kv.Revision `json:"seen,omitempty"`
+}
+
+// A replyMessage is the answer to a report.
+type replyMessage struct {
+	placer.Reply
+	// Leader is where the leader takes messages, if the answering gateway does not lead.
+	Leader string `json:"holder,omitempty"`
+	// Config is the configuration, if it is newer than the reporting gateway's.
+	Config []byte `json:"config,omitempty"`
+	// Changes is what has changed in the store since Revisions, if the leader answers.
+	Changes map[string]kv.Batch `json:"changes,omitempty"`
+}
+
+// A peerClient calls other gateways; it is a dispatch.Owners.
+type peerClient struct {
+	http     *wire.Client
+	gateways *directory
+}
+
+func newPeerClient(gateways *directory) *peerClient {
+	return &peerClient{http: wire.NewClient("", &wire.Traffic{}), gateways: gateways}
+}
+
+// report sends a report.
+func (p *peerClient) report(ctx context.Context, addr string, m reportMessage) (replyMessage, error) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	defer cancel()
+	var reply replyMessage
+	err := p.http.Call(ctx, http.MethodPost, addr, pathReport, m, &reply)
+	return reply, err
+}
+
+// Admit implements dispatch.Owners.
+func (p *peerClient) Admit(ctx context.Context, owner string, r dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
+	var reply dispatch.AdmissionReply
+	addr := p.gateways.addr(owner)
+	if addr == "" {
+		return reply, eris.Errorf("gateway: the address of gateway %q is not known", owner)
+	}
+	ctx, cancel := context.WithTimeout(ctx, admissionTimeout)
+	defer cancel()
+	err := p.http.Call(ctx, http.MethodPost, addr, pathAdmission, r, &reply)
+	return reply, err
+}
--- /dev/null
+++ b/internal/gateway/peer_server.go
@@ -0,0 +1,85 @@
+package gateway
+
+import (
+	"net/http"
+
+	"github.com/labstack/echo/v4"
+
+	"rockcleat/dispatch"
+	"rockcleat/internal/placer"
+	"rockcleat/internal/server"
+	"rockcleat/kv"
+)
+
+// A peerServer answers the other gateways.
+type peerServer struct {
+	placer     *placer.Placer
+	fanout     *kv.Fanout
+	config     *configuration
+	gateways   *directory
+	dispatcher *dispatch.Dispatcher
+	// leaseKey is the key of the leader's lease, configKey that of the configuration.
+	leaseKey, configKey string
+}
+
+func (p *peerServer) router() http.Handler {
+	e := server.NewRouter()
+	e.POST(pathReport, p.answerReport)
+	e.POST(pathAdmission, p.answerAdmission)
+	return e
+}
+
+// answerReport answers a report: with the leader's reply and what has changed in the store,
+// if this gateway leads, and with the leader's address otherwise.
+func (p *peerServer) answerReport(c echo.Context) error {
+	var m reportMessage
+	if err := c.Bind(&m); err != nil {
+		return err
+	}
+	a := replyMessage{Reply: p.placer.Report(m.Report)}
+	if a.IsLeader {
+		p.addChanges(&a, m)
+	} else {
+		a.Leader, _ = p.placer.Leader()
+	}
+	if len(a.Changes[p.configKey].Events) == 0 {
+		a.Config = p.config.newerThan(m.ConfigVersion)
+	}
+	return c.JSON(http.StatusOK, a)
+}
+
+// addChanges adds what has changed in the store. The leader itself holds the lease, so its
+// key has not changed up to now. Requests that wait for a model make the placer act soon.
+func (p *peerServer) addChanges(a *replyMessage, m reportMessage) {
+	if p.handsOnChanges() {
+		p.fanout.MarkCurrent(p.leaseKey)
+		a.Changes = p.fanout.Since(m.Revisions)
+	}
+	if hasWaiting(m.Report) {
+		p.placer.Wake()
+	}
+}
+
+// handsOnChanges reports whether gateways report so often that what they receive is not too
+// old before their next report; more of them watch the store themselves.
+func (p *peerServer) handsOnChanges() bool {
+	return 2*placer.ReportInterval(p.gateways.count()) <= p.fanout.MaxAge()
+}
+
+// hasWaiting reports whether a gateway has requests that wait for a server.
+func hasWaiting(r placer.Report) bool {
+	for _, d := range r.Demands {
+		if d.Waiting > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+func (p *peerServer) answerAdmission(c echo.Context) error {
+	var r dispatch.AdmissionRequest
+	if err := c.Bind(&r); err != nil {
+		return err
+	}
+	return c.JSON(http.StatusOK, p.dispatcher.Admit(r))
+}
--- /dev/null
+++ b/internal/gateway/reporter.go
@@ -0,0 +1,190 @@
+package gateway
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"go.uber.org/zap"
+
+	"rockcleat/clock"
+	"rockcleat/dispatch"
+	"rockcleat/internal/placer"
+	"rockcleat/internal/telemetry"
+	"rockcleat/kv"
+)
+
+// minReportInterval is the time between two reports while a request waits for a model that
+// no server holds. Chosen with the first path (docs/MEASUREMENTS.md, P1).
+const minReportInterval = 40 * time.Millisecond
+
+// A signal wakes a loop; sending never blocks, and signals that come together are one.
+type signal chan struct{}
+
+func (s signal) send() {
+	select {
+	case s <- struct{}{}:
+	default:
+	}
+}
+
+// A sender is what a gateway's reports say of itself.
+type sender struct{ id, addr, hall string }
+
+// A reporter reports to the leader and applies its replies. All of its state belongs to the
+// goroutine of run.
+type reporter struct {
+	self       sender
+	dispatcher *dispatch.Dispatcher
+	config     *configuration
+	servers    *serverList
+	gateways   *directory
+	placer     *placer.Placer
+	fanout     *kv.Fanout
+	peers      *peerClient
+	clock      clock.Service
+	log        *zap.Logger
+	// modelMissing is sent when a request waits for a model that no server holds.
+	modelMissing signal
+
+	// wasLeader says that this gateway led at the last report.
+	wasLeader bool
+	// leader is where the leader takes messages, as another gateway said; empty if none did.
+	leader string
+	// term is the token of the leader that replied last; the rest is what that leader
+	// has been sent and has sent.
+	term             int64
+	gatewaysVersion  uint64
+	residencyVersion int64
+	reported         map[string]dispatch.Demand
+}
+
+// run reports until ctx ends.
+func (r *reporter) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		started := r.clock.Now()
+		r.report(ctx)
+		r.rest(ctx, started)
+	}
+}
+
+// rest waits for the next report: for the interval between reports, less what the last one
+// took, or until a model is missing, but for minReportInterval at least.
+func (r *reporter) rest(ctx context.Context, started time.Time) {
+	interval := placer.ReportInterval(r.gateways.count())
+	total := max(interval-r.clock.Now().Sub(started), minReportInterval)
+	clock.Sleep(ctx, r.clock, minReportInterval)
+	if ctx.Err() == nil {
+		clock.Await(ctx, r.clock, r.modelMissing, total-minReportInterval)
+	}
+}
+
+// report reports to the leader and applies its reply.
+func (r *reporter) report(ctx context.Context) {
+	addr, own := r.placer.Leader()
+	if own != r.wasLeader {
+		r.wasLeader = own
+		r.fanout.Recheck()
+	}
+	if own {
+		m, demands := r.message()
+		r.apply(r.placer.Report(m), demands)
+		r.placer.Wake()
+		return
+	}
+	if addr = r.target(addr); addr != "" {
+		r.reportTo(ctx, addr)
+	}
+}
+
+// reportTo reports to the gateway at an address, which should lead.
+func (r *reporter) reportTo(ctx context.Context, addr string) {
+	m, demands := r.message()
+	requested := r.clock.Now()
+	reply, err := r.peers.report(ctx, addr, reportMessage{
+		Report: m, ConfigVersion: r.config.version(), Revisions: r.fanout.Revisions(),
+	})
+	if err != nil {
+		r.noReply(addr, err)
+		r.placer.NotePeerReply(addr, false)
+		return
+	}
+	r.placer.NotePeerReply(addr, !reply.IsLeader)
+	if len(reply.Config) > 0 && r.config.offer(reply.Config, fromPeer) {
+		r.servers.refresh()
+	}
+	if reply.IsLeader {
+		r.fanout.Apply(reply.Changes, requested)
+	} else {
+		r.fanout.Invalidate()
+	}
+	if reply.Leader != r.self.addr {
+		r.leader = reply.Leader
+	}
+	r.apply(reply.Reply, demands)
+}
+
+// target returns where to report: to the leader, as another gateway or the store (addr)
+// said, or to any gateway, which says who leads.
+func (r *reporter) target(addr string) string {
+	switch {
+	case r.leader != "":
+		return r.leader
+	case addr != "" && addr != r.self.addr:
+		return addr
+	}
+	return r.gateways.random("")
+}
+
+// noReply forgets a leader that did not reply, and asks another gateway next every other
+// time, since the store may not know a new leader yet.
+func (r *reporter) noReply(addr string, err error) {
+	r.log.Debug("no reply from gateway", zap.String("addr", addr), telemetry.Error(err))
+	r.leader = ""
+	if rand.IntN(2) == 0 {
+		r.leader = r.gateways.random(addr)
+	}
+}
+
+// message returns the next report, and all demand as it stands with it.
+func (r *reporter) message() (placer.Report, map[string]dispatch.Demand) {
+	demands := r.dispatcher.Demands()
+	if !r.servers.registry.HasResidency() {
+		r.residencyVersion = 0
+	}
+	changed := make(map[string]dispatch.Demand)
+	for name, x := range demands {
+		if r.reported[name] != x {
+			changed[name] = x
+		}
+	}
+	return placer.Report{
+		GatewayID: r.self.id, Addr: r.self.addr, Hall: r.self.hall, ResidencyVersion: r.residencyVersion,
+		GatewaysVersion: r.gatewaysVersion, Loads: r.dispatcher.Loads(), Demands: changed, Full: r.reported == nil,
+	}, demands
+}
+
+// apply applies the leader's reply to a report that was made when demand stood at demands.
+func (r *reporter) apply(a placer.Reply, demands map[string]dispatch.Demand) {
+	if !a.IsLeader {
+		return
+	}
+	r.servers.setResidency(a.Residency, a.Full)
+	r.remember(a, demands)
+	if a.Gateways != nil {
+		r.dispatcher.SetGateways(r.gateways.set(a.Gateways))
+	}
+	r.servers.refresh()
+	r.dispatcher.SetRemote(a.Loads, a.BusiestOnly)
+}
+
+// remember keeps what the leader knows now. A new leader was sent only what has changed
+// since the last one's reply, so it is sent everything next.
+func (r *reporter) remember(a placer.Reply, demands map[string]dispatch.Demand) {
+	r.residencyVersion = a.ResidencyVersion
+	r.gatewaysVersion = a.GatewaysVersion
+	r.reported = demands
+	if a.Term != r.term {
+		r.term, r.reported = a.Term, nil
+	}
+}
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/reporter_test.go
@@ -56,10 +56,10 @@
 	return store
 }
 
-// TestGatewayCutFromTheStoreHearsOfChanges cuts one of two gateways from the store:
-// it learns from the holder of orders of servers that leave and come, and of a
+// TestGatewayCutFromTheStoreLearnsOfChanges cuts one of two gateways from the store:
+// it learns from the leader of servers that leave and come, and of a
 // new configuration.
-func TestGatewayCutFromTheStoreHearsOfChanges(t *testing.T) {
+func TestGatewayCutFromTheStoreLearnsOfChanges(t *testing.T) {
 	first, second := newWorker(t, "s1", answer(http.StatusOK, "one")), newWorker(t, "s2", answer(http.StatusOK, "two"))
 	w := newWorld(t, first)
 	store := secondGateway(t, w)
--- /dev/null
+++ b/internal/gateway/request_log.go
@@ -0,0 +1,228 @@
+package gateway
+
+import (
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/time/rate"
+
+	"rockcleat/clock"
+	"rockcleat/dispatch"
+	"rockcleat/internal/telemetry"
+	"rockcleat/internal/wire"
+)
+
+// Messages of the lines that touch a request; docs/OPERATIONS-GATEWAY.md explains them.
+const (
+	msgEnded      = "request ended"
+	msgRefused    = "request refused"
+	msgSendFailed = "send failed"
+	msgSentAgain  = "sent again"
+	msgCut        = "answer cut"
+	msgOwner      = "owner did not answer"
+	msgStalled    = "server stalled, request stays"
+	msgDirect     = "watching the store directly"
+	msgReceiving  = "watching the store through the leader"
+	msgMalformed  = "header malformed, ignored"
+)
+
+// Names of the fields of these lines; docs/OPERATIONS-GATEWAY.md lists them with units.
+const (
+	fieldRequest   = "request"
+	fieldRoute     = "route"
+	fieldService   = "service"
+	fieldModel     = "model"
+	fieldOutcome   = "outcome"
+	fieldStatus    = "status"
+	fieldConfig    = "config"
+	fieldSends     = "sends"
+	fieldUnsent    = "unsent"
+	fieldRuns      = "runs"
+	fieldWaited    = "waited_s"
+	fieldFirst     = "first_s"
+	fieldGap       = "pause_s"
+	fieldEvents    = "events"
+	fieldAsked     = "asked"
+	fieldDenied    = "denied"
+	fieldTotal     = "total_s"
+	fieldLimit     = "limit_s"
+	fieldAge       = "age_s"
+	fieldServer    = "server"
+	fieldAddr      = "addr"
+	fieldReason    = "reason"
+	fieldHost      = "host"
+	fieldTarget    = "target"
+	fieldAmong     = "among"
+	fieldHolders   = "holders"
+	fieldRunning   = "running"
+	fieldAhead     = "reading_ms"
+	fieldPrefill   = "read_ms"
+	fieldOwned     = "own"
+	fieldSameHall  = "near"
+	fieldLastEvent = "last_event"
+	fieldLeftOut   = "left_out"
+)
+
+// Rates of lines, in lines per second and lines together. Chosen, not measured: a line has
+// some 500 bytes, and a gateway ends some 12.6 requests a second (docs/CAPACITY.md).
+const (
+	answeredRate   = 20
+	answeredBurst  = 40
+	malformedRate  = 1
+	malformedBurst = 5
+)
+
+// Metrics counts what becomes of requests.
+type Metrics interface {
+	// Handler shows the figures as text.
+	Handler() http.Handler
+	// Ended counts a request of a route by its outcome, with the times to its first byte
+	// and its end in seconds; first is 0 if there was no byte.
+	Ended(route, outcome string, first, total float64)
+	// Sent counts a send to a backend server; retry says that it was not the first.
+	Sent(service string, retry bool)
+	// Admissions counts what other gateways answered when they were asked for admission.
+	Admissions(granted, denied, silent int)
+}
+
+type noMetrics struct{}
+
+func (noMetrics) Handler() http.Handler                  { return http.NotFoundHandler() }
+func (noMetrics) Ended(string, string, float64, float64) {}
+func (noMetrics) Sent(string, bool)                      {}
+func (noMetrics) Admissions(int, int, int)               {}
+
+// A requestLog writes the lines that touch requests, and counts them in metrics. It is safe
+// for concurrent use.
+type requestLog struct {
+	log     *zap.Logger
+	metrics Metrics
+	clock   clock.Service
+	names   wire.Names
+	// answered bounds the lines on answered requests, leftOut counts the others.
+	answered  *rate.Limiter
+	leftOut   atomic.Uint64
+	malformed *rate.Limiter
+}
+
+func newRequestLog(log *zap.Logger, m Metrics, c clock.Service, names wire.Names) *requestLog {
+	return &requestLog{
+		log: log, metrics: m, clock: c, names: names,
+		answered:  rate.NewLimiter(answeredRate, answeredBurst),
+		malformed: rate.NewLimiter(malformedRate, malformedBurst),
+	}
+}
+
+// ended counts and logs what became of a request. Answered ones are logged up to a rate;
+// those left out are counted in the next line.
+func (l *requestLog) ended(in *inbound, req *dispatch.Request, r *record) {
+	now := l.clock.Now()
+	first := r.untilFirstByte(in)
+	l.metrics.Ended(in.route.Name, r.outcome, first.Seconds(), now.Sub(in.arrived).Seconds())
+	if asked := req.GrantsAsked; asked > 0 {
+		l.metrics.Admissions(req.GrantsGiven, req.GrantsDenied, asked-req.GrantsGiven-req.GrantsDenied)
+	}
+	if r.outcome == outcomeAnswered && !l.answered.AllowN(now, 1) {
+		l.leftOut.Add(1)
+		return
+	}
+	fields := append(l.endFields(in, req, r, now), choiceFields(r.reservation)...)
+	if r.outcome == outcomeRefused {
+		fields = append(fields, zap.Int(fieldHolders, r.holders))
+	}
+	if n := l.leftOut.Swap(0); n > 0 {
+		fields = append(fields, zap.Uint64(fieldLeftOut, n))
+	}
+	l.log.Info(msgEnded, fields...)
+}
+
+// endFields describe a request that has ended.
+func (l *requestLog) endFields(in *inbound, req *dispatch.Request, r *record, now time.Time) []zap.Field {
+	return []zap.Field{
+		zap.String(fieldRequest, in.id), zap.String(fieldRoute, in.route.Name), zap.String(fieldService, in.service.Name),
+		zap.String(fieldModel, in.Header.Get(l.names.Model)), zap.String(fieldOutcome, r.outcome),
+		zap.Int(fieldStatus, r.status), zap.Uint64(fieldConfig, in.configVersion),
+		zap.Int(fieldSends, r.sends), zap.Int(fieldUnsent, r.unsent),
+		zap.Float64(fieldWaited, r.waited.Seconds()), zap.Float64(fieldFirst, r.untilFirstByte(in).Seconds()),
+		zap.Float64(fieldGap, r.longestGap.Seconds()), zap.Int(fieldEvents, r.events),
+		zap.Int(fieldAsked, req.GrantsAsked), zap.Int(fieldDenied, req.GrantsDenied),
+		zap.Float64(fieldTotal, now.Sub(in.arrived).Seconds()),
+		zap.Float64(fieldLimit, in.deadline.Sub(in.arrived).Seconds()),
+	}
+}
+
+// choiceFields describe the last choice of a server and what it was made from.
+func choiceFields(t *dispatch.Reservation) []zap.Field {
+	if t == nil {
+		return nil
+	}
+	c, among := t.Choice()
+	return []zap.Field{
+		zap.String(fieldServer, t.Server().ID), zap.Int(fieldAmong, among), zap.Int(fieldRunning, c.Running),
+		zap.Float64(fieldAhead, float64(c.PrefillAhead)), zap.Float64(fieldPrefill, float64(c.Prefill)),
+		zap.Bool(fieldOwned, c.Owned), zap.Bool(fieldSameHall, c.SameHall),
+	}
+}
+
+// refusedEarly logs a request that was refused before it was matched with a route.
+func (l *requestLog) refusedEarly(r *http.Request, f *refusal) {
+	l.log.Info(msgRefused, zap.String(fieldRequest, r.Header.Get(l.names.RequestID)), zap.String(fieldHost, r.Host),
+		zap.String(fieldTarget, r.RequestURI), zap.Int(fieldStatus, f.status), zap.String(fieldReason, f.reason))
+}
+
+// malformedHeader logs, up to a rate, a header that cannot be decoded and is ignored.
+func (l *requestLog) malformedHeader(in *inbound, header, value string) {
+	if l.malformed.AllowN(l.clock.Now(), 1) {
+		l.log.Info(msgMalformed, zap.String(fieldRequest, in.id), zap.String("header", header), zap.String("value", value))
+	}
+}
+
+// sending counts a send, and logs it if it is a retry.
+func (l *requestLog) sending(f *forwarder, t *dispatch.Reservation) {
+	retry := f.record.sends > 0
+	l.metrics.Sent(f.in.service.Name, retry)
+	if !retry {
+		return
+	}
+	l.log.Info(msgSentAgain, zap.String(fieldRequest, f.in.id), zap.String(fieldServer, t.Server().ID),
+		zap.String(fieldLastEvent, f.lastEvent))
+}
+
+// sendFailed logs a send that brought no usable answer.
+func (l *requestLog) sendFailed(f *forwarder, t *dispatch.Reservation, reason string, err error) {
+	l.log.Info(msgSendFailed, zap.String(fieldRequest, f.in.id), zap.String(fieldServer, t.Server().ID),
+		zap.String(fieldAddr, t.Server().Addr), zap.String(fieldReason, reason), zap.Int(fieldRuns, f.record.runs),
+		l.age(f.in), telemetry.Error(err))
+}
+
+// age is the time since a request's arrival.
+func (l *requestLog) age(in *inbound) zap.Field {
+	return zap.Float64(fieldAge, l.clock.Now().Sub(in.arrived).Seconds())
+}
+
+// cut logs an answer that had begun and could not be completed.
+func (l *requestLog) cut(f *forwarder, err error) {
+	l.log.Info(msgCut, zap.String(fieldRequest, f.in.id), zap.String(fieldLastEvent, f.lastEvent), telemetry.Error(err))
+}
+
+// stalled logs that a request stays with a stalled server, since no other can take it or
+// the retry budget is spent.
+func (l *requestLog) stalled(in *inbound, t *dispatch.Reservation) {
+	l.log.Info(msgStalled, zap.String(fieldRequest, in.id), zap.String(fieldServer, t.Server().ID), l.age(in))
+}
+
+// ownerSilent logs a gateway that did not answer when it was asked for admission.
+func (l *requestLog) ownerSilent(owner string, err error) {
+	l.log.Warn(msgOwner, zap.String("owner", owner), telemetry.Error(err))
+}
+
+// watchSwitched logs whether a prefix is watched at the store or through the leader.
+func (l *requestLog) watchSwitched(prefix string, direct bool) {
+	msg := msgReceiving
+	if direct {
+		msg = msgDirect
+	}
+	l.log.Info(msg, zap.String("prefix", prefix))
+}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,10 +14,10 @@
 	"rockcleat/dispatch"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
+// maxEvent bounds one event of a stream, in bytes. Chosen, not measured.
 const maxEvent = 64 << 10
 
-// errEventTooLong tells of an event over maxEvent.
+// errEventTooLong says that an event is over maxEvent.
 var errEventTooLong = eris.New("gateway: event too long")
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 2<<10) }}
@@ -51,8 +51,8 @@
 	}
 }
 
-// passStream passes a stream on, event by event.
-func (x *exchange) passStream(ctx context.Context, t *dispatch.Reservation, resp *http.Response, silence *silence) bool {
+// passStream passes a stream on, event by event, and reports whether the request is over.
+func (f *forwarder) passStream(ctx context.Context, t *dispatch.Reservation, resp *http.Response, stall *stallTimer) bool {
 	r := readers.Get().(*bufio.Reader)
 	r.Reset(resp.Body)
 	defer func() {
@@ -67,47 +67,43 @@
 			break
 		}
 		if err != nil {
-			return x.lost(t, cause(ctx, err))
+			return f.lost(t, cause(ctx, err))
 		}
 		t.FirstByte()
-		silence.heard()
-		now := x.g.clock.Now()
+		stall.progress()
+		now := f.proxy.clock.Now()
 		if !last.IsZero() {
-			x.longestPause = max(x.longestPause, now.Sub(last))
+			f.record.longestGap = max(f.record.longestGap, now.Sub(last))
 		}
 		last = now
-		if err := x.passEvent(resp, buf.Bytes()); err != nil {
-			return x.callerLost(t)
+		if err := f.passEvent(resp, buf.Bytes()); err != nil {
+			t.Done(dispatch.Abandoned)
+			f.record.outcome = outcomeGone
+			return true
 		}
 		if id != "" {
-			x.lastEvent = id
+			f.lastEvent = id
 		}
 	}
-	if !x.begun.Load() {
-		x.begin(resp)
-		x.w.WriteHeader(resp.StatusCode)
+	if !f.answering.Load() {
+		f.begin(resp)
+		f.w.WriteHeader(resp.StatusCode)
 	}
-	x.finish(t, resp.StatusCode)
+	f.finish(t, resp.StatusCode)
 	return true
 }
 
-// passEvent sends one event to the caller, after the header if it is the first.
-func (x *exchange) passEvent(resp *http.Response, event []byte) error {
-	if !x.begun.Load() {
-		x.begin(resp)
-		x.w.Header().Del("Content-Length")
-		x.w.WriteHeader(resp.StatusCode)
+// passEvent sends one event to the caller, after the header if it is the first. An error
+// says that the caller no longer reads.
+func (f *forwarder) passEvent(resp *http.Response, event []byte) error {
+	if !f.answering.Load() {
+		f.begin(resp)
+		f.w.Header().Del("Content-Length")
+		f.w.WriteHeader(resp.StatusCode)
 	}
-	if _, err := x.w.Write(event); err != nil {
+	if _, err := f.w.Write(event); err != nil {
 		return err
 	}
-	x.events++
-	return http.NewResponseController(x.w).Flush()
-}
-
-// callerLost ends a request whose caller no longer reads.
-func (x *exchange) callerLost(t *dispatch.Reservation) bool {
-	t.Done(dispatch.Abandoned)
-	x.outcome = outcomeGone
-	return true
+	f.record.events++
+	return http.NewResponseController(f.w).Flush()
 }
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -86,18 +86,18 @@
 	}
 }
 
-// Sent counts a send to a backend server; repeat tells that it was not the first.
-func (m *GatewayMetrics) Sent(service string, repeat bool) {
+// Sent counts a send to a backend server; retry says that it was not the first.
+func (m *GatewayMetrics) Sent(service string, retry bool) {
 	kind := "first"
-	if repeat {
+	if retry {
 		kind = "repeat"
 	}
 	m.sends.Add(context.Background(), 1, m.set("service", service, "kind", kind))
 }
 
-// Places counts the places that other gateways were asked for: those granted, those not
-// granted and those that had no answer.
-func (m *GatewayMetrics) Places(granted, denied, silent int) {
+// Admissions counts what other gateways answered when they were asked for admission at
+// their engines: granted, denied, or nothing.
+func (m *GatewayMetrics) Admissions(granted, denied, silent int) {
 	ctx := context.Background()
 	m.places.Add(ctx, int64(granted), m.set("result", "granted", "", ""))
 	m.places.Add(ctx, int64(denied), m.set("result", "denied", "", ""))
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -70,7 +70,7 @@
 	return h.token, h.token != 0 && h.clock.Now().Before(h.expiry)
 }
 
-// Other returns the record of the holder seen last when the lease was not free.
+// OtherHolder returns the record of the holder seen last while the lease was not free.
 func (h *Holder) OtherHolder() Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/table/routing.go
+++ b/table/routing.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A Repeat tells what may happen to a request whose first send failed.
+// A RetryPolicy says whether a request whose first send failed may be sent again.
 type RetryPolicy string
 
-// The kinds of requests by what may be repeated.
+// The retry policies.
 const (
 	// RepeatNever is a request that runs at most once.
 	RetryNever RetryPolicy = "never"
@@ -34,13 +34,14 @@
 	// Shares lists the services; one for most routes.
 	Shares []Share
 	Retry  RetryPolicy
-	// Stream tells that answers are server-sent events.
+	// Stream says that answers are server-sent events.
 	Stream bool
 	// Timeout is the longest time that a request may be held.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event, that callers are promised.
+	// FirstByteObjective is the time to the answer, or to a stream's first event, that
+	// callers are promised.
 	FirstByteObjective time.Duration
-	// PauseObjective is the longest pause between events that callers are promised.
+	// EventGapObjective is the longest time between two events that callers are promised.
 	EventGapObjective time.Duration
 	// Attempts is the greatest number of backend servers that may run one request.
 	Attempts int
@@ -53,19 +54,19 @@
 	Name string
 	// WeightsMB is its memory on an engine.
 	WeightsMB float64
-	// LoadTime is how long it takes from the weight store, WarmTime from the
-	// server's memory and DiskTime from its disk.
+	// StoreLoadTime is how long it takes to load from the weight store, MemoryLoadTime
+	// from the memory of the engine's machine and DiskLoadTime from its disk.
 	StoreLoadTime, MemoryLoadTime, DiskLoadTime time.Duration
 	// Adapters is the number of its adapters, named a1 and so on.
 	Adapters  int
 	AdapterMB float64
 }
 
-// An EngineSpec tells what the engines of a service can hold.
+// An EngineSpec says what the engines of a service can hold.
 type EngineSpec struct {
-	// CacheTokens is the memory for running requests and kept prompts, in tokens.
+	// CacheTokens is the memory for running requests and cached prefixes, in tokens.
 	CacheTokens int
-	// EventTokens is the number of tokens that one event of a stream carries.
+	// TokensPerEvent is the number of tokens that one event of a stream carries.
 	TokensPerEvent int
 	// WeightsMB is the memory for models and adapters of one engine.
 	WeightsMB    float64
