--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -314,7 +314,9 @@
 	w.routing = routingFile{
 		Version: 1, Routes: routes(),
 		Services: []table.Service{
-			{Name: "app"}, {Name: "llm", Engine: &table.EngineSpec{CacheTokens: 1000, TokensPerEvent: 1}},
+			{Name: "app"}, {Name: "llm", Engine: &table.EngineSpec{
+				CacheTokens: 1000, TokensPerEvent: 1, Models: []table.ModelSpec{{Name: "m1"}, {Name: "m2"}},
+			}},
 		},
 		Limits: table.RequestLimits{HeaderBytes: 4000, BodyBytes: 5000, IdleTime: time.Minute},
 	}
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -60,6 +60,9 @@
 	if !ok {
 		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no such service yet", retryAfter: retrySoon}
 	}
+	if !p.mayServe(service, r) {
+		return nil, notRun("the model is not configured", retryConfigured)
+	}
 	deadline, ok := deadlineOf(now, route.Timeout, r.Header.Get(p.names.Deadline))
 	if !ok {
 		return nil, &refusal{status: http.StatusBadRequest, reason: "the deadline is not a number of milliseconds"}
@@ -72,6 +75,21 @@
 	return in, nil
 }
 
+// mayServe reports whether a service's servers can ever serve the request: engines only
+// load models that are configured. Adapters are configured by number, so they are not
+// looked at, and a service without servers may get some while the request waits.
+func (p *proxy) mayServe(service table.Service, r *http.Request) bool {
+	if service.Engine == nil {
+		return true
+	}
+	model, _, _ := strings.Cut(r.Header.Get(p.names.Model), "/")
+	if model == "" {
+		return true
+	}
+	_, ok := service.Engine.Model(model)
+	return ok
+}
+
 // headerBytes returns the size of a request's header as it was sent, about.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
--- /dev/null
+++ b/internal/gateway/models_test.go
@@ -0,0 +1,42 @@
+package gateway_test
+
+import (
+	"net/http"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestUnconfiguredModelIsRefusedAtOnce checks that a request for a model that the
+// configuration does not list never waits: no server can come to hold it. The caller is
+// invited back for when a newer configuration would be known here.
+func TestUnconfiguredModelIsRefusedAtOnce(t *testing.T) {
+	tests := map[string]struct {
+		model  string
+		atOnce bool
+	}{
+		"not listed":                {model: "m9", atOnce: true},
+		"not listed, with adapter":  {model: "m9/a1", atOnce: true},
+		"listed, held by no server": {model: "m1"},
+		"adapter of a listed model": {model: "m1/a1"},
+		"named like a part of one":  {model: "m", atOnce: true},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			x := newWorker(t, "a", answer(http.StatusOK, "ok"))
+			w := newWorld(t, x)
+			got := w.post(pathModel, "x", names.Model, test.model, names.Deadline, "600")
+			assert.NilError(t, got.err)
+			assert.Equal(t, got.status, http.StatusServiceUnavailable)
+			early := w.logs.FilterMessage("request refused")
+			if !test.atOnce {
+				assert.Equal(t, early.Len(), 0)
+				w.waitLine("request ended")
+				return
+			}
+			assert.Equal(t, early.Len(), 1, "it waited")
+			assert.Equal(t, got.header.Get("Retry-After"), "2.00")
+			assert.Equal(t, got.body, "the model is not configured; not run\n")
+		})
+	}
+}
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -42,6 +42,9 @@
 	// retryUnready is the time to come back while there is no configuration: a gateway
 	// reads it within half a second of its start. Chosen, not measured.
 	retryUnready = 500 * time.Millisecond
+	// retryConfigured is the time to come back for a model that is not configured: a
+	// configuration that another gateway knows already is in force here by then.
+	retryConfigured = 2 * time.Second
 	// shedShare is the part of its objective after which a request that was shed may
 	// come back (docs/design/0010).
 	shedShare = 0.2
