--- a/cmd/rockcleat-gateway/main.go
+++ b/cmd/rockcleat-gateway/main.go
@@ -43,5 +43,5 @@
 	}), nil
 }
 
-// storeIdle is how long a connection to the store is kept unused.
+// storeIdle is how long a connection to the store is kept unused. Chosen, not measured.
 const storeIdle = 10 * time.Second
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -46,9 +46,10 @@
 	// grantAge is after how long a granted request is in the loads that gateways
 	// report; reports come each 80 ms up to 24 gateways.
 	grantAge = 400 * time.Millisecond
-	// minGrantRetry and fullGrantRetry are the pauses before asking again: at least, and
-	// for an engine without a slot or memory, which comes free when a request ends.
-	minGrantRetry  = 5 * time.Millisecond
+	// minGrantRetry is the shortest pause before asking again.
+	minGrantRetry = 5 * time.Millisecond
+	// fullGrantRetry is the pause for an engine without a slot or memory left, which
+	// comes free when a request ends.
 	fullGrantRetry = 50 * time.Millisecond
 )
 
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -12,10 +12,10 @@
 	msPerRequest Milliseconds = 1.5
 	// msPerPlainRequest is what one running request adds at a plain service (P1).
 	msPerPlainRequest Milliseconds = 10.0
-	// msOtherHall and msPlainOtherHall are the cost of leaving the own data hall for an
-	// engine and for a plain service (P1). Halls are 0.5 to 1.5 ms apart (the brief); the
-	// cost stands for the price of bytes between halls, which an engine's prompts pay.
-	msOtherHall      Milliseconds = 25.0
+	// msOtherHall is the cost of an engine in another data hall (P1). Halls are 0.5 to
+	// 1.5 ms apart (the brief); the rest keeps prompts and streams within a hall.
+	msOtherHall Milliseconds = 25.0
+	// msPlainOtherHall is the same for a plain service, whose bodies are small.
 	msPlainOtherHall Milliseconds = 10.0
 	// msOtherOwner is the cost of an engine that another gateway owns (P6).
 	msOtherOwner Milliseconds = 30.0
--- a/dispatch/gap.go
+++ b/dispatch/gap.go
@@ -30,9 +30,9 @@
 	// gapShare is the part of the longest gap that is used. 0.85 and 0.8 were no better
 	// (docs/MEASUREMENTS.md, P12 and P12a), the whole gap was worse (G3a).
 	gapShare = 0.93
-	// baseStep is the time of a decoding step without prefill, stepPerRequest what each
-	// running request adds to it.
-	baseStep       Milliseconds = 10.5
+	// baseStep is the time of a decoding step without prefill.
+	baseStep Milliseconds = 10.5
+	// stepPerRequest is what each running request adds to a step.
 	stepPerRequest Milliseconds = 0.2
 	// minPrefillPerStep is the prefill in one step below which engines would idle
 	// between prompts. Chosen, not measured.
--- /dev/null
+++ b/docs/decisions_test.go
@@ -0,0 +1,93 @@
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// named finds what DECISIONS.md names as package.Name or package.Type.Name.
+var named = regexp.MustCompile("`((?:dispatch|gateway|placer|residency|backend|retry|lease|kv)\\.[\\w.]+)`")
+
+// TestDecisionsNameWhatIsThere checks that each function and constant that DECISIONS.md
+// names stands in the code.
+func TestDecisionsNameWhatIsThere(t *testing.T) {
+	page, err := os.ReadFile("DECISIONS.md")
+	assert.NilError(t, err)
+	declared := declarations(t, "..")
+	matches := named.FindAllStringSubmatch(string(page), -1)
+	assert.Assert(t, len(matches) > 100, "%d names found", len(matches))
+	for _, m := range matches {
+		if !declared[m[1]] {
+			t.Errorf("DECISIONS.md names %s, which is not declared", m[1])
+		}
+	}
+}
+
+// declarations returns the names of all functions, methods, types and constants below a
+// folder, tests left out.
+func declarations(t *testing.T, root string) map[string]bool {
+	t.Helper()
+	names := make(map[string]bool)
+	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
+		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		f, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		if err != nil {
+			return err
+		}
+		for _, d := range f.Decls {
+			for _, name := range declaredBy(d) {
+				names[f.Name.Name+"."+name] = true
+			}
+		}
+		return nil
+	})
+	assert.NilError(t, err)
+	return names
+}
+
+// declaredBy returns the names that a declaration declares.
+func declaredBy(d ast.Decl) []string {
+	switch d := d.(type) {
+	case *ast.FuncDecl:
+		if d.Recv == nil {
+			return []string{d.Name.Name}
+		}
+		return []string{receiver(d.Recv.List[0].Type) + "." + d.Name.Name}
+	case *ast.GenDecl:
+		var names []string
+		for _, s := range d.Specs {
+			switch s := s.(type) {
+			case *ast.TypeSpec:
+				names = append(names, s.Name.Name)
+			case *ast.ValueSpec:
+				for _, n := range s.Names {
+					names = append(names, n.Name)
+				}
+			}
+		}
+		return names
+	}
+	return nil
+}
+
+// receiver returns the name of a method's type.
+func receiver(e ast.Expr) string {
+	if star, ok := e.(*ast.StarExpr); ok {
+		e = star.X
+	}
+	if id, ok := e.(*ast.Ident); ok {
+		return id.Name
+	}
+	return ""
+}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -56,7 +56,7 @@
 	Slots        int           `json:"slots,omitempty"`
 	Accelerators []Accelerator `json:"accs,omitempty"`
 	Residents    []Resident    `json:"res,omitempty"`
-	// Demand is told by a server's agent to its planner only; a cell's demand
+	// Demand is reported by a server's agent to its planner only; a cell's demand
 	// travels by itself, since it changes far more often than what is resident.
 	Demand  []Demand `json:"dem,omitempty"`
 	Leaving bool     `json:"leaving,omitempty"`
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -115,7 +115,7 @@
 }
 
 // recover finds out after a conflict or a lost answer who holds the record; the
-// intents at hand are not recorded and the caller tries again later.
+// pending intents are not recorded and the caller tries again later.
 func (r *record) recover(ctx context.Context, cause error) error {
 	e, v, err := r.read(ctx)
 	if err != nil {
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -29,7 +29,7 @@
 }
 
 // aroundTime is how long before and after a request's lines those on its servers
-// are told too.
+// are shown too.
 const aroundTime = 3 * time.Second
 
 // A logLine is one line of a process's log.
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Retry are the settings of the budget of repeats that all gateways share.
+// Retry are the settings of the retry budget that all gateways share.
 type Retry struct {
-	// Window is the span that repeats are counted over.
+	// Window is the span that retries are counted over.
 	Window Duration `yaml:"window"`
-	// Ratio is the number of repeats for each request, Fixed those beside them.
+	// Ratio is the number of retries for each request, Fixed those beside them.
 	Ratio float64 `yaml:"ratio"`
 	Fixed float64 `yaml:"fixed"`
 }
@@ -25,11 +25,11 @@
 	// Store is the address of the platform's store.
 	Store string `yaml:"store"`
 	Log   Log    `yaml:"log"`
-	// FirstStart tells that the whole system starts for the first time.
+	// FirstStart says that the whole system starts for the first time.
 	FirstStart bool `yaml:"first_start"`
 	// Grace is the time from the signal to stop until the process is killed.
 	Grace Duration `yaml:"grace"`
-	// LeaseTTL is the time after which another gateway may give the orders.
+	// LeaseTTL is the time after which another gateway may lead.
 	LeaseTTL Duration `yaml:"lease_ttl"`
 	// WatchTime bounds one watch of the store, so that a dead one is noticed.
 	WatchTime Duration `yaml:"watch_time"`
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -58,7 +58,7 @@
 	return serveGateway(g, *file, log)
 }
 
-// serveGateway runs the gateway until it is told to stop; a signal to reload is
+// serveGateway runs the gateway until a signal stops it; a signal to reload is
 // answered by reading the settings again.
 func serveGateway(g *gateway.Gateway, file string, log *zap.Logger) int {
 	stop := make(chan os.Signal, 1)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -60,7 +60,7 @@
 // maxStatus bounds a status answer, in bytes.
 const maxStatus = 4 << 20
 
-// A Client gives orders to one engine and reads its status.
+// A Client issues orders to one engine and reads its status.
 type Client struct {
 	base string
 	http *http.Client
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -75,7 +75,8 @@
 const (
 	// refusedPause doubles with each send.
 	refusedPause = 30 * time.Millisecond
-	maxRefusals  = 4
+	// maxRefusals is the number of sends after which a refusal is final.
+	maxRefusals = 4
 )
 
 // maxRefusalBody bounds what is read of a server's refusal, in bytes. Chosen, not measured.
--- a/internal/gateway/needs.go
+++ b/internal/gateway/needs.go
@@ -12,9 +12,10 @@
 // (docs/MEASUREMENTS.md, P1 and P6), not measured alone.
 const (
 	// minPatience is the shortest time after which callers leave a stream that has sent
-	// nothing; otherwise that is patienceFactor times the objective for the first byte,
-	// or twice as many times the one for the gap between events.
-	minPatience    = 2 * time.Second
+	// nothing.
+	minPatience = 2 * time.Second
+	// patienceFactor times the objective for the first byte is when callers leave, or
+	// twice as many times the objective for the gap between events.
 	patienceFactor = 4
 	// waitShare is the part of a caller's patience that a request may wait.
 	waitShare = 0.8
--- a/internal/gateway/process_pause.go
+++ b/internal/gateway/process_pause.go
@@ -8,6 +8,7 @@
 
 // Noticing that the process was paused. Chosen, not measured.
 const (
+	// pauseCheckInterval is the time between two checks.
 	pauseCheckInterval = 500 * time.Millisecond
 	// maxCheckInterval is the time between two checks beyond which the process was paused.
 	maxCheckInterval = 1500 * time.Millisecond
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -68,10 +68,12 @@
 // Rates of lines, in lines per second and lines together. Chosen, not measured: a line has
 // some 500 bytes, and a gateway ends some 12.6 requests a second (docs/CAPACITY.md).
 const (
-	answeredRate   = 20
-	answeredBurst  = 40
+	// answeredRate and answeredBurst bound the lines on answered requests.
+	answeredRate  = 20
+	answeredBurst = 40 // two seconds of them
+	// malformedRate and malformedBurst bound the lines on malformed headers.
 	malformedRate  = 1
-	malformedBurst = 5
+	malformedBurst = 5 // a series of one caller
 )
 
 // Metrics counts what becomes of requests.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// maxPriority is the least urgent rank that engines know: one digit of their header.
+// maxPriority is the least urgent rank that engines know, as the users' platform defines it
+// (docs/design/0008).
 const maxPriority = 9
 
 // errStalled ends a send whose server has stalled.
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -15,8 +15,9 @@
 // (docs/design/0010, silent servers). Chosen with the first path (docs/MEASUREMENTS.md, P1).
 const (
 	// stallShare is the part of the objective for the first byte that a plain request
-	// waits for it, but minStallTime at least.
-	stallShare   = 0.5
+	// waits for it.
+	stallShare = 0.5
+	// minStallTime is how long a plain request waits at least.
 	minStallTime = 250 * time.Millisecond
 	// streamStallTime is how long a stream waits for its first event at least, and for
 	// each further one.
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -18,7 +18,9 @@
 // replicas stay through a lull. Demand moves within 4 to 6 s on the users' sites. Chosen
 // with the first path (docs/MEASUREMENTS.md, P1), not measured alone.
 const (
+	// demandRiseTime is the time constant of a rise.
 	demandRiseTime = 1500 * time.Millisecond
+	// demandFallTime is the time constant of a fall.
 	demandFallTime = 8 * time.Second
 )
 
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -14,7 +14,7 @@
 
 // versionBits is the part of a residency's version that counts changes; the rest is the
 // leader's token, so that versions of two leaders differ. A million changes in a term are
-// more than a leader makes in days.
+// more than a leader makes in days. Chosen, not measured.
 const versionBits = 20
 
 // versionToken returns the token of the leader that made a version.
--- a/internal/placer/report_interval.go
+++ b/internal/placer/report_interval.go
@@ -5,15 +5,16 @@
 // Pace of gateways' reports to the leader (docs/MEASUREMENTS.md, P4, P6 and G5;
 // docs/design/0009, many servers).
 const (
-	// reportEvery is the time between two reports of a gateway. With more gateways than
-	// gatewaysAtFullPace each reports less often, so that the leader's load stays
-	// bounded, but at least every maxReportInterval.
-	reportEvery        = 80 * time.Millisecond
+	// reportEvery is the time between two reports of a gateway.
+	reportEvery = 80 * time.Millisecond
+	// gatewaysAtFullPace is the number of gateways from which on each reports less often,
+	// so that the leader's load stays bounded.
 	gatewaysAtFullPace = 12
-	maxReportInterval  = time.Second
-	// A gateway's reports no longer count after gatewayTimeout, or after
-	// gatewayTimeoutReports of them did not come, whichever is later.
-	gatewayTimeout        = 2 * time.Second
+	// maxReportInterval is the longest time between two reports of a gateway.
+	maxReportInterval = time.Second
+	// gatewayTimeout is how long a gateway without a report counts at least.
+	gatewayTimeout = 2 * time.Second
+	// gatewayTimeoutReports is how many reports in a row may be missing.
 	gatewayTimeoutReports = 4
 )
 
--- a/kv/changelog.go
+++ b/kv/changelog.go
@@ -5,8 +5,10 @@
 // Bounds of the changes kept for one prefix. Chosen, not measured: a gateway of the grown
 // sites has 64 MB at most (docs/CAPACITY.md), and whoever is further behind lists anew.
 const (
+	// maxLogEvents bounds their number.
 	maxLogEvents = 512
-	maxLogBytes  = 1 << 20
+	// maxLogBytes bounds the bytes of their values.
+	maxLogBytes = 1 << 20
 )
 
 // A changeLog holds the latest changes of one prefix and how current they are.
--- a/kv/doc.go
+++ b/kv/doc.go
@@ -10,7 +10,7 @@
 // growing, and on package clock. While the service is away, calls fail and Follow tries
 // again; what is known stays known, and its age is for the caller to judge.
 //
-// Outcomes are values: a call that failed tells, by errors.Is, whether the service
+// Outcomes are values: a call that failed shows, by errors.Is, whether the service
 // refused it before it took effect (ErrUnavailable, ErrRateLimited, ErrConflict,
 // ErrNotFound, ErrLeaseGone) or whether it may have taken effect (ErrUnknown). Times are
 // time.Duration; fields of messages in milliseconds end in Ms.
--- a/kv/fanout_view.go
+++ b/kv/fanout_view.go
@@ -12,13 +12,14 @@
 	// watcherRounds is how often a watcher's watch ends within MaxAge, so that the
 	// other processes know how old its view is. Chosen, not measured.
 	watcherRounds = 3
-	// After changes the next watch waits, so that changes that come close together
-	// cost one call: watcherBatchTime in the watcher (docs/MEASUREMENTS.md, G2),
-	// ownBatchTime in a process that watches for itself (P8). The latter together with
-	// a second in which the service reports nothing stays under the two seconds in
-	// which a leaving server must be known.
+	// watcherBatchTime is how long the watcher waits after changes before its next
+	// watch, so that changes that come close together cost one call
+	// (docs/MEASUREMENTS.md, G2).
 	watcherBatchTime = 150 * time.Millisecond
-	ownBatchTime     = 500 * time.Millisecond
+	// ownBatchTime is the same in a process that watches for itself
+	// (docs/MEASUREMENTS.md, P8). With a second in which the service reports nothing it
+	// stays under the two seconds in which a leaving server must be known.
+	ownBatchTime = 500 * time.Millisecond
 )
 
 // A fanoutView is a service seen through a Fanout.
--- a/kv/follow.go
+++ b/kv/follow.go
@@ -35,8 +35,10 @@
 // in which a leaving server must be known, long enough that 340 gateways do not load a
 // service that comes back (docs/CAPACITY.md).
 const (
+	// firstRetryPause is the mean of the first pause.
 	firstRetryPause = 100 * time.Millisecond
-	maxRetryPause   = 500 * time.Millisecond
+	// maxRetryPause is the mean of the longest.
+	maxRetryPause = 500 * time.Millisecond
 )
 
 // Follow lists a prefix and watches it for the follower until ctx ends. It lists anew
--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -9,13 +9,15 @@
 	"rockcleat/kv"
 )
 
-// Pace of a campaign.
+// Pace of a campaign; chosen, not measured.
 const (
-	// renewalsPerTTL is how often a held lease is renewed in its ttl.
+	// renewalsPerTTL is how often a held lease is renewed in its ttl, so that one or two
+	// renewals may fail.
 	renewalsPerTTL = 3
-	// watchWait is how long one watch of another's lease waits.
+	// watchRound is how long one watch of another's lease waits: the cost of waiting is
+	// one call to the service in that time.
 	watchRound = 5 * time.Second
-	// retryPause is the mean pause after a call that failed.
+	// callRetryPause is the mean pause after a call that failed, with jitter of half of it.
 	callRetryPause = 400 * time.Millisecond
 )
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -14,7 +14,8 @@
 // keyPrefix is where lease records stand in the service.
 const keyPrefix = "lease/"
 
-// safetyDivisor sets the part of the ttl that a holder gives up to clock drift.
+// driftDivisor sets the part of the ttl, a fifth, by which a holder stops acting before the
+// service ends its lease, for drift between the two clocks. Chosen, not measured.
 const driftDivisor = 5
 
 // A Token is a fencing token: a later holder's token is always higher.
@@ -48,7 +49,7 @@
 	token   Token
 	expiry  time.Time
 	other   Record
-	// others tells that another holder's record has been seen.
+	// seenOther says that another holder's record has been seen.
 	seenOther bool
 }
 
--- a/residency/forecast.go
+++ b/residency/forecast.go
@@ -6,7 +6,9 @@
 // (docs/MEASUREMENTS.md, P6). The list is in the order of demand, and demand moves along
 // it: when a model is asked for less, the one behind it takes its place.
 const (
-	nextModelShare       = 0.25
+	// nextModelShare is the next model's part, without a unit.
+	nextModelShare = 0.25
+	// secondNextModelShare is that of the one behind it.
 	secondNextModelShare = 0.1
 )
 
