--- a/internal/agent/catchup.go
+++ b/internal/agent/catchup.go
@@ -77,7 +77,7 @@
 	defer cancel()
 	var ans wire.SyncAnswer
 	r := wire.SyncRequest{From: a.settings.ID, Table: a.replica.Current().Version(), TableOnly: true}
-	if err := a.peers.Call(ctx, http.MethodPost, addr, wire.PathSync, r, &ans); err != nil {
+	if err := a.peers.Post(ctx, addr, wire.PathSync, r, &ans); err != nil {
 		a.log.Debug("no table from entry", zap.Error(err))
 		return
 	}
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"github.com/google/uuid"
@@ -46,7 +45,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), nudgeTimeout)
 		defer cancel()
-		err := a.peers.Call(ctx, http.MethodPost, addr, wire.PathNudge, wire.Nudge{Server: a.settings.ID}, nil)
+		err := a.peers.Post(ctx, addr, wire.PathNudge, wire.Nudge{Server: a.settings.ID}, nil)
 		if err != nil {
 			a.log.Debug("planner not nudged", zap.Error(err))
 		}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -95,13 +95,16 @@
 // A run is what a command does with its arguments.
 type run func(ctx context.Context, args []string) error
 
+// A help is what a command says of itself.
+type help struct{ name, usage, short, example string }
+
 // command returns a subcommand with the common flags.
-func (a *app) command(name, usage, short, example string, fs *flag.FlagSet, f run) *ffcli.Command {
+func (a *app) command(h help, fs *flag.FlagSet, f run) *ffcli.Command {
 	return &ffcli.Command{
-		Name:       name,
-		ShortUsage: "rockcleat " + usage,
-		ShortHelp:  short,
-		LongHelp:   short + "\n\nExample:\n  " + example + "\n\n" + exitHelp,
+		Name:       h.name,
+		ShortUsage: "rockcleat " + h.usage,
+		ShortHelp:  h.short,
+		LongHelp:   h.short + "\n\nExample:\n  " + h.example + "\n\n" + exitHelp,
 		FlagSet:    fs,
 		Options:    []ff.Option{ff.WithEnvVarPrefix(envPrefix)},
 		Exec:       f,
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	for _, addr := range a.entries() {
-		if err = c.Call(ctx, http.MethodGet, addr, path, nil, out); err == nil {
+		if err = c.Get(ctx, addr, path, out); err == nil {
 			return nil
 		}
 	}
@@ -62,7 +62,7 @@
 	for try := range saveTries {
 		addr := a.entries()[try%len(a.entries())]
 		var ans wire.SaveAnswer
-		err = c.Call(ctx, http.MethodPost, addr, wire.PathTable, wire.SaveRequest{Edit: edit}, &ans)
+		err = c.Post(ctx, addr, wire.PathTable, wire.SaveRequest{Edit: edit}, &ans)
 		if err == nil {
 			return ans.Version, nil
 		}
--- a/internal/cli/other.go
+++ b/internal/cli/other.go
@@ -19,9 +19,11 @@
 func (a *app) statusCommand() *ffcli.Command {
 	fs := a.flags("status")
 	asJSON := fs.Bool("json", false, "print JSON")
-	return a.command("status", "status [-json]",
-		"Print the VMs, backend servers, what is resident, queues and the table version on each VM.",
-		"rockcleat status", fs, func(ctx context.Context, _ []string) error { return a.status(ctx, *asJSON) })
+	return a.command(help{
+		name: "status", usage: "status [-json]",
+		short:   "Print the VMs, backend servers, what is resident, queues and the table version on each VM.",
+		example: "rockcleat status",
+	}, fs, func(ctx context.Context, _ []string) error { return a.status(ctx, *asJSON) })
 }
 
 func (a *app) status(ctx context.Context, asJSON bool) error {
@@ -67,8 +69,11 @@
 }
 
 func (a *app) whyCommand() *ffcli.Command {
-	return a.command("why", "why [NAME]", "Print the latest decisions, or those about one row, with their reasons.",
-		"rockcleat why clue-draft", a.flags("why"), a.why)
+	return a.command(help{
+		name: "why", usage: "why [NAME]",
+		short:   "Print the latest decisions, or those about one row, with their reasons.",
+		example: "rockcleat why clue-draft",
+	}, a.flags("why"), a.why)
 }
 
 func (a *app) why(ctx context.Context, args []string) error {
@@ -84,7 +89,7 @@
 	fmt.Fprintln(w, "TIME\tENTRY\tDECISION\tNAME\tSERVER\tREASON")
 	for _, addr := range a.entries() {
 		var d wire.DecisionsAnswer
-		if err := c.Call(ctx, "GET", addr, wire.PathDecisions+"?name="+url.QueryEscape(name), nil, &d); err != nil {
+		if err := c.Get(ctx, addr, wire.PathDecisions+"?name="+url.QueryEscape(name), &d); err != nil {
 			fmt.Fprintf(a.err, "rockcleat: entry %s: %v\n", addr, err)
 			continue
 		}
@@ -99,8 +104,11 @@
 func (a *app) configCheck() *ffcli.Command {
 	fs := a.flags("check")
 	role := fs.String("role", "entry", "entry, agent or gateway")
-	return a.command("check", "config check [-role entry|agent|gateway] FILE", "Check a settings file as the daemon would.",
-		"rockcleat config check -role agent agent.yaml", fs,
+	return a.command(help{
+		name: "check", usage: "config check [-role entry|agent|gateway] FILE",
+		short:   "Check a settings file as the daemon would.",
+		example: "rockcleat config check -role agent agent.yaml",
+	}, fs,
 		func(_ context.Context, args []string) error { return a.checkConfig(args, *role) })
 }
 
@@ -140,9 +148,12 @@
 `
 
 func (a *app) completion() *ffcli.Command {
-	return a.command("completion", "completion", "Print a bash completion script.",
-		"source <(rockcleat completion)", a.flags("completion"), func(context.Context, []string) error {
-			_, err := fmt.Fprint(a.out, completionScript)
-			return err
-		})
+	return a.command(help{
+		name: "completion", usage: "completion",
+		short:   "Print a bash completion script.",
+		example: "source <(rockcleat completion)",
+	}, a.flags("completion"), func(context.Context, []string) error {
+		_, err := fmt.Fprint(a.out, completionScript)
+		return err
+	})
 }
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
 	"os"
 	"strings"
 	"text/tabwriter"
@@ -31,25 +30,50 @@
 	checkFlags := a.flags("check")
 	checkReplace := checkFlags.Bool("replace", false, "count rows that the file does not name as removed")
 	return []*ffcli.Command{
-		a.command("show", "table show [-json]", "Print the table in force.", "rockcleat table show", showFlags,
+		a.command(help{
+			name: "show", usage: "table show [-json]",
+			short:   "Print the table in force.",
+			example: "rockcleat table show",
+		}, showFlags,
 			func(ctx context.Context, _ []string) error { return a.show(ctx, *asJSON) }),
-		a.command("export", "table export [FILE]", "Write the table as CSV.", "rockcleat table export models.csv",
-			a.flags("export"), a.export),
-		a.command("import", "table import [-replace] FILE", "Save the rows of a CSV file as one edit.",
-			"rockcleat table import models.csv", importFlags,
+		a.command(help{
+			name: "export", usage: "table export [FILE]",
+			short:   "Write the table as CSV.",
+			example: "rockcleat table export models.csv",
+		}, a.flags("export"), a.export),
+		a.command(help{
+			name: "import", usage: "table import [-replace] FILE",
+			short:   "Save the rows of a CSV file as one edit.",
+			example: "rockcleat table import models.csv",
+		}, importFlags,
 			func(ctx context.Context, args []string) error { return a.importFile(ctx, args, *replace) }),
-		a.command("set", "table set NAME COLUMN=VALUE ...", "Add a row or change some of its columns.",
-			"rockcleat table set clue-draft tier=premium weight=3 queue_time=2s", a.flags("set"), a.set),
-		a.command("remove", "table remove NAME", "Remove a row.", "rockcleat table remove clue-draft",
-			a.flags("remove"), a.remove),
-		a.command("diff", "table diff [-replace] FILE", "Print what importing a CSV file would change.",
-			"rockcleat table diff models.csv", diffFlags,
+		a.command(help{
+			name: "set", usage: "table set NAME COLUMN=VALUE ...",
+			short:   "Add a row or change some of its columns.",
+			example: "rockcleat table set clue-draft tier=premium weight=3 queue_time=2s",
+		}, a.flags("set"), a.set),
+		a.command(help{
+			name: "remove", usage: "table remove NAME",
+			short:   "Remove a row.",
+			example: "rockcleat table remove clue-draft",
+		}, a.flags("remove"), a.remove),
+		a.command(help{
+			name: "diff", usage: "table diff [-replace] FILE",
+			short:   "Print what importing a CSV file would change.",
+			example: "rockcleat table diff models.csv",
+		}, diffFlags,
 			func(ctx context.Context, args []string) error { return a.diff(ctx, args, *diffReplace) }),
-		a.command("check", "table check [-replace] FILE", "Check a CSV file against the system without saving it.",
-			"rockcleat table check models.csv", checkFlags,
+		a.command(help{
+			name: "check", usage: "table check [-replace] FILE",
+			short:   "Check a CSV file against the system without saving it.",
+			example: "rockcleat table check models.csv",
+		}, checkFlags,
 			func(ctx context.Context, args []string) error { return a.check(ctx, args, *checkReplace) }),
-		a.command("history", "table history", "Print the latest edits, the newest last.", "rockcleat table history",
-			a.flags("history"), a.history),
+		a.command(help{
+			name: "history", usage: "table history",
+			short:   "Print the latest edits, the newest last.",
+			example: "rockcleat table history",
+		}, a.flags("history"), a.history),
 	}
 }
 
@@ -224,7 +248,7 @@
 		return err
 	}
 	r := wire.SaveRequest{Edit: table.Edit{Changes: changes}}
-	if err := c.Call(ctx, http.MethodPost, a.entries()[0], wire.PathTableCheck, r, nil); err != nil {
+	if err := c.Post(ctx, a.entries()[0], wire.PathTableCheck, r, nil); err != nil {
 		if final, _ := saveError(err); final != nil {
 			return a.printErrors(final)
 		}
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -49,8 +49,11 @@
 	fs := flag.NewFlagSet("trace", flag.ContinueOnError)
 	fs.SetOutput(a.err)
 	around := fs.Bool("around", false, "also tell what the logs say of the request's servers within 3 s of it")
-	return a.command("trace", "trace [-around] REQUEST FILE...", "Follow one request through the collected logs of many processes.",
-		"rockcleat trace -around 9c41d07be2a35f68 gateway-*.log", fs,
+	return a.command(help{
+		name: "trace", usage: "trace [-around] REQUEST FILE...",
+		short:   "Follow one request through the collected logs of many processes.",
+		example: "rockcleat trace -around 9c41d07be2a35f68 gateway-*.log",
+	}, fs,
 		func(_ context.Context, args []string) error { return a.trace(args, *around) })
 }
 
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -208,7 +208,7 @@
 		if err != nil {
 			return err
 		}
-		err = c.e.peers.Call(ctx, http.MethodPost, addr, path, in, out)
+		err = c.e.peers.Post(ctx, addr, path, in, out)
 		if err == nil || !isNotOwner(err) {
 			return err
 		}
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -170,7 +170,7 @@
 			ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 			defer cancel()
 			var v wire.VersionAnswer
-			if err := e.peers.Call(ctx, http.MethodGet, vm.Control, wire.PathStatus, nil, &v); err != nil {
+			if err := e.peers.Get(ctx, vm.Control, wire.PathStatus, &v); err != nil {
 				out[i].State = string(inventory.VMState("silent"))
 				return
 			}
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(s.e.ctx, syncTimeout)
 	defer cancel()
 	var a wire.SyncAnswer
-	err := s.e.peers.Call(ctx, http.MethodPost, peer.Control, wire.PathSync, s.request(), &a)
+	err := s.e.peers.Post(ctx, peer.Control, wire.PathSync, s.request(), &a)
 	if err != nil {
 		s.e.log.Debug("no answer from entry", zap.String("peer", peer.ID), zap.Error(err))
 		return
--- a/internal/gateway/peer_client.go
+++ b/internal/gateway/peer_client.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -66,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var reply replyMessage
-	err := p.http.Call(ctx, http.MethodPost, addr, pathReport, m, &reply)
+	err := p.http.Post(ctx, addr, pathReport, m, &reply)
 	return reply, err
 }
 
@@ -79,6 +78,6 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
-	err := p.http.Call(ctx, http.MethodPost, addr, pathAdmission, r, &reply)
+	err := p.http.Post(ctx, addr, pathAdmission, r, &reply)
 	return reply, err
 }
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -65,7 +65,7 @@
 // SaveEdit saves an edit through an entry.
 func (s *System) SaveEdit(ctx context.Context, n *Node, e table.Edit) (uint64, error) {
 	var a wire.SaveAnswer
-	err := Client().Call(ctx, http.MethodPost, n.Control, wire.PathTable, wire.SaveRequest{Edit: e}, &a)
+	err := Client().Post(ctx, n.Control, wire.PathTable, wire.SaveRequest{Edit: e}, &a)
 	return a.Version, err
 }
 
@@ -76,7 +76,7 @@
 		path += "?versions=1"
 	}
 	var a wire.StatusAnswer
-	err := Client().Call(ctx, http.MethodGet, n.Control, path, nil, &a)
+	err := Client().Get(ctx, n.Control, path, &a)
 	return a, err
 }
 
@@ -130,7 +130,7 @@
 		if n.Exited() {
 			continue
 		}
-		if err := Client().Call(ctx, http.MethodGet, n.Control, wire.PathStatus, nil, &v); err != nil || v.TableVersion < version {
+		if err := Client().Get(ctx, n.Control, wire.PathStatus, &v); err != nil || v.TableVersion < version {
 			return false
 		}
 	}
--- a/internal/lab/nodes.go
+++ b/internal/lab/nodes.go
@@ -131,15 +131,13 @@
 	return err
 }
 
-// SetVM changes a VM in the platform's list.
+// SetVM changes a node's VM in the platform's list.
 func (s *System) SetVM(ctx context.Context, n *Node, role inventory.Role, state inventory.VMState) error {
-	return s.SetVMAt(ctx, n, role, state, n.Addr, n.Control)
+	return s.PutVM(ctx, inventory.VM{ID: n.ID, Role: role, Hall: n.Hall, Addr: n.Addr, Control: n.Control, State: state})
 }
 
-// SetVMAt changes a VM in the platform's list and gives it other addresses, such
-// as those of proxies.
-func (s *System) SetVMAt(ctx context.Context, n *Node, role inventory.Role, state inventory.VMState, addr, control string) error {
-	vm := inventory.VM{ID: n.ID, Role: role, Hall: n.Hall, Addr: addr, Control: control, State: state}
+// PutVM changes a VM in the platform's list, which may name other addresses than its node's.
+func (s *System) PutVM(ctx context.Context, vm inventory.VM) error {
 	return send(ctx, http.MethodPost, s.VMsURL+"/v1/vms", inventory.VMList{VMs: []inventory.VM{vm}}, nil)
 }
 
--- a/internal/planner/exchange.go
+++ b/internal/planner/exchange.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"maps"
-	"net/http"
 	"slices"
 	"time"
 
@@ -55,7 +54,7 @@
 	ctx, cancel := context.WithTimeout(c.ctx, callTimeout)
 	defer cancel()
 	var a wire.ExchangeAnswer
-	err := c.Agents.Call(ctx, http.MethodPost, p.vm.Control, wire.PathExchange, x, &a)
+	err := c.Agents.Post(ctx, p.vm.Control, wire.PathExchange, x, &a)
 	now := c.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -52,7 +52,7 @@
 
 // An Agents sends messages to agents.
 type Agents interface {
-	Call(ctx context.Context, method, addr, path string, in, out any) error
+	Post(ctx context.Context, addr, path string, in, out any) error
 }
 
 // A Recorder keeps decisions for operators.
--- a/internal/proofs/history_test.go
+++ b/internal/proofs/history_test.go
@@ -48,7 +48,7 @@
 		}
 		now := n.Process
 		var v wire.VersionAnswer
-		if err := lab.Client().Call(tr.ctx, http.MethodGet, n.Control, wire.PathStatus, nil, &v); err != nil || now != n.Process {
+		if err := lab.Client().Get(tr.ctx, n.Control, wire.PathStatus, &v); err != nil || now != n.Process {
 			continue
 		}
 		if now != process {
@@ -66,7 +66,7 @@
 // and no row changes under an edit that had not seen its last change.
 func (tr *trial) checkHistory(accepted map[string]uint64) {
 	var h wire.HistoryAnswer
-	tr.must(lab.Client().Call(tr.ctx, http.MethodGet, tr.liveEntry(0).Control, wire.PathHistory, nil, &h))
+	tr.must(lab.Client().Get(tr.ctx, tr.liveEntry(0).Control, wire.PathHistory, &h))
 	seen := make(map[string]uint64)
 	lastOf := make(map[string]uint64)
 	for i, e := range h.Edits {
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -419,7 +419,7 @@
 	ctx, cancel := context.WithTimeout(tr.ctx, operatorPatience)
 	defer cancel()
 	var t wire.TableAnswer
-	if err := lab.Client().Call(ctx, http.MethodGet, n.Control, wire.PathTable, nil, &t); err != nil {
+	if err := lab.Client().Get(ctx, n.Control, wire.PathTable, &t); err != nil {
 		return table.Row{}, false
 	}
 	for _, r := range t.Rows {
--- a/internal/proofs/promises_test.go
+++ b/internal/proofs/promises_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"slices"
 	"sync"
 	"testing"
@@ -36,7 +35,7 @@
 	tr.until("an edit of "+name+" is saved", func() bool {
 		var t wire.TableAnswer
 		e := tr.liveEntry(0)
-		if err := lab.Client().Call(tr.ctx, http.MethodGet, e.Control, wire.PathTable, nil, &t); err != nil {
+		if err := lab.Client().Get(tr.ctx, e.Control, wire.PathTable, &t); err != nil {
 			return false
 		}
 		i := slices.IndexFunc(t.Rows, func(r table.Row) bool { return r.Name == name })
--- a/internal/proofs/proxy_test.go
+++ b/internal/proofs/proxy_test.go
@@ -49,7 +49,10 @@
 // control, and tells the platform's list of them.
 func (tr *trial) proxied(b *lab.Backend) (requests, control *faultProxy) {
 	requests, control = tr.proxy(b.Agent.Addr), tr.proxy(b.Agent.Control)
-	tr.must(tr.SetVMAt(tr.ctx, b.Agent, inventory.RoleBackend, inventory.VMLive, requests.Listen, control.Listen))
+	tr.must(tr.PutVM(tr.ctx, inventory.VM{
+		ID: b.Agent.ID, Role: inventory.RoleBackend, Hall: b.Agent.Hall, Addr: requests.Listen, Control: control.Listen,
+		State: inventory.VMLive,
+	}))
 	tr.until("requests go through the proxy of "+b.Agent.ID, func() bool {
 		for i := range tr.Entries {
 			st, err := tr.Status(tr.ctx, tr.liveEntry(i), false)
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -60,25 +60,33 @@
 	}
 }
 
-// Call sends in as JSON to http://addr/path and decodes the answer into out.
-func (c *Client) Call(ctx context.Context, method, addr, path string, in, out any) error {
-	var body io.Reader
-	if in != nil {
-		b, err := json.Marshal(in)
-		if err != nil {
-			return eris.Wrap(err, "wire: encode")
-		}
-		body = bytes.NewReader(b)
+// Get reads JSON from http://ADDR/PATH into out.
+func (c *Client) Get(ctx context.Context, addr, path string, out any) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
+	if err != nil {
+		return eris.Wrap(err, "wire: make request")
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
+	return c.do(req, out)
+}
+
+// Post sends in as JSON to http://ADDR/PATH and decodes the answer into out, if that is not nil.
+func (c *Client) Post(ctx context.Context, addr, path string, in, out any) error {
+	body, err := json.Marshal(in)
+	if err != nil {
+		return eris.Wrap(err, "wire: encode")
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return eris.Wrap(err, "wire: make request")
 	}
+	req.Header.Set("Content-Type", "application/json")
+	return c.do(req, out)
+}
+
+// do sends a request and decodes its answer.
+func (c *Client) do(req *http.Request, out any) error {
 	// An absent User-Agent spares some 25 bytes of each control message.
 	req.Header["User-Agent"] = nil
-	if in != nil {
-		req.Header.Set("Content-Type", "application/json")
-	}
 	if c.secret != "" {
 		req.Header.Set("Authorization", "Bearer "+c.secret)
 	}
