--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -80,12 +80,12 @@
 	s := servers(1)[0]
 	s.Residents = []backend.Resident{{Model: "listed"}}
 	r.Replace([]backend.Server{s}, now)
-	r.SetResidency(map[string]backend.Residency{"s0": {Residents: []backend.Resident{{Model: "told", Adapters: []string{"a1"}}}}}, now)
+	r.SetResidency(map[string]backend.Residency{"s0": {Residents: []backend.Resident{{Model: "published", Adapters: []string{"a1"}}}}}, now)
 	srv, _ := r.Snapshot().Server("s0")
-	assert.Assert(t, srv.Holds("told", "a1") && !srv.Holds("listed", ""), "the holder's word goes first")
+	assert.Assert(t, srv.Holds("published", "a1") && !srv.Holds("listed", ""), "the leader's word goes first")
 	r.MergeResidency(map[string]backend.Residency{"s9": {}}, now.Add(time.Second))
 	srv, _ = r.Snapshot().Server("s0")
-	assert.Assert(t, srv.Holds("told", "a1"), "what has not changed stands")
+	assert.Assert(t, srv.Holds("published", "a1"), "what has not changed stands")
 	r.MergeResidency(nil, now.Add(2*time.Second))
 	assert.Assert(t, !r.Expire(now.Add(4*time.Second)))
 	assert.Assert(t, r.HasResidency())
@@ -96,13 +96,13 @@
 }
 
 // TestChangesThatDoNotShow checks that what the list says a server holds does not
-// make a new snapshot while the holder of orders tells it, and that it is not lost.
+// make a new snapshot while the leader publishes it, and that it is not lost.
 func TestChangesThatDoNotShow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r backend.Registry
 	list := servers(2)
 	r.Replace(list, now)
-	r.SetResidency(map[string]backend.Residency{"s0": {Residents: []backend.Resident{{Model: "told"}}}}, now)
+	r.SetResidency(map[string]backend.Residency{"s0": {Residents: []backend.Resident{{Model: "published"}}}}, now)
 	before := r.Snapshot()
 	s := list[0]
 	s.Residents = []backend.Resident{{Model: "listed"}}
@@ -111,7 +111,7 @@
 	s.Leaving = true
 	r.Apply([]backend.Change{{Server: s}}, now)
 	srv, _ := r.Snapshot().Server("s0")
-	assert.Assert(t, srv.Leaving && srv.Holds("told", ""))
+	assert.Assert(t, srv.Leaving && srv.Holds("published", ""))
 	r.Expire(now.Add(time.Minute))
 	srv, _ = r.Snapshot().Server("s0")
 	assert.Assert(t, srv.Holds("listed", ""))
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -24,8 +24,8 @@
 	// silent names gateways that do not answer.
 	silent map[string]bool
 	asked  int
-	// told lists the owners that were told to be silent.
-	told []string
+	// silentOwners lists the owners that were reported not to answer.
+	silentOwners []string
 }
 
 // Ask implements dispatch.Places.
@@ -56,7 +56,7 @@
 	for _, x := range list {
 		d := dispatch.New(dispatch.Options{
 			ID: x.ID, Hall: x.Hall, Clock: c, Utilization: 1, CacheTokens: func(string) int { return memory }, Owners: g,
-			OnOwnerSilent: func(owner string, _ error) { g.told = append(g.told, owner) },
+			OnOwnerSilent: func(owner string, _ error) { g.silentOwners = append(g.silentOwners, owner) },
 		})
 		d.SetServers(snapshot(servers...))
 		d.SetGateways(list)
@@ -73,7 +73,7 @@
 }
 
 // TestRequestsAreAdmittedOnce has many gateways send at the same moment, before any has
-// heard of the others' requests: each engine gets one prompt.
+// learned of the others' requests: each engine gets one prompt.
 func TestRequestsAreAdmittedOnce(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 6, engine("a"), engine("b"), engine("d"))
@@ -137,7 +137,7 @@
 		}
 	}
 	assert.Equal(t, g.askedTimes(), 1)
-	assert.Equal(t, len(g.told), 1)
+	assert.Equal(t, len(g.silentOwners), 1)
 	c.Advance(time.Second)
 	for _, d := range g.dispatchers {
 		_, err := d.Acquire(context.Background(), longPrompt(c))
@@ -178,7 +178,7 @@
 }
 
 // TestOwnerKnowsCachedPrefixes checks that the owner remembers the prompts of all
-// gateways: the second one with the same parts needs less reading.
+// gateways: the second one with the same blocks needs less prefill.
 func TestOwnerKnowsCachedPrefixes(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := newGroup(c, 1, engine("a")).dispatchers["g0"]
@@ -186,13 +186,13 @@
 		Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: allowing(60), Prefix: []dispatch.PrefixBlock{{ID: "p", Tokens: 950}},
 	}
 	assert.Assert(t, d.Admit(ask).Admitted)
-	assert.Assert(t, d.Admit(ask).Admitted, "the prompt is kept, so that both fit")
+	assert.Assert(t, d.Admit(ask).Admitted, "the prefix is cached, so that both fit")
 	ask.Prefix = nil
 	assert.Assert(t, !d.Admit(ask).Admitted)
 }
 
-// TestDeniedPromptIsNotCached checks that a prompt which was not sent for want of a
-// place does not count as kept by the engine.
+// TestDeniedPromptIsNotCached checks that a prompt which was not admitted and so not
+// sent does not count as cached by the engine.
 func TestDeniedPromptIsNotCached(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 2, engine("a"))
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -78,8 +78,8 @@
 		want   int
 	}{
 		"none":                  {want: -1},
-		"least reading":         {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead = 90 }), idle}, want: 1},
-		"kept prompt":           {list: []dispatch.Candidate{idle, with(func(c *dispatch.Candidate) { c.Prefill = 10 })}, want: 1},
+		"least prefill ahead":   {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead = 90 }), idle}, want: 1},
+		"cached prefix":         {list: []dispatch.Candidate{idle, with(func(c *dispatch.Candidate) { c.Prefill = 10 })}, want: 1},
 		"own hall":              {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.SameHall = false }), idle}, want: 1},
 		"own engine":            {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Owned = false }), idle}, want: 1},
 		"silent comes last":     {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Stalled = true }), with(func(c *dispatch.Candidate) { c.PrefillAhead = 900 })}, want: 1},
@@ -90,15 +90,15 @@
 		"larger than the memory, alone": {
 			list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.NeedTokens = 2 * memory })}, want: 0,
 		},
-		"reading limit": {
+		"prefill limit": {
 			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 })},
 			limits: dispatch.Limits{Gap: allowing(100)}, want: -1,
 		},
-		"reading limit, nothing on its way": {
+		"prefill limit, nothing ahead": {
 			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Prefill = 400 })},
 			limits: dispatch.Limits{Gap: allowing(100)}, want: 0,
 		},
-		"another's engine that reads, while an own one is full": {
+		"another's engine that prefills, while an own one is full": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
 				with(func(c *dispatch.Candidate) { c.PrefillAhead, c.Prefill, c.Owned = 1, 30, false }),
@@ -184,7 +184,7 @@
 	assert.Equal(t, d.HolderCount(r), 0)
 	r.Adapter = ""
 	assert.Equal(t, d.HolderCount(r), 2)
-	assert.Equal(t, missing, 1, "the wait for an adapter that nobody holds is told")
+	assert.Equal(t, missing, 1, "the wait for an adapter that nobody holds is reported")
 }
 
 // acquire starts an Acquire and returns where its res will come.
@@ -214,7 +214,7 @@
 	}
 	tests := map[string]struct {
 		first, second kind
-		// secondWins tells that the one that came later goes first.
+		// secondWins says that the one that came later goes first.
 		secondWins bool
 	}{
 		"order of arrival":               {first: kind{priority: 1}, second: kind{priority: 1}},
--- a/docs/decisions_test.go
+++ b/docs/pages_test.go
@@ -32,27 +32,74 @@
 	}
 }
 
+// quotedTest finds the tests that a page names.
+var quotedTest = regexp.MustCompile("`((?:Test|Example|Fuzz)[A-Za-z_]+)`")
+
+// TestPagesNameTestsThatAreThere checks that each test that a page names stands in the code.
+func TestPagesNameTestsThatAreThere(t *testing.T) {
+	tests := make(map[string]bool)
+	walk(t, "..", "_test.go", func(path string) {
+		for _, name := range declarationsOf(t, path) {
+			tests[name] = true
+		}
+	})
+	walk(t, ".", ".md", func(path string) {
+		page, err := os.ReadFile(path)
+		assert.NilError(t, err)
+		for _, m := range quotedTest.FindAllStringSubmatch(string(page), -1) {
+			if !tests[m[1]] {
+				t.Errorf("%s names %s, which is not there", path, m[1])
+			}
+		}
+	})
+}
+
 // declarations returns the names of all functions, methods, types and constants below a
-// folder, tests left out.
+// folder with their packages, tests left out.
 func declarations(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	names := make(map[string]bool)
-	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
-		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-			return err
+	walk(t, root, ".go", func(path string) {
+		if strings.HasSuffix(path, "_test.go") {
+			return
 		}
-		f, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
-		if err != nil {
-			return err
+		pkg := packageOf(t, path)
+		for _, name := range declarationsOf(t, path) {
+			names[pkg+"."+name] = true
 		}
-		for _, d := range f.Decls {
-			for _, name := range declaredBy(d) {
-				names[f.Name.Name+"."+name] = true
-			}
+	})
+	return names
+}
+
+// walk calls f with each file below a folder whose name ends as given.
+func walk(t *testing.T, root, ending string, f func(path string)) {
+	t.Helper()
+	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
+		if err == nil && strings.HasSuffix(path, ending) {
+			f(path)
 		}
-		return nil
+		return err
 	})
 	assert.NilError(t, err)
+}
+
+// packageOf returns the name of a file's package.
+func packageOf(t *testing.T, path string) string {
+	t.Helper()
+	f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.PackageClauseOnly)
+	assert.NilError(t, err)
+	return f.Name.Name
+}
+
+// declarationsOf returns the names that a file declares.
+func declarationsOf(t *testing.T, path string) []string {
+	t.Helper()
+	f, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+	assert.NilError(t, err)
+	var names []string
+	for _, d := range f.Decls {
+		names = append(names, declaredBy(d)...)
+	}
 	return names
 }
 
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -125,7 +125,7 @@
 			runs := a.count() + b.count()
 			assert.Assert(t, runs >= 1 && runs <= test.runs, "%d sends", runs)
 			if got.status == http.StatusServiceUnavailable {
-				assert.Assert(t, got.header.Get("Retry-After") != "", "a refusal tells when to come back")
+				assert.Assert(t, got.header.Get("Retry-After") != "", "a refusal says when to come back")
 			}
 		})
 	}
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -63,7 +63,7 @@
 		follow func(t *testing.T, c *conns, server *callerConn, client net.Conn)
 		after  time.Duration
 		// status is that of the answer to the client, 0 if the connection ends without
-		// one; open tells that it stays open.
+		// one; open says that it stays open.
 		status int
 		open   bool
 	}{
@@ -137,7 +137,7 @@
 	tests := map[string]struct {
 		follow func(t *testing.T, c *conns, server *callerConn, client net.Conn)
 		after  time.Duration
-		// rest is what can still be read of what was sent; ended tells that nothing can.
+		// rest is what can still be read of what was sent; ended says that nothing can.
 		rest  string
 		ended bool
 	}{
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -406,9 +406,9 @@
 	status int
 	header http.Header
 	body   string
-	// closes tells that the answer ends its connection.
+	// closes says that the answer ends its connection.
 	closes bool
-	// err tells that the answer did not come whole.
+	// err says that the answer did not come whole.
 	err error
 }
 
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -45,7 +45,7 @@
 	got := w.get(pathSafe)
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
-	assert.Assert(t, got.closes, "the caller is told to go elsewhere")
+	assert.Assert(t, got.closes, "the caller is sent elsewhere")
 	close(release)
 	body, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
--- a/internal/placer/engine_test.go
+++ b/internal/placer/engine_test.go
@@ -9,10 +9,10 @@
 	"rockcleat/backend"
 )
 
-// TestKeptWeightsAreDoubtedAfterALoad lets an engine tell of weights on its disk
-// which the load that has just ended has pushed out: a load of them must be paid
-// from the weight store's budget until a report is surely newer.
-func TestKeptWeightsAreDoubtedAfterALoad(t *testing.T) {
+// TestCachedWeightsAreDistrustedAfterALoad lets an engine report weights on its disk
+// which the load that has just ended has pushed out: a load of them must count as one
+// from the weight store until a report is surely newer.
+func TestCachedWeightsAreDistrustedAfterALoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEngine(&backend.Server{ID: "e"})
 	report := backend.Report{CachedOnDisk: []string{"m2"}, Residents: []backend.Resident{{Model: "m1"}}, Sequence: 1}
--- a/internal/placer/loads_test.go
+++ b/internal/placer/loads_test.go
@@ -43,8 +43,8 @@
 	})
 }
 
-// TestOnlyTheBusiestAreTold checks what is told of more servers than maxTold.
-func TestOnlyTheBusiestAreTold(t *testing.T) {
+// TestOnlyTheBusiestAreSent checks what is sent of more servers than maxReportedServers.
+func TestOnlyTheBusiestAreSent(t *testing.T) {
 	l := newLoads()
 	all := make(map[string]dispatch.Load)
 	for i := range 3 * maxReportedServers {
@@ -56,6 +56,6 @@
 	assert.Equal(t, len(others), maxReportedServers)
 	assert.Equal(t, others["s191"].Running, 92)
 	assert.Equal(t, others["s190"].Running, 191)
-	_, told := others["s0"]
-	assert.Assert(t, !told)
+	_, sent := others["s0"]
+	assert.Assert(t, !sent)
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -30,7 +30,7 @@
 	assert.Equal(t, len(a.Residency["e0"].Residents), 2)
 }
 
-func TestOrderWithoutAnswerIsGivenAgainUnderTheSameSequence(t *testing.T) {
+func TestOrderWithoutAnswerIsIssuedAgainUnderTheSameSequence(t *testing.T) {
 	tests := map[string]struct{ done bool }{"it was done": {done: true}, "it was not done": {}}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -57,11 +57,11 @@
 	}
 }
 
-func TestHolderThatIsNotTheFirstSettles(t *testing.T) {
-	synctest.Test(t, testHolderThatIsNotTheFirstSettles)
+func TestLeaderThatIsNotTheFirstSettles(t *testing.T) {
+	synctest.Test(t, testLeaderThatIsNotTheFirstSettles)
 }
 
-func testHolderThatIsNotTheFirstSettles(t *testing.T) {
+func testLeaderThatIsNotTheFirstSettles(t *testing.T) {
 	w := newWorld(t, 2, []string{"m0"})
 	start := w.clock.Now()
 	w.lease.other = true
@@ -70,9 +70,9 @@
 	assert.Assert(t, w.engines.orders()[0].at.Sub(start) >= ttl)
 }
 
-// TestSettlingCountsWhatTheLastHolderSaid checks from when a new holder may give
-// orders, by what the last one said before.
-func TestSettlingCountsWhatTheLastHolderSaid(t *testing.T) {
+// TestSettlingCountsWhatTheLastLeaderReplied checks from when a new leader may issue
+// orders, by what the last one replied before.
+func TestSettlingCountsWhatTheLastLeaderReplied(t *testing.T) {
 	tests := map[string]struct {
 		say   func(w *world, p *placer.Placer)
 		waits bool
@@ -139,9 +139,9 @@
 	assert.Assert(t, !w.ask("m0", 1, 1).IsLeader)
 }
 
-func TestFencedHolderStops(t *testing.T) { synctest.Test(t, testFencedHolderStops) }
+func TestFencedLeaderStops(t *testing.T) { synctest.Test(t, testFencedLeaderStops) }
 
-func testFencedHolderStops(t *testing.T) {
+func testFencedLeaderStops(t *testing.T) {
 	w := newWorld(t, 2, []string{"m0"})
 	w.engines.engines["e0"].fence = 1 << 40
 	w.start(true)
@@ -202,7 +202,7 @@
 	p.Wake()
 	w.run("adapter", w.ordered(1))
 	assert.Equal(t, w.engines.orders()[0].order.Adapter, "a1")
-	w.run("told", func() bool {
+	w.run("published", func() bool {
 		r := w.ask("m0/a1", 1, 0).Residency["e0"].Residents
 		return len(r) == 1 && r[0].Has("a1")
 	})
@@ -230,11 +230,11 @@
 	assert.Equal(t, w.engines.orders()[0].server, "e1")
 }
 
-func TestAdaptersOnTheirWayTakeTheirPlaces(t *testing.T) {
-	synctest.Test(t, testAdaptersOnTheirWayTakeTheirPlaces)
+func TestLoadingAdaptersTakeSlots(t *testing.T) {
+	synctest.Test(t, testLoadingAdaptersTakeSlots)
 }
 
-func testAdaptersOnTheirWayTakeTheirPlaces(t *testing.T) {
+func testLoadingAdaptersTakeSlots(t *testing.T) {
 	w := newWorld(t, 1, []string{"m0"})
 	w.engines.engines["e0"].coming = []backend.Adapter{{Model: "m0", Name: "a1"}, {Model: "m0", Name: "a2"}}
 	p := w.start(true)
@@ -243,12 +243,12 @@
 	w.ask("m0/a3", 1, 1)
 	p.Wake()
 	w.run("adapter", w.ordered(1))
-	assert.Assert(t, w.engines.orders()[0].order.Unload, "both places are taken: one must be freed first")
+	assert.Assert(t, w.engines.orders()[0].order.Unload, "both slots are taken: one must be freed first")
 }
 
-func TestGatewaysAreTold(t *testing.T) { synctest.Test(t, testGatewaysAreTold) }
+func TestGatewaysAreSentTheList(t *testing.T) { synctest.Test(t, testGatewaysAreSentTheList) }
 
-func testGatewaysAreTold(t *testing.T) {
+func testGatewaysAreSentTheList(t *testing.T) {
 	w := newWorld(t, 1, []string{"m0"})
 	p := w.start(true)
 	w.pass(5 * time.Second)
@@ -257,18 +257,18 @@
 	assert.Equal(t, len(a.Gateways), 2)
 	assert.Equal(t, a.Loads["e0"], dispatch.Load{Running: 2, PrefillMs: 30, UsedTokens: 5}, "others' load without the own")
 	again := p.Report(placer.Report{GatewayID: "g2", Addr: "a2", GatewaysVersion: a.GatewaysVersion, ResidencyVersion: a.ResidencyVersion})
-	assert.Equal(t, len(again.Gateways)+len(again.Residency), 0, "what is known is not told again")
+	assert.Equal(t, len(again.Gateways)+len(again.Residency), 0, "what is known is not sent again")
 	assert.Equal(t, again.GatewaysVersion, a.GatewaysVersion)
 	w.pass(3 * time.Second)
 	a = p.Report(placer.Report{GatewayID: "g2", Addr: "a2", GatewaysVersion: a.GatewaysVersion})
 	assert.Equal(t, len(a.Gateways), 1, "a gateway that was silent no longer counts")
 }
 
-// TestResidencyIsToldInParts checks that a gateway is told what has changed since
+// TestResidencyIsSentInParts checks that a gateway is sent what has changed since
 // the version that it knows, and everything by a holder that it does not know.
-func TestResidencyIsToldInParts(t *testing.T) { synctest.Test(t, testResidencyIsToldInParts) }
+func TestResidencyIsSentInParts(t *testing.T) { synctest.Test(t, testResidencyIsSentInParts) }
 
-func testResidencyIsToldInParts(t *testing.T) {
+func testResidencyIsSentInParts(t *testing.T) {
 	w := newWorld(t, 2, []string{"m0"}, []string{"m0", "m1"})
 	p := w.start(true)
 	w.pass(5 * time.Second)
@@ -277,7 +277,7 @@
 	w.ask("m1/a1", 0, 0)
 	w.ask("m1/a1", 1, 1)
 	p.Wake()
-	w.run("adapter told", func() bool {
+	w.run("adapter published", func() bool {
 		a = p.Report(placer.Report{GatewayID: "g", ResidencyVersion: a.ResidencyVersion})
 		r := a.Residency["e1"].Residents
 		return len(r) == 2 && r[1].Has("a1")
@@ -289,7 +289,7 @@
 	assert.Assert(t, a.Full && len(a.Residency) == 2, "%+v", a)
 }
 
-// TestOldDemandIsNoNewDemand tells a new holder, in parts, of demand that is long
+// TestOldDemandIsNoNewDemand reports to a new leader, in parts, of demand that is long
 // over: it must not be taken for demand of now and move models about.
 func TestOldDemandIsNoNewDemand(t *testing.T) { synctest.Test(t, testOldDemandIsNoNewDemand) }
 
@@ -304,10 +304,10 @@
 	assert.Equal(t, len(w.engines.orders()), 0)
 }
 
-// TestDemandIsToldInParts checks that demand which a report leaves out stands.
-func TestDemandIsToldInParts(t *testing.T) { synctest.Test(t, testDemandIsToldInParts) }
+// TestDemandIsSentInParts checks that demand which a report leaves out stands.
+func TestDemandIsSentInParts(t *testing.T) { synctest.Test(t, testDemandIsSentInParts) }
 
-func testDemandIsToldInParts(t *testing.T) {
+func testDemandIsSentInParts(t *testing.T) {
 	w := newWorld(t, 1, []string{"m0"})
 	p := w.start(true)
 	w.pass(5 * time.Second)
--- a/kv/fanout_test.go
+++ b/kv/fanout_test.go
@@ -16,20 +16,20 @@
 	"rockcleat/kv/kvtest"
 )
 
-// A relayPair is a process that watches the service and one that is handed what
-// the first one sees.
-type relayPair struct {
+// A fanoutPair is a process that watches the service and one that receives what the
+// first one sees.
+type fanoutPair struct {
 	store *kvtest.Store
 	// direct is the service as the second process reaches it.
 	direct *watchCounter
-	// cut tells that nothing is handed on.
+	// cut says that nothing is handed on.
 	mu             sync.Mutex
 	cut            bool
 	source, other  *kv.Fanout
 	sourceSees     *mirror
 	otherSees      *mirror
 	sourceIsSource atomic.Bool
-	// alone is whether the second process was last told to watch by itself.
+	// alone is whether the second process last began to watch by itself.
 	alone atomic.Bool
 }
 
@@ -52,15 +52,15 @@
 	return c.PrefixStore.WatchPrefix(ctx, prefix, after, wait)
 }
 
-// Times of trust: so long that it does not lapse in a test, and short.
+// Ages: so long that it is not reached in a test, and short.
 const (
-	longTrust  = time.Minute
-	shortTrust = 300 * time.Millisecond
+	longMaxAge  = time.Minute
+	shortMaxAge = 300 * time.Millisecond
 )
 
-func newRelayPair(ctx context.Context, t *testing.T, trust time.Duration) *relayPair {
+func newFanoutPair(ctx context.Context, t *testing.T, trust time.Duration) *fanoutPair {
 	t.Helper()
-	p := &relayPair{store: kvtest.New(clock.Real{}), sourceSees: &mirror{}, otherSees: &mirror{}}
+	p := &fanoutPair{store: kvtest.New(clock.Real{}), sourceSees: &mirror{}, otherSees: &mirror{}}
 	p.sourceIsSource.Store(true)
 	p.alone.Store(true)
 	p.source = kv.NewFanout(kv.FanoutOptions{Clock: clock.Real{}, MaxAge: trust, IsWatcher: p.sourceIsSource.Load})
@@ -83,7 +83,7 @@
 	return p
 }
 
-func (p *relayPair) isAlone(want bool) poll.Check {
+func (p *fanoutPair) isAlone(want bool) poll.Check {
 	return func(poll.LogT) poll.Result {
 		if p.alone.Load() != want {
 			return poll.Continue("alone is %v", !want)
@@ -92,14 +92,14 @@
 	}
 }
 
-// setCut tells whether something is handed on from now on.
-func (p *relayPair) setCut(cut bool) {
+// setCut sets whether something is handed on from now on.
+func (p *fanoutPair) setCut(cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cut = cut
 }
 
-func (p *relayPair) handOn() {
+func (p *fanoutPair) handOn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cut {
@@ -109,12 +109,12 @@
 	p.other.Apply(p.source.Since(p.other.Revisions()), sent)
 }
 
-// TestRelaySparesTheService checks that the second process sees each change without
+// TestFanoutSparesTheService checks that the second process sees each change without
 // watching the service itself.
-func TestRelaySparesTheService(t *testing.T) {
+func TestFanoutSparesTheService(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := newRelayPair(ctx, t, longTrust)
+	p := newFanoutPair(ctx, t, longMaxAge)
 	before := p.direct.watches.Load()
 	want := map[string]string{"a/1": "1"}
 	for i := range 8 {
@@ -129,19 +129,19 @@
 	assert.Equal(t, p.direct.watches.Load(), before)
 }
 
-// TestRelayCutOff checks that a process which is handed nothing any more, or
+// TestFanoutCutOff checks that a process which receives nothing any more, or
 // something too old, watches the service itself.
-func TestRelayCutOff(t *testing.T) {
-	tests := map[string]func(p *relayPair){
-		"nothing is handed on":             func(p *relayPair) { p.setCut(true) },
-		"the source sees nothing any more": func(p *relayPair) { p.source.Invalidate(); p.sourceIsSource.Store(false) },
-		"the source is no longer one":      func(p *relayPair) { p.setCut(true); p.other.Invalidate() },
+func TestFanoutCutOff(t *testing.T) {
+	tests := map[string]func(p *fanoutPair){
+		"nothing is handed on":             func(p *fanoutPair) { p.setCut(true) },
+		"the source sees nothing any more": func(p *fanoutPair) { p.source.Invalidate(); p.sourceIsSource.Store(false) },
+		"the source is no longer one":      func(p *fanoutPair) { p.setCut(true); p.other.Invalidate() },
 	}
 	for name, cut := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			p := newRelayPair(ctx, t, shortTrust)
+			p := newFanoutPair(ctx, t, shortMaxAge)
 			cut(p)
 			p.store.Set("a/2", []byte("2"))
 			poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "1", "a/2": "2"}))
@@ -150,12 +150,12 @@
 	}
 }
 
-// TestRelayAlone checks that a process which is handed nothing sees changes at once:
+// TestFanoutAlone checks that a process which receives nothing sees changes at once:
 // what it read itself must not count as handed on.
-func TestRelayAlone(t *testing.T) {
+func TestFanoutAlone(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := newRelayPair(ctx, t, longTrust)
+	p := newFanoutPair(ctx, t, longMaxAge)
 	p.setCut(true)
 	p.other.Invalidate()
 	want := map[string]string{"a/1": "1"}
@@ -167,12 +167,12 @@
 	}
 }
 
-// TestRelayGap checks that changes which the source no longer has are not passed
+// TestFanoutGap checks that changes which the source no longer has are not passed
 // over: the process asks the service.
-func TestRelayGap(t *testing.T) {
+func TestFanoutGap(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := newRelayPair(ctx, t, shortTrust)
+	p := newFanoutPair(ctx, t, shortMaxAge)
 	p.setCut(true)
 	want := map[string]string{"a/1": "1"}
 	big := make([]byte, 400<<10)
@@ -183,16 +183,16 @@
 		poll.WaitOn(t, p.sourceSees.shows(want))
 	}
 	seen := map[string]kv.Revision{"a/": 1}
-	assert.Equal(t, len(p.source.Since(seen)), 0, "the log is bounded: what was dropped is not told as nothing")
+	assert.Equal(t, len(p.source.Since(seen)), 0, "the log is bounded: what was dropped does not count as nothing")
 	p.setCut(false)
 	poll.WaitOn(t, p.otherSees.shows(want))
 }
 
-// TestRelayNeverGoesBack hands on what is older than what is known.
-func TestRelayNeverGoesBack(t *testing.T) {
+// TestFanoutNeverGoesBack hands on what is older than what is known.
+func TestFanoutNeverGoesBack(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := newRelayPair(ctx, t, shortTrust)
+	p := newFanoutPair(ctx, t, shortMaxAge)
 	p.store.Set("a/1", []byte("2"))
 	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "2"}))
 	p.setCut(true)
@@ -205,15 +205,15 @@
 	assert.Assert(t, p.other.Revisions()["a/"] > at)
 }
 
-// TestRelayLeavesOutWhatDoesNotMatter checks that changes which leave the digest as
+// TestFanoutLeavesOutWhatDoesNotMatter checks that changes which leave the digest as
 // it was are not handed on, and that nothing of them is lost for a process that has
 // to watch the service again.
-func TestRelayLeavesOutWhatDoesNotMatter(t *testing.T) {
+func TestFanoutLeavesOutWhatDoesNotMatter(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	store := kvtest.New(clock.Real{})
 	firstByte := func(_ string, e kv.Entry) uint64 { return uint64(e.Value[0]) }
-	options := kv.FanoutOptions{Clock: clock.Real{}, MaxAge: longTrust, Digest: firstByte, IsWatcher: func() bool { return true }}
+	options := kv.FanoutOptions{Clock: clock.Real{}, MaxAge: longMaxAge, Digest: firstByte, IsWatcher: func() bool { return true }}
 	source := kv.NewFanout(options)
 	options.IsWatcher = func() bool { return false }
 	other := kv.NewFanout(options)
--- a/kv/follow_test.go
+++ b/kv/follow_test.go
@@ -16,12 +16,12 @@
 	"rockcleat/kv/kvtest"
 )
 
-// A mirror keeps what it is told.
+// A mirror keeps a copy of what it follows.
 type mirror struct {
-	mu    sync.Mutex
-	keys  map[string]string
-	lost  int
-	heard int
+	mu          sync.Mutex
+	keys        map[string]string
+	unreachable int
+	reachable   int
 }
 
 func (m *mirror) Replace(entries []kv.Entry) {
@@ -48,13 +48,13 @@
 func (m *mirror) Unreachable(error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lost++
+	m.unreachable++
 }
 
 func (m *mirror) Reachable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.heard++
+	m.reachable++
 }
 
 func (m *mirror) shows(want map[string]string) poll.Check {
@@ -71,7 +71,7 @@
 func (m *mirror) losses() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.lost
+	return m.unreachable
 }
 
 func TestFollow(t *testing.T) {
--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -93,7 +93,7 @@
 			}(),
 			want: []residency.Move{{Engine: "e0", Model: "m1", Source: residency.FromDisk}},
 		},
-		"where the weights are at hand": {
+		"where the weights are cached": {
 			in: func() residency.Input {
 				list := engines(nil, nil, []string{"m0"})
 				list[1].CachedInMemory = []string{"m1"}
