--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -75,16 +75,22 @@
 // of it was no better (G3a).
 const utilization = 0.92
 
-// New returns a Gateway that does nothing until Start.
+// leaseName is the name of the leader's lease in the store.
+const leaseName = "placer"
+
+// New returns a Gateway that does nothing until Start. Its parts are made from those that
+// need no other up to the listeners.
 func New(o Options) *Gateway {
 	if o.Metrics == nil {
 		o.Metrics = noMetrics{}
 	}
 	s := o.Settings
-	ctx, cancel := context.WithCancel(context.Background())
 	lines := newRequestLog(o.Log, o.Metrics, o.Clock, o.Names)
 	config := newConfiguration(o.Decoder, o.Log)
 	gateways := newDirectory(s.PeerListen, s.Gateways)
+	life := newLifecycle()
+	conns := newConns(o.Clock, config.connLimits)
+	budgets := newRetryBudgets(s.Retry, o.Clock, gateways)
 	peers := newPeerClient(gateways)
 	modelMissing := make(signal, 1)
 	dispatcher := dispatch.New(dispatch.Options{
@@ -93,46 +99,49 @@
 	})
 	servers := newServerList(o.Decoder, o.Clock, o.Log, dispatcher)
 	holder := lease.New(o.Store, o.Clock, lease.Options{
-		Name: "placer", Holder: s.ID, Addr: s.PeerListen, TTL: s.LeaseTTL.Std(),
+		Name: leaseName, Holder: s.ID, Addr: s.PeerListen, TTL: s.LeaseTTL.Std(),
 	})
 	fanout := kv.NewFanout(kv.FanoutOptions{
-		Clock: o.Clock, MaxAge: s.WatchTime.Std() / 2, OnSwitch: lines.watchSwitched, Digest: servers.digest,
-		IsWatcher: func() bool {
-			_, held := holder.Held()
-			return held
-		},
+		Clock: o.Clock, MaxAge: s.WatchTime.Std() / 2, IsWatcher: isHeld(holder),
+		OnSwitch: lines.watchSwitched, Digest: servers.digest,
 	})
 	leader := placer.New(placer.Options{
 		Lease: holder, Keys: fanout.View(o.OwnKeys, true), Engines: o.Engines, Registry: &servers.registry,
 		Routing: config.routing, Clock: o.Clock, Log: o.Log, SettleTime: s.LeaseTTL.Std(), FirstStart: s.FirstStart,
 	})
-	life := newLifecycle()
-	budgets := newRetryBudgets(s.Retry, o.Clock, gateways)
-	g := &Gateway{
-		settings: s, decoder: o.Decoder, clock: o.Clock, log: o.Log, ctx: ctx, cancel: cancel,
-		prefixes: fanout.View(o.Prefixes, false), config: config, servers: servers, budgets: budgets, placer: leader,
-		conns: newConns(o.Clock, config.connLimits), lifecycle: life, pauses: pauseDetector{log: o.Log, inProgress: life.requests},
-		reporter: &reporter{
-			self:       sender{id: s.ID, addr: s.PeerListen, hall: s.Hall},
-			dispatcher: dispatcher, config: config, servers: servers, gateways: gateways, placer: leader,
-			fanout: fanout, peers: peers, clock: o.Clock, log: o.Log, modelMissing: modelMissing,
-		},
-	}
-	proxy := &proxy{
-		names: o.Names, config: config, dispatcher: dispatcher, budgets: budgets, lines: lines, lifecycle: life,
-		conns: g.conns, clock: o.Clock, transport: wire.NewDirectTransport(s.IdleTime.Std()), bodyTime: s.BodyTime.Std(),
+	reporter := &reporter{
+		self: sender{id: s.ID, addr: s.PeerListen, hall: s.Hall}, dispatcher: dispatcher, config: config,
+		servers: servers, gateways: gateways, placer: leader, fanout: fanout, peers: peers, clock: o.Clock, log: o.Log,
+		modelMissing: modelMissing,
 	}
-	peerServer := &peerServer{
-		placer: leader, fanout: fanout, config: config, gateways: gateways, dispatcher: dispatcher,
-		leaseKey: holder.Key(), configKey: o.Decoder.ConfigKey(),
+	g := &Gateway{
+		settings: s, decoder: o.Decoder, clock: o.Clock, log: o.Log, prefixes: fanout.View(o.Prefixes, false),
+		config: config, servers: servers, budgets: budgets, placer: leader, reporter: reporter, conns: conns,
+		lifecycle: life, pauses: pauseDetector{log: o.Log, inProgress: life.requests},
 	}
+	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.listeners = newListeners(listenerOptions{
-		settings: s, log: o.Log, conns: g.conns, proxy: proxy, peers: peerServer.router(),
-		ready: readyRouter(o.ReadyPath, g.ready), metrics: o.Metrics.Handler(),
+		settings: s, log: o.Log, conns: conns, ready: readyRouter(o.ReadyPath, g.ready), metrics: o.Metrics.Handler(),
+		proxy: &proxy{
+			names: o.Names, config: config, dispatcher: dispatcher, budgets: budgets, lines: lines, lifecycle: life,
+			conns: conns, clock: o.Clock, transport: wire.NewDirectTransport(s.IdleTime.Std()), bodyTime: s.BodyTime.Std(),
+		},
+		peers: (&peerServer{
+			placer: leader, fanout: fanout, config: config, gateways: gateways, dispatcher: dispatcher,
+			leaseKey: holder.Key(), configKey: o.Decoder.ConfigKey(),
+		}).router(),
 	})
 	return g
 }
 
+// isHeld returns a function that reports whether a lease is held.
+func isHeld(h *lease.Holder) func() bool {
+	return func() bool {
+		_, held := h.Held()
+		return held
+	}
+}
+
 // expireInterval is the time between two looks for what is too old. Chosen, not measured.
 const expireInterval = 200 * time.Millisecond
 
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -56,23 +56,31 @@
 	if refused != nil {
 		return nil, refused
 	}
-	service, ok := routing.Service(route.Pick(rand.Uint64()))
-	if !ok {
-		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no such service yet", retryAfter: retrySoon}
+	in := &inbound{
+		Request: r, id: ids[0], route: route, configVersion: routing.Version(), body: body, arrived: now,
 	}
-	if !p.mayServe(service, r) {
-		return nil, notRun("the model is not configured", retryConfigured)
+	if refused := p.resolve(in, routing); refused != nil {
+		return nil, refused
 	}
-	deadline, ok := deadlineOf(now, route.Timeout, r.Header.Get(p.names.Deadline))
+	return in, nil
+}
+
+// resolve fills in the service, the deadline and what the request needs.
+func (p *proxy) resolve(in *inbound, routing *table.Routing) *refusal {
+	var ok bool
+	in.service, ok = routing.Service(in.route.Pick(rand.Uint64()))
 	if !ok {
-		return nil, &refusal{status: http.StatusBadRequest, reason: "the deadline is not a number of milliseconds"}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "no such service yet", retryAfter: retrySoon}
 	}
-	in := &inbound{
-		Request: r, id: ids[0], route: route, service: service, configVersion: routing.Version(), body: body,
-		arrived: now, deadline: deadline,
+	if !p.mayServe(in.service, in.Request) {
+		return notRun("the model is not configured", retryConfigured)
+	}
+	in.deadline, ok = deadlineOf(in.arrived, in.route.Timeout, in.Header.Get(p.names.Deadline))
+	if !ok {
+		return &refusal{status: http.StatusBadRequest, reason: "the deadline is not a number of milliseconds"}
 	}
 	in.needs = p.needsOf(in)
-	return in, nil
+	return nil
 }
 
 // mayServe reports whether a service's servers can ever serve the request: engines only
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -27,8 +27,8 @@
 	ttl     = 3 * time.Second
 )
 
-// A given is an order that an engine was given.
-type given struct {
+// An issuedOrder is an order that an engine got.
+type issuedOrder struct {
 	server string
 	order  backend.Order
 	at     time.Time
@@ -40,7 +40,7 @@
 
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
-	given   []given
+	issued  []issuedOrder
 	// answer, if not nil, decides what is answered to an order and whether it is done.
 	answer func(n int, o backend.Order) (out backend.OrderOutcome, done bool, err error)
 }
@@ -72,7 +72,7 @@
 func (f *fakeEngines) Order(_ context.Context, s *backend.Server, o backend.Order) (backend.OrderOutcome, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.given = append(f.given, given{server: s.ID, order: o, at: f.clock.Now()})
+	f.issued = append(f.issued, issuedOrder{server: s.ID, order: o, at: f.clock.Now()})
 	e := f.engines[s.ID]
 	if o.Fence < e.fence {
 		return backend.OrderFenced, nil
@@ -82,7 +82,7 @@
 		return backend.OrderConflict, nil
 	}
 	if f.answer != nil {
-		out, done, err := f.answer(len(f.given), o)
+		out, done, err := f.answer(len(f.issued), o)
 		if done {
 			e.do(o)
 		}
@@ -112,10 +112,10 @@
 	}
 }
 
-func (f *fakeEngines) orders() []given {
+func (f *fakeEngines) orders() []issuedOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.given)
+	return slices.Clone(f.issued)
 }
 
 // A fakeLease is held when a test says so.
--- a/kv/client.go
+++ b/kv/client.go
@@ -158,7 +158,7 @@
 	c.count(r.method)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return transportError(err)
+		return TransportError(err)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
@@ -188,8 +188,9 @@
 	c.counted(kind)
 }
 
-// transportError distinguishes a call that was never sent from one whose answer was lost.
-func transportError(err error) error {
+// TransportError returns the outcome of a call that got no answer: ErrUnavailable if it was
+// never sent, ErrUnknown if its answer was lost.
+func TransportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return eris.Wrap(ErrUnavailable, err.Error())
