--- /dev/null
+++ b/internal/gateway/messages_test.go
@@ -0,0 +1,77 @@
+package gateway
+
+import (
+	"encoding/json"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"rockcleat/backend"
+	"rockcleat/dispatch"
+	"rockcleat/internal/placer"
+	"rockcleat/kv"
+)
+
+// TestMessagesBetweenGateways pins the form of what gateways send to each other: during an
+// upgrade gateways of two versions run side by side.
+func TestMessagesBetweenGateways(t *testing.T) {
+	load := dispatch.Load{Running: 1, PrefillMs: 2, UsedTokens: 3}
+	tests := map[string]struct {
+		message any
+		want    string
+	}{
+		"report": {
+			message: reportMessage{
+				Report: placer.Report{
+					GatewayID: "g1", Addr: "a1", Hall: "h1", Loads: map[string]dispatch.Load{"s": load},
+					Demands: map[string]dispatch.Demand{"m": {Arrived: 1, WorkTokens: 2, Waiting: 3, Running: 4, Service: "llm"}},
+					Full:    true, GatewaysVersion: 5, ResidencyVersion: 6,
+				},
+				ConfigVersion: 7, Revisions: map[string]kv.Revision{"p": 8},
+			},
+			want: `{"from":"g1","addr":"a1","hall":"h1","loads":{"s":{"n":1,"r":2,"u":3}},` +
+				`"demands":{"m":{"a":1,"t":2,"w":3,"n":4,"s":"llm"}},"full":true,"known":5,"residency":6,"config":7,"seen":{"p":8}}`,
+		},
+		"reply of the leader": {
+			message: replyMessage{
+				Reply: placer.Reply{
+					IsLeader: true, Term: 1, GatewaysVersion: 2, Loads: map[string]dispatch.Load{"s": load}, BusiestOnly: true,
+					Gateways:         []placer.Gateway{{Gateway: dispatch.Gateway{ID: "g1", Hall: "h1"}, Addr: "a1"}},
+					ResidencyVersion: 3, Full: true,
+					Residency: map[string]backend.Residency{"s": {Residents: []backend.Resident{{Model: "m", Version: 4, Adapters: []string{"a"}}}}},
+				},
+				Config: []byte("c"),
+				Changes: map[string]kv.Batch{"p": {
+					From: 5, To: 6, Events: []kv.Event{{Entry: kv.Entry{Key: "k", Value: []byte("v"), Revision: 6}}}, Filtered: true, AgeMs: 7,
+				}},
+			},
+			want: `{"held":true,"term":1,"known":2,"gateways":[{"id":"g1","hall":"h1","addr":"a1"}],` +
+				`"loads":{"s":{"n":1,"r":2,"u":3}},"partial":true,"version":3,"full":true,` +
+				`"residency":{"s":{"r":[{"m":"m","v":4,"a":["a"]}]}},"config":"Yw==",` +
+				`"changes":{"p":{"from":5,"at":6,"events":[{"Entry":{"key":"k","value":"dg==","revision":6},"Deleted":false}],"left":true,"age":7}}}`,
+		},
+		"reply of another gateway": {
+			message: replyMessage{Leader: "a2"}, want: `{"held":false,"version":0,"holder":"a2"}`,
+		},
+		"request for admission": {
+			message: dispatch.AdmissionRequest{
+				Server: "s", Model: "m", Adapter: "a", Prefix: []dispatch.PrefixBlock{{ID: "b", Tokens: 1}}, PromptTokens: 2,
+				MaxOutputTokens: 3, Gap: dispatch.GapBudget{MaxGap: 4.5, StepsPerEvent: 5},
+			},
+			want: `{"s":"s","m":"m","a":"a","k":[{"i":"b","t":1}],"p":2,"o":3,"l":{"p":4.5,"s":5}}`,
+		},
+		"admission": {
+			message: dispatch.AdmissionReply{Owned: true, Admitted: true, Load: load}, want: `{"y":true,"g":true,"l":{"n":1,"r":2,"u":3}}`,
+		},
+		"no admission": {
+			message: dispatch.AdmissionReply{Owned: true, RetryAfterMs: 9}, want: `{"y":true,"l":{"n":0},"a":9}`,
+		},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			got, err := json.Marshal(test.message)
+			assert.NilError(t, err)
+			assert.Equal(t, string(got), test.want)
+		})
+	}
+}
