--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -131,14 +131,14 @@
 
 // confirm asks the engine's owner for admission, if another gateway owns it, and reports
 // whether the request may be sent; the reservation is over if not.
-func (d *Dispatcher) confirm(ctx context.Context, t *Reservation) bool {
-	if t.owner == "" {
+func (d *Dispatcher) confirm(ctx context.Context, res *Reservation) bool {
+	if res.owner == "" {
 		return true
 	}
-	r := t.req
+	r := res.req
 	r.GrantsAsked++
-	reply, err := d.opts.Owners.Admit(ctx, t.owner, AdmissionRequest{
-		Server: t.server.ID, Model: r.Model, Adapter: r.Adapter, Prefix: r.Prefix, PromptTokens: r.PromptTokens,
+	reply, err := d.opts.Owners.Admit(ctx, res.owner, AdmissionRequest{
+		Server: res.server.ID, Model: r.Model, Adapter: r.Adapter, Prefix: r.Prefix, PromptTokens: r.PromptTokens,
 		MaxOutputTokens: r.MaxOutputTokens, Gap: r.Gap,
 	})
 	d.mu.Lock()
@@ -146,22 +146,22 @@
 	now := d.opts.Clock.Now()
 	if err != nil || !reply.Owned {
 		if ctx.Err() == nil {
-			d.suspendOwner(t.owner, now, err)
+			d.suspendOwner(res.owner, now, err)
 		}
-		t.release()
+		res.release()
 		return false
 	}
 	if reply.Admitted {
 		r.GrantsGiven++
-		t.sent = now
-		t.load.prefixes.touch(r.target(), r.Prefix)
-		d.remote[t.server.ID] = remoteLoad{Load: reply.Load.minus(t.load.Load), at: now}
+		res.sent = now
+		res.load.prefixes.touch(r.target(), r.Prefix)
+		d.remote[res.server.ID] = remoteLoad{Load: reply.Load.minus(res.load.Load), at: now}
 		return true
 	}
 	r.GrantsDenied++
-	t.release()
-	d.remote[t.server.ID] = remoteLoad{Load: reply.Load.minus(t.load.Load), at: now}
-	t.load.deniedUntil = now.Add(time.Duration(reply.RetryAfterMs) * time.Millisecond)
+	res.release()
+	d.remote[res.server.ID] = remoteLoad{Load: reply.Load.minus(res.load.Load), at: now}
+	res.load.deniedUntil = now.Add(time.Duration(reply.RetryAfterMs) * time.Millisecond)
 	return false
 }
 
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -158,9 +158,9 @@
 		d.serveAfterPrefill(servers, list, limits, now)
 		return nil
 	}
-	t := d.reserve(r, servers[i], list[i])
-	t.candidates = len(list)
-	return t
+	res := d.reserve(r, servers[i], list[i])
+	res.candidates = len(list)
+	return res
 }
 
 func (d *Dispatcher) limits(r *Request) Limits {
--- a/dispatch/prefix_cache.go
+++ b/dispatch/prefix_cache.go
@@ -25,10 +25,10 @@
 func blockKey(target string, b PrefixBlock) string { return target + "\x00" + b.ID }
 
 // cachedTokens returns how many tokens of the prompt's beginning the server has cached.
-func (k *prefixCache) cachedTokens(target string, blocks []PrefixBlock) int {
+func (c *prefixCache) cachedTokens(target string, blocks []PrefixBlock) int {
 	tokens := 0
 	for _, b := range blocks {
-		if _, ok := k.index[blockKey(target, b)]; !ok {
+		if _, ok := c.index[blockKey(target, b)]; !ok {
 			break
 		}
 		tokens += b.Tokens
@@ -37,22 +37,22 @@
 }
 
 // touch remembers the blocks as the ones used last.
-func (k *prefixCache) touch(target string, blocks []PrefixBlock) {
-	if k.index == nil {
-		k.index = make(map[string]*list.Element)
-		k.order = list.New()
+func (c *prefixCache) touch(target string, blocks []PrefixBlock) {
+	if c.index == nil {
+		c.index = make(map[string]*list.Element)
+		c.order = list.New()
 	}
 	for _, b := range blocks {
 		key := blockKey(target, b)
-		if e, ok := k.index[key]; ok {
-			k.order.MoveToFront(e)
+		if e, ok := c.index[key]; ok {
+			c.order.MoveToFront(e)
 			continue
 		}
-		k.index[key] = k.order.PushFront(key)
+		c.index[key] = c.order.PushFront(key)
 	}
-	for k.order.Len() > maxCachedBlocks {
-		last := k.order.Back()
-		delete(k.index, last.Value.(string))
-		k.order.Remove(last)
+	for c.order.Len() > maxCachedBlocks {
+		last := c.order.Back()
+		delete(c.index, last.Value.(string))
+		c.order.Remove(last)
 	}
 }
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -33,64 +33,64 @@
 // reserve takes capacity of a server for a request.
 func (d *Dispatcher) reserve(r *Request, s *backend.Server, c Candidate) *Reservation {
 	l := d.load(s.ID)
-	t := &Reservation{
+	res := &Reservation{
 		d: d, req: r, server: s, load: l, choice: c, sent: d.opts.Clock.Now(),
 		prefillTokens: c.PrefillTokens, prefillMs: int(c.Prefill + 0.5), usedTokens: c.NeedTokens,
 	}
 	if c.NeedsGrant {
-		t.owner = d.owners.of(s)
+		res.owner = d.owners.of(s)
 	}
 	if r.Model == "" {
-		t.usedTokens = 0
+		res.usedTokens = 0
 	}
 	l.Running++
-	l.PrefillMs += t.prefillMs
-	l.UsedTokens += t.usedTokens
-	l.awaiting = append(l.awaiting, t)
+	l.PrefillMs += res.prefillMs
+	l.UsedTokens += res.usedTokens
+	l.awaiting = append(l.awaiting, res)
 	if c.Owned {
-		t.prefillEnd = l.prefill.add(c.Prefill.Duration(), t.sent)
+		res.prefillEnd = l.prefill.add(c.Prefill.Duration(), res.sent)
 	}
 	if r.Model == "" {
-		return t
+		return res
 	}
 	d.demand.of(r).Running++
-	if t.owner == "" {
+	if res.owner == "" {
 		l.prefixes.touch(r.target(), r.Prefix)
 	}
-	return t
+	return res
 }
 
 // Server returns the server that the request goes to.
-func (t *Reservation) Server() *backend.Server { return t.server }
+func (r *Reservation) Server() *backend.Server { return r.server }
 
 // Choice returns what the choice of the server was made from and the number of servers
 // that it was made among.
-func (t *Reservation) Choice() (c Candidate, among int) { return t.choice, t.candidates }
+func (r *Reservation) Choice() (c Candidate, among int) { return r.choice, r.candidates }
 
 // FirstByte notes that the answer has begun.
-func (t *Reservation) FirstByte() {
-	t.d.mu.Lock()
-	defer t.d.mu.Unlock()
-	now := t.d.opts.Clock.Now()
-	t.load.lastAnswer = now
-	if t.answering || t.over {
+func (r *Reservation) FirstByte() {
+	r.d.mu.Lock()
+	defer r.d.mu.Unlock()
+	now := r.d.opts.Clock.Now()
+	r.load.lastAnswer = now
+	if r.answering || r.over {
 		return
 	}
-	t.endPrefill()
-	if !t.prefillEnd.IsZero() {
-		t.load.prefill.finish(t.prefillEnd, now.Add(-firstStepTime.Duration()))
+	r.endPrefill()
+	if !r.prefillEnd.IsZero() {
+		r.load.prefill.finish(r.prefillEnd, now.Add(-firstStepTime.Duration()))
 	}
-	if t.prefillTokens > 0 {
-		t.d.speeds.observe(t.req.Model, t.prefillTokens, InMilliseconds(now.Sub(t.sent)))
+	if r.prefillTokens > 0 {
+		r.d.speeds.observe(r.req.Model, r.prefillTokens, InMilliseconds(now.Sub(r.sent)))
 	}
-	t.d.serve()
+	r.d.serve()
 }
 
 // endPrefill counts the prompt as prefilled.
-func (t *Reservation) endPrefill() {
-	t.answering = true
-	t.load.PrefillMs -= t.prefillMs
-	t.load.awaiting = slices.DeleteFunc(t.load.awaiting, func(x *Reservation) bool { return x == t })
+func (r *Reservation) endPrefill() {
+	r.answering = true
+	r.load.PrefillMs -= r.prefillMs
+	r.load.awaiting = slices.DeleteFunc(r.load.awaiting, func(x *Reservation) bool { return x == r })
 }
 
 // A SendResult says how a send ended.
@@ -109,36 +109,36 @@
 )
 
 // Done gives the capacity back; calls after the first do nothing.
-func (t *Reservation) Done(r SendResult) {
-	t.d.mu.Lock()
-	defer t.d.mu.Unlock()
-	if t.over {
+func (r *Reservation) Done(result SendResult) {
+	r.d.mu.Lock()
+	defer r.d.mu.Unlock()
+	if r.over {
 		return
 	}
-	now := t.d.opts.Clock.Now()
-	switch r {
+	now := r.d.opts.Clock.Now()
+	switch result {
 	case Answered:
-		t.load.failures.observe(0, now)
-		t.load.lastAnswer = now
+		r.load.failures.observe(0, now)
+		r.load.lastAnswer = now
 	case Failed:
-		t.load.failures.observe(1, now)
+		r.load.failures.observe(1, now)
 	}
-	t.release()
-	t.d.serve()
+	r.release()
+	r.d.serve()
 }
 
 // release gives the capacity back; the Dispatcher is locked.
-func (t *Reservation) release() {
-	if t.over {
+func (r *Reservation) release() {
+	if r.over {
 		return
 	}
-	t.over = true
-	if !t.answering {
-		t.endPrefill()
+	r.over = true
+	if !r.answering {
+		r.endPrefill()
 	}
-	t.load.Running--
-	t.load.UsedTokens -= t.usedTokens
-	if t.req.Model != "" {
-		t.d.demand.of(t.req).Running--
+	r.load.Running--
+	r.load.UsedTokens -= r.usedTokens
+	if r.req.Model != "" {
+		r.d.demand.of(r.req).Running--
 	}
 }
--- a/dispatch/shed.go
+++ b/dispatch/shed.go
@@ -36,45 +36,45 @@
 }
 
 // value returns the average result, 0 to 1, and the weight behind it.
-func (a *successRate) value(now time.Time) (rate, weight float64) {
-	if a.weight == 0 {
+func (r *successRate) value(now time.Time) (rate, weight float64) {
+	if r.weight == 0 {
 		return 1, 0
 	}
-	return a.sum / a.weight, a.weight * decay(now.Sub(a.when))
+	return r.sum / r.weight, r.weight * decay(now.Sub(r.when))
 }
 
 func decay(d time.Duration) float64 { return math.Exp2(-float64(d) / float64(successHalfLife)) }
 
 // observe counts the result of a request, from 0 (not served) to 1 (served in time).
-func (b *shedder) observe(priority int, result float64, now time.Time) {
-	if b.byPriority == nil {
-		b.byPriority = make(map[int]*successRate)
+func (s *shedder) observe(priority int, result float64, now time.Time) {
+	if s.byPriority == nil {
+		s.byPriority = make(map[int]*successRate)
 	}
-	a := b.byPriority[priority]
-	if a == nil {
-		a = &successRate{}
-		b.byPriority[priority] = a
+	rate := s.byPriority[priority]
+	if rate == nil {
+		rate = &successRate{}
+		s.byPriority[priority] = rate
 	}
-	left := decay(now.Sub(a.when))
-	a.weight = a.weight*left + 1
-	a.sum = a.sum*left + result
-	a.when = now
+	left := decay(now.Sub(rate.when))
+	rate.weight = rate.weight*left + 1
+	rate.sum = rate.sum*left + result
+	rate.when = now
 }
 
 // sheds reports whether requests of a priority are served so much better than more urgent
 // ones that they are shed.
-func (b *shedder) sheds(priority int, now time.Time) bool {
-	own, ok := b.byPriority[priority]
+func (s *shedder) sheds(priority int, now time.Time) bool {
+	rate, ok := s.byPriority[priority]
 	if !ok {
 		return false
 	}
-	rate, _ := own.value(now)
-	for p, a := range b.byPriority {
+	own, _ := rate.value(now)
+	for p, other := range s.byPriority {
 		if p >= priority {
 			continue
 		}
-		urgent, weight := a.value(now)
-		if weight >= minShedWeight && rate > urgent+shedMargin {
+		urgent, weight := other.value(now)
+		if weight >= minShedWeight && own > urgent+shedMargin {
 			return true
 		}
 	}
@@ -86,19 +86,19 @@
 func (d *Dispatcher) RecordResult(r *Request, result float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b := d.shedders[r.Service]
-	if b == nil {
-		b = &shedder{}
-		d.shedders[r.Service] = b
+	s := d.shedders[r.Service]
+	if s == nil {
+		s = &shedder{}
+		d.shedders[r.Service] = s
 	}
-	b.observe(r.Priority, result, d.opts.Clock.Now())
+	s.observe(r.Priority, result, d.opts.Clock.Now())
 }
 
 // sheds reports whether a request that would have to wait is refused in favour of more
 // urgent ones that wait already. One that may have run is never shed.
 func (d *Dispatcher) sheds(r *Request) bool {
-	b := d.shedders[r.Service]
-	return b != nil && !r.MayHaveRun && d.moreUrgentWaits(r) && b.sheds(r.Priority, d.opts.Clock.Now())
+	s := d.shedders[r.Service]
+	return s != nil && !r.MayHaveRun && d.moreUrgentWaits(r) && s.sheds(r.Priority, d.opts.Clock.Now())
 }
 
 // moreUrgentWaits reports whether a more urgent request of the same service waits for
--- a/dispatch/shed_test.go
+++ b/dispatch/shed_test.go
@@ -34,14 +34,14 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var b shedder
+			var s shedder
 			now := time.Unix(1000, 0)
 			for _, o := range test.outcomes {
 				for range o.count {
-					b.observe(o.priority, o.result, now)
+					s.observe(o.priority, o.result, now)
 				}
 			}
-			assert.Equal(t, b.sheds(2, now.Add(test.after)), test.want)
+			assert.Equal(t, s.sheds(2, now.Add(test.after)), test.want)
 		})
 	}
 }
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -53,12 +53,12 @@
 // The error is ErrNoServer, ErrShed, ErrWaitTimeout or that of ctx.
 func (d *Dispatcher) Acquire(ctx context.Context, r *Request) (*Reservation, error) {
 	for {
-		t, err := d.reserveOrWait(ctx, r)
+		res, err := d.reserveOrWait(ctx, r)
 		if err != nil {
 			return nil, err
 		}
-		if d.confirm(ctx, t) {
-			return t, nil
+		if d.confirm(ctx, res) {
+			return res, nil
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -70,9 +70,9 @@
 // admit the request yet. Requests of plain services never wait.
 func (d *Dispatcher) reserveOrWait(ctx context.Context, r *Request) (*Reservation, error) {
 	d.mu.Lock()
-	if t := d.choose(r); t != nil {
+	if res := d.choose(r); res != nil {
 		d.mu.Unlock()
-		return t, nil
+		return res, nil
 	}
 	if r.Model == "" || !d.opts.Clock.Now().Before(r.WaitUntil) {
 		d.mu.Unlock()
@@ -146,13 +146,13 @@
 	if full[target] {
 		return
 	}
-	t := d.choose(w.req)
-	if t == nil {
+	res := d.choose(w.req)
+	if res == nil {
 		full[target] = len(w.req.Exclude) == 0
 		return
 	}
 	d.demand.of(w.req).Waiting--
-	w.reservation = t
+	w.reservation = res
 	close(w.ready)
 }
 
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -14,17 +14,17 @@
 const maxHeldAnswer = 256 << 10
 
 // passWhole passes an answer on that is no stream, and reports whether the request is over.
-func (f *forwarder) passWhole(ctx context.Context, t *dispatch.Reservation, resp *http.Response) bool {
-	t.FirstByte()
+func (f *forwarder) passWhole(ctx context.Context, res *dispatch.Reservation, resp *http.Response) bool {
+	res.FirstByte()
 	if resp.StatusCode >= http.StatusInternalServerError && f.mayRetry() && f.proxy.budgets.take(f.in) {
-		t.Done(dispatch.Failed)
-		f.proxy.lines.sendFailed(f, t, "answered "+strconv.Itoa(resp.StatusCode), nil)
-		f.exclude(t)
+		res.Done(dispatch.Failed)
+		f.proxy.lines.sendFailed(f, res, "answered "+strconv.Itoa(resp.StatusCode), nil)
+		f.exclude(res)
 		return false
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHeldAnswer))
 	if err != nil {
-		return f.lost(t, cause(ctx, err))
+		return f.lost(res, cause(ctx, err))
 	}
 	f.begin(resp)
 	if len(body) < maxHeldAnswer {
@@ -36,22 +36,22 @@
 		_, err = io.Copy(f.w, resp.Body)
 	}
 	if err != nil {
-		t.Done(dispatch.Abandoned)
+		res.Done(dispatch.Abandoned)
 		f.cut(err)
 	}
-	f.finish(t, resp.StatusCode)
+	f.finish(res, resp.StatusCode)
 	return true
 }
 
 // finish ends a request whose answer was passed on whole.
-func (f *forwarder) finish(t *dispatch.Reservation, status int) {
+func (f *forwarder) finish(res *dispatch.Reservation, status int) {
 	f.record.status = status
 	if status >= http.StatusInternalServerError {
-		t.Done(dispatch.Failed)
+		res.Done(dispatch.Failed)
 		f.record.outcome = outcomeFailed
 		return
 	}
-	t.Done(dispatch.Answered)
+	res.Done(dispatch.Answered)
 	f.record.outcome = outcomeAnswered
 }
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -37,13 +37,13 @@
 	f.proxy.budgets.first(f.in)
 	f.proxy.dispatcher.CountArrival(&f.req)
 	for {
-		t, err := f.proxy.dispatcher.Acquire(f.ctx, &f.req)
+		res, err := f.proxy.dispatcher.Acquire(f.ctx, &f.req)
 		if err != nil {
 			f.giveUp(err)
 			return
 		}
-		f.record.reservation = t
-		if over := f.send(t); over {
+		f.record.reservation = res
+		if over := f.send(res); over {
 			return
 		}
 	}
@@ -86,11 +86,11 @@
 const maxUnsent = 6
 
 // notSent handles a send that did not reach its server, and reports whether the request is over.
-func (f *forwarder) notSent(t *dispatch.Reservation, err error) bool {
-	t.Done(dispatch.Failed)
-	f.proxy.lines.sendFailed(f, t, "not sent", err)
+func (f *forwarder) notSent(res *dispatch.Reservation, err error) bool {
+	res.Done(dispatch.Failed)
+	f.proxy.lines.sendFailed(f, res, "not sent", err)
 	f.record.unsent++
-	f.exclude(t)
+	f.exclude(res)
 	if f.record.unsent < maxUnsent {
 		return false
 	}
@@ -100,11 +100,11 @@
 
 // refusedBy handles a server's word that it has not run the request, and reports whether
 // the request is over.
-func (f *forwarder) refusedBy(t *dispatch.Reservation, resp *http.Response) bool {
-	t.Done(dispatch.Refused)
+func (f *forwarder) refusedBy(res *dispatch.Reservation, resp *http.Response) bool {
+	res.Done(dispatch.Refused)
 	// The body is read so that the connection is kept; an error only closes it.
 	_, _ = io.CopyN(io.Discard, resp.Body, maxRefusalBody)
-	f.proxy.lines.sendFailed(f, t, "refused", eris.Errorf("status %d", resp.StatusCode))
+	f.proxy.lines.sendFailed(f, res, "refused", eris.Errorf("status %d", resp.StatusCode))
 	if f.answering.Load() {
 		f.cut(eris.New("gateway: refused in the middle of a stream"))
 	}
@@ -117,7 +117,7 @@
 		return true
 	}
 	// Only the last server is left out: the others may have room again.
-	f.req.Exclude = []string{t.Server().ID}
+	f.req.Exclude = []string{res.Server().ID}
 	if f.record.sends > 1 {
 		clock.Sleep(f.ctx, f.proxy.clock, refusedPause<<f.record.sends)
 	}
@@ -126,15 +126,15 @@
 
 // lost handles a send that may have run and brought no usable answer, and reports whether
 // the request is over.
-func (f *forwarder) lost(t *dispatch.Reservation, err error) bool {
-	t.Done(dispatch.Failed)
-	f.proxy.lines.sendFailed(f, t, "lost", err)
+func (f *forwarder) lost(res *dispatch.Reservation, err error) bool {
+	res.Done(dispatch.Failed)
+	f.proxy.lines.sendFailed(f, res, "lost", err)
 	if f.ctx.Err() != nil {
 		f.expired()
 		return true
 	}
 	if f.mayRetry() && (f.retryPaid.Load() || f.proxy.budgets.take(f.in)) {
-		f.exclude(t)
+		f.exclude(res)
 		f.req.MayHaveRun = true
 		f.req.WaitUntil = f.in.deadline.Add(-answerReserve)
 		return false
@@ -159,8 +159,8 @@
 }
 
 // exclude keeps the request from a server.
-func (f *forwarder) exclude(t *dispatch.Reservation) {
-	f.req.Exclude = append(f.req.Exclude, t.Server().ID)
+func (f *forwarder) exclude(res *dispatch.Reservation) {
+	f.req.Exclude = append(f.req.Exclude, res.Server().ID)
 }
 
 // refuse ends the request with an answer of the gateway's own.
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -30,7 +30,8 @@
 }
 
 // answerReport answers a report: with the leader's reply and what has changed in the store,
-// if this gateway leads, and with the leader's address otherwise.
+// if this gateway leads, and with the leader's address otherwise. Requests that wait make
+// the leader act soon.
 func (p *peerServer) answerReport(c echo.Context) error {
 	var m reportMessage
 	if err := c.Bind(&m); err != nil {
@@ -38,26 +39,28 @@
 	}
 	a := replyMessage{Reply: p.placer.Report(m.Report)}
 	if a.IsLeader {
-		p.addChanges(&a, m)
+		a.Changes = p.changesSince(m.Revisions)
 	} else {
 		a.Leader, _ = p.placer.Leader()
 	}
 	if len(a.Changes[p.configKey].Events) == 0 {
 		a.Config = p.config.newerThan(m.ConfigVersion)
 	}
+	if a.IsLeader && hasWaiting(m.Report) {
+		p.placer.Wake()
+	}
 	return c.JSON(http.StatusOK, a)
 }
 
-// addChanges adds what has changed in the store. The leader itself holds the lease, so its
-// key has not changed up to now. Requests that wait for a model make the placer act soon.
-func (p *peerServer) addChanges(a *replyMessage, m reportMessage) {
-	if p.handsOnChanges() {
-		p.fanout.MarkCurrent(p.leaseKey)
-		a.Changes = p.fanout.Since(m.Revisions)
-	}
-	if hasWaiting(m.Report) {
-		p.placer.Wake()
+// changesSince returns what the leader knows to have changed in the store; none if gateways
+// watch the store themselves. The leader holds the lease, so the lease's key has not changed
+// up to now.
+func (p *peerServer) changesSince(known map[string]kv.Revision) map[string]kv.Batch {
+	if !p.handsOnChanges() {
+		return nil
 	}
+	p.fanout.MarkCurrent(p.leaseKey)
+	return p.fanout.Since(known)
 }
 
 // handsOnChanges reports whether gateways report so often that what they receive is not too
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -156,13 +156,13 @@
 }
 
 // choiceFields describe the last choice of a server and what it was made from.
-func choiceFields(t *dispatch.Reservation) []zap.Field {
-	if t == nil {
+func choiceFields(res *dispatch.Reservation) []zap.Field {
+	if res == nil {
 		return nil
 	}
-	c, among := t.Choice()
+	c, among := res.Choice()
 	return []zap.Field{
-		zap.String(fieldServer, t.Server().ID), zap.Int(fieldAmong, among), zap.Int(fieldRunning, c.Running),
+		zap.String(fieldServer, res.Server().ID), zap.Int(fieldAmong, among), zap.Int(fieldRunning, c.Running),
 		zap.Float64(fieldAhead, float64(c.PrefillAhead)), zap.Float64(fieldPrefill, float64(c.Prefill)),
 		zap.Bool(fieldOwned, c.Owned), zap.Bool(fieldSameHall, c.SameHall),
 	}
@@ -182,20 +182,20 @@
 }
 
 // sending counts a send, and logs it if it is a retry.
-func (l *requestLog) sending(f *forwarder, t *dispatch.Reservation) {
+func (l *requestLog) sending(f *forwarder, res *dispatch.Reservation) {
 	retry := f.record.sends > 0
 	l.metrics.Sent(f.in.service.Name, retry)
 	if !retry {
 		return
 	}
-	l.log.Info(msgSentAgain, zap.String(fieldRequest, f.in.id), zap.String(fieldServer, t.Server().ID),
+	l.log.Info(msgSentAgain, zap.String(fieldRequest, f.in.id), zap.String(fieldServer, res.Server().ID),
 		zap.String(fieldLastEvent, f.lastEvent))
 }
 
 // sendFailed logs a send that brought no usable answer.
-func (l *requestLog) sendFailed(f *forwarder, t *dispatch.Reservation, reason string, err error) {
-	l.log.Info(msgSendFailed, zap.String(fieldRequest, f.in.id), zap.String(fieldServer, t.Server().ID),
-		zap.String(fieldAddr, t.Server().Addr), zap.String(fieldReason, reason), zap.Int(fieldRuns, f.record.runs),
+func (l *requestLog) sendFailed(f *forwarder, res *dispatch.Reservation, reason string, err error) {
+	l.log.Info(msgSendFailed, zap.String(fieldRequest, f.in.id), zap.String(fieldServer, res.Server().ID),
+		zap.String(fieldAddr, res.Server().Addr), zap.String(fieldReason, reason), zap.Int(fieldRuns, f.record.runs),
 		l.age(f.in), telemetry.Error(err))
 }
 
@@ -211,8 +211,8 @@
 
 // stalled logs that a request stays with a stalled server, since no other can take it or
 // the retry budget is spent.
-func (l *requestLog) stalled(in *inbound, t *dispatch.Reservation) {
-	l.log.Info(msgStalled, zap.String(fieldRequest, in.id), zap.String(fieldServer, t.Server().ID), l.age(in))
+func (l *requestLog) stalled(in *inbound, res *dispatch.Reservation) {
+	l.log.Info(msgStalled, zap.String(fieldRequest, in.id), zap.String(fieldServer, res.Server().ID), l.age(in))
 }
 
 // ownerSilent logs a gateway that did not answer when it was asked for admission.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -44,33 +44,33 @@
 var errStalled = eris.New("gateway: server stalled")
 
 // send sends the request to one server and reports whether it is over.
-func (f *forwarder) send(t *dispatch.Reservation) bool {
+func (f *forwarder) send(res *dispatch.Reservation) bool {
 	ctx, cancel := context.WithCancelCause(f.ctx)
 	defer cancel(nil)
 	f.retryPaid.Store(false)
-	stall := f.watchStall(t, cancel)
+	stall := f.watchStall(res, cancel)
 	defer stall.stop()
 	if f.record.sends == 0 {
 		f.record.waited = f.proxy.clock.Now().Sub(f.in.arrived)
 	}
-	f.proxy.lines.sending(f, t)
-	resp, err := f.proxy.transport.RoundTrip(f.outgoing(ctx, t))
+	f.proxy.lines.sending(f, res)
+	resp, err := f.proxy.transport.RoundTrip(f.outgoing(ctx, res))
 	if err != nil {
-		return f.noAnswer(t, cause(ctx, err))
+		return f.noAnswer(res, cause(ctx, err))
 	}
 	defer resp.Body.Close()
 	f.record.sends++
 	if resp.Header.Get(f.proxy.names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest {
-		return f.refusedBy(t, resp)
+		return f.refusedBy(res, resp)
 	}
 	f.record.runs++
 	if err := f.check(resp); err != nil {
-		return f.lost(t, err)
+		return f.lost(res, err)
 	}
 	if f.in.route.Stream && resp.StatusCode == http.StatusOK {
-		return f.passStream(ctx, t, resp, stall)
+		return f.passStream(ctx, res, resp, stall)
 	}
-	return f.passWhole(ctx, t, resp)
+	return f.passWhole(ctx, res, resp)
 }
 
 // cause prefers the reason for which a send was cancelled to the transport's error.
@@ -82,18 +82,18 @@
 }
 
 // noAnswer handles a send without an answer's header and reports whether the request is over.
-func (f *forwarder) noAnswer(t *dispatch.Reservation, err error) bool {
+func (f *forwarder) noAnswer(res *dispatch.Reservation, err error) bool {
 	if f.callerGone() {
-		t.Done(dispatch.Abandoned)
+		res.Done(dispatch.Abandoned)
 		f.record.outcome = outcomeGone
 		return true
 	}
 	if wire.IsNotSent(err) {
-		return f.notSent(t, err)
+		return f.notSent(res, err)
 	}
 	f.record.sends++
 	f.record.runs++
-	return f.lost(t, err)
+	return f.lost(res, err)
 }
 
 // check returns an error if an answer is not one to this request, or cannot go on where the
@@ -112,8 +112,8 @@
 }
 
 // outgoing makes the request to a server.
-func (f *forwarder) outgoing(ctx context.Context, t *dispatch.Reservation) *http.Request {
-	s := t.Server()
+func (f *forwarder) outgoing(ctx context.Context, res *dispatch.Reservation) *http.Request {
+	s := res.Server()
 	out := &http.Request{
 		Method: f.in.Method, URL: target(f.in.RequestURI, s.Addr), Host: f.in.Host, Header: f.in.Header.Clone(),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -49,12 +49,12 @@
 }
 
 // watchStall returns the timer of a send, or nil if the request may not be sent again.
-func (f *forwarder) watchStall(t *dispatch.Reservation, cancel context.CancelCauseFunc) *stallTimer {
+func (f *forwarder) watchStall(res *dispatch.Reservation, cancel context.CancelCauseFunc) *stallTimer {
 	if f.record.runs+1 >= f.in.route.Attempts || f.in.route.Retry == table.RetryNever {
 		return nil
 	}
-	s := &stallTimer{f: f, reservation: t, cancel: cancel, elsewhere: f.req}
-	s.elsewhere.Exclude = append(slices.Clone(f.req.Exclude), t.Server().ID)
+	s := &stallTimer{f: f, reservation: res, cancel: cancel, elsewhere: f.req}
+	s.elsewhere.Exclude = append(slices.Clone(f.req.Exclude), res.Server().ID)
 	s.timer = f.proxy.clock.AfterFunc(stallTime(f.in.route), s.expired)
 	return s
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -52,7 +52,7 @@
 }
 
 // passStream passes a stream on, event by event, and reports whether the request is over.
-func (f *forwarder) passStream(ctx context.Context, t *dispatch.Reservation, resp *http.Response, stall *stallTimer) bool {
+func (f *forwarder) passStream(ctx context.Context, res *dispatch.Reservation, resp *http.Response, stall *stallTimer) bool {
 	r := readers.Get().(*bufio.Reader)
 	r.Reset(resp.Body)
 	defer func() {
@@ -67,9 +67,9 @@
 			break
 		}
 		if err != nil {
-			return f.lost(t, cause(ctx, err))
+			return f.lost(res, cause(ctx, err))
 		}
-		t.FirstByte()
+		res.FirstByte()
 		stall.progress()
 		now := f.proxy.clock.Now()
 		if !last.IsZero() {
@@ -77,7 +77,7 @@
 		}
 		last = now
 		if err := f.passEvent(resp, buf.Bytes()); err != nil {
-			t.Done(dispatch.Abandoned)
+			res.Done(dispatch.Abandoned)
 			f.record.outcome = outcomeGone
 			return true
 		}
@@ -89,7 +89,7 @@
 		f.begin(resp)
 		f.w.WriteHeader(resp.StatusCode)
 	}
-	f.finish(t, resp.StatusCode)
+	f.finish(res, resp.StatusCode)
 	return true
 }
 
