--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -94,7 +94,7 @@
 	demand map[string]*rowDemand
 	grants map[string]int
 	// unloads are orders that wait for their copies to drain.
-	unloads map[place]placement.Order
+	unloads map[copyID]placement.Order
 	token   int64
 	leaving bool
 	// stopping tells that the agent leaves by its own stop, or because another has
@@ -138,7 +138,7 @@
 		incarnation: uuid.NewString(),
 		demand:      make(map[string]*rowDemand),
 		grants:      make(map[string]int),
-		unloads:     make(map[place]placement.Order),
+		unloads:     make(map[copyID]placement.Order),
 	}
 	a.backend = &http.Client{Transport: wire.NewTransport(&a.proxied)}
 	a.slots = newSlotTable()
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -94,7 +94,7 @@
 // whether none runs on it; if one does, stepUnloads gives the order later.
 // a.mu is held.
 func (a *Agent) drained(o placement.Order) bool {
-	p := place{name: o.Name, acc: o.Accelerator}
+	p := copyID{name: o.Name, acc: o.Accelerator}
 	if a.slots.drain(p) {
 		delete(a.unloads, p)
 		return true
@@ -130,7 +130,7 @@
 	for _, i := range intents {
 		a.ledger.Cancel(i.ID)
 		if i.Op == ledger.OpUnload {
-			a.slots.undrain(place{name: i.Name, acc: i.Accelerator})
+			a.slots.undrain(copyID{name: i.Name, acc: i.Accelerator})
 		}
 	}
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -8,8 +8,8 @@
 	"rockcleat/fleet"
 )
 
-// place is one copy of a model or adapter.
-type place struct {
+// A copyID names one copy of a model or adapter: the row and the accelerator.
+type copyID struct {
 	name string
 	acc  int
 }
@@ -19,20 +19,20 @@
 type slotTable struct {
 	perAccelerator int
 	used           []int
-	ready          map[place]bool
+	ready          map[copyID]bool
 	// draining are the copies that get no more requests, since they are to be unloaded.
-	draining map[place]bool
-	running  map[place]int
-	taken    map[int]place
+	draining map[copyID]bool
+	running  map[copyID]int
+	taken    map[int]copyID
 	next     int
 }
 
 func newSlotTable() *slotTable {
 	return &slotTable{
-		ready:    make(map[place]bool),
-		draining: make(map[place]bool),
-		running:  make(map[place]int),
-		taken:    make(map[int]place),
+		ready:    make(map[copyID]bool),
+		draining: make(map[copyID]bool),
+		running:  make(map[copyID]int),
+		taken:    make(map[int]copyID),
 	}
 }
 
@@ -42,7 +42,7 @@
 	t.perAccelerator = slots
 	t.used = make([]int, 1)
 	for _, n := range names {
-		t.ready[place{name: n}] = true
+		t.ready[copyID{name: n}] = true
 	}
 }
 
@@ -53,22 +53,22 @@
 		t.used = append(t.used, 0)
 	}
 	clear(t.ready)
-	present := make(map[place]bool)
+	present := make(map[copyID]bool)
 	for _, r := range residents {
-		p := place{name: r.Name, acc: r.Accelerator}
+		p := copyID{name: r.Name, acc: r.Accelerator}
 		present[p] = true
 		if r.State == fleet.StateReady {
 			t.ready[p] = true
 		}
 	}
-	maps.DeleteFunc(t.draining, func(p place, _ bool) bool { return !present[p] })
+	maps.DeleteFunc(t.draining, func(p copyID, _ bool) bool { return !present[p] })
 }
 
 // Take implements fairqueue.Slots: it chooses the accelerator with most slots free.
 func (t *slotTable) Take(row string) (int, bool) {
 	best := -1
 	for acc := range t.used {
-		p := place{name: row, acc: acc}
+		p := copyID{name: row, acc: acc}
 		if !t.ready[p] || t.draining[p] || t.used[acc] >= t.perAccelerator {
 			continue
 		}
@@ -79,7 +79,7 @@
 	if best < 0 {
 		return 0, false
 	}
-	p := place{name: row, acc: best}
+	p := copyID{name: row, acc: best}
 	t.used[best]++
 	t.running[p]++
 	t.next++
@@ -104,7 +104,7 @@
 func (t *slotTable) Total(row string) int {
 	total := 0
 	for acc := range t.used {
-		p := place{name: row, acc: acc}
+		p := copyID{name: row, acc: acc}
 		if t.ready[p] && !t.draining[p] {
 			total += t.perAccelerator
 		}
@@ -116,13 +116,13 @@
 func (t *slotTable) accelerator(slot int) int { return t.taken[slot].acc }
 
 // drain stops new requests to a copy and reports whether none runs on it.
-func (t *slotTable) drain(p place) bool {
+func (t *slotTable) drain(p copyID) bool {
 	t.draining[p] = true
 	return t.running[p] == 0
 }
 
 // undrain opens a copy again.
-func (t *slotTable) undrain(p place) { delete(t.draining, p) }
+func (t *slotTable) undrain(p copyID) { delete(t.draining, p) }
 
 // load returns the busy slots and waiting requests in percent of all slots.
 func (t *slotTable) load(waiting int) int {
@@ -138,7 +138,7 @@
 func (t *slotTable) visible(residents []fleet.Resident) []fleet.Resident {
 	out := slices.Clone(residents)
 	for i, r := range out {
-		if t.draining[place{name: r.Name, acc: r.Accelerator}] {
+		if t.draining[copyID{name: r.Name, acc: r.Accelerator}] {
 			out[i].State = fleet.StateUnloading
 		}
 	}
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -147,7 +147,7 @@
 	defer end()
 	ctx, cancel := context.WithCancel(d.c.Request().Context())
 	defer cancel()
-	watch := newSilence(d.e.settings.Limits.SilentTime.Std(), cancel)
+	watch := newStallTimer(d.e.settings.Limits.SilentTime.Std(), cancel)
 	defer watch.stop()
 	resp, err := d.e.agents.Do(d.request(watch.trace(ctx), s))
 	if err != nil {
@@ -307,27 +307,27 @@
 	d.finish(o)
 }
 
-// A silence cancels an attempt whose server says nothing for too long.
-type silence struct {
+// A stallTimer cancels an attempt whose server sends nothing for too long.
+type stallTimer struct {
 	limit time.Duration
 	timer *time.Timer
 }
 
-func newSilence(limit time.Duration, cancel func()) *silence {
-	return &silence{limit: limit, timer: time.AfterFunc(limit, cancel)}
+func newStallTimer(limit time.Duration, cancel func()) *stallTimer {
+	return &stallTimer{limit: limit, timer: time.AfterFunc(limit, cancel)}
 }
 
-// heard starts the time anew.
-func (s *silence) heard() { s.timer.Reset(s.limit) }
+// progress starts the time anew.
+func (s *stallTimer) progress() { s.timer.Reset(s.limit) }
 
-func (s *silence) stop() { s.timer.Stop() }
+func (s *stallTimer) stop() { s.timer.Stop() }
 
-// trace makes the agent's interim responses, which tell that it is alive while
-// the request waits or runs, count as heard.
-func (s *silence) trace(ctx context.Context) context.Context {
+// trace makes the agent's interim responses, which show that it is alive while the request
+// waits or runs, count as progress.
+func (s *stallTimer) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
-			s.heard()
+			s.progress()
 			return nil
 		},
 	})
--- a/internal/entry/relay.go
+++ b/internal/entry/stream_copy.go
@@ -36,7 +36,7 @@
 )
 
 // pass gives an answer to the caller and reports whether the call is over.
-func (d *delivery) pass(s fleet.Server, resp *http.Response, w *silence) bool {
+func (d *delivery) pass(s fleet.Server, resp *http.Response, w *stallTimer) bool {
 	if d.x.stream && isStream(resp.Header) {
 		return d.passStream(s, resp, w)
 	}
@@ -53,8 +53,8 @@
 
 // passWhole gives an answer that is not a stream of events. One that is short
 // is read whole first; its outcome is recorded before the caller has it.
-func (d *delivery) passWhole(s fleet.Server, resp *http.Response, w *silence) bool {
-	r := &heardReader{r: resp.Body, w: w}
+func (d *delivery) passWhole(s fleet.Server, resp *http.Response, w *stallTimer) bool {
+	r := &progressReader{r: resp.Body, w: w}
 	held, err := io.ReadAll(io.LimitReader(r, heldAnswer))
 	if err != nil {
 		return d.failed(s, err)
@@ -124,17 +124,17 @@
 	return len(b), nil
 }
 
-// A heardReader counts each read as a sign of life.
-type heardReader struct {
+// A progressReader counts each read as progress.
+type progressReader struct {
 	r io.Reader
-	w *silence
+	w *stallTimer
 }
 
 // Read implements io.Reader.
-func (h *heardReader) Read(b []byte) (int, error) {
+func (h *progressReader) Read(b []byte) (int, error) {
 	n, err := h.r.Read(b)
 	if n > 0 {
-		h.w.heard()
+		h.w.progress()
 	}
 	return n, err
 }
@@ -142,8 +142,8 @@
 // passStream gives the events of a stream to the caller. Only an event that is
 // whole is passed on, so a stream cut anywhere can go on elsewhere from the
 // token after the last one given.
-func (d *delivery) passStream(s fleet.Server, resp *http.Response, w *silence) bool {
-	r := bufio.NewReader(&heardReader{r: resp.Body, w: w})
+func (d *delivery) passStream(s fleet.Server, resp *http.Response, w *stallTimer) bool {
+	r := bufio.NewReader(&progressReader{r: resp.Body, w: w})
 	for {
 		event, err := readEvent(r)
 		if err != nil {
--- a/internal/lab/system.go
+++ b/internal/lab/system.go
@@ -85,13 +85,10 @@
 
 // A System is a running lab.
 type System struct {
-	opts    Options
-	KV      *Process
-	VMs     *Process
-	Weights *Process
-	KVURL   string
-	VMsURL  string
-	WURL    string
+	opts   Options
+	KVURL  string
+	VMsURL string
+	WURL   string
 
 	mu       sync.Mutex
 	Entries  []*Node
@@ -172,13 +169,13 @@
 
 func (s *System) startPlatform(ctx context.Context) (err error) {
 	o := s.opts
-	if s.KV, s.KVURL, _, err = s.run(ctx, "kv", "kv", "-reads", float(o.KVReads), "-writes", float(o.KVWrites)); err != nil {
+	if _, s.KVURL, _, err = s.run(ctx, "kv", "kv", "-reads", float(o.KVReads), "-writes", float(o.KVWrites)); err != nil {
 		return err
 	}
-	if s.VMs, s.VMsURL, _, err = s.run(ctx, "vms", "vms", "-lag", o.VMLag.String()); err != nil {
+	if _, s.VMsURL, _, err = s.run(ctx, "vms", "vms", "-lag", o.VMLag.String()); err != nil {
 		return err
 	}
-	s.Weights, s.WURL, _, err = s.run(ctx, "weights", "weights", "-loads", float(o.Loads),
+	_, s.WURL, _, err = s.run(ctx, "weights", "weights", "-loads", float(o.Loads),
 		"-full-speed", strconv.Itoa(o.FullSpeed), "-speed", float(o.LoadSpeed))
 	if err != nil {
 		return err
