--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,7 +36,8 @@
 	Names    wire.Names
 	// ReadyPath is where the balancer asks whether the process is ready.
 	ReadyPath string
-	Store     kv.Store
+	// Store is where the leader's lease is kept.
+	Store lease.Store
 	// Prefixes are all keys of the store, OwnKeys those that the product writes.
 	Prefixes kv.PrefixStore
 	OwnKeys  kv.PrefixStore
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -18,6 +18,15 @@
 // service ends its lease, for drift between the two clocks. Chosen, not measured.
 const driftDivisor = 5
 
+// A Store is what a Holder needs of the service; kv.Store says what each call does.
+type Store interface {
+	Get(ctx context.Context, key string) (kv.Entry, error)
+	Put(ctx context.Context, w kv.Write) (kv.Revision, error)
+	Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error)
+	KeepAlive(ctx context.Context, id kv.LeaseID) error
+	Revoke(ctx context.Context, id kv.LeaseID) error
+}
+
 // A Token is a fencing token: a later holder's token is always higher.
 type Token int64
 
@@ -40,7 +49,7 @@
 
 // A Holder contends for one lease; it is safe for concurrent use.
 type Holder struct {
-	store kv.Store
+	store Store
 	clock clock.Service
 	opts  Options
 
@@ -54,7 +63,7 @@
 }
 
 // New returns a Holder that holds nothing until Step succeeds.
-func New(store kv.Store, c clock.Service, o Options) *Holder {
+func New(store Store, c clock.Service, o Options) *Holder {
 	return &Holder{store: store, clock: c, opts: o}
 }
 
