--- a/backend/doc.go
+++ b/backend/doc.go
@@ -3,7 +3,7 @@
 // declares the orders and reports of engines (EngineClient).
 //
 // A Registry owns that knowledge. It is filled from two sources: the platform's list, and,
-// for what engines hold, the leader, whose word is newer; it relies on the caller to pass
-// both on with the time. Without the leader the list's word counts again after
-// residencyMaxAge; without the list the last one stands. Readers take immutable Snapshots.
+// for what engines hold, the leader, which knows it first; it relies on the caller to pass
+// both on with the time. Without the leader the list counts again after residencyMaxAge;
+// without the list the last one stands. Readers take immutable Snapshots.
 package backend
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// residencyMaxAge is how long the leader's word goes before the platform's list when no
-// further word comes: a leader's lease lasts as long. Chosen with the first path
+// residencyMaxAge is how long the leader's residency takes precedence over the platform's
+// list when no further one comes: a leader's lease lasts as long. Chosen with the first path
 // (docs/MEASUREMENTS.md, P1), not measured alone.
 const residencyMaxAge = 3 * time.Second
 
@@ -35,7 +35,7 @@
 	mu       sync.Mutex
 	listed   map[string]Server
 	vanished map[string]vanishedServer
-	// residency is the leader's word and residencyAt when it last came; nil without one.
+	// residency was published by the leader and last came at residencyAt; nil without one.
 	residency   map[string]Residency
 	residencyAt time.Time
 	snapshot    atomic.Pointer[Snapshot]
@@ -112,7 +112,7 @@
 }
 
 // isVisible reports whether a server's new record shows in a snapshot: what it holds does
-// not while the leader's word on it is known.
+// not while the leader's residency of it is known.
 func (r *Registry) isVisible(old, s Server) bool {
 	if _, known := r.residency[s.ID]; !known {
 		return true
@@ -129,7 +129,7 @@
 	r.Apply([]Change{{Server: Server{ID: id}, Gone: true}}, now)
 }
 
-// SetResidency sets the leader's word on all engines at a time.
+// SetResidency sets the residency of all engines, as the leader published it, at a time.
 func (r *Registry) SetResidency(all map[string]Residency, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,7 +137,7 @@
 	r.rebuild(now)
 }
 
-// MergeResidency applies what has changed in the leader's word at a time.
+// MergeResidency applies what has changed in the leader's residency at a time.
 func (r *Registry) MergeResidency(changed map[string]Residency, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,16 +152,16 @@
 	r.rebuild(now)
 }
 
-// HasResidency reports whether a leader's word is known; after it was forgotten all of it
-// must be asked for again.
+// HasResidency reports whether a leader's residency is known; after it was forgotten all of
+// it must be asked for again.
 func (r *Registry) HasResidency() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.residency != nil
 }
 
-// Expire forgets what is too old: the word of a leader that has been silent for long, and
-// vanished servers. It reports whether anything has changed.
+// Expire forgets what is too old: the residency of a leader that has not published for long,
+// and vanished servers. It reports whether anything has changed.
 func (r *Registry) Expire(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/backend/server.go
+++ b/backend/server.go
@@ -20,7 +20,7 @@
 	return adapter == "" || slices.Contains(r.Adapters, adapter)
 }
 
-// A Server is what is known of one run of a backend server.
+// A Server describes one run of a backend server.
 type Server struct {
 	// ID names this run; a restarted server has another.
 	ID      string
@@ -46,7 +46,7 @@
 	return false
 }
 
-// A Residency is what the leader publishes that an engine holds.
+// A Residency lists what an engine holds, as the leader publishes it.
 type Residency struct {
 	Residents []Resident `json:"r"`
 }
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -26,7 +26,7 @@
 	Owned bool `json:"y"`
 	// Admitted says that the request may be sent.
 	Admitted bool `json:"g,omitempty"`
-	// Load is what all gateways have at the engine, as the owner knows it.
+	// Load is the load of all gateways at the engine, as the owner knows it.
 	Load Load `json:"l"`
 	// RetryAfterMs is when to ask again if the request is not admitted, in milliseconds.
 	RetryAfterMs int `json:"a,omitempty"`
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -7,10 +7,10 @@
 
 // Weights of the expected cost of a server. The rounds are those of docs/MEASUREMENTS.md.
 const (
-	// msPerRequest is what one running request adds to the time of the others' steps.
+	// msPerRequest is the time that one running request adds to the others' steps.
 	// Chosen with the first path (P1), not measured alone.
 	msPerRequest Milliseconds = 1.5
-	// msPerPlainRequest is what one running request adds at a plain service (P1).
+	// msPerPlainRequest is the time that one running request adds at a plain service (P1).
 	msPerPlainRequest Milliseconds = 10.0
 	// msOtherHall is the cost of an engine in another data hall (P1). Halls are 0.5 to
 	// 1.5 ms apart (the brief); the rest keeps prompts and streams within a hall.
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -5,7 +5,7 @@
 // takes as long as 10 prompt tokens at 0.05 ms each (docs/design/0009); not measured.
 const outputTokenWeight = 10
 
-// A Demand is what was asked of one model or adapter since the start.
+// A Demand counts what was asked of one model or adapter since the start.
 type Demand struct {
 	// Arrived is the number of requests.
 	Arrived int `json:"a"`
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -48,7 +48,7 @@
 
 	mu      sync.Mutex
 	servers *backend.Snapshot
-	// loads is what this process has at each server, remote what the others have.
+	// loads holds this process's load at each server, remote that of the others.
 	loads  map[string]*serverLoad
 	remote map[string]remoteLoad
 	// busiestOnly says that remote holds the busiest servers only.
--- a/dispatch/gap.go
+++ b/dispatch/gap.go
@@ -16,7 +16,7 @@
 	return Milliseconds(float64(d) / float64(time.Millisecond))
 }
 
-// A GapBudget is what a stream allows between two of its events.
+// A GapBudget bounds the time between two events of a stream.
 type GapBudget struct {
 	// MaxGap is the longest time between two events; 0 is no limit.
 	MaxGap Milliseconds `json:"p"`
@@ -32,7 +32,7 @@
 	gapShare = 0.93
 	// baseStep is the time of a decoding step without prefill.
 	baseStep Milliseconds = 10.5
-	// stepPerRequest is what each running request adds to a step.
+	// stepPerRequest is the time that each running request adds to a step.
 	stepPerRequest Milliseconds = 0.2
 	// minPrefillPerStep is the prefill in one step below which engines would idle
 	// between prompts. Chosen, not measured.
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A Load is what one process has at one server.
+// A Load is the load of one process at one server.
 type Load struct {
 	// Running is the number of requests.
 	Running int `json:"n"`
@@ -25,7 +25,7 @@
 	}
 }
 
-// A remoteLoad is what other processes had at one server at a time.
+// A remoteLoad is the load of the other processes at one server at a time.
 type remoteLoad struct {
 	Load
 	at time.Time
@@ -38,7 +38,7 @@
 	return out
 }
 
-// A serverLoad is what this process has at one server and has observed of it.
+// A serverLoad is the load of this process at one server, with what it has observed there.
 type serverLoad struct {
 	Load
 	prefixes prefixCache
@@ -49,7 +49,7 @@
 	awaiting []*Reservation
 	// grants are the admissions given to other gateways' requests lately.
 	grants []grant
-	// prefill is what an owned engine is expected to prefill.
+	// prefill holds the prompts that an owned engine is expected to prefill.
 	prefill prefillQueue
 	// deniedUntil is until when the engine's owner grants nothing.
 	deniedUntil time.Time
--- a/dispatch/prefill_queue.go
+++ b/dispatch/prefill_queue.go
@@ -5,7 +5,7 @@
 // A span is the time in which an engine is expected to prefill one prompt.
 type span struct{ from, to time.Time }
 
-// A prefillQueue is what an engine is expected to prefill, one prompt after the other.
+// A prefillQueue holds the prompts that an engine is expected to prefill, one after the other.
 //
 // Its zero value is empty.
 type prefillQueue struct {
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A Request is what a choice needs to know of a request.
+// A Request describes a caller's request as far as a choice depends on it.
 type Request struct {
 	Service string
 	// Model and Adapter are empty for a plain service.
@@ -39,7 +39,7 @@
 	return r.Model + "/" + r.Adapter
 }
 
-// before reports whether the request goes before another one that waits.
+// before reports whether the request is served before another one that waits.
 func (r *Request) before(o *Request) bool {
 	if r.Priority != o.Priority {
 		return r.Priority < o.Priority
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -13,7 +13,7 @@
 	req    *Request
 	server *backend.Server
 	load   *serverLoad
-	// prefillTokens is what the server has to prefill, prefillMs the time for it in
+	// prefillTokens is the length of the prompt's uncached part, prefillMs its prefill time in
 	// milliseconds, usedTokens the cache memory that the request takes at most.
 	prefillTokens int
 	prefillMs     int
@@ -100,9 +100,9 @@
 const (
 	// Answered is a whole answer.
 	Answered SendResult = iota
-	// Failed is an answer or a break that speaks against the server.
+	// Failed is an answer or a break that counts against the server.
 	Failed
-	// Refused is a refusal by the server, which speaks neither way.
+	// Refused is a refusal by the server, which counts neither way.
 	Refused
 	// Abandoned is a send that the caller gave up.
 	Abandoned
--- a/dispatch/shed.go
+++ b/dispatch/shed.go
@@ -81,8 +81,8 @@
 	return false
 }
 
-// RecordResult records how well a request was served, from 0 (not at all) to 1 (in time),
-// as far as that was a matter of load.
+// RecordResult records how well a request was served, from 0 (not at all) to 1 (in time). It
+// is called only for results that depend on load.
 func (d *Dispatcher) RecordResult(r *Request, result float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// reserveOrWait reserves a server as far as this gateway knows; another one may have to
-// admit the request yet. Requests of plain services never wait.
+// reserveOrWait reserves a server by what this gateway knows; another one may still have to
+// admit the request. Requests of plain services never wait.
 func (d *Dispatcher) reserveOrWait(ctx context.Context, r *Request) (*Reservation, error) {
 	d.mu.Lock()
 	if res := d.choose(r); res != nil {
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -22,7 +22,7 @@
 	decoder Decoder
 	log     *zap.Logger
 	current atomic.Pointer[table.Routing]
-	// encoded is the current one as it stands in the store, for other gateways.
+	// encoded is the current one in the store's format, for other gateways.
 	encoded atomic.Pointer[[]byte]
 }
 
@@ -41,7 +41,7 @@
 	return 0
 }
 
-// newerThan returns the configuration as it stands in the store, if it is newer.
+// newerThan returns the configuration in the store's format, if it is newer.
 func (c *configuration) newerThan(version uint64) []byte {
 	value := c.encoded.Load()
 	if c.version() <= version || value == nil {
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -15,7 +15,7 @@
 	"rockcleat/clock"
 )
 
-// connState is what a caller's connection is doing.
+// connState is the state of a caller's connection.
 type connState int
 
 // The states of a connection; it goes round from connReading on with each request.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,7 +17,7 @@
 	"rockcleat/table"
 )
 
-// A Decoder turns what stands in the platform's store into the product's records.
+// A Decoder decodes entries of the platform's store into the product's records.
 type Decoder interface {
 	// ConfigKey is the key of the configuration, ServerPrefix the prefix of the backend
 	// servers' keys.
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -15,7 +15,7 @@
 	"rockcleat/table"
 )
 
-// An inbound is what is known of a caller's request at its start; it does not change.
+// An inbound is a caller's request, as known at its start; it does not change.
 type inbound struct {
 	*http.Request
 	id      string
--- a/internal/gateway/peer_client.go
+++ b/internal/gateway/peer_client.go
@@ -46,7 +46,7 @@
 	Leader string `json:"holder,omitempty"`
 	// Config is the configuration, if it is newer than the reporting gateway's.
 	Config []byte `json:"config,omitempty"`
-	// Changes is what has changed in the store since Revisions, if the leader answers.
+	// Changes lists what has changed in the store since Revisions, if the leader answers.
 	Changes map[string]kv.Batch `json:"changes,omitempty"`
 }
 
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -17,7 +17,7 @@
 	outcomeGone     = "caller_gone"
 )
 
-// A record is what happened to one request.
+// A record collects what happened to one request.
 type record struct {
 	// sends counts the sends that reached a server, runs those that may have run, unsent
 	// those that reached none.
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// A sender is what a gateway's reports say of itself.
+// A sender identifies a gateway in its reports.
 type sender struct{ id, addr, hall string }
 
 // A reporter reports to the leader and applies its replies. All of its state belongs to the
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -24,7 +24,7 @@
 	demandFallTime = 8 * time.Second
 )
 
-// A gateway is what the leader knows of one gateway.
+// A gateway holds the leader's view of one gateway.
 type gateway struct {
 	// report is its last one without Demands, which demands adds up.
 	report     Report
@@ -92,7 +92,7 @@
 	g.apply(r, now)
 }
 
-// reset takes a report as the whole state of its gateway; before is what was known of it,
+// reset takes a report as the whole state of its gateway; before is its last state,
 // or nil.
 func (d *demand) reset(before *gateway, r Report, now time.Time) {
 	if before != nil {
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -39,11 +39,11 @@
 	orderRetryDelay = 300 * time.Millisecond
 )
 
-// An engineState is what the leader knows of one engine.
+// An engineState holds the leader's view of one engine.
 type engineState struct {
 	server *backend.Server
-	// known says that the engine's own report stands in what follows; orders are issued
-	// to known engines only.
+	// known says that the fields below come from the engine's own report; orders are
+	// issued to known engines only.
 	known bool
 	// sequence is the number of orders that the engine has taken.
 	sequence  int
--- a/internal/placer/messages.go
+++ b/internal/placer/messages.go
@@ -5,15 +5,15 @@
 	"rockcleat/dispatch"
 )
 
-// A Report is what one gateway sends to the leader.
+// A Report is a gateway's message to the leader.
 type Report struct {
 	// GatewayID names the gateway, Addr is where it takes messages, Hall its data hall.
 	GatewayID string `json:"from"`
 	Addr      string `json:"addr"`
 	Hall      string `json:"hall"`
-	// Loads is what it has at each server.
+	// Loads is its load at each server.
 	Loads map[string]dispatch.Load `json:"loads,omitempty"`
-	// Demands is what was asked of it since its start, for the models and adapters for
+	// Demands counts what was asked of it since its start, for the models and adapters for
 	// which that has changed since the last report that had a reply.
 	Demands map[string]dispatch.Demand `json:"demands,omitempty"`
 	// Full says that Demands is all that was asked, for a leader that knows nothing yet.
@@ -41,12 +41,12 @@
 	// differs from the one reported.
 	GatewaysVersion uint64    `json:"known,omitempty"`
 	Gateways        []Gateway `json:"gateways,omitempty"`
-	// Loads is what the other gateways have at each server; BusiestOnly says that there
+	// Loads is the load of the other gateways at each server; BusiestOnly says that there
 	// are so many servers that it lists the busiest only.
 	Loads       map[string]dispatch.Load `json:"loads,omitempty"`
 	BusiestOnly bool                     `json:"partial,omitempty"`
-	// Residency is what has changed of what engines hold since the version reported, or,
-	// with Full, everything; ResidencyVersion is its version.
+	// Residency lists the engines whose residency has changed since the version reported,
+	// or, with Full, all of them; ResidencyVersion is the new version.
 	ResidencyVersion int64                        `json:"version"`
 	Full             bool                         `json:"full,omitempty"`
 	Residency        map[string]backend.Residency `json:"residency,omitempty"`
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -20,8 +20,8 @@
 // versionToken returns the token of the leader that made a version.
 func versionToken(version int64) int64 { return version >> versionBits }
 
-// A publishedResidency is what gateways are informed that engines hold, with the version in
-// which that last changed for each engine.
+// A publishedResidency holds what engines hold, as published to gateways, with the version
+// in which that last changed for each engine.
 type publishedResidency struct {
 	version   int64
 	published map[string]backend.Residency
--- a/kv/fanout.go
+++ b/kv/fanout.go
@@ -36,7 +36,7 @@
 	logs map[string]*changeLog
 }
 
-// A Batch is what one Fanout hands to another of one prefix.
+// A Batch holds the changes of one prefix that one Fanout hands to another.
 type Batch struct {
 	// Events are all changes after From, up to and including To.
 	From   Revision `json:"from"`
--- a/kv/fanout_view.go
+++ b/kv/fanout_view.go
@@ -83,7 +83,7 @@
 	return listFirst
 }
 
-// A cachedChanges is what a watch finds without the service.
+// A cachedChanges is the answer to a watch without the service.
 type cachedChanges struct {
 	// events are the changes after the watch's revision, up to the revision to.
 	events []Event
--- a/kv/kv.go
+++ b/kv/kv.go
@@ -52,7 +52,7 @@
 	Lease LeaseID `json:"lease,omitempty"`
 }
 
-// A Store is what rockcleat needs of the platform's key-value service.
+// A Store is the platform's key-value service, as far as rockcleat needs it.
 type Store interface {
 	// Get returns the entry of a key or ErrNotFound.
 	Get(ctx context.Context, key string) (Entry, error)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -11,14 +11,14 @@
 	"rockcleat/kv"
 )
 
-// keyPrefix is where lease records stand in the service.
+// keyPrefix is the prefix of lease records in the service.
 const keyPrefix = "lease/"
 
 // driftDivisor sets the part of the ttl, a fifth, by which a holder stops acting before the
 // service ends its lease, for drift between the two clocks. Chosen, not measured.
 const driftDivisor = 5
 
-// A Store is what a Holder needs of the service; kv.Store says what each call does.
+// A Store is the part of the service that a Holder needs; kv.Store describes each call.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Entry, error)
 	Put(ctx context.Context, w kv.Write) (kv.Revision, error)
--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -15,7 +15,7 @@
 	Evict backend.Adapter
 }
 
-// An AdapterInput is what a plan for adapters is made from.
+// An AdapterInput is the input of PlanAdapters.
 type AdapterInput struct {
 	// Slots is the number of adapters that an engine holds.
 	Slots   int
@@ -78,7 +78,7 @@
 	return best, found
 }
 
-// fullEnginePenalty is what an engine without a free adapter slot costs, in requests: more
+// fullEnginePenalty is the cost of an engine without a free adapter slot, in requests: more
 // than an engine serves at once, so that free slots are used first. Chosen, not measured.
 const fullEnginePenalty = 1000
 
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -26,7 +26,7 @@
 	RecentlyLoaded map[string]bool
 }
 
-// A Demand is what is asked of one model.
+// A Demand measures what is asked of one model.
 type Demand struct {
 	// TokensPerSecond is the work asked for, in prompt tokens.
 	TokensPerSecond float64
@@ -34,11 +34,11 @@
 	Waiting int
 }
 
-// An Input is what a plan is made from.
+// An Input is the input of Plan.
 type Input struct {
 	Spec    *table.EngineSpec
 	Engines []EngineView
-	// Demands is what is asked of each model, by name.
+	// Demands holds the demand of each model, by name.
 	Demands map[string]Demand
 	// StoreLoadsAllowed is the number of loads that the weight store allows now.
 	StoreLoadsAllowed int
@@ -162,10 +162,10 @@
 // Penalties of a move, in seconds of loading. Chosen with the first path
 // (docs/MEASUREMENTS.md, P1), not measured alone.
 const (
-	// sameHallPenalty is what each replica in the same data hall costs, so that a hall's
+	// sameHallPenalty is the cost of each replica in the same data hall, so that a hall's
 	// loss does not take all replicas of a model.
 	sameHallPenalty = 1.5
-	// evictionPenalty is what an eviction costs whose replica serves all of the demand
+	// evictionPenalty is the cost of evicting a replica that serves all of the demand
 	// that it and the new one serve together.
 	evictionPenalty = 1.0
 )
