--- a/table/routing.go
+++ b/table/routing.go
@@ -11,11 +11,11 @@
 
 // The retry policies.
 const (
-	// RepeatNever is a request that runs at most once.
+	// RetryNever is that of a request that runs at most once.
 	RetryNever RetryPolicy = "never"
-	// RepeatWhole is a request that may run any number of times.
+	// RetryWhole is that of a request that may run any number of times.
 	RetryWhole RetryPolicy = "whole"
-	// RepeatResume is a stream that may go on at another server after its last event.
+	// RetryResume is that of a stream that may go on at another server after its last event.
 	RetryResume RetryPolicy = "resume"
 )
 
