--- a/dispatch/owners.go
+++ b/dispatch/owners.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"rockcleat/backend"
-	"rockcleat/route"
+	"rockcleat/rendezvous"
 )
 
 // A Gateway is one of the processes that send requests.
@@ -75,18 +75,18 @@
 
 // jitter returns this gateway's own part of a server's cost.
 func (o *owners) jitter(server string) Milliseconds {
-	weight := route.Rendezvous(o.self, route.Hash(server))
+	weight := rendezvous.Weight(o.self, rendezvous.Key(server))
 	return msJitter * Milliseconds(weight) / math.MaxUint64
 }
 
 // ownerAmong returns the gateway with the highest weight for the server, those of its data
 // hall before others.
 func ownerAmong(list []Gateway, s *backend.Server) string {
-	key := route.Hash(s.ID)
+	key := rendezvous.Key(s.ID)
 	best, bestNear, bestWeight := "", false, uint64(0)
 	for _, g := range list {
 		near := g.Hall == s.Hall
-		weight := route.Rendezvous(g.ID, key)
+		weight := rendezvous.Weight(g.ID, key)
 		if best == "" || near && !bestNear || near == bestNear && weight > bestWeight {
 			best, bestNear, bestWeight = g.ID, near, weight
 		}
--- a/fairqueue/fairqueue.go
+++ b/fairqueue/fairqueue.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A Reason tells why a request was refused.
+// A Reason says why a request was refused.
 type Reason string
 
 // The reasons of a Refusal.
@@ -23,12 +23,16 @@
 	ReasonNotResident Reason = "not_resident"
 )
 
-// Defaults of a Queue.
+// Constants of a Queue; chosen, not measured.
 const (
+	// defaultMaxWaiting bounds the waiting requests of all rows.
 	defaultMaxWaiting = 1024
-	defaultDuration   = 500 * time.Millisecond
-	durationGain      = 0.2
-	minRetryAfter     = 100 * time.Millisecond
+	// defaultDuration is assumed of a request before one has ended.
+	defaultDuration = 500 * time.Millisecond
+	// durationGain is how much one request moves the mean duration, 0 to 1.
+	durationGain = 0.2
+	// minRetryAfter is the shortest time to come back that a refusal gives.
+	minRetryAfter = 100 * time.Millisecond
 )
 
 // A Grant is the permission to run.
@@ -46,7 +50,7 @@
 	RetryAfter time.Duration
 }
 
-// A Limit is what a row may use.
+// A Limit bounds the use of a row.
 type Limit struct {
 	// Weight is the row's weight with its tier's factor.
 	Weight int
@@ -83,7 +87,7 @@
 	ticketDone
 )
 
-// Slots gives out the places in which requests run.
+// Slots gives out a server's slots, in which requests run.
 type Slots interface {
 	// Take returns a free slot for the row's model and holds it, or false.
 	Take(row string) (slot int, ok bool)
@@ -93,7 +97,7 @@
 	Total(row string) int
 }
 
-// rowState is the queue's account of one row.
+// A rowState is the queue's account of one row.
 type rowState struct {
 	waiting []*Ticket
 	running int
@@ -147,7 +151,7 @@
 	return r.running, len(r.waiting)
 }
 
-// Push takes a request in: it is granted, refused or left waiting.
+// Push adds a request: it is granted, refused or left waiting.
 func (q *Queue) Push(t *Ticket, now time.Time) {
 	t.arrived = now
 	if q.waiting >= q.maxWaiting {
@@ -184,6 +188,7 @@
 	return r
 }
 
+// lowest returns the lowest counter of a row in use, or 0.
 func (q *Queue) lowest() float64 {
 	low := math.Inf(1)
 	for _, r := range q.rows {
@@ -229,7 +234,7 @@
 	}
 }
 
-// expire refuses what has waited for too long. An edit of the row may have given a later
+// expire refuses requests that have waited for too long. An edit of the row may have given a later
 // request a shorter time than those before it.
 func (q *Queue) expire(now time.Time) {
 	for _, r := range q.rows {
@@ -273,6 +278,7 @@
 	return rows
 }
 
+// start grants a request.
 func (q *Queue) start(r *rowState, t *Ticket, slot int, now time.Time) {
 	t.state, t.slot, t.started = ticketRunning, slot, now
 	r.running++
@@ -303,6 +309,7 @@
 	}
 }
 
+// observe counts the duration of a request that has ended.
 func (q *Queue) observe(d time.Duration) {
 	q.duration += time.Duration(durationGain * float64(d-q.duration))
 }
@@ -311,20 +318,19 @@
 // can go elsewhere.
 func (q *Queue) RefuseAll(reason Reason) {
 	for _, r := range q.rows {
-		for len(r.waiting) > 0 {
-			t := r.waiting[0]
-			q.drop(r, t)
-			q.refuse(t, reason, 0)
-		}
+		q.refuseWaiting(r, reason)
 	}
 }
 
 // RefuseRow refuses every waiting request of one row for the reason.
 func (q *Queue) RefuseRow(row string, reason Reason) {
-	r, ok := q.rows[row]
-	if !ok {
-		return
+	if r, ok := q.rows[row]; ok {
+		q.refuseWaiting(r, reason)
 	}
+}
+
+// refuseWaiting refuses every waiting request of a row.
+func (q *Queue) refuseWaiting(r *rowState, reason Reason) {
 	for len(r.waiting) > 0 {
 		t := r.waiting[0]
 		q.drop(r, t)
@@ -343,6 +349,7 @@
 	return names
 }
 
+// drop takes a request out of those that wait.
 func (q *Queue) drop(r *rowState, t *Ticket) {
 	i := slices.Index(r.waiting, t)
 	if i < 0 {
@@ -352,6 +359,7 @@
 	q.waiting--
 }
 
+// refuse refuses a request that is not among those that wait.
 func (q *Queue) refuse(t *Ticket, reason Reason, after time.Duration) {
 	t.state = ticketDone
 	t.Refused(Refusal{Reason: reason, RetryAfter: max(after, minRetryAfter)})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -60,7 +60,7 @@
 	// travels by itself, since it changes far more often than what is resident.
 	Demand  []Demand `json:"dem,omitempty"`
 	Leaving bool     `json:"leaving,omitempty"`
-	// Gone tells that the server's VM has left the platform's list.
+	// Gone says that the server's VM has left the platform's list.
 	Gone bool `json:"gone,omitempty"`
 	// Version is the cell's version that last changed the record.
 	Version uint64 `json:"v"`
@@ -81,14 +81,14 @@
 	})
 }
 
-// A CellVersion tells how much of a cell a process knows.
+// A CellVersion is the version of a cell that a process knows.
 type CellVersion struct {
 	Cell    string `json:"c"`
 	Epoch   int64  `json:"e"`
 	Version uint64 `json:"v"`
 }
 
-// A Digest tells how much of every cell a process knows.
+// A Digest lists the versions of all cells that a process knows.
 type Digest []CellVersion
 
 // MarshalJSON writes each version as [cell, epoch, version], which is short: a
@@ -120,13 +120,13 @@
 // A CellDelta carries the records of a cell that changed after a version.
 type CellDelta struct {
 	CellVersion
-	// Full tells that records not in Servers are no longer of the cell.
+	// Full says that records not in Servers no longer belong to the cell.
 	Full    bool     `json:"full,omitempty"`
 	Servers []Server `json:"servers,omitempty"`
 	Demand  []Demand `json:"demand,omitempty"`
 }
 
-// A cell is one cell's records.
+// A cell holds one cell's records.
 type cell struct {
 	epoch   int64
 	version uint64
@@ -134,7 +134,7 @@
 	demand  map[string]Demand
 }
 
-// A View is a process's knowledge of all cells; it is safe for concurrent use.
+// A View is a process's copy of all cells' records; it is safe for concurrent use.
 //
 // Its zero value is an empty view.
 type View struct {
@@ -186,7 +186,7 @@
 	return deltas
 }
 
-// Merge takes over the deltas that are newer than the view and reports whether any was.
+// Merge applies the deltas that are newer than the view and reports whether any was.
 func (v *View) Merge(deltas []CellDelta) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -200,6 +200,7 @@
 	return changed
 }
 
+// mergeCell applies one delta and reports whether it was newer; the View is locked.
 func (v *View) mergeCell(d CellDelta) bool {
 	if v.cells == nil {
 		v.cells = make(map[string]*cell)
@@ -239,6 +240,7 @@
 	}
 }
 
+// indexServer adds a server under each name that it serves.
 func (v *View) indexServer(s Server) {
 	names := make(map[string]bool)
 	for _, r := range s.Residents {
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,8 +1,8 @@
 // Package agent is the process beside one backend server.
 //
-// It is the only giver of orders to its server and the only keeper of the
+// It alone issues orders to its server and keeps the
 // server's memory ledger. It holds the queue in front of the server, so that
 // the table's limits are enforced in one place per server, and it carries its
 // load and its leaving on every answer. It decides nothing about placement: a
-// cell's planner tells it what to load and unload.
+// cell's planner says what to load and unload.
 package agent
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -60,7 +60,7 @@
 	}
 	tokens := t.Tokens
 	defer func() { a.done(t, tokens) }()
-	class := telemetry.Class{Tier: string(row.Tier), Customer: row.Customer}
+	class := telemetry.Class{Tier: string(row.Tier), Organisation: row.Organisation}
 	a.metrics.Queue(class, grant.Waited.Seconds())
 	written, err := a.pass(c, row, grant, body, alive)
 	if row.Kind != table.KindService && written > 0 {
--- a/internal/entry/caller.go
+++ b/internal/entry/caller.go
@@ -15,7 +15,7 @@
 	"rockcleat/internal/server"
 	"rockcleat/internal/telemetry"
 	"rockcleat/internal/wire"
-	"rockcleat/route"
+	"rockcleat/rendezvous"
 	"rockcleat/table"
 )
 
@@ -46,7 +46,7 @@
 }
 
 func (c *call) class() telemetry.Class {
-	return telemetry.Class{Tier: string(c.row.Tier), Customer: c.row.Customer}
+	return telemetry.Class{Tier: string(c.row.Tier), Organisation: c.row.Organisation}
 }
 
 func (e *Entry) requestRouter() http.Handler {
@@ -83,7 +83,7 @@
 		if r.Kind == table.KindService {
 			continue
 		}
-		l.Data = append(l.Data, openai.Model{ID: r.Name, Object: "model", OwnedBy: r.Customer, Parent: r.Base})
+		l.Data = append(l.Data, openai.Model{ID: r.Name, Object: "model", OwnedBy: r.Organisation, Parent: r.Base})
 	}
 	c.Response().Header().Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
 	return c.JSON(http.StatusOK, l)
@@ -107,7 +107,7 @@
 	}
 	x.row, x.stream, x.tokens = row, req.Stream, req.Cost()
 	prompt := req.Prompt()
-	x.prefix = route.Hash(row.Name + "\x00" + prompt[:min(len(prompt), prefixBytes)])
+	x.prefix = rendezvous.Key(row.Name + "\x00" + prompt[:min(len(prompt), prefixBytes)])
 	x.repeatable = true
 	return e.run(c, x)
 }
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -9,7 +9,7 @@
 
 	"rockcleat/claim"
 	"rockcleat/internal/wire"
-	"rockcleat/route"
+	"rockcleat/rendezvous"
 )
 
 // An answerRecord collects the start of an answer for the claim's record.
@@ -41,7 +41,7 @@
 
 // runClaimed sends a request that may not be repeated, if its key is free.
 func (e *Entry) runClaimed(c echo.Context, x *call) error {
-	print := route.Hash(c.Request().Method + "\x00" + c.Request().URL.RequestURI() + "\x00" + string(x.body))
+	print := rendezvous.Key(c.Request().Method + "\x00" + c.Request().URL.RequestURI() + "\x00" + string(x.body))
 	r := wire.ClaimRequest{Key: x.key, Fingerprint: print, Attempt: uuid.NewString()}
 	a, err := e.claims.claim(c.Request().Context(), r)
 	if err != nil {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -80,7 +80,7 @@
 	e.peers = wire.NewClient(o.Settings.Secret, e.traffic)
 	e.agents = &http.Client{Transport: wire.NewTransport(&e.proxied)}
 	e.members = newMembers(o.Settings.ID, o.Platform, o.Log)
-	e.tableLog = table.NewLog(o.Store, e.validate)
+	e.tableLog = table.NewLog(o.Store, o.Clock, e.validate)
 	e.sync = newSyncer(e)
 	e.claims = newClaims(e)
 	e.planner = planner.New(planner.Options{
--- a/internal/lab/small.go
+++ b/internal/lab/small.go
@@ -36,7 +36,7 @@
 	sizes := make(map[string]placement.Size)
 	row := func(name string, kind table.Kind, tier table.Tier, mib int) table.Row {
 		r := table.NewRow(name)
-		r.Kind, r.Tier, r.Customer = kind, tier, "guild"
+		r.Kind, r.Tier, r.Organisation = kind, tier, "guild"
 		if kind != table.KindService {
 			sizes[name] = placement.Size{WeightMiB: mib, CacheMiB: mib / 4}
 		}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -19,7 +19,7 @@
 	"rockcleat/kv"
 	"rockcleat/lease"
 	"rockcleat/placement"
-	"rockcleat/route"
+	"rockcleat/rendezvous"
 	"rockcleat/table"
 )
 
@@ -208,11 +208,11 @@
 
 // Rank returns how many of the entries come before this one for a key.
 func Rank(self string, entries []string, key string) int {
-	h := route.Hash(key)
-	own := route.Rendezvous(self, h)
+	h := rendezvous.Key(key)
+	own := rendezvous.Weight(self, h)
 	rank := 0
 	for _, e := range entries {
-		if e != self && route.Rendezvous(e, h) > own {
+		if e != self && rendezvous.Weight(e, h) > own {
 			rank++
 		}
 	}
--- a/internal/proofs/history_test.go
+++ b/internal/proofs/history_test.go
@@ -62,7 +62,7 @@
 }
 
 // checkHistory checks the record of edits: versions follow each other, each
-// edit that was told as saved stands in it once under the version it was told,
+// edit that was reported as saved stands in it once under the version reported,
 // and no row changes under an edit that had not seen its last change.
 func (tr *trial) checkHistory(accepted map[string]uint64) {
 	var h wire.HistoryAnswer
@@ -85,10 +85,10 @@
 	for id, v := range accepted {
 		at, ok := seen[id]
 		if !ok && v >= first {
-			tr.violation("edit %s was told as saved and is not in the record", id)
+			tr.violation("edit %s was reported as saved and is not in the record", id)
 		}
 		if ok && at > v {
-			tr.violation("edit %s was told as version %d and is %d", id, v, at)
+			tr.violation("edit %s was reported as version %d and is %d", id, v, at)
 		}
 	}
 }
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -52,7 +52,7 @@
 }
 
 // checkEffects checks that each key took effect at most once, and exactly once
-// if any of its callers was told that it was answered.
+// if any of its callers got an answer.
 func (tr *trial) checkEffects() {
 	effects := tr.effects()
 	bodies := make(map[string]string)
--- a/internal/proofs/promises_test.go
+++ b/internal/proofs/promises_test.go
@@ -101,7 +101,7 @@
 	in := rivals[(tr.swaps+1)%2]
 	tr.swaps++
 	tr.edit(out, nil)
-	tr.edit(in, func(r *table.Row) { r.Customer = "guild" })
+	tr.edit(in, func(r *table.Row) { r.Organisation = "guild" })
 }
 
 // churn swaps the rivals and waits until the change is carried out.
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -15,7 +15,7 @@
 	"rockcleat/fleet"
 	"rockcleat/internal/engine"
 	"rockcleat/internal/openai"
-	"rockcleat/route"
+	"rockcleat/rendezvous"
 )
 
 // A sequence is one request inside the engine.
@@ -145,7 +145,7 @@
 func (s *Engine) prefill(req openai.Request) time.Duration {
 	prompt := req.Prompt()
 	tokens := float64(len(prompt))/4 + 1
-	prefix := route.Hash(req.Model + "\x00" + prompt[:min(len(prompt), prefixBytes)])
+	prefix := rendezvous.Key(req.Model + "\x00" + prompt[:min(len(prompt), prefixBytes)])
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.cached[prefix]; ok {
@@ -204,7 +204,7 @@
 
 // token returns the i-th token of the answer to a prompt.
 func token(req openai.Request, i int) string {
-	return fmt.Sprintf("w%d-%04x ", i, route.Hash(req.Model+req.Prompt()+strconv.Itoa(i))&0xffff)
+	return fmt.Sprintf("w%d-%04x ", i, rendezvous.Key(req.Model+req.Prompt()+strconv.Itoa(i))&0xffff)
 }
 
 // Text returns the first n tokens of the answer to a request, as any engine gives them.
--- a/internal/telemetry/sink_test.go
+++ b/internal/telemetry/sink_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestSinkFullPipe fills a pipe that nobody reads: who logs goes on, what has no
-// room is counted, and the count is told when the pipe is read again.
+// room is counted, and the count is logged when the pipe is read again.
 func TestSinkFullPipe(t *testing.T) {
 	r, w := io.Pipe()
 	s := telemetry.NewSink(w)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -116,12 +116,12 @@
 
 // A Class names whose request a measurement belongs to.
 type Class struct {
-	Tier     string
-	Customer string
+	Tier         string
+	Organisation string
 }
 
 func (c Class) attributes(more ...attribute.KeyValue) metric.MeasurementOption {
-	all := append(more, attribute.String("tier", c.Tier), attribute.String("customer", c.Customer))
+	all := append(more, attribute.String("tier", c.Tier), attribute.String("customer", c.Organisation))
 	return metric.WithAttributes(all...)
 }
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -14,15 +14,15 @@
 
 // Outcomes of a reservation.
 var (
-	// ErrNoMemory tells that the accelerator has not enough memory left.
+	// ErrNoMemory says that the accelerator has not enough memory left.
 	ErrNoMemory = errors.New("ledger: not enough memory")
-	// ErrNoAccelerator tells that the server has no such accelerator.
+	// ErrNoAccelerator says that the server has no such accelerator.
 	ErrNoAccelerator = errors.New("ledger: no such accelerator")
-	// ErrBusy tells that an order for the same name on the server may still take effect.
+	// ErrBusy says that an order for the same name on the server may still take effect.
 	ErrBusy = errors.New("ledger: order outstanding for this name")
 )
 
-// An Op is what an order does.
+// An Op is the operation of an order.
 type Op string
 
 // The orders that use the ledger.
@@ -44,7 +44,7 @@
 	Until time.Time `json:"until"`
 }
 
-// A Report is what the backend server says of itself.
+// A Report is the backend server's report on itself.
 type Report struct {
 	MemoryMiB []int
 	Residents []fleet.Resident
@@ -100,7 +100,7 @@
 // Cancel drops an intent whose order was surely never sent.
 func (l *Ledger) Cancel(id string) { delete(l.intents, id) }
 
-// Settle takes a report over and drops the intents that can no longer take effect.
+// Settle applies a report and drops the intents that can no longer take effect.
 func (l *Ledger) Settle(r Report, now time.Time) {
 	l.memory = slices.Clone(r.MemoryMiB)
 	l.residents = slices.Clone(r.Residents)
@@ -134,6 +134,7 @@
 	return total
 }
 
+// holds reports whether the name is resident on an accelerator.
 func (l *Ledger) holds(name string, accelerator int) bool {
 	return slices.ContainsFunc(l.residents, func(r fleet.Resident) bool {
 		return r.Name == name && r.Accelerator == accelerator
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -5,11 +5,14 @@
 	"time"
 )
 
-// levelFactor is the ratio between two neighbouring demand levels.
-const levelFactor = 1.3
-
-// levelUnit is the demand, in busy slots, of level 1.
-const levelUnit = 0.1
+// Levels of demand; chosen, not measured: steps small against the headroom, and large enough
+// that a steady demand changes no record.
+const (
+	// levelFactor is the ratio between two neighbouring demand levels.
+	levelFactor = 1.3
+	// levelUnit is the demand of level 1, in busy slots.
+	levelUnit = 0.1
+)
 
 // LevelOf returns the level of a demand in busy slots; 0 is none.
 func LevelOf(slots float64) int {
@@ -27,16 +30,16 @@
 	return levelUnit * math.Pow(levelFactor, float64(level-1))
 }
 
-// An Estimator follows a demand: it rises at once with what is seen and decays
-// with a half-life.
+// An Estimator follows a demand: it rises at once with what is observed and decays with a
+// half-life.
 //
-// Its zero value is an Estimator that has seen nothing.
+// Its zero value has observed nothing.
 type Estimator struct {
 	value float64
 	at    time.Time
 }
 
-// Observe takes in the slots busy or asked for now.
+// Observe counts the slots busy or asked for now.
 func (e *Estimator) Observe(slots float64, halfLife time.Duration, now time.Time) {
 	e.value = max(slots, e.Value(halfLife, now))
 	e.at = now
--- a/placement/moves.go
+++ b/placement/moves.go
@@ -89,6 +89,7 @@
 	}
 }
 
+// full reports whether the plan has as many orders or loads as it may.
 func (s *plan) full() bool {
 	return len(s.orders) >= s.opts.MaxOrders || s.loads >= s.opts.MaxLoads
 }
@@ -131,35 +132,35 @@
 func (s *plan) makeRoom(r table.Row, reason string, held time.Duration) bool {
 	need := s.in.Sizes[r.Name].TotalMiB()
 	var best *acc
-	var bestVictims []string
+	var bestEvictions []string
 	for _, x := range s.accs {
 		if !s.suits(x, r) {
 			continue
 		}
-		victims, ok := s.victims(x, need-x.free-x.freeing, held)
-		if ok && (best == nil || len(victims) < len(bestVictims)) {
-			best, bestVictims = x, victims
+		evictions, ok := s.evictions(x, need-x.free-x.freeing, held)
+		if ok && (best == nil || len(evictions) < len(bestEvictions)) {
+			best, bestEvictions = x, evictions
 		}
 	}
 	if best == nil {
 		return false
 	}
-	for _, name := range bestVictims {
+	for _, name := range bestEvictions {
 		s.unload(best, name, reason)
 	}
 	best.free -= need
 	return true
 }
 
-// victims returns copies whose unloading frees the memory, and whether there are
+// evictions returns copies whose unloading frees the memory, and whether there are
 // enough; none are needed for memory that is being freed already.
-func (s *plan) victims(x *acc, need int, held time.Duration) ([]string, bool) {
+func (s *plan) evictions(x *acc, need int, held time.Duration) ([]string, bool) {
 	if need <= 0 {
 		return nil, true
 	}
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(x.members)) {
-		if x.members[name] == fleet.StateReady && s.spare(name, held) && !s.carries(x, name) {
+		if x.members[name] == fleet.StateReady && s.evictable(name, held) && !s.carries(x, name) {
 			names = append(names, name)
 		}
 	}
@@ -173,10 +174,10 @@
 	return nil, false
 }
 
-// spare reports whether a copy of the name may go: never the last one that
-// serves, whatever is on its way. A first copy of another name
-// (held 0) may take any copy but the last; demand may take surplus ones only.
-func (s *plan) spare(name string, held time.Duration) bool {
+// evictable reports whether a copy of the name may be evicted: never the last one that
+// serves, whatever is being loaded. A first copy of another name (held 0) may evict any copy
+// but the last; demand may evict surplus ones only.
+func (s *plan) evictable(name string, held time.Duration) bool {
 	if s.ready[name] <= 1 {
 		return false
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -18,7 +18,7 @@
 // TotalMiB returns the memory to reserve.
 func (s Size) TotalMiB() int { return s.WeightMiB + s.CacheMiB }
 
-// An Order is a move that a backend server's agent should make.
+// An Order is a load or an unload for a backend server's agent.
 type Order struct {
 	Op          ledger.Op `json:"op"`
 	Server      string    `json:"server"`
@@ -29,7 +29,7 @@
 	Reason      string    `json:"reason"`
 }
 
-// Options are the settings of a Planner.
+// Options configure a Planner.
 type Options struct {
 	// Headroom is the part of an accelerator's slots that a copy is planned to fill.
 	Headroom float64
@@ -42,15 +42,19 @@
 	MaxOrders int
 }
 
-// Defaults of Options.
+// Defaults of Options; chosen, not measured.
 const (
-	defaultHeadroom  = 0.7
-	defaultHold      = 60 * time.Second
-	defaultMaxLoads  = 4
+	// defaultHeadroom is a part, 0 to 1.
+	defaultHeadroom = 0.7
+	// defaultHold is one minute: demand moves tenfold within an hour (the letter).
+	defaultHold = 60 * time.Second
+	// defaultMaxLoads is in loads at once.
+	defaultMaxLoads = 4
+	// defaultMaxOrders is in orders a plan.
 	defaultMaxOrders = 8
 )
 
-// An Input is what a plan is made from.
+// An Input is the input of Plan.
 type Input struct {
 	// Cell is the cell whose planner asks; Cells are all there are, it included.
 	Cell  string
@@ -60,7 +64,7 @@
 	Now   time.Time
 }
 
-// A Cell is what is known of one cell.
+// A Cell describes one cell.
 type Cell struct {
 	ID      string
 	Servers []fleet.Server
@@ -68,10 +72,10 @@
 	Demand map[string]float64
 }
 
-// A Planner makes plans for one cell and remembers what hysteresis needs; it is
-// not safe for concurrent use.
+// A Planner makes plans for one cell; it is not safe for concurrent use.
 type Planner struct {
-	opts    Options
+	opts Options
+	// surplus is since when each name has had more copies than wanted.
 	surplus map[string]time.Time
 }
 
@@ -92,7 +96,7 @@
 	return &Planner{opts: o, surplus: make(map[string]time.Time)}
 }
 
-// acc is a plan's account of one accelerator.
+// An acc is a plan's account of one accelerator.
 type acc struct {
 	server *fleet.Server
 	index  int
@@ -124,7 +128,7 @@
 	orders []Order
 }
 
-// Plan returns the orders to give now, the most urgent first.
+// Plan returns the orders to issue now, the most urgent first.
 func (p *Planner) Plan(in Input) []Order {
 	s := &plan{
 		Planner: p, in: in, demand: make(map[string]float64), copies: make(map[string]int),
@@ -152,6 +156,7 @@
 	}
 }
 
+// load plans the load of a row on an accelerator.
 func (s *plan) load(x *acc, r table.Row, reason string) {
 	size := s.in.Sizes[r.Name]
 	x.free -= size.TotalMiB()
@@ -161,6 +166,7 @@
 	s.add(ledger.OpLoad, x, r.Name, r.Base, reason)
 }
 
+// unload plans the unload of a name from an accelerator.
 func (s *plan) unload(x *acc, name, reason string) {
 	x.members[name] = fleet.StateUnloading
 	x.freeing += s.in.Sizes[name].TotalMiB()
@@ -169,6 +175,7 @@
 	s.add(ledger.OpUnload, x, name, "", reason)
 }
 
+// add appends an order.
 func (s *plan) add(op ledger.Op, x *acc, name, base, reason string) {
 	s.orders = append(s.orders, Order{
 		Op: op, Server: x.server.ID, Accelerator: x.index, Name: name, Base: base,
--- a/placement/survey.go
+++ b/placement/survey.go
@@ -7,11 +7,11 @@
 	"slices"
 
 	"rockcleat/fleet"
-	"rockcleat/route"
+	"rockcleat/rendezvous"
 	"rockcleat/table"
 )
 
-// A census is what a plan counts of one cell, once for all rows.
+// A census counts one cell, once for all rows of a plan.
 type census struct {
 	id string
 	// copies holds the copies of each name that are there to stay.
@@ -144,9 +144,9 @@
 // room in the order of their rendezvous weights, so that cells which see the
 // same records agree without asking each other.
 func (s *plan) ownPart(name string, n int) int {
-	key := route.Hash(name)
+	key := rendezvous.Key(name)
 	cells := slices.SortedFunc(slices.Values(s.census), func(a, b census) int {
-		return cmp.Compare(route.Rendezvous(b.id, key), route.Rendezvous(a.id, key))
+		return cmp.Compare(rendezvous.Weight(b.id, key), rendezvous.Weight(a.id, key))
 	})
 	own := 0
 	for _, c := range cells {
--- /dev/null
+++ b/rendezvous/rendezvous.go
@@ -0,0 +1,21 @@
+package rendezvous
+
+import "hash/fnv"
+
+// Weight returns the weight of a node for a key; the node with the highest weight has the key.
+func Weight(node string, key uint64) uint64 { return mix(Key(node) ^ mix(key)) }
+
+// mix is the finalizer of SplitMix64 (Steele et al., OOPSLA 2014).
+func mix(z uint64) uint64 {
+	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
+	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
+	return z ^ (z >> 31)
+}
+
+// Key returns the key of a text: its FNV-1a hash.
+func Key(text string) uint64 {
+	h := fnv.New64a()
+	// Writing to a hash never fails.
+	_, _ = h.Write([]byte(text))
+	return h.Sum64()
+}
--- /dev/null
+++ b/rendezvous/rendezvous_test.go
@@ -0,0 +1,42 @@
+package rendezvous_test
+
+import (
+	"fmt"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"rockcleat/rendezvous"
+)
+
+// TestValuesNeverChange pins values that processes of different versions agree on.
+func TestValuesNeverChange(t *testing.T) {
+	assert.Equal(t, rendezvous.Key(""), uint64(0xcbf29ce484222325))
+	assert.Equal(t, rendezvous.Key("renewal-7"), uint64(0x8c7fcbbc99b980c7))
+	assert.Equal(t, rendezvous.Weight("entry-1", 7), uint64(0xd0262d98fa8b1030))
+}
+
+// TestNodeThatGoesMovesOnlyItsKeys checks that the keys of other nodes stay.
+func TestNodeThatGoesMovesOnlyItsKeys(t *testing.T) {
+	nodes := []string{"a", "b", "c", "d"}
+	owned := make(map[string]int)
+	for i := range 1000 {
+		key := rendezvous.Key(fmt.Sprint("key", i))
+		before, after := owner(nodes, key), owner(nodes[:3], key)
+		owned[before]++
+		assert.Assert(t, before == after || before == "d", "key %d went from %s to %s", i, before, after)
+	}
+	for _, n := range nodes {
+		assert.Assert(t, owned[n] > 150 && owned[n] < 350, "%v", owned)
+	}
+}
+
+func owner(nodes []string, key uint64) string {
+	best := nodes[0]
+	for _, n := range nodes[1:] {
+		if rendezvous.Weight(n, key) > rendezvous.Weight(best, key) {
+			best = n
+		}
+	}
+	return best
+}
--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -252,9 +252,9 @@
 	}
 	adapter := func(name string) backend.Adapter { return backend.Adapter{Model: "m0", Name: name} }
 	tests := map[string]struct {
-		in     residency.AdapterInput
-		engine string
-		victim string
+		in      residency.AdapterInput
+		engine  string
+		evicted string
 	}{
 		"to an engine with its base": {
 			in: residency.AdapterInput{Slots: 2, Engines: engines([]string{"m1"}, []string{"m0"})}, engine: "e1",
@@ -268,7 +268,7 @@
 		"in the place of one not asked for": {
 			in: residency.AdapterInput{
 				Slots: 2, Engines: full("a1", "a2"), LastUsed: map[backend.Adapter]time.Time{adapter("a1"): now.Add(-time.Minute)},
-			}, engine: "e0", victim: "a2",
+			}, engine: "e0", evicted: "a2",
 		},
 		"not in the place of one that runs": {
 			in: residency.AdapterInput{
@@ -280,7 +280,7 @@
 				Slots: 1, Engines: append(full("a1"), full("a1")...), LastUsed: map[backend.Adapter]time.Time{adapter("a1"): now},
 				RequestsByAdapter: map[backend.Adapter]int{adapter("a1"): 3},
 				WaitingSince:      map[backend.Adapter]time.Time{adapter("new"): now.Add(-2 * time.Second)},
-			}, engine: "e0", victim: "a1",
+			}, engine: "e0", evicted: "a1",
 		},
 		"not at once in the place of one that runs, though another engine holds it too": {
 			in: residency.AdapterInput{
@@ -292,7 +292,7 @@
 			in: residency.AdapterInput{
 				Slots: 1, Engines: full("a1"), LastUsed: map[backend.Adapter]time.Time{adapter("a1"): now},
 				WaitingSince: map[backend.Adapter]time.Time{adapter("new"): now.Add(-2 * time.Second)},
-			}, engine: "e0", victim: "a1",
+			}, engine: "e0", evicted: "a1",
 		},
 		"not in the place of one asked for just now": {
 			in: residency.AdapterInput{
@@ -311,7 +311,7 @@
 			}
 			assert.Equal(t, len(moves), 1)
 			assert.Equal(t, moves[0].Engine, test.engine)
-			assert.Equal(t, moves[0].Evict.Name, test.victim)
+			assert.Equal(t, moves[0].Evict.Name, test.evicted)
 		})
 	}
 }
--- a/route/example_test.go
+++ b/route/example_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"rockcleat/rendezvous"
 	"rockcleat/route"
 )
 
@@ -12,7 +13,7 @@
 	now := time.Unix(1000, 0)
 	var t route.Table
 	servers := []route.Candidate{{ID: "a"}, {ID: "b"}, {ID: "c"}}
-	prefix := route.Hash("system prompt of the puzzle desk")
+	prefix := rendezvous.Key("system prompt of the puzzle desk")
 	first := t.Order(servers, prefix, now)[0]
 	again := t.Order(servers, prefix, now)[0]
 	fmt.Println("same server:", first == again)
--- a/route/route.go
+++ b/route/route.go
@@ -2,21 +2,23 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"math/rand/v2"
 	"slices"
 	"sync"
 	"time"
-)
-
-// boundFactor is how far above the mean load a preferred server may be.
-const boundFactor = 1.25
 
-// loadMemory is how long a reported load is believed.
-const loadMemory = 5 * time.Second
+	"rockcleat/rendezvous"
+)
 
-// avoidMemory is how long a server that failed or refused is put last.
-const avoidMemory = time.Second
+// Constants of the choice; chosen, not measured.
+const (
+	// boundFactor is how far above the mean load a preferred server may be, as a factor.
+	boundFactor = 1.25
+	// loadMaxAge is how long a reported load counts.
+	loadMaxAge = 5 * time.Second
+	// avoidTime is how long a server that failed or refused is put last.
+	avoidTime = time.Second
+)
 
 // A Candidate is a server that may take a request.
 type Candidate struct {
@@ -24,13 +26,16 @@
 	Hall string
 }
 
-// load is what is known of one server's work.
+// A load describes one server's work.
 type load struct {
-	reported    int
-	reportedAt  time.Time
+	// reported is the load that the server put on an answer, and reportedAt when it came.
+	reported   int
+	reportedAt time.Time
+	// outstanding counts the requests that this process has there.
 	outstanding int
 	avoidUntil  time.Time
-	leaving     string
+	// leaving is the incarnation of the server that said that it is leaving.
+	leaving string
 }
 
 // A Table holds the load of all servers that a process has dealt with; it is
@@ -43,6 +48,7 @@
 	loads map[string]*load
 }
 
+// entry returns the load of a server; the Table is locked.
 func (t *Table) entry(id string) *load {
 	if t.loads == nil {
 		t.loads = make(map[string]*load)
@@ -68,7 +74,7 @@
 	}
 }
 
-// Report takes over the load that a server gave on an answer.
+// Report sets the load that a server put on an answer, in requests.
 func (t *Table) Report(id string, value int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +86,7 @@
 func (t *Table) Avoid(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.entry(id).avoidUntil = now.Add(avoidMemory)
+	t.entry(id).avoidUntil = now.Add(avoidTime)
 }
 
 // Leave records that an incarnation of a server said that it is leaving.
@@ -109,18 +115,20 @@
 	}
 }
 
+// value returns the load that counts for a server, in requests.
 func (t *Table) value(id string, now time.Time) float64 {
 	l, ok := t.loads[id]
 	if !ok {
 		return 0
 	}
 	v := float64(l.outstanding)
-	if now.Sub(l.reportedAt) < loadMemory {
+	if now.Sub(l.reportedAt) < loadMaxAge {
 		v = max(v, float64(l.reported))
 	}
 	return v
 }
 
+// avoided reports whether a server is put last now.
 func (t *Table) avoided(id string, now time.Time) bool {
 	l, ok := t.loads[id]
 	return ok && now.Before(l.avoidUntil)
@@ -155,6 +163,7 @@
 	return rank
 }
 
+// usable returns how many of the ordered candidates are not put last.
 func (t *Table) usable(order []Candidate, now time.Time) int {
 	i := slices.IndexFunc(order, func(c Candidate) bool { return t.avoided(c.ID, now) })
 	if i < 0 {
@@ -163,7 +172,8 @@
 	return i
 }
 
-// first returns the index of the server to try first.
+// first returns the index of the server to try first: the one that the prefix prefers, unless
+// its load is over the bound, or else the less loaded of two random ones.
 func (t *Table) first(order []Candidate, prefix uint64, now time.Time) int {
 	if len(order) < 2 {
 		return 0
@@ -180,6 +190,8 @@
 	return i
 }
 
+// bound returns the load up to which a preferred server is taken; one request more than the
+// mean is always allowed.
 func (t *Table) bound(order []Candidate, now time.Time) float64 {
 	sum := 0.0
 	for _, c := range order {
@@ -188,35 +200,13 @@
 	return boundFactor*sum/float64(len(order)) + 1
 }
 
-// preferred returns the index with the highest rendezvous hash for the prefix.
+// preferred returns the index with the highest rendezvous weight for the prefix.
 func (t *Table) preferred(order []Candidate, prefix uint64) int {
 	best, bestHash := 0, uint64(0)
 	for i, c := range order {
-		if h := Rendezvous(c.ID, prefix); h >= bestHash {
+		if h := rendezvous.Weight(c.ID, prefix); h >= bestHash {
 			best, bestHash = i, h
 		}
 	}
 	return best
 }
-
-// Rendezvous returns the weight of a node for a key; the node with the highest
-// weight is the key's own.
-func Rendezvous(node string, key uint64) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(node))
-	return mix(h.Sum64() ^ mix(key))
-}
-
-// mix is the finalizer of SplitMix64 (Steele et al., OOPSLA 2014).
-func mix(z uint64) uint64 {
-	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
-	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
-	return z ^ (z >> 31)
-}
-
-// Hash returns the key of a text for Rendezvous and Order.
-func Hash(text string) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(text))
-	return h.Sum64()
-}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -7,6 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
+	"rockcleat/rendezvous"
 	"rockcleat/route"
 )
 
@@ -90,7 +91,7 @@
 	for key := range uint64(3000) {
 		best, id := uint64(0), ""
 		for _, c := range candidates(3) {
-			if h := route.Rendezvous(c.ID, key); h > best {
+			if h := rendezvous.Weight(c.ID, key); h > best {
 				best, id = h, c.ID
 			}
 		}
--- a/table/check.go
+++ b/table/check.go
@@ -8,19 +8,24 @@
 	"time"
 )
 
-// Bounds of the columns.
+// Bounds of the columns; chosen, not measured.
 const (
-	maxNameLength  = 128
-	maxWeight      = 1000
-	maxShare       = 100
+	// maxNameLength is in bytes.
+	maxNameLength = 128
+	// maxWeight has no unit.
+	maxWeight = 1000
+	// maxShare is in percent.
+	maxShare = 100
+	// maxConcurrency is in requests.
 	maxConcurrency = 100000
-	maxQueueTime   = 10 * time.Minute
+	// maxQueueTime is the longest time that a row lets requests wait.
+	maxQueueTime = 10 * time.Minute
 )
 
 // namePattern lets adapters be named like "hints/tohoku" and models like "qwen2.5:7b".
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]*$`)
 
-// A CheckError tells which cell of the table is wrong and what it may hold.
+// A CheckError names the cell of the table that is wrong and what it may hold.
 type CheckError struct {
 	Row     string `json:"row"`
 	Column  string `json:"column"`
@@ -72,7 +77,7 @@
 		"a whole number from 0 (no limit) to 100000")
 	c.require(r.QueueTime >= 0 && r.QueueTime <= maxQueueTime, "queue_time", r.QueueTime,
 		"a duration from 0s to 10m, such as 1500ms or 30s")
-	c.require(!strings.ContainsAny(r.Customer, "\r\n,\""), "customer", r.Customer, "one line without comma or quote")
+	c.require(!strings.ContainsAny(r.Organisation, "\r\n,\""), "customer", r.Organisation, "one line without comma or quote")
 }
 
 func (c *checker) checkBase(t *Table) {
--- a/table/log.go
+++ b/table/log.go
@@ -1,49 +1,47 @@
 package table
 
 import (
-	"bytes"
-	"compress/gzip"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"slices"
 	"time"
 
 	"github.com/rotisserie/eris"
 
+	"rockcleat/clock"
 	"rockcleat/kv"
 )
 
-// Keys of the table in the platform's key-value service.
-const (
-	headKey        = "table/head"
-	snapshotPrefix = "table/snapshot/"
-)
+// headKey is the key of the table's head in the platform's key-value service.
+const headKey = "table/head"
 
-// Sizes of the head's tail: it is cut to keptEdits when it exceeds maxEdits.
+// Sizes of the head's tail, in edits. Chosen, not measured: watchers read the whole head, so
+// it stays small, and a process that was away for an hour of 2,500 edits a day still finds
+// all it missed in the tail (docs/CAPACITY.md).
 const (
-	maxEdits  = 64
+	// maxEdits is the length from which on the tail is cut.
+	maxEdits = 64
+	// keptEdits is the length that it is cut to.
 	keptEdits = 32
 )
 
-// maxSnapshot bounds an unpacked snapshot, in bytes.
-const maxSnapshot = 64 << 20
-
-// Waits between tries of a save.
+// Waits between tries of a save, with doubling; chosen, not measured.
 const (
-	firstRetry = 20 * time.Millisecond
-	maxRetry   = time.Second
+	// firstRetryWait is the first one: some round trips to the service.
+	firstRetryWait = 20 * time.Millisecond
+	// maxRetryWait is the longest.
+	maxRetryWait = time.Second
 )
 
 // Outcomes of a save.
 var (
-	// ErrRowConflict tells that another operator changed the row first; nothing was saved.
+	// ErrRowConflict says that another operator changed the row first; nothing was saved.
 	ErrRowConflict = errors.New("table: row changed by another edit")
-	// ErrInvalid tells that the table would not pass its checks; nothing was saved.
+	// ErrInvalid says that the table would not pass its checks; nothing was saved.
 	ErrInvalid = errors.New("table: checks failed")
-	// ErrSaveUnknown tells that no answer came in time; the same edit may be sent again.
+	// ErrSaveUnknown says that no answer came in time; the same edit may be sent again.
 	ErrSaveUnknown = errors.New("table: outcome of save unknown")
 )
 
@@ -63,21 +61,13 @@
 // Is makes an InvalidError an ErrInvalid.
 func (e *InvalidError) Is(target error) bool { return target == ErrInvalid }
 
-// head is the one value whose compare-and-swap decides the next version.
+// A head is the one value whose compare-and-swap decides the next version.
 type head struct {
 	Version uint64 `json:"version"`
 	Base    uint64 `json:"base"`
 	Tail    []Edit `json:"tail"`
 }
 
-// snapshot is a whole table as it is kept under snapshotPrefix.
-type snapshot struct {
-	Version  uint64    `json:"version"`
-	Floor    uint64    `json:"floor"`
-	Rows     []Row     `json:"rows"`
-	Removals []Removal `json:"removals"`
-}
-
 // A Validator refuses tables for reasons beyond the rows themselves, such as
 // models that do not fit the accelerators; nil stands for none.
 type Validator func(next *Table) []CheckError
@@ -88,12 +78,13 @@
 // edits start from. An edit is saved by one compare-and-swap of the head.
 type Log struct {
 	store    kv.Store
+	clock    clock.Service
 	validate Validator
 }
 
 // NewLog returns the Log in a store.
-func NewLog(store kv.Store, v Validator) *Log {
-	return &Log{store: store, validate: v}
+func NewLog(store kv.Store, c clock.Service, v Validator) *Log {
+	return &Log{store: store, clock: c, validate: v}
 }
 
 // Load returns the table in force and the head's revision; have is the newest
@@ -130,13 +121,15 @@
 	return h.Tail, err
 }
 
-// Save applies the edit to the table in force and returns the table with it.
+// Save applies the edit to the table in force and returns the table with it. The error is
+// ErrRowConflict, ErrInvalid, ErrSaveUnknown or one of package kv that says that nothing was
+// saved.
 //
 // An edit whose ID is already in the record is not applied again. While the
 // outcome of a write is unknown Save asks and tries again until ctx ends.
 func (l *Log) Save(ctx context.Context, e Edit) (*Table, error) {
-	var have = &Table{}
-	wait := firstRetry
+	have := &Table{}
+	wait := firstRetryWait
 	unknown := false
 	for {
 		t, retry, err := l.trySave(ctx, e, have)
@@ -147,16 +140,15 @@
 		if !retry {
 			return nil, err
 		}
-		select {
-		case <-ctx.Done():
+		clock.Sleep(ctx, l.clock, wait)
+		if ctx.Err() != nil {
 			return nil, giveUp(unknown, err)
-		case <-time.After(wait):
 		}
-		wait = min(2*wait, maxRetry)
+		wait = min(2*wait, maxRetryWait)
 	}
 }
 
-// giveUp tells a save that surely did not happen from one that may have.
+// giveUp returns the error of a save that surely did not happen, or that of one that may have.
 func giveUp(unknown bool, last error) error {
 	if unknown {
 		return eris.Wrap(ErrSaveUnknown, last.Error())
@@ -164,6 +156,7 @@
 	return last
 }
 
+// trySave tries a save once; retry says that it may be tried again.
 func (l *Log) trySave(ctx context.Context, e Edit, have *Table) (t *Table, retry bool, err error) {
 	t, h, rev, err := l.load(ctx, have)
 	if err != nil {
@@ -205,6 +198,7 @@
 	return nil
 }
 
+// check returns why a table must not be saved, if anything.
 func (l *Log) check(t *Table) []CheckError {
 	errs := t.Check()
 	if len(errs) == 0 && l.validate != nil {
@@ -231,40 +225,7 @@
 	return h, nil
 }
 
-// snapshotKey carries the edit's ID, since two edits may compete for a version.
-func snapshotKey(version uint64, id string) string {
-	return fmt.Sprintf("%s%020d/%s", snapshotPrefix, version, id)
-}
-
-func (l *Log) writeSnapshot(ctx context.Context, t *Table, id string) error {
-	s := snapshot{Version: t.version, Floor: t.floor, Rows: t.Rows(), Removals: t.removals}
-	var buf bytes.Buffer
-	z := gzip.NewWriter(&buf)
-	if err := json.NewEncoder(z).Encode(s); err != nil {
-		return eris.Wrap(err, "table: encode snapshot")
-	}
-	if err := z.Close(); err != nil {
-		return eris.Wrap(err, "table: pack snapshot")
-	}
-	_, err := l.store.Put(ctx, kv.Write{Key: snapshotKey(t.version, id), Value: buf.Bytes(), Expect: kv.Any})
-	return err
-}
-
-// dropSnapshots removes snapshots older than the one that the head in force
-// still starts from; what fails is removed by a later edit.
-func (l *Log) dropSnapshots(ctx context.Context, base uint64) {
-	entries, err := l.store.List(ctx, snapshotPrefix)
-	if err != nil {
-		return
-	}
-	limit := snapshotKey(base, "")
-	for _, e := range entries {
-		if e.Key < limit {
-			_ = l.store.Delete(ctx, e.Key, kv.Any)
-		}
-	}
-}
-
+// load reads the head and returns the table in force.
 func (l *Log) load(ctx context.Context, have *Table) (*Table, head, kv.Revision, error) {
 	e, err := l.store.Get(ctx, headKey)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -276,6 +237,8 @@
 	return l.decode(ctx, e, have)
 }
 
+// decode returns the table of a head: have with the edits that it lacks, or the head's snapshot
+// with them.
 func (l *Log) decode(ctx context.Context, e kv.Entry, have *Table) (*Table, head, kv.Revision, error) {
 	h, err := decodeHead(e.Value)
 	if err != nil {
@@ -303,36 +266,8 @@
 	return len(h.Tail) > 0 && h.Tail[0].Version <= version+1
 }
 
-func (l *Log) readSnapshot(ctx context.Context, h head) (*Table, error) {
-	i := slices.IndexFunc(h.Tail, func(e Edit) bool { return e.Version == h.Base })
-	if i < 0 {
-		return nil, eris.Errorf("table: head of version %d names no edit of its base %d", h.Version, h.Base)
-	}
-	e, err := l.store.Get(ctx, snapshotKey(h.Base, h.Tail[i].ID))
-	if err != nil {
-		return nil, err
-	}
-	return decodeSnapshot(e.Value)
-}
-
 func decodeHead(value []byte) (head, error) {
 	var h head
 	err := json.Unmarshal(value, &h)
 	return h, eris.Wrap(err, "table: decode head")
 }
-
-func decodeSnapshot(value []byte) (*Table, error) {
-	z, err := gzip.NewReader(bytes.NewReader(value))
-	if err != nil {
-		return nil, eris.Wrap(err, "table: unpack snapshot")
-	}
-	var s snapshot
-	if err := json.NewDecoder(io.LimitReader(z, maxSnapshot)).Decode(&s); err != nil {
-		return nil, eris.Wrap(err, "table: decode snapshot")
-	}
-	t := &Table{version: s.Version, floor: s.Floor, rows: make(map[string]Row), removals: s.Removals}
-	for _, r := range s.Rows {
-		t.rows[r.Name] = r
-	}
-	return t, nil
-}
--- a/table/row.go
+++ b/table/row.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A Kind tells what a row names.
+// A Kind says what a row names.
 type Kind string
 
 // The kinds of rows.
@@ -31,11 +31,15 @@
 // Kinds lists the kinds of rows.
 var Kinds = []Kind{KindModel, KindAdapter, KindService}
 
-// Factors by which a tier's rows weigh more than an economy row of equal weight.
+// Factors by which a tier's rows weigh more than an economy row of equal weight, without a
+// unit; chosen, not measured.
 const (
-	premiumFactor  = 16
+	// premiumFactor is that of the premium tier.
+	premiumFactor = 16
+	// standardFactor is that of the standard tier.
 	standardFactor = 4
-	economyFactor  = 1
+	// economyFactor is that of the economy tier.
+	economyFactor = 1
 )
 
 // Factor returns the tier's part in a row's weight, without a unit.
@@ -56,9 +60,10 @@
 	Kind Kind   `json:"kind"`
 	// Base is the model that an adapter extends.
 	Base string `json:"base,omitempty"`
-	// Customer is the paying customer that the row serves.
-	Customer string `json:"customer,omitempty"`
-	Tier     Tier   `json:"tier"`
+	// Organisation is the paying organisation that the row serves; its column, key and
+	// metric label are customer.
+	Organisation string `json:"customer,omitempty"`
+	Tier         Tier   `json:"tier"`
 	// Weight orders rows of one tier: twice the weight, twice the tokens under load.
 	Weight int `json:"weight"`
 	// Share is the greatest part, in percent, of a backend server's slots that the
--- /dev/null
+++ b/table/snapshot.go
@@ -0,0 +1,93 @@
+package table
+
+import (
+	"bytes"
+	"compress/gzip"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"slices"
+
+	"github.com/rotisserie/eris"
+
+	"rockcleat/kv"
+)
+
+// snapshotPrefix is the prefix of snapshots in the platform's key-value service.
+const snapshotPrefix = "table/snapshot/"
+
+// maxSnapshot bounds an unpacked snapshot, in bytes; packed it has 1 MB at most (the brief).
+const maxSnapshot = 64 << 20
+
+// A snapshot is a whole table as it stands in the service, packed.
+type snapshot struct {
+	Version  uint64    `json:"version"`
+	Floor    uint64    `json:"floor"`
+	Rows     []Row     `json:"rows"`
+	Removals []Removal `json:"removals"`
+}
+
+// snapshotKey carries the edit's ID, since two edits may compete for a version.
+func snapshotKey(version uint64, id string) string {
+	return fmt.Sprintf("%s%020d/%s", snapshotPrefix, version, id)
+}
+
+// writeSnapshot writes a table, for the edit with the given ID.
+func (l *Log) writeSnapshot(ctx context.Context, t *Table, id string) error {
+	s := snapshot{Version: t.version, Floor: t.floor, Rows: t.Rows(), Removals: t.removals}
+	var buf bytes.Buffer
+	z := gzip.NewWriter(&buf)
+	if err := json.NewEncoder(z).Encode(s); err != nil {
+		return eris.Wrap(err, "table: encode snapshot")
+	}
+	if err := z.Close(); err != nil {
+		return eris.Wrap(err, "table: pack snapshot")
+	}
+	_, err := l.store.Put(ctx, kv.Write{Key: snapshotKey(t.version, id), Value: buf.Bytes(), Expect: kv.Any})
+	return err
+}
+
+// dropSnapshots removes snapshots older than the one that the head in force still starts
+// from. Errors are left: what stays is removed by a later edit.
+func (l *Log) dropSnapshots(ctx context.Context, base uint64) {
+	entries, err := l.store.List(ctx, snapshotPrefix)
+	if err != nil {
+		return
+	}
+	limit := snapshotKey(base, "")
+	for _, e := range entries {
+		if e.Key < limit {
+			_ = l.store.Delete(ctx, e.Key, kv.Any)
+		}
+	}
+}
+
+// readSnapshot reads the table that a head starts from.
+func (l *Log) readSnapshot(ctx context.Context, h head) (*Table, error) {
+	i := slices.IndexFunc(h.Tail, func(e Edit) bool { return e.Version == h.Base })
+	if i < 0 {
+		return nil, eris.Errorf("table: head of version %d names no edit of its base %d", h.Version, h.Base)
+	}
+	e, err := l.store.Get(ctx, snapshotKey(h.Base, h.Tail[i].ID))
+	if err != nil {
+		return nil, err
+	}
+	return decodeSnapshot(e.Value)
+}
+
+func decodeSnapshot(value []byte) (*Table, error) {
+	z, err := gzip.NewReader(bytes.NewReader(value))
+	if err != nil {
+		return nil, eris.Wrap(err, "table: unpack snapshot")
+	}
+	var s snapshot
+	if err := json.NewDecoder(io.LimitReader(z, maxSnapshot)).Decode(&s); err != nil {
+		return nil, eris.Wrap(err, "table: decode snapshot")
+	}
+	t := &Table{version: s.Version, floor: s.Floor, rows: make(map[string]Row), removals: s.Removals}
+	for _, r := range s.Rows {
+		t.rows[r.Name] = r
+	}
+	return t, nil
+}
--- a/table/table.go
+++ b/table/table.go
@@ -6,10 +6,11 @@
 	"sync"
 )
 
-// maxRemovals bounds the removals that a table remembers for deltas.
+// maxRemovals bounds the removals that a table remembers for deltas: twice the rows of the
+// size that we build for (docs/CAPACITY.md). Chosen, not measured.
 const maxRemovals = 1024
 
-// A Removal tells that a row was removed in a version.
+// A Removal records that a row was removed in a version.
 type Removal struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
@@ -19,12 +20,14 @@
 //
 // It is immutable; its zero value is the empty table of version 0.
 type Table struct {
-	version  uint64
+	version uint64
+	// removals are all since the version floor.
 	floor    uint64
 	rows     map[string]Row
 	removals []Removal
-	sort     sync.Once
-	sorted   []Row
+	// sorted holds the rows in the order of their names, once sort has run.
+	sort   sync.Once
+	sorted []Row
 }
 
 // Version returns the table's version.
@@ -56,11 +59,13 @@
 
 // An Edit is a set of changes that are saved together or not at all.
 type Edit struct {
-	// ID names the edit, so that a save whose answer was lost can be told from
-	// one that did not happen.
-	ID      string   `json:"id"`
-	Author  string   `json:"author,omitempty"`
-	Time    int64    `json:"time,omitempty"`
+	// ID names the edit, so that a save whose answer was lost is known from one that did
+	// not happen.
+	ID     string `json:"id"`
+	Author string `json:"author,omitempty"`
+	// Time is when the operator saved it, in Unix seconds.
+	Time int64 `json:"time,omitempty"`
+	// Version is the table's version with the edit; it is set by Save.
 	Version uint64   `json:"version,omitempty"`
 	Changes []Change `json:"changes"`
 }
@@ -108,15 +113,15 @@
 // A Delta carries the rows that changed between two versions.
 type Delta struct {
 	To uint64 `json:"to"`
-	// Full tells that Rows is the whole table, not a difference.
+	// Full says that Rows is the whole table, not a difference.
 	Full    bool      `json:"full,omitempty"`
 	Floor   uint64    `json:"floor,omitempty"`
 	Rows    []Row     `json:"rows,omitempty"`
 	Removed []Removal `json:"removed,omitempty"`
 }
 
-// Since returns what a holder of the version needs to reach this table, or nil
-// if it needs nothing.
+// Since returns what a process with the version needs to reach this table, or nil if it
+// needs nothing.
 func (t *Table) Since(version uint64) *Delta {
 	if version >= t.version {
 		return nil
--- a/tools/lab/smoke.go
+++ b/tools/lab/smoke.go
@@ -114,7 +114,7 @@
 		return err
 	}
 	row := table.NewRow("hint")
-	row.Weight, row.Customer = 7, "guild"
+	row.Weight, row.Organisation = 7, "guild"
 	began := time.Now()
 	version, err := t.Save(ctx, []table.Change{{Name: row.Name, Seen: st.TableVersion, Row: &row}})
 	if err != nil {
--- a/tools/names/main.go
+++ b/tools/names/main.go
@@ -1,6 +1,6 @@
-// Command names checks that the users' platform is spoken in one folder only: no
-// name of it stands outside platform/ and deploy/, and platform/ imports no
-// package that decides.
+// Command names checks the names in the code. No name of the users' platform stands outside
+// platform/ and deploy/, and platform/ imports no package that decides. Words that were
+// withdrawn for the field's terms do not come back.
 package main
 
 import (
@@ -23,6 +23,25 @@
 var names = regexp.MustCompile(`/-/[a-z]|Server-Seal|Expect-Instance|Not-Run|Deadline-Ms|Token-Count|Prefix-Hash|` +
 	`Request-Priority|KvCapacity|WeightsMb|op/config|AtHand|RequireFence|SloMs|GapTargetMs|ROCKCLEAT_CONFIG`)
 
+// A withdrawnWord is a word that the code no longer uses, and the term in its place.
+type withdrawnWord struct {
+	pattern *regexp.Regexp
+	instead string
+}
+
+// withdrawn lists the words that docs/GLOSSARY.md replaced.
+var withdrawn = []withdrawnWord{
+	{regexp.MustCompile(`\bholders? of orders\b`), "leader"},
+	{regexp.MustCompile(`\b(gives?|giver of|given) (the |its )?orders\b`), "issue orders"},
+	{regexp.MustCompile(`\bstood still\b`), "paused"},
+	{regexp.MustCompile(`\bat hand\b`), "cached"},
+	{regexp.MustCompile(`\bgives? way\b`), "shed"},
+	{regexp.MustCompile(`\bfor want of\b`), "without"},
+	{regexp.MustCompile(`\b(is|are|was) told\b`), "reported, published"},
+	{regexp.MustCompile(`\b[vV]ictims?\b`), "evictions (the log field victims stays)"},
+	{regexp.MustCompile(`\bCustomer\b`), "Organisation (customer on the wire stays)"},
+}
+
 // allowed are the product's packages that platform/ may import: records and
 // interfaces, nothing that decides.
 var allowed = []string{"rockcleat/backend", "rockcleat/internal/wire", "rockcleat/kv", "rockcleat/table"}
@@ -52,17 +71,23 @@
 
 // check prints what is wrong in a file and returns how much.
 func check(path string) int {
-	if filepath.Dir(path) == adapter {
-		return checkImports(path)
-	}
-	if strings.HasPrefix(path, adapter+string(filepath.Separator)) {
-		return 0
-	}
 	data, err := os.ReadFile(path)
 	if err != nil {
 		fmt.Println(err)
 		return 1
 	}
+	bad := checkWithdrawn(path, data)
+	switch {
+	case filepath.Dir(path) == adapter:
+		return bad + checkImports(path)
+	case strings.HasPrefix(path, adapter+string(filepath.Separator)):
+		return bad
+	}
+	return bad + checkNames(path, data)
+}
+
+// checkNames prints the names of the platform in a file.
+func checkNames(path string, data []byte) int {
 	bad := 0
 	for i, line := range strings.Split(string(data), "\n") {
 		if name := names.FindString(line); name != "" {
@@ -73,6 +98,24 @@
 	return bad
 }
 
+// withdrawnField is the one name on the wire that a withdrawn word still stands in.
+const withdrawnField = `"victims"`
+
+// checkWithdrawn prints the withdrawn words in a file.
+func checkWithdrawn(path string, data []byte) int {
+	bad := 0
+	for i, line := range strings.Split(string(data), "\n") {
+		line = strings.ReplaceAll(line, withdrawnField, "")
+		for _, w := range withdrawn {
+			if word := w.pattern.FindString(line); word != "" {
+				fmt.Printf("%s:%d: %q was withdrawn; instead: %s\n", path, i+1, word, w.instead)
+				bad++
+			}
+		}
+	}
+	return bad
+}
+
 func checkImports(path string) int {
 	f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 	if err != nil {
