--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestSuperseded lets a second agent take the server over: the first gives no
+// TestSuperseded lets a second agent take the server over: the first issues no
 // more orders and leaves, and the second counts the first one's order.
 func TestSuperseded(t *testing.T) {
 	first := newFixture(t)
@@ -123,7 +123,7 @@
 	second.arm()
 	first.carryOut([]placement.Order{order(ledger.OpLoad, "c", 10)})
 	assert.Equal(t, len(first.engine.orders), 1)
-	assert.Assert(t, first.leaving)
+	assert.Assert(t, first.membership.leaving)
 	second.carryOut([]placement.Order{order(ledger.OpLoad, "b", 60)})
 	assert.Equal(t, len(second.engine.orders), 0, "the first agent's order may still arrive")
 	second.clock.Advance(second.settings.Backend.OrderLifetime.Std() + time.Second)
@@ -144,7 +144,7 @@
 	assert.Equal(t, len(f.engine.orders), 0)
 	f.carryOut(load)
 	assert.Equal(t, len(f.engine.orders), 1)
-	assert.Assert(t, !f.leaving)
+	assert.Assert(t, !f.membership.leaving)
 }
 
 // TestUnloadWaitsForRequests keeps a copy until its requests have ended.
@@ -152,13 +152,13 @@
 	f := newFixture(t)
 	f.engine.status.Residents = []fleet.Resident{{Name: "a", State: fleet.StateReady, MemoryMiB: 60}}
 	f.arm()
-	slot, ok := f.slots.Take("a")
+	slot, ok := f.server.slots.Take("a")
 	assert.Assert(t, ok)
 	f.carryOut([]placement.Order{order(ledger.OpUnload, "a", 60)})
 	assert.Equal(t, len(f.engine.orders), 0)
-	_, ok = f.slots.Take("a")
+	_, ok = f.server.slots.Take("a")
 	assert.Assert(t, !ok, "a copy to be unloaded takes no new request")
-	f.slots.Release(slot)
+	f.server.slots.Release(slot)
 	f.stepUnloads(f.clock.Now())
 	assert.Equal(t, len(f.engine.orders), 1)
 }
@@ -223,7 +223,7 @@
 	_, a = post(t, h, secret, wire.Exchange{Cell: "c", Token: 5, Incarnation: a.Incarnation, Leaving: true, Grants: grants})
 	assert.Equal(t, a.Token, int64(7))
 	assert.Equal(t, len(a.Grants), 0)
-	assert.Assert(t, !f.leaving)
+	assert.Assert(t, !f.membership.leaving)
 	_, a = post(t, h, secret, wire.Exchange{Cell: "c", Token: 7, Incarnation: a.Incarnation, Grants: grants})
 	assert.DeepEqual(t, a.Grants, grants)
 }
@@ -254,7 +254,7 @@
 			_, b := post(t, h, secret, tc.later)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			assert.Equal(t, f.leaving, tc.leaving)
+			assert.Equal(t, f.membership.leaving, tc.leaving)
 			assert.Equal(t, a.Incarnation != b.Incarnation, !tc.leaving)
 		})
 	}
@@ -267,13 +267,13 @@
 	h := listenFor(t, f)
 	f.clock.Advance(100 * time.Millisecond)
 	f.mu.Lock()
-	f.lastTick = f.clock.Now().Add(-time.Minute)
+	f.contact.lastTick = f.clock.Now().Add(-time.Minute)
 	f.noticePause(f.clock.Now())
 	f.mu.Unlock()
 	mistrusts := func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.clock.Now().Before(f.mistrust)
+		return f.clock.Now().Before(f.contact.distrustUntil)
 	}
 	assert.Assert(t, mistrusts())
 	_, a := post(t, h, secret, wire.Exchange{Cell: "c", Token: 1})
--- a/internal/agent/catchup.go
+++ b/internal/agent/catchup.go
@@ -14,11 +14,11 @@
 	"rockcleat/internal/wire"
 )
 
-// catchUpTimeout bounds the asking of an entry for a newer table.
+// catchUpTimeout bounds the asking of an entry for a newer table. Chosen, not measured.
 const catchUpTimeout = time.Second
 
-// catchUp takes a newer table from the entry whose request tells of one. So an
-// agent has the table also when no planner can speak to it, as after its start
+// catchUp gets a newer table from the entry whose request names one. So an agent
+// has the table also when no planner can speak to it, as after its start
 // while the platform's service is out. An agent with a table of its own does not
 // let the request wait for it.
 func (a *Agent) catchUp(req *http.Request) {
@@ -37,10 +37,11 @@
 
 // Times of an agent that no planner speaks to.
 const (
+	// orphanEvery is the time between two looks. Chosen, not measured.
 	orphanEvery = time.Second
-	// orphanAfter is the silence after which it asks an entry for the table by
-	// itself. It is longer than the longest time between two exchanges, and short
-	// enough for an edit to be in force here within the 14 s promised.
+	// orphanAfter is the time without an exchange after which it asks an entry for the
+	// table by itself. It is longer than the longest time between two exchanges (10 s,
+	// docs/CAPACITY.md), and short enough for an edit to be in force here within 14 s.
 	orphanAfter = 12 * time.Second
 )
 
@@ -48,9 +49,9 @@
 // its planner has died while the platform's key-value service is out.
 func (a *Agent) stepOrphan(now time.Time) {
 	a.mu.Lock()
-	silence := now.Sub(a.exchanged)
+	alone := now.Sub(a.contact.exchanged)
 	a.mu.Unlock()
-	if a.vms == nil || silence < orphanAfter || !a.catching.CompareAndSwap(false, true) {
+	if a.vms == nil || alone < orphanAfter || !a.catching.CompareAndSwap(false, true) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), catchUpTimeout)
@@ -71,6 +72,7 @@
 	a.askTable(entries[rand.IntN(len(entries))].Control)
 }
 
+// askTable asks an entry for a newer table.
 func (a *Agent) askTable(addr string) {
 	defer a.catching.Store(false)
 	ctx, cancel := context.WithTimeout(context.Background(), catchUpTimeout)
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -1,10 +1,7 @@
 package agent
 
 import (
-	"maps"
 	"net/http"
-	"slices"
-	"time"
 
 	"github.com/labstack/echo/v4"
 	"go.uber.org/zap"
@@ -27,15 +24,15 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case a.leaving:
+	case a.membership.leaving:
 		return false, "leaving"
-	case !a.reported:
+	case !a.server.reported:
 		return false, "no report from the backend server yet"
 	}
 	return true, ""
 }
 
-// exchange takes the planner's message and answers with what has changed here.
+// exchange handles the planner's message and answers with what has changed here.
 func (a *Agent) exchange(c echo.Context) error {
 	var x wire.Exchange
 	if err := c.Bind(&x); err != nil {
@@ -46,30 +43,26 @@
 	}
 	a.heed(x)
 	if !x.Lapsed && a.meant(x) && x.TableVersion >= a.replica.Current().Version() {
-		a.setGrants(x.Grants)
+		a.mu.Lock()
+		a.work.setGrants(x.Grants)
+		a.mu.Unlock()
 		// Orders wait for the key-value service; the exchange does not.
 		go a.carryOut(x.Orders)
 	}
 	return c.JSON(http.StatusOK, a.answer(x))
 }
 
-// accept takes the sender as planner unless a newer one is known.
+// accept accepts the sender as planner unless a newer one is known.
 func (a *Agent) accept(x wire.Exchange) bool {
 	if a.replica.Merge(x.Table) {
 		a.log.Info("table in force", zap.Uint64("version", a.replica.Current().Version()))
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if x.Token < a.token {
-		a.log.Warn("exchange of a former planner ignored", zap.Int64("token", x.Token), zap.Int64("newest", a.token))
+	if !a.contact.accept(x, a.clock.Now()) {
+		a.log.Warn("exchange of a former planner ignored", zap.Int64("token", x.Token), zap.Int64("newest", a.contact.token))
 		return false
 	}
-	a.token = x.Token
-	a.planner = x.From
-	a.exchanged = a.clock.Now()
-	if x.Pauses == a.pauses {
-		a.mistrust = time.Time{}
-	}
 	return true
 }
 
@@ -80,36 +73,23 @@
 	return x.Incarnation == a.incarnation
 }
 
-// setGrants takes over the concurrency that the planner grants; rows that it
-// does not name have none left.
-func (a *Agent) setGrants(grants []wire.ConcurrencyGrant) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	clear(a.grants)
-	for _, g := range grants {
-		a.grants[g.Row] = g.Max
-	}
-}
-
+// answer returns the answer to a planner: the server's record, if it is news to it.
 func (a *Agent) answer(x wire.Exchange) wire.ExchangeAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.serverRecord(a.clock.Now())
 	ans := wire.ExchangeAnswer{
-		Incarnation: a.incarnation, Token: a.token, TableVersion: a.replica.Current().Version(), RecordSeen: a.version,
-		Pauses: a.pauses,
+		Incarnation: a.incarnation, Token: a.contact.token, TableVersion: a.replica.Current().Version(), RecordSeen: a.server.version,
+		Pauses: a.contact.pauses,
 	}
-	if x.Incarnation != a.incarnation || x.Seen != a.version {
+	if x.Incarnation != a.incarnation || x.Seen != a.server.version {
 		ans.Server = &s
 	}
-	for _, row := range slices.Sorted(maps.Keys(a.grants)) {
-		running, _ := a.queue.Load(row)
-		ans.Grants = append(ans.Grants, wire.ConcurrencyGrant{Row: row, Max: max(a.grants[row], running)})
-	}
+	ans.Grants = a.work.grantsInUse()
 	return ans
 }
 
-// Status is what an agent tells operators of itself.
+// Status describes an agent to operators.
 type Status struct {
 	ID           string `json:"id"`
 	Incarnation  string `json:"incarnation"`
@@ -129,7 +109,7 @@
 	defer a.mu.Unlock()
 	return c.JSON(http.StatusOK, Status{
 		ID: a.settings.ID, Incarnation: a.incarnation, TableVersion: a.replica.Current().Version(),
-		Waiting: a.queue.Waiting(), Running: a.queue.Running(), Leaving: a.leaving, Armed: armed,
+		Waiting: a.work.queue.Waiting(), Running: a.work.queue.Running(), Leaving: a.membership.leaving, Armed: armed,
 		ControlBytes: a.traffic.WireBytes(),
 	})
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -13,7 +13,7 @@
 	"rockcleat/placement"
 )
 
-// orderTimeout bounds the recording and sending of one exchange's orders.
+// orderTimeout bounds the recording and sending of one exchange's orders. Chosen, not measured.
 const orderTimeout = 5 * time.Second
 
 // stepArm gets the agent its fencing token, however long the platform's service is out.
@@ -27,12 +27,12 @@
 	defer cancel()
 	intents, err := a.record.arm(ctx)
 	if err != nil {
-		a.log.Warn("no fencing token yet; serving without giving orders", zap.Error(err))
+		a.log.Warn("no fencing token yet; serving without issuing orders", zap.Error(err))
 		return
 	}
 	a.mu.Lock()
-	a.ledger.Restore(intents)
-	a.armedAt, a.current = a.clock.Now(), false
+	a.server.ledger.Restore(intents)
+	a.server.armedAt, a.server.current = a.clock.Now(), false
 	a.mu.Unlock()
 	a.log.Info("took over the backend server", zap.Int64("fence", a.record.value.Fence), zap.Int("open_intents", len(intents)))
 }
@@ -52,7 +52,7 @@
 	defer cancel()
 	if err := a.writeIntents(ctx); err != nil {
 		a.cancel(intents)
-		a.log.Warn("orders not given: intents not recorded", zap.Error(err))
+		a.log.Warn("orders not issued: intents not recorded", zap.Error(err))
 		if errors.Is(err, errSuperseded) {
 			a.LeaveForGood("superseded by another agent")
 		}
@@ -63,12 +63,12 @@
 	}
 }
 
-// reserve counts the orders in the ledger and returns those that may be given.
+// reserve counts the orders in the ledger and returns those that may be issued.
 func (a *Agent) reserve(orders []placement.Order) []ledger.Intent {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var intents []ledger.Intent
-	if !a.reported || !a.current {
+	if !a.server.reported || !a.server.current {
 		return nil
 	}
 	for _, o := range orders {
@@ -79,7 +79,7 @@
 			ID: uuid.NewString(), Op: o.Op, Name: o.Name, Base: o.Base, Accelerator: o.Accelerator,
 			MemoryMiB: o.Size.TotalMiB(), Until: a.clock.Now().Add(a.settings.Backend.OrderLifetime.Std()),
 		}
-		if err := a.ledger.Reserve(i); err != nil {
+		if err := a.server.ledger.Reserve(i); err != nil {
 			a.log.Debug("order not taken", zap.String("name", o.Name), zap.String("op", string(o.Op)), zap.Error(err))
 			continue
 		}
@@ -91,24 +91,24 @@
 }
 
 // drained stops new requests to the copy that an order unloads and reports
-// whether none runs on it; if one does, stepUnloads gives the order later.
+// whether none runs on it; if one does, stepUnloads issues the order later.
 // a.mu is held.
 func (a *Agent) drained(o placement.Order) bool {
 	p := copyID{name: o.Name, acc: o.Accelerator}
-	if a.slots.drain(p) {
-		delete(a.unloads, p)
+	if a.server.slots.drain(p) {
+		delete(a.server.unloads, p)
 		return true
 	}
-	a.unloads[p] = o
+	a.server.unloads[p] = o
 	return false
 }
 
-// stepUnloads gives the unload orders whose copies have drained.
+// stepUnloads issues the unload orders whose copies have drained.
 func (a *Agent) stepUnloads(time.Time) {
 	a.mu.Lock()
 	var orders []placement.Order
-	for p, o := range a.unloads {
-		if a.slots.running[p] == 0 {
+	for p, o := range a.server.unloads {
+		if a.server.slots.running[p] == 0 {
 			orders = append(orders, o)
 		}
 	}
@@ -116,9 +116,10 @@
 	a.carryOut(orders)
 }
 
+// writeIntents records all intents in the platform's service.
 func (a *Agent) writeIntents(ctx context.Context) error {
 	a.mu.Lock()
-	all := a.ledger.Intents()
+	all := a.server.ledger.Intents()
 	a.mu.Unlock()
 	return a.record.write(ctx, all)
 }
@@ -128,14 +129,14 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, i := range intents {
-		a.ledger.Cancel(i.ID)
+		a.server.ledger.Cancel(i.ID)
 		if i.Op == ledger.OpUnload {
-			a.slots.undrain(copyID{name: i.Name, acc: i.Accelerator})
+			a.server.slots.undrain(copyID{name: i.Name, acc: i.Accelerator})
 		}
 	}
 }
 
-// send gives one order; whatever comes of it, its intent counts until the
+// send sends one order; whatever comes of it, its intent counts until the
 // engine lists it as finished or its lifetime is over.
 func (a *Agent) send(ctx context.Context, i ledger.Intent) {
 	err := a.engine.Send(ctx, engine.Order{
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -11,16 +11,16 @@
 	"rockcleat/ledger"
 )
 
-// recordPrefix is where agents' records stand in the platform's service.
+// recordPrefix is the prefix of agents' records in the platform's service.
 const recordPrefix = "agent/"
 
-// errSuperseded tells that another agent has taken over the backend server.
+// errSuperseded says that another agent has taken over the backend server.
 var errSuperseded = errors.New("agent: another agent has taken over the backend server")
 
-// errNotArmed tells that the agent has no fencing token yet.
+// errNotArmed says that the agent has no fencing token yet.
 var errNotArmed = errors.New("agent: no fencing token yet")
 
-// recordValue is what the platform's service holds for one backend server.
+// A recordValue is the value in the platform's service for one backend server.
 type recordValue struct {
 	Incarnation string `json:"incarnation"`
 	// Fence is the fencing token of every order of this incarnation.
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -21,11 +21,12 @@
 	"rockcleat/table"
 )
 
-// copyBuffer is the size of the pieces in which answers are passed on, in bytes.
+// copyBuffer is the size of the pieces in which answers are passed on, in bytes. Chosen, not
+// measured.
 const copyBuffer = 16 << 10
 
 // bytesPerEvent is a rough size of one streamed token's event, in bytes, for
-// counting the tokens that an answer took.
+// counting the tokens that an answer took. Chosen, not measured.
 const bytesPerEvent = 180
 
 func (a *Agent) requestRouter() http.Handler {
@@ -48,11 +49,11 @@
 	if err != nil {
 		return a.bodyFailure(c, err)
 	}
-	alive := startHeartbeat(c, a.settings.Limits.SilentTime.Std()/heartbeats)
-	defer alive.stop()
+	stopHeartbeat := startHeartbeat(a.clock, c.Response().Writer, a.settings.Limits.SilentTime.Std()/heartbeats)
+	defer stopHeartbeat()
 	t, grant, refusal := a.wait(req, row)
 	if refusal != nil {
-		alive.stop()
+		stopHeartbeat()
 		return a.refuse(c, *refusal)
 	}
 	if t == nil {
@@ -62,7 +63,7 @@
 	defer func() { a.done(t, tokens) }()
 	class := telemetry.Class{Tier: string(row.Tier), Organisation: row.Organisation}
 	a.metrics.Queue(class, grant.Waited.Seconds())
-	written, err := a.pass(c, row, grant, body, alive)
+	written, err := a.pass(c, passing{row: row, grant: grant, body: body, stopHeartbeat: stopHeartbeat})
 	if row.Kind != table.KindService && written > 0 {
 		tokens = int(written / bytesPerEvent)
 	}
@@ -95,9 +96,12 @@
 }
 
 // wait queues the request until it is granted or refused; a nil ticket with no
-// refusal tells that the caller has gone.
+// refusal says that the caller has gone.
 func (a *Agent) wait(req *http.Request, row table.Row) (*fairqueue.Ticket, fairqueue.Grant, *fairqueue.Refusal) {
-	tokens, _ := strconv.Atoi(req.Header.Get(wire.HeaderTokens))
+	tokens, err := strconv.Atoi(req.Header.Get(wire.HeaderTokens))
+	if err != nil {
+		a.log.Debug("no count of tokens, one is assumed", zap.String("row", row.Name), zap.Error(err))
+	}
 	granted := make(chan fairqueue.Grant, 1)
 	refused := make(chan fairqueue.Refusal, 1)
 	t := &fairqueue.Ticket{
@@ -120,18 +124,18 @@
 	}
 }
 
-// push sets the ticket's limits and gives it to the queue; it returns a refusal
-// that is known without the queue.
+// push sets the ticket's limits and adds it to the queue; it returns a refusal that is known
+// without the queue.
 func (a *Agent) push(t *fairqueue.Ticket, row table.Row) *fairqueue.Refusal {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.noticePause(a.clock.Now())
-	a.demandOf(row.Name)
-	total := a.slots.Total(row.Name)
+	a.work.demandOf(row.Name)
+	total := a.server.slots.Total(row.Name)
 	switch {
 	case a.closed():
 		return &fairqueue.Refusal{Reason: fairqueue.ReasonLeaving}
-	case a.clock.Now().Before(a.mistrust):
+	case a.clock.Now().Before(a.contact.distrustUntil):
 		return &fairqueue.Refusal{Reason: reasonPaused, RetryAfter: time.Second}
 	case total == 0:
 		return &fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: time.Second}
@@ -139,32 +143,34 @@
 	t.Limit = fairqueue.Limit{Weight: row.EffectiveWeight(), QueueTime: row.QueueTime}
 	t.Limit.Running = max(1, total*row.Share/100)
 	if row.Concurrency > 0 {
-		grant := a.grants[row.Name]
+		grant := a.work.grants[row.Name]
 		if grant == 0 {
 			return &fairqueue.Refusal{Reason: reasonConcurrency, RetryAfter: time.Second}
 		}
 		t.Limit.Running = min(t.Limit.Running, grant)
 	}
-	a.queue.Push(t, a.clock.Now())
+	a.work.queue.Push(t, a.clock.Now())
 	return nil
 }
 
-// reasonPaused tells that the agent was paused and waits for a planner's word.
+// reasonPaused says that the agent was paused and waits for a planner's message.
 const reasonPaused fairqueue.Reason = "paused"
 
-// reasonConcurrency tells that the row's concurrency is granted to other servers.
+// reasonConcurrency says that the row's concurrency is granted to other servers.
 const reasonConcurrency fairqueue.Reason = "concurrency"
 
+// countRefusal counts a refused request as demand.
 func (a *Agent) countRefusal(row string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.demandOf(row).refused += refusedGain
+	a.work.demandOf(row).refused += refusedGain
 }
 
+// done ends a request in the queue.
 func (a *Agent) done(t *fairqueue.Ticket, tokens int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.queue.Done(t, tokens, a.clock.Now())
+	a.work.queue.Done(t, tokens, a.clock.Now())
 }
 
 // refuse answers at once that the request was not run.
@@ -185,48 +191,57 @@
 func (a *Agent) stamp(h http.Header) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h.Set(wire.HeaderLoad, strconv.Itoa(a.slots.load(a.queue.Waiting())))
+	h.Set(wire.HeaderLoad, strconv.Itoa(a.server.slots.load(a.work.queue.Waiting())))
 	h.Set(wire.HeaderTableVersion, strconv.FormatUint(a.replica.Current().Version(), 10))
-	if a.leaving {
+	if a.membership.leaving {
 		h.Set(wire.HeaderLeaving, a.incarnation)
 		h.Set("Connection", "close")
 	}
 }
 
-// pass sends the request to the backend server and its answer back, and returns
-// the length of the answer's body.
-func (a *Agent) pass(c echo.Context, row table.Row, g fairqueue.Grant, body []byte, alive *heartbeat) (int64, error) {
-	out, err := a.outgoing(c.Request(), row, g, body)
+// A passing is a granted request on its way to the backend server.
+type passing struct {
+	row           table.Row
+	grant         fairqueue.Grant
+	body          []byte
+	stopHeartbeat func()
+}
+
+// pass sends the request to the backend server and its answer back, and returns the length
+// of the answer's body.
+func (a *Agent) pass(c echo.Context, p passing) (int64, error) {
+	out, err := a.outgoing(c.Request(), p)
 	if err != nil {
 		return 0, err
 	}
 	resp, err := a.backend.Do(out)
-	alive.stop()
+	p.stopHeartbeat()
 	if err != nil {
 		return 0, a.noAnswer(c, err)
 	}
 	defer resp.Body.Close()
-	if row.Kind != table.KindService && resp.StatusCode == http.StatusNotFound {
+	if p.row.Kind != table.KindService && resp.StatusCode == http.StatusNotFound {
 		return 0, a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: time.Second})
 	}
 	h := c.Response().Header()
 	copyHeader(h, resp.Header)
 	a.stamp(h)
 	h.Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
-	h.Set(wire.HeaderWaited, strconv.FormatInt(g.Waited.Milliseconds(), 10))
+	h.Set(wire.HeaderWaited, strconv.FormatInt(p.grant.Waited.Milliseconds(), 10))
 	c.Response().WriteHeader(resp.StatusCode)
 	n, err := copyFlushing(c.Response(), resp.Body)
 	if err != nil {
 		a.log.Warn("answer cut", zap.String("request", c.Request().Header.Get(wire.HeaderRequestID)), zap.Error(err))
-		// Dropping the connection is what tells the entry that the answer is not whole.
+		// Dropping the connection shows the entry that the answer is not whole.
 		panic(http.ErrAbortHandler)
 	}
 	return n, nil
 }
 
 // outgoing makes the request to the backend server.
-func (a *Agent) outgoing(in *http.Request, row table.Row, g fairqueue.Grant, body []byte) (*http.Request, error) {
-	out, err := http.NewRequestWithContext(in.Context(), in.Method, a.settings.Backend.URL+in.URL.RequestURI(), bytes.NewReader(body))
+func (a *Agent) outgoing(in *http.Request, p passing) (*http.Request, error) {
+	url := a.settings.Backend.URL + in.URL.RequestURI()
+	out, err := http.NewRequestWithContext(in.Context(), in.Method, url, bytes.NewReader(p.body))
 	if err != nil {
 		return nil, eris.Wrap(err, "agent: make request")
 	}
@@ -235,17 +250,17 @@
 	out.Header.Del(wire.HeaderEntry)
 	wire.SendOnce(out)
 	a.mu.Lock()
-	acc := a.slots.accelerator(g.Slot)
+	acc := a.server.slots.accelerator(p.grant.Slot)
 	a.mu.Unlock()
-	if row.Kind != table.KindService {
+	if p.row.Kind != table.KindService {
 		out.Header.Set(engine.HeaderAccelerator, strconv.Itoa(acc))
-		out.Header.Set(engine.HeaderPriority, strconv.Itoa(row.EffectiveWeight()))
+		out.Header.Set(engine.HeaderPriority, strconv.Itoa(p.row.EffectiveWeight()))
 	}
 	return out, nil
 }
 
-// noAnswer tells a backend server that could not be reached from one that may
-// have run the request.
+// noAnswer answers for a backend server that could not be reached, or that may have run the
+// request.
 func (a *Agent) noAnswer(c echo.Context, err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -14,7 +14,7 @@
 	acc  int
 }
 
-// A slotTable is the agent's account of the places in which requests run; it
+// A slotTable is the agent's account of the slots in which requests run; it
 // implements fairqueue.Slots.
 type slotTable struct {
 	perAccelerator int
@@ -46,7 +46,7 @@
 	}
 }
 
-// setResidents takes over the engine's report.
+// setResidents applies the engine's report.
 func (t *slotTable) setResidents(residents []fleet.Resident, accelerators, slots int) {
 	t.perAccelerator = slots
 	for len(t.used) < accelerators {
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 
 	"rockcleat/claim"
+	"rockcleat/clock"
 	"rockcleat/internal/planner"
-	"rockcleat/internal/server"
 	"rockcleat/internal/wire"
 	"rockcleat/kv"
 	"rockcleat/lease"
@@ -94,7 +94,7 @@
 		case <-c.e.ctx.Done():
 			return
 		}
-		server.Pause(c.e.ctx, c.shards[i].Due())
+		clock.Sleep(c.e.ctx, c.e.clock, c.shards[i].Due())
 		c.flush(i)
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -138,7 +138,7 @@
 	e.leaving.Store(true)
 	e.log.Info("leaving", zap.Int64("requests", e.inFlight.Load()))
 	e.planner.Stop(ctx)
-	server.Pause(ctx, e.settings.LeaveTime.Std())
+	clock.Sleep(ctx, e.clock, e.settings.LeaveTime.Std())
 	err := e.requests.Shutdown(ctx)
 	e.claims.stop(ctx)
 	e.halt()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -104,11 +104,3 @@
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
-
-// Pause waits for d or until ctx ends.
-func Pause(ctx context.Context, d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-ctx.Done():
-	}
-}
