--- a/internal/planner/cell.go
+++ b/internal/planner/cell.go
@@ -15,19 +15,20 @@
 	"rockcleat/placement"
 )
 
-// Times of a cell's planning.
+// Times of a cell's planning; chosen, not measured, but for what docs/CAPACITY.md says of
+// their cost.
 const (
-	// planEvery is the time between two plans after the cell's own records have
-	// changed, idlePlanEvery the time between others.
-	planEvery     = 500 * time.Millisecond
+	// planEvery is the time between two plans after the cell's own records have changed.
+	planEvery = 500 * time.Millisecond
+	// idlePlanEvery is the time between other plans.
 	idlePlanEvery = 2 * time.Second
-	// busyEvery is the time between two exchanges with an agent that is loading,
-	// unloading or has been given an order.
+	// busyEvery is the time between two exchanges with an agent that is loading or
+	// unloading, or has an order.
 	busyEvery = 500 * time.Millisecond
-	// orderMemory is how long an order counts as given without being seen.
+	// orderMemory is how long an order counts whose effect is not seen.
 	orderMemory = 10 * time.Second
-	// goneAfter is the number of exchange intervals without an answer after which
-	// a backend server counts as gone.
+	// goneAfter is the number of exchange intervals without an answer after which a
+	// backend server counts as gone.
 	goneAfter = 2
 	// goneGrace is added to it, for a short interval.
 	goneGrace = time.Second
@@ -35,23 +36,27 @@
 
 // A peer is the planner's account of one agent.
 type peer struct {
-	id       string
-	vm       inventory.VM
-	record   fleet.Server
-	demand   []fleet.Demand
-	known    bool
-	seen     uint64
-	pauses   int
-	table    uint64
-	lastSent time.Time
-	lastOK   time.Time
-	since    time.Time
-	inFlight bool
-	urgent   bool
-	orders   []placement.Order
+	id string
+	vm inventory.VM
+	// record and demand are the agent's last, known says that there are any, and seen is
+	// the record's version.
+	record fleet.Server
+	demand []fleet.Demand
+	known  bool
+	seen   uint64
+	// pauses is the agent's count of its pauses, table its version of the table.
+	pauses int
+	table  uint64
+	// lastSent and lastOK are when an exchange last began and succeeded, since is when
+	// the agent joined the cell.
+	lastSent, lastOK, since time.Time
+	// inFlight says that an exchange is under way, urgent that the next one is due.
+	inFlight, urgent bool
+	// orders go with the next exchange.
+	orders []placement.Order
 }
 
-// A pendingOrder is an order given whose effect has not been seen.
+// A pendingOrder is an order issued whose effect has not been seen.
 type pendingOrder struct {
 	order placement.Order
 	at    time.Time
@@ -69,18 +74,17 @@
 	// superseded tells that an agent knows a newer planner.
 	superseded atomic.Bool
 
-	mu       sync.Mutex
-	peers    map[string]*peer
-	pending  []pendingOrder
-	grants   *grantBook
-	version  uint64
-	lastPlan time.Time
-	// planned is the cell's version at the last plan.
-	planned uint64
+	mu      sync.Mutex
+	peers   map[string]*peer
+	pending []pendingOrder
+	grants  *grantBook
+	// version is the cell's, planned what it was at the last plan.
+	version, planned uint64
+	lastPlan         time.Time
 }
 
-// newCellPlanner takes the cell over with the records that its last planner
-// published, so that requests go on being routed.
+// newCellPlanner begins to plan a cell with the records that its last planner published, so
+// that requests go on being routed.
 func newCellPlanner(p *Planner, id string, h *lease.Holder, token lease.Token) *cellPlanner {
 	c := &cellPlanner{
 		Planner: p, id: id, holder: h, token: token, peers: make(map[string]*peer), grants: newGrantBook(), version: 1,
@@ -101,7 +105,7 @@
 }
 
 // step starts the exchanges that are due and makes a plan when it is time. While
-// the lease has lapsed, because the service is out, it gives no orders and no
+// the lease has lapsed, because the service is out, it sends no orders and no
 // grants, but the table and the records go on travelling.
 func (c *cellPlanner) step(now time.Time, servers []string, vms map[string]inventory.VM) {
 	if c.superseded.Load() {
@@ -110,7 +114,7 @@
 	_, held := c.holder.Held()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.follow(now, servers, vms)
+	c.syncPeers(now, servers, vms)
 	if held && now.Sub(c.lastPlan) >= c.planInterval() {
 		c.makePlan(now)
 		c.lastPlan, c.planned = now, c.version
@@ -150,13 +154,14 @@
 	return c.Settings.ExchangeEvery.Std()
 }
 
+// busy reports whether the agent loads or unloads, or has an order; c.mu is held.
 func (c *cellPlanner) busy(p *peer) bool {
 	moving := slices.ContainsFunc(p.record.Residents, func(r fleet.Resident) bool { return r.State != fleet.StateReady })
 	return moving || slices.ContainsFunc(c.pending, func(o pendingOrder) bool { return o.order.Server == p.id })
 }
 
-// follow makes the peers those of the cell; c.mu is held.
-func (c *cellPlanner) follow(now time.Time, servers []string, vms map[string]inventory.VM) {
+// syncPeers makes the peers those of the cell; c.mu is held.
+func (c *cellPlanner) syncPeers(now time.Time, servers []string, vms map[string]inventory.VM) {
 	for _, id := range servers {
 		vm, listed := vms[id]
 		if !listed {
@@ -173,7 +178,7 @@
 			p.record.Addr = vm.Addr
 			c.publish(p.record)
 		}
-		c.judge(p, now)
+		c.markGone(p, now)
 	}
 	for id, p := range c.peers {
 		if _, listed := vms[id]; !listed || !slices.Contains(servers, id) {
@@ -184,8 +189,8 @@
 	}
 }
 
-// judge marks a server gone that has not answered for long; c.mu is held.
-func (c *cellPlanner) judge(p *peer, now time.Time) {
+// markGone marks a server gone that has not answered for long; c.mu is held.
+func (c *cellPlanner) markGone(p *peer, now time.Time) {
 	last := p.lastOK
 	if last.IsZero() {
 		last = p.since
@@ -197,6 +202,7 @@
 	}
 }
 
+// publishGone publishes that a server is gone; c.mu is held.
 func (c *cellPlanner) publishGone(p *peer) {
 	p.record.ID = p.id
 	p.record.Gone = true
@@ -213,7 +219,7 @@
 	}})
 }
 
-// complete reports whether every agent of the cell has been heard of; c.mu is held.
+// complete reports whether every agent of the cell has reported its grants; c.mu is held.
 func (c *cellPlanner) complete() bool {
 	for id := range c.peers {
 		if !c.grants.knows(id) {
--- a/internal/planner/cells.go
+++ b/internal/planner/cells.go
@@ -14,7 +14,7 @@
 	"rockcleat/kv"
 )
 
-// cellsKey is where the division into cells stands.
+// cellsKey is the key of the division into cells.
 const cellsKey = "cells"
 
 // A Cell is one cell and the backend servers that belong to it.
@@ -23,7 +23,7 @@
 	Servers []string `json:"servers"`
 }
 
-// cellList is the value of cellsKey.
+// A cellList is the value of cellsKey.
 type cellList struct {
 	// Next numbers the next new cell, so that no id is used twice.
 	Next  int    `json:"next"`
@@ -37,7 +37,7 @@
 }
 
 // fit returns the list with every listed backend server in one cell and no
-// other; changed tells whether it differs from l.
+// other; changed says whether it differs from l.
 func (l cellList) fit(vms []inventory.VM, size int) (next cellList, changed bool) {
 	present := make(map[string]bool)
 	for _, vm := range vms {
--- a/internal/planner/exchange.go
+++ b/internal/planner/exchange.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"maps"
 	"slices"
 	"time"
 
@@ -49,7 +48,7 @@
 	return all
 }
 
-// exchange sends one message and takes the answer over.
+// exchange sends one message and applies the answer.
 func (c *cellPlanner) exchange(p *peer, x wire.Exchange) {
 	ctx, cancel := context.WithTimeout(c.ctx, callTimeout)
 	defer cancel()
@@ -68,11 +67,11 @@
 		c.Log.Warn("agent knows a newer planner", zap.String("server", p.id), zap.Int64("token", a.Token))
 		return
 	}
-	c.take(p, a, now)
+	c.apply(p, a, now)
 }
 
-// take takes an agent's answer over; c.mu is held.
-func (c *cellPlanner) take(p *peer, a wire.ExchangeAnswer, now time.Time) {
+// apply applies an agent's answer; c.mu is held.
+func (c *cellPlanner) apply(p *peer, a wire.ExchangeAnswer, now time.Time) {
 	first := !p.known
 	p.urgent = p.urgent || p.pauses != a.Pauses
 	p.pauses = a.Pauses
@@ -90,23 +89,24 @@
 	p.seen = a.RecordSeen
 	next := *a.Server
 	p.demand, next.Demand = next.Demand, nil
-	// The platform's list says where the server is reached.
+	// The platform's list has the address of the server.
 	next.Addr = p.vm.Addr
 	if !next.Same(p.record) {
 		p.record = next
 		c.publish(p.record)
 	}
-	c.dropSeen(p)
+	c.dropVisible(p)
 }
 
-// dropSeen forgets the orders whose effect shows in the server's record; c.mu is held.
-func (c *cellPlanner) dropSeen(p *peer) {
+// dropVisible forgets the orders whose effect shows in the server's record; c.mu is held.
+func (c *cellPlanner) dropVisible(p *peer) {
 	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool {
-		return o.order.Server == p.id && shows(p.record, o.order)
+		return o.order.Server == p.id && isVisible(p.record, o.order)
 	})
 }
 
-func shows(s fleet.Server, o placement.Order) bool {
+// isVisible reports whether the effect of an order shows in a server's record.
+func isVisible(s fleet.Server, o placement.Order) bool {
 	i := slices.IndexFunc(s.Residents, func(r fleet.Resident) bool {
 		return r.Name == o.Name && r.Accelerator == o.Accelerator
 	})
@@ -115,26 +115,3 @@
 	}
 	return i < 0 || s.Residents[i].State != fleet.StateReady
 }
-
-// tableVersions returns each agent's table version as it last said.
-func (c *cellPlanner) tableVersions() map[string]uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	versions := make(map[string]uint64, len(c.peers))
-	for id, p := range c.peers {
-		versions[id] = p.table
-	}
-	return versions
-}
-
-// TableVersions returns the table version of each agent planned here.
-func (p *Planner) TableVersions() map[string]uint64 {
-	p.mu.Lock()
-	active := slices.Collect(maps.Values(p.active))
-	p.mu.Unlock()
-	all := make(map[string]uint64)
-	for _, c := range active {
-		maps.Copy(all, c.tableVersions())
-	}
-	return all
-}
--- a/internal/planner/grants.go
+++ b/internal/planner/grants.go
@@ -14,13 +14,13 @@
 // of what the agents may believe to have never exceeds a row's limit.
 type grantBook struct {
 	// believed holds, by agent and row, the most that the agent may believe to
-	// have; an agent that is missing has not been heard of yet.
+	// have; an agent that is missing has not reported yet.
 	believed map[string]map[string]int
 }
 
 func newGrantBook() *grantBook { return &grantBook{believed: make(map[string]map[string]int)} }
 
-// report takes over what an agent says it has.
+// report sets the grants that an agent reports.
 func (b *grantBook) report(agent string, grants []wire.ConcurrencyGrant) {
 	has := make(map[string]int)
 	for _, g := range grants {
@@ -39,7 +39,7 @@
 // forget drops an agent whose VM has left the platform's list.
 func (b *grantBook) forget(agent string) { delete(b.believed, agent) }
 
-// knows reports whether the agent has been heard of.
+// knows reports whether the agent has reported.
 func (b *grantBook) knows(agent string) bool {
 	_, ok := b.believed[agent]
 	return ok
@@ -57,8 +57,8 @@
 }
 
 // next returns the grants to send to an agent: its part of each limited row
-// that it serves, as far as the others' parts leave room. While an agent of the
-// cell has not been heard of no grant rises.
+// that it serves, within the room that the others' parts leave. While an agent of the
+// cell has not reported no grant rises.
 func (b *grantBook) next(agent string, rows []table.Row, servers []fleet.Server, part partOf, complete bool) []wire.ConcurrencyGrant {
 	var grants []wire.ConcurrencyGrant
 	for _, r := range rows {
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -14,8 +14,7 @@
 	"rockcleat/table"
 )
 
-// makePlan decides on orders and hands them to the servers' next exchanges;
-// c.mu is held.
+// makePlan decides on orders and queues them for the servers' next exchanges; c.mu is held.
 func (c *cellPlanner) makePlan(now time.Time) {
 	sizes := c.Sizes()
 	if len(sizes) == 0 || !c.settled() || c.Replica.Current().Version() == 0 {
@@ -38,7 +37,7 @@
 		if o.Op == ledger.OpLoad && !c.loads.AllowN(now, 1) {
 			break
 		}
-		c.give(o, now)
+		c.issue(o, now)
 	}
 }
 
@@ -51,7 +50,8 @@
 	return slots
 }
 
-// demandStep is by how many levels a row's demand must change to be published.
+// demandStep is by how many levels a row's demand must change to be published: 1.7 times.
+// Chosen, not measured.
 const demandStep = 2
 
 // publishDemand adds up the agents' demand, publishes what has changed much, and
@@ -99,8 +99,8 @@
 	})
 }
 
-// give hands an order to its server's next exchange; c.mu is held.
-func (c *cellPlanner) give(o placement.Order, now time.Time) {
+// issue queues an order for its server's next exchange; c.mu is held.
+func (c *cellPlanner) issue(o placement.Order, now time.Time) {
 	p, ok := c.peers[o.Server]
 	if !ok {
 		return
@@ -115,8 +115,7 @@
 		zap.Int("accelerator", o.Accelerator), zap.String("reason", o.Reason))
 }
 
-// withPending returns the records as they will be when the orders given have
-// taken effect; c.mu is held.
+// withPending returns the records as they will be when the orders issued have taken effect; c.mu is held.
 func (c *cellPlanner) withPending(servers []fleet.Server) []fleet.Server {
 	byID := make(map[string]*fleet.Server, len(servers))
 	for i := range servers {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -23,19 +23,26 @@
 	"rockcleat/table"
 )
 
-// contenders is the number of entries that contend for one cell.
+// contenders is the number of entries that contend for one cell, so that one of them is there
+// when two have failed. Chosen, not measured.
 const contenders = 3
 
-// Intervals of the planner's systems.
+// Intervals of the planner's systems; chosen, not measured, but for what docs/CAPACITY.md says
+// of their cost.
 const (
+	// leaseDivisor is how often a held lease is renewed in its ttl.
 	leaseDivisor = 3
-	cellsWait    = 20 * time.Second
-	sizesEvery   = 30 * time.Second
-	callTimeout  = 2 * time.Second
-	backlogWait  = 500 * time.Millisecond
+	// cellsWait is how long one watch of the cells waits.
+	cellsWait = 20 * time.Second
+	// sizesEvery is the time between two reads of the weight store's catalogue.
+	sizesEvery = 30 * time.Second
+	// callTimeout bounds a call to the service or to an agent.
+	callTimeout = 2 * time.Second
+	// retryWait is the pause after a call that failed.
+	retryWait = 500 * time.Millisecond
 )
 
-// Members tells which VMs there are.
+// Members lists the VMs.
 type Members interface {
 	// Entries returns the ids of the live entries, this one included.
 	Entries() []string
@@ -45,7 +52,7 @@
 	Version() uint64
 }
 
-// Catalogue tells how large models and adapters are.
+// A Catalogue has the sizes of models and adapters.
 type Catalogue interface {
 	Sizes(ctx context.Context) (map[string]placement.Size, error)
 }
@@ -79,23 +86,26 @@
 // A Planner plays the planner role for the cells that an entry holds.
 type Planner struct {
 	Options
-	stops []func()
-	done  context.CancelFunc
-	ctx   context.Context
-	wg    sync.WaitGroup
+	stops  []func()
+	cancel context.CancelFunc
+	ctx    context.Context
+	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	cells   []Cell
-	sizes   map[string]placement.Size
+	mu sync.Mutex
+	// cells is the division as last read, sizes the catalogue.
+	cells []Cell
+	sizes map[string]placement.Size
+	// holders contend for cells' leases; active plan the cells that are held.
 	holders map[string]*lease.Holder
 	active  map[string]*cellPlanner
-	misfit  time.Time
+	// misfitSince is since when the division has not fitted the VMs; zero if it does.
+	misfitSince time.Time
 }
 
 // New returns a Planner that holds nothing until Start.
 func New(o Options) *Planner {
 	p := &Planner{Options: o, holders: make(map[string]*lease.Holder), active: make(map[string]*cellPlanner)}
-	p.ctx, p.done = context.WithCancel(context.Background())
+	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
@@ -118,7 +128,7 @@
 	return min(p.Settings.ExchangeEvery.Std()/4, 250*time.Millisecond)
 }
 
-// Stop ends the systems and gives the leases back, so that others take over at once.
+// Stop ends the systems and releases the leases, so that others take over at once.
 func (p *Planner) Stop(ctx context.Context) {
 	p.Halt()
 	p.mu.Lock()
@@ -126,14 +136,14 @@
 	p.mu.Unlock()
 	for _, h := range holders {
 		if err := h.Release(ctx); err != nil {
-			p.Log.Warn("lease not given back", zap.String("lease", h.Name()), zap.Error(err))
+			p.Log.Warn("lease not released, it ends by its ttl", zap.String("lease", h.Name()), zap.Error(err))
 		}
 	}
 }
 
-// Halt ends the systems without giving anything back, as a crash would.
+// Halt ends the systems without releasing anything, as a crash would.
 func (p *Planner) Halt() {
-	p.done()
+	p.cancel()
 	for _, stop := range p.stops {
 		stop()
 	}
@@ -162,7 +172,8 @@
 		e, err := p.Store.Watch(p.ctx, cellsKey, revision, cellsWait)
 		if err != nil {
 			if !errors.Is(err, kv.ErrNotFound) {
-				p.wait(backlogWait)
+				p.Log.Debug("cells not watched", zap.Error(err))
+				p.wait(retryWait)
 			}
 			continue
 		}
@@ -189,7 +200,8 @@
 	for p.ctx.Err() == nil {
 		sizes, err := p.Catalogue.Sizes(p.ctx)
 		if err != nil {
-			p.wait(backlogWait)
+			p.Log.Debug("catalogue of the weight store not read", zap.Error(err))
+			p.wait(retryWait)
 			continue
 		}
 		p.mu.Lock()
@@ -199,12 +211,7 @@
 	}
 }
 
-func (p *Planner) wait(d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-p.ctx.Done():
-	}
-}
+func (p *Planner) wait(d time.Duration) { clock.Sleep(p.ctx, p.Clock, d) }
 
 // Rank returns how many of the entries come before this one for a key.
 func Rank(self string, entries []string, key string) int {
@@ -227,11 +234,11 @@
 	_, misfits := cellList{Cells: p.cells}.fit(vms, p.Settings.CellSize)
 	now := p.Clock.Now()
 	if !misfits {
-		p.misfit = time.Time{}
-	} else if p.misfit.IsZero() {
-		p.misfit = now
+		p.misfitSince = time.Time{}
+	} else if p.misfitSince.IsZero() {
+		p.misfitSince = now
 	}
-	since := p.misfit
+	since := p.misfitSince
 	p.mu.Unlock()
 	patience := time.Duration(Rank(p.ID, p.Members.Entries(), cellsKey)) * time.Second
 	if !misfits || len(vms) == 0 || now.Sub(since) < patience {
@@ -283,6 +290,7 @@
 	return h
 }
 
+// stepLease renews or contends for one cell's lease, and begins or ends to plan the cell.
 func (p *Planner) stepLease(cell string, h *lease.Holder) {
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 	defer cancel()
@@ -301,7 +309,7 @@
 	case held && c.token != token:
 		p.active[cell] = newCellPlanner(p, cell, h, token)
 	case !held && ok && (err == nil || c.superseded.Load()):
-		// Without a word from the service the cell stays: nobody else can hold it
+		// While the service does not answer the cell stays: nobody else can hold it
 		// either, and the table and the records still have to travel.
 		delete(p.active, cell)
 		p.Log.Info("no longer planning cell", zap.String("cell", cell))
