--- a/internal/daemon/daemon.go
+++ b/internal/daemon/entry_agent.go
@@ -2,14 +2,12 @@
 
 import (
 	"context"
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
 	"os/signal"
 	"syscall"
 
-	"github.com/peterbourgon/ff/v3"
 	"go.uber.org/zap"
 
 	"rockcleat/clock"
@@ -23,17 +21,7 @@
 	"rockcleat/kv"
 )
 
-// Exit codes of the daemons.
-const (
-	ExitOK       = 0
-	ExitFailed   = 1
-	ExitSettings = 2
-)
-
-// envPrefix is the prefix of environment variables that set flags.
-const envPrefix = "ROCKCLEAT"
-
-// A process is what a daemon runs.
+// A process is an entry or an agent.
 type process interface {
 	Start() error
 	Stop(ctx context.Context) error
@@ -52,23 +40,17 @@
 	return run("rockcleat-agent", args, stderr, buildAgent)
 }
 
+// run builds a process from its settings file, starts it and stops it on a signal.
 func run(name string, args []string, stderr io.Writer, build builder) int {
-	fs := flag.NewFlagSet(name, flag.ContinueOnError)
-	fs.SetOutput(stderr)
-	file := fs.String("config", "", "settings file (YAML); required")
-	fs.Usage = func() {
-		fmt.Fprintf(stderr, "%s runs one process of rockcleat until SIGTERM or SIGINT.\n\n", name)
-		fmt.Fprintf(stderr, "Example:\n  %s -config /etc/rockcleat/settings.yaml\n\nFlags (or %s_CONFIG):\n", name, envPrefix)
-		fs.PrintDefaults()
-		fmt.Fprintf(stderr, "\nExit codes: 0 stopped as asked, 1 failed, 2 settings or flags wrong.\n")
+	c := command{
+		name: name, purpose: "runs one process of rockcleat until SIGTERM or SIGINT.",
+		example: "/etc/rockcleat/settings.yaml",
 	}
-	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix(envPrefix)); err != nil || *file == "" {
-		if err == nil {
-			fmt.Fprintf(stderr, "%s: flag -config is required\n", name)
-		}
+	file, ok := c.settingsFile(args, stderr)
+	if !ok {
 		return ExitSettings
 	}
-	p, settings, log, err := build(*file)
+	p, settings, log, err := build(file)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return ExitSettings
@@ -96,6 +78,7 @@
 	return ExitOK
 }
 
+// buildEntry makes an entry from its settings file.
 func buildEntry(file string) (process, config.Process, *zap.Logger, error) {
 	var s config.Entry
 	if err := config.Read(file, &s); err != nil {
@@ -119,6 +102,7 @@
 	return e, s.Process, log, nil
 }
 
+// buildAgent makes an agent from its settings file.
 func buildAgent(file string) (process, config.Process, *zap.Logger, error) {
 	var s config.Agent
 	if err := config.Read(file, &s); err != nil {
@@ -149,6 +133,7 @@
 	return a, s.Process, log, nil
 }
 
+// instruments returns a process's log and metrics.
 func instruments(s config.Process, role string) (*zap.Logger, *telemetry.Metrics, error) {
 	log, err := telemetry.NewLogger(s.Log, role, s.ID)
 	if err != nil {
@@ -158,6 +143,7 @@
 	return log, metrics, err
 }
 
+// store returns the client of the platform's key-value service.
 func store(s config.Process, client *http.Client, m *telemetry.Metrics) kv.Store {
 	return kv.NewClient(kv.Options{URL: s.KV, HTTP: client, Counted: m.KVCall})
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -2,14 +2,12 @@
 
 import (
 	"context"
-	"flag"
 	"fmt"
 	"io"
 	"os"
 	"os/signal"
 	"syscall"
 
-	"github.com/peterbourgon/ff/v3"
 	"go.uber.org/zap"
 
 	"rockcleat/internal/config"
@@ -22,22 +20,18 @@
 
 // Gateway runs the gateway daemon until a signal and returns its exit code.
 func Gateway(args []string, stderr io.Writer, build GatewayBuilder) int {
-	const name = "rockcleat-gateway"
-	fs := flag.NewFlagSet(name, flag.ContinueOnError)
-	fs.SetOutput(stderr)
-	file := fs.String("config", "", "settings file (YAML); required")
-	fs.Usage = func() {
-		fmt.Fprintf(stderr, "%s runs one entry process of rockcleat on the users' platform until SIGTERM or SIGINT;\n", name)
-		fmt.Fprintf(stderr, "SIGHUP reads the settings again.\n\nExample:\n  %s -config /etc/rockcleat/gateway.yaml\n\nFlags (or %s_CONFIG):\n", name, envPrefix)
-		fs.PrintDefaults()
-		fmt.Fprintf(stderr, "\nExit codes: 0 stopped as asked, 1 failed, 2 settings or flags wrong.\n")
+	c := command{
+		name: "rockcleat-gateway",
+		purpose: "runs one entry process of rockcleat on the users' platform until SIGTERM or SIGINT;\n" +
+			"SIGHUP reads the settings again.",
+		example: "/etc/rockcleat/gateway.yaml",
 	}
-	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix(envPrefix)); err != nil || *file == "" {
-		fmt.Fprintf(stderr, "%s: flag -config or variable %s_CONFIG is required\n", name, envPrefix)
+	file, ok := c.settingsFile(args, stderr)
+	if !ok {
 		return ExitSettings
 	}
 	var s config.Gateway
-	if err := config.Read(*file, &s); err != nil {
+	if err := config.Read(file, &s); err != nil {
 		fmt.Fprintln(stderr, err)
 		return ExitSettings
 	}
@@ -55,7 +49,7 @@
 		fmt.Fprintln(stderr, err)
 		return ExitFailed
 	}
-	return serveGateway(g, *file, log)
+	return serveGateway(g, file, log)
 }
 
 // serveGateway runs the gateway until a signal stops it; a signal to reload is
