--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,7 +21,7 @@
 // settingsMode keeps the secret from other users.
 const settingsMode = 0o600
 
-// maxFile bounds a settings file, in bytes.
+// maxFile bounds a settings file, in bytes. Chosen, not measured.
 const maxFile = 1 << 20
 
 // A Problem is one error in a settings file.
@@ -137,6 +137,7 @@
 	return line
 }
 
+// find returns the key of a name in a mapping, and its value.
 func find(m *yaml.Node, name string) (key, value *yaml.Node) {
 	if m == nil || m.Kind != yaml.MappingNode {
 		return nil, nil
@@ -167,18 +168,27 @@
 	}
 }
 
+// problemOf turns one message of the decoder into a problem.
 func (c *checker) problemOf(message string) Problem {
 	if m := unknownField.FindStringSubmatch(message); m != nil {
-		line, _ := strconv.Atoi(m[1])
-		return Problem{File: c.file, Line: line, Key: m[2], Reason: "unknown key"}
+		return Problem{File: c.file, Line: lineNumber(m[1]), Key: m[2], Reason: "unknown key"}
 	}
 	if m := otherError.FindStringSubmatch(message); m != nil {
-		line, _ := strconv.Atoi(m[1])
-		return Problem{File: c.file, Line: line, Key: "value", Reason: m[2]}
+		return Problem{File: c.file, Line: lineNumber(m[1]), Key: "value", Reason: m[2]}
 	}
 	return Problem{File: c.file, Line: 1, Key: "file", Reason: message}
 }
 
+// lineNumber reads a line number that matched as digits; one too large for an int counts as 1,
+// the line of errors that have none.
+func lineNumber(digits string) int {
+	n, err := strconv.Atoi(digits)
+	if err != nil {
+		return 1
+	}
+	return n
+}
+
 // A Duration is a time.Duration written like 1500ms or 30s.
 type Duration time.Duration
 
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -45,7 +45,8 @@
 	Retry    Retry `yaml:"retry"`
 }
 
-// Defaults of the gateway's settings.
+// Defaults of the gateway's settings; chosen, not measured. The platform's template sets grace,
+// lease_ttl and retry (deploy/gateway.yaml).
 const (
 	defaultGrace         = 8 * time.Second
 	defaultGatewayLease  = 3 * time.Second
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -44,9 +44,9 @@
 	CellSize int `yaml:"cell_size"`
 	// ExchangeEvery is the time between two exchanges with one agent.
 	ExchangeEvery Duration `yaml:"exchange_every"`
-	// Headroom is the part of an accelerator's slots that a copy is planned to fill.
+	// Headroom is the part of an accelerator's slots that a replica is planned to fill.
 	Headroom float64 `yaml:"headroom"`
-	// Hold is how long a copy stays after demand no longer justifies it.
+	// Hold is how long a replica stays after demand no longer justifies it.
 	Hold Duration `yaml:"hold"`
 	// MaxLoads is the number of loads that the weight store bears at once.
 	MaxLoads int `yaml:"max_loads"`
@@ -58,11 +58,14 @@
 
 // Claims are the settings of the records of requests that may not be repeated.
 type Claims struct {
-	Shards    int      `yaml:"shards"`
+	// Shards is the number of parts that the records are divided into.
+	Shards int `yaml:"shards"`
+	// Retention is how long a record is kept.
 	Retention Duration `yaml:"retention"`
 	// WritesPerSecond is the part of the platform's write rate that all shards share.
-	WritesPerSecond float64  `yaml:"writes_per_second"`
-	LeaseTTL        Duration `yaml:"lease_ttl"`
+	WritesPerSecond float64 `yaml:"writes_per_second"`
+	// LeaseTTL is the time after which another entry may take over a shard.
+	LeaseTTL Duration `yaml:"lease_ttl"`
 }
 
 // Limits bound what one process holds.
@@ -160,7 +163,7 @@
 	a.Backend = Backend{Kind: BackendEngine, OrderLifetime: Duration(30 * time.Second), Slots: 16}
 }
 
-// minSecret is the shortest secret, in bytes.
+// minSecret is the shortest secret, in bytes. Chosen, not measured.
 const minSecret = 16
 
 func (p *Process) check(c *checker) {
@@ -178,6 +181,7 @@
 	c.between(p.DrainTime, time.Second, time.Hour, "drain_time")
 }
 
+// between records a problem with the key unless the duration is from low to high.
 func (c *checker) between(d Duration, low, high time.Duration, key string) {
 	c.require(d.Std() >= low && d.Std() <= high, key, "must be from "+low.String()+" to "+high.String())
 }
@@ -241,6 +245,7 @@
 	return err == nil && n >= 0 && n <= 65535
 }
 
+// isURL reports whether s is an http URL with a host.
 func isURL(s string) bool {
 	u, err := url.Parse(s)
 	return err == nil && u.Scheme == "http" && u.Host != ""
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -15,29 +15,32 @@
 	"rockcleat/ledger"
 )
 
-// Paths of an engine's own interface.
+// Paths of an engine's interface for orders.
 const (
 	PathStatus = "/v1/engine"
 	PathOrders = "/v1/engine/orders"
 )
 
-// Headers of a request to an engine.
+// Headers of a request to an engine, beside those of package wire that an agent passes on.
 const (
+	// HeaderAccelerator is the number of the accelerator that the request is for.
 	HeaderAccelerator = "X-Accelerator"
-	HeaderPriority    = "X-Priority"
-	HeaderRequestID   = "X-Request-Id"
-	// HeaderResume is the number of tokens after which the answer is to go on.
-	HeaderResume = "Rockcleat-Resume"
+	// HeaderPriority is the request's weight against others in the engine's queue.
+	HeaderPriority = "X-Priority"
 )
 
 // Status is what an engine reports of itself.
 type Status struct {
-	Fence     int64            `json:"fence"`
-	Slots     int              `json:"slots"`
+	// Fence is the highest fencing token of an order that the engine has taken.
+	Fence int64 `json:"fence"`
+	// Slots is the number of requests that one accelerator works on at once.
+	Slots int `json:"slots"`
+	// MemoryMiB is the memory of each accelerator.
 	MemoryMiB []int            `json:"memory_mib"`
 	Residents []fleet.Resident `json:"residents"`
-	Finished  []string         `json:"finished"`
-	Running   int              `json:"running"`
+	// Finished holds the ids of the orders that ended last.
+	Finished []string `json:"finished"`
+	Running  int      `json:"running"`
 }
 
 // An Order tells an engine to load or unload.
@@ -51,13 +54,13 @@
 	MemoryMiB   int       `json:"memory_mib"`
 }
 
-// ErrFenced tells that the engine has seen a higher fencing token.
+// ErrFenced says that the engine has seen a higher fencing token.
 var ErrFenced = errors.New("engine: order fenced off")
 
-// callTimeout bounds a status call or an order.
+// callTimeout bounds a status call or an order. Chosen, not measured.
 const callTimeout = 2 * time.Second
 
-// maxStatus bounds a status answer, in bytes.
+// maxStatus bounds a status answer, in bytes. Chosen, not measured.
 const maxStatus = 4 << 20
 
 // A Client issues orders to one engine and reads its status.
@@ -90,7 +93,7 @@
 	return s, eris.Wrap(err, "engine: decode status")
 }
 
-// Send gives an order; an error other than ErrFenced leaves open whether the
+// Send sends an order; an error other than ErrFenced leaves open whether the
 // engine has it.
 func (c *Client) Send(ctx context.Context, o Order) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -13,7 +13,7 @@
 	"rockcleat/placement"
 )
 
-// A Role tells what runs on a VM.
+// A Role says what runs on a VM.
 type Role string
 
 // The roles of VMs.
@@ -54,10 +54,10 @@
 	Sizes map[string]placement.Size `json:"sizes"`
 }
 
-// callTimeout bounds one call to the platform.
+// callTimeout bounds one call to the platform. Chosen, not measured.
 const callTimeout = 3 * time.Second
 
-// maxAnswer bounds an answer of the platform, in bytes.
+// maxAnswer bounds an answer of the platform, in bytes. Chosen, not measured.
 const maxAnswer = 16 << 20
 
 // A Client reads the list of VMs and the weight store's catalogue over HTTP.
@@ -86,6 +86,7 @@
 	return a.Sizes, err
 }
 
+// get reads JSON from a URL into out.
 func (c *Client) get(ctx context.Context, url string, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -15,13 +15,15 @@
 	"rockcleat/internal/wire"
 )
 
-// headerTime bounds the reading of a request's header.
-const headerTime = 10 * time.Second
-
-// keepTime is how long an idle connection is kept.
-const keepTime = 2 * time.Minute
+// Times of a connection; chosen, not measured.
+const (
+	// headerTime bounds the reading of a request's header.
+	headerTime = 10 * time.Second
+	// keepTime is how long an idle connection is kept.
+	keepTime = 2 * time.Minute
+)
 
-// NewRouter returns a quiet router.
+// NewRouter returns a router that prints nothing at its start.
 func NewRouter() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -86,7 +88,7 @@
 	}
 }
 
-// A Readiness tells whether a process should get requests; reason says why not.
+// A Readiness reports whether a process should get requests; reason says why not.
 type Readiness func() (ready bool, reason string)
 
 // RegisterHealth adds the paths for health, readiness and metrics.
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -15,6 +15,7 @@
 	"rockcleat/fleet"
 	"rockcleat/internal/engine"
 	"rockcleat/internal/openai"
+	"rockcleat/internal/wire"
 	"rockcleat/rendezvous"
 )
 
@@ -58,9 +59,9 @@
 	}
 	acc, _ := strconv.Atoi(c.Request().Header.Get(engine.HeaderAccelerator))
 	priority, _ := strconv.Atoi(c.Request().Header.Get(engine.HeaderPriority))
-	from, _ := strconv.Atoi(c.Request().Header.Get(engine.HeaderResume))
+	from, _ := strconv.Atoi(c.Request().Header.Get(wire.HeaderResume))
 	q := &sequence{priority: priority, model: req.Model, acc: acc, start: make(chan bool, 1)}
-	if !s.admit(q, c.Request().Header.Get(engine.HeaderRequestID)) {
+	if !s.admit(q, c.Request().Header.Get(wire.HeaderRequestID)) {
 		return c.JSON(http.StatusNotFound, map[string]string{"error": "model not resident"})
 	}
 	select {
--- a/internal/telemetry/sink.go
+++ b/internal/telemetry/sink.go
@@ -13,12 +13,14 @@
 	"rockcleat/internal/config"
 )
 
-// Bounds of a Sink.
+// Bounds of a Sink; chosen, not measured.
 const (
 	// sinkBytes is what a Sink holds at most.
 	sinkBytes = 256 << 10
 	// sinkEvery is how long a line waits to be written with others.
 	sinkEvery = 200 * time.Millisecond
+	// sinkCloseTime bounds the last writing.
+	sinkCloseTime = 200 * time.Millisecond
 )
 
 // A Sink takes log lines, holds a bounded number of bytes and writes them from
@@ -67,9 +69,6 @@
 	return s.dropped
 }
 
-// sinkCloseTime bounds the last writing.
-const sinkCloseTime = 200 * time.Millisecond
-
 // Close writes what is held, if the output takes it in time; it is called once.
 func (s *Sink) Close() {
 	s.mu.Lock()
@@ -81,6 +80,7 @@
 	}
 }
 
+// signal wakes run.
 func (s *Sink) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -95,14 +95,17 @@
 		select {
 		case <-s.wake:
 			s.gather()
-			_, _ = s.out.Write(s.take())
+			s.write()
 		case <-s.closing:
-			_, _ = s.out.Write(s.take())
+			s.write()
 			return
 		}
 	}
 }
 
+// write writes what is held. There is nowhere left to report that it failed.
+func (s *Sink) write() { _, _ = s.out.Write(s.take()) }
+
 // gather waits for lines to be written with the first one.
 func (s *Sink) gather() {
 	timer := time.NewTimer(sinkEvery)
@@ -113,6 +116,7 @@
 	}
 }
 
+// isClosing reports whether Close has been called.
 func (s *Sink) isClosing() bool {
 	select {
 	case <-s.closing:
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -52,7 +52,8 @@
 	kvCalls    metric.Int64Counter
 }
 
-// secondsBuckets are the bounds of the latency histograms, in seconds.
+// secondsBuckets are the bounds of the latency histograms, in seconds; 0.34 is
+// the objective of the first token (docs/CAPACITY.md).
 var secondsBuckets = []float64{
 	0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.34, 0.5, 1, 2, 5, 10, 30, 60, 300,
 }
@@ -73,6 +74,7 @@
 	return m, m.makeInstruments()
 }
 
+// makeInstruments makes the instruments under the names of docs/METRICS.md.
 func (m *Metrics) makeInstruments() error {
 	b := &builder{meter: m.provider.Meter("rockcleat")}
 	m.requests = b.counter("rockcleat.requests", "Requests by outcome, tier and customer.")
@@ -92,12 +94,14 @@
 	err   error
 }
 
+// counter makes a counter.
 func (b *builder) counter(name, text string) metric.Int64Counter {
 	c, err := b.meter.Int64Counter(name, metric.WithDescription(text))
 	b.keep(err)
 	return c
 }
 
+// seconds makes a histogram of times.
 func (b *builder) seconds(name, text string) metric.Float64Histogram {
 	h, err := b.meter.Float64Histogram(name, metric.WithDescription(text), metric.WithUnit("s"),
 		metric.WithExplicitBucketBoundaries(secondsBuckets...))
@@ -105,6 +109,7 @@
 	return h
 }
 
+// keep keeps the first error.
 func (b *builder) keep(err error) {
 	if b.err == nil && err != nil {
 		b.err = eris.Wrap(err, "telemetry: make instrument")
@@ -120,6 +125,7 @@
 	Organisation string
 }
 
+// attributes returns the labels of a class, with more; the label customer is the organisation.
 func (c Class) attributes(more ...attribute.KeyValue) metric.MeasurementOption {
 	all := append(more, attribute.String("tier", c.Tier), attribute.String("customer", c.Organisation))
 	return metric.WithAttributes(all...)
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -8,24 +8,16 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strings"
-	"time"
 
 	"github.com/rotisserie/eris"
 )
 
-// maxMessage bounds a message between the system's processes, in bytes.
+// maxMessage bounds a message between the system's processes, in bytes. Chosen, not measured.
 const maxMessage = 16 << 20
 
-// Dialing and keeping of connections.
-const (
-	dialTimeout = time.Second
-	idleTimeout = 90 * time.Second
-)
-
-// ErrNotSent tells that a message did not leave the process.
+// ErrNotSent says that a message did not leave the process.
 var ErrNotSent = errors.New("wire: not sent")
 
 // A StatusError is an answer with a status other than 200.
@@ -50,16 +42,6 @@
 	return &Client{http: &http.Client{Transport: NewTransport(t)}, secret: secret}
 }
 
-// NewTransport returns the transport used towards other processes.
-func NewTransport(t *Traffic) *http.Transport {
-	return &http.Transport{
-		DialContext:         t.Dial(&net.Dialer{Timeout: dialTimeout}),
-		MaxIdleConnsPerHost: 64,
-		IdleConnTimeout:     idleTimeout,
-		DisableCompression:  true,
-	}
-}
-
 // Get reads JSON from http://ADDR/PATH into out.
 func (c *Client) Get(ctx context.Context, addr, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
@@ -108,6 +90,7 @@
 	return eris.Wrap(json.Unmarshal(data, out), "wire: decode answer")
 }
 
+// sendError returns the error of a call: ErrNotSent if nothing was sent.
 func sendError(err error) error {
 	if IsNotSent(err) {
 		return eris.Wrap(ErrNotSent, err.Error())
@@ -115,29 +98,8 @@
 	return eris.Wrap(err, "wire: call")
 }
 
-// IsNotSent reports whether an error of an HTTP client tells that no
-// connection could be made, so that nothing was sent.
-func IsNotSent(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
-}
-
 // Authorized reports whether a request carries the shared secret.
 func Authorized(r *http.Request, secret string) bool {
 	got := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return subtle.ConstantTimeCompare([]byte(got), []byte(secret)) == 1
 }
-
-// SendOnce makes a request one that the transport never sends twice by itself.
-//
-// The transport of net/http repeats a request on a new connection when a kept
-// one breaks, if the body can be had again and the method or a header named
-// Idempotency-Key in its canonical spelling says that it may. That header means
-// the opposite here, so it is sent in lower case, which is the same to HTTP.
-func SendOnce(r *http.Request) {
-	r.GetBody = nil
-	if v, ok := r.Header[HeaderIdempotencyKey]; ok {
-		delete(r.Header, HeaderIdempotencyKey)
-		r.Header[strings.ToLower(HeaderIdempotencyKey)] = v
-	}
-}
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -22,6 +22,7 @@
 // and IP headers and acknowledgements.
 func (t *Traffic) WireBytes() int64 { return t.bytes.Load() + segmentOverhead*t.segments.Load() }
 
+// count counts one read or write.
 func (t *Traffic) count(n int) {
 	t.bytes.Add(int64(n))
 	if n > 0 {
@@ -45,6 +46,7 @@
 	return &countedListener{Listener: l, traffic: t}
 }
 
+// A countedListener counts the bytes of the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	traffic *Traffic
@@ -58,6 +60,7 @@
 	return &countedConn{Conn: c, traffic: l.traffic}, nil
 }
 
+// A countedConn counts the bytes of one connection.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
