--- /dev/null
+++ b/internal/cli/check_settings.go
@@ -0,0 +1,44 @@
+package cli
+
+import (
+	"context"
+	"fmt"
+	"rockcleat/internal/config"
+
+	"github.com/peterbourgon/ff/v3/ffcli"
+)
+
+// configCheck returns the command that checks a settings file.
+func (a *app) configCheck() *ffcli.Command {
+	fs := a.flags("check")
+	role := fs.String("role", "entry", "entry, agent or gateway")
+	return a.command(help{
+		name: "check", usage: "config check [-role entry|agent|gateway] FILE",
+		short:   "Check a settings file as the daemon would.",
+		example: "rockcleat config check -role agent agent.yaml",
+	}, fs,
+		func(_ context.Context, args []string) error { return a.checkConfig(args, *role) })
+}
+
+// checkConfig checks the settings file of a role.
+func (a *app) checkConfig(args []string, role string) error {
+	if err := need(args, 1, 1, "one FILE"); err != nil {
+		return err
+	}
+	var into config.Settings
+	switch role {
+	case "entry":
+		into = &config.Entry{}
+	case "agent":
+		into = &config.Agent{}
+	case "gateway":
+		into = &config.Gateway{}
+	default:
+		return fmt.Errorf("%w: role %q is not entry, agent or gateway", errUsage, role)
+	}
+	if err := config.Read(args[0], into); err != nil {
+		return err
+	}
+	fmt.Fprintf(a.out, "%s: ok\n", args[0])
+	return nil
+}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,12 +17,17 @@
 
 // Exit codes of the command.
 const (
-	ExitOK       = 0
-	ExitFailed   = 1
-	ExitUsage    = 2
-	ExitInvalid  = 3
+	ExitOK = 0
+	// ExitFailed says that nothing was changed.
+	ExitFailed = 1
+	// ExitUsage says that the command was called wrongly.
+	ExitUsage = 2
+	// ExitInvalid says that the checks refused the edit.
+	ExitInvalid = 3
+	// ExitConflict says that another operator changed the row first.
 	ExitConflict = 4
-	ExitUnknown  = 5
+	// ExitUnknown says that a save had no answer and may have taken effect.
+	ExitUnknown = 5
 )
 
 // exitHelp documents the exit codes in the help.
@@ -33,17 +38,18 @@
 // envPrefix is the prefix of environment variables that set flags.
 const envPrefix = "ROCKCLEAT"
 
-// errUsage tells that the command was called wrongly.
+// errUsage says that the command was called wrongly.
 var errUsage = errors.New("wrong usage")
 
 // An app is one run of the command.
 type app struct {
-	in     io.Reader
-	out    io.Writer
-	err    io.Writer
-	entry  string
-	secret string
-	file   string
+	in       io.Reader
+	out, err io.Writer
+	// entry holds the entries' control addresses, separated by commas.
+	entry string
+	// secret is the shared secret, file the file that holds it.
+	secret, file string
+	// author is kept with edits.
 	author string
 }
 
@@ -127,6 +133,7 @@
 	}
 }
 
+// root returns the command with all its subcommands.
 func (a *app) root() *ffcli.Command {
 	return a.group("rockcleat", "rockcleat COMMAND [flags] [arguments]",
 		"Show and edit the table of models, and see what the system does with it.",
--- /dev/null
+++ b/internal/cli/table_edit.go
@@ -0,0 +1,110 @@
+package cli
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"rockcleat/internal/wire"
+	"rockcleat/table"
+	"strings"
+)
+
+// importFile saves the rows of a CSV file as one edit.
+func (a *app) importFile(ctx context.Context, args []string, replace bool) error {
+	changes, now, err := a.changesFrom(ctx, args, replace)
+	if err != nil {
+		return err
+	}
+	if len(changes) == 0 {
+		fmt.Fprintf(a.out, "nothing to change; version %d\n", now.Version)
+		return nil
+	}
+	return a.saveAndPrint(ctx, changes)
+}
+
+// set adds a row or changes columns of one.
+func (a *app) set(ctx context.Context, args []string) error {
+	if err := need(args, 2, -1, "NAME and at least one COLUMN=VALUE"); err != nil {
+		return err
+	}
+	t, err := a.load(ctx)
+	if err != nil {
+		return err
+	}
+	row, seen := find(t.Rows, args[0])
+	for _, arg := range args[1:] {
+		column, value, ok := strings.Cut(arg, "=")
+		if !ok {
+			return fmt.Errorf("%w: %q is not COLUMN=VALUE", errUsage, arg)
+		}
+		if err := row.Set(column, value); err != nil {
+			return err
+		}
+	}
+	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], Seen: seen, Row: &row}})
+}
+
+// remove removes a row.
+func (a *app) remove(ctx context.Context, args []string) error {
+	if err := need(args, 1, 1, "one NAME"); err != nil {
+		return err
+	}
+	t, err := a.load(ctx)
+	if err != nil {
+		return err
+	}
+	_, seen := find(t.Rows, args[0])
+	if seen == 0 {
+		return fmt.Errorf("no row %q", args[0])
+	}
+	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], Seen: seen}})
+}
+
+// find returns the row of a name and its version, or a new row and 0.
+func find(rows []table.Row, name string) (table.Row, uint64) {
+	for _, r := range rows {
+		if r.Name == name {
+			return r, r.Version
+		}
+	}
+	return table.NewRow(name), 0
+}
+
+// readRows reads a CSV file or standard input.
+func (a *app) readRows(name string) ([]table.Row, error) {
+	if name == stdinName {
+		return table.ReadCSV(a.in)
+	}
+	f, err := os.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	return table.ReadCSV(f)
+}
+
+// changesFrom returns what makes the table in force hold the file's rows.
+func (a *app) changesFrom(ctx context.Context, args []string, replace bool) ([]table.Change, wire.TableAnswer, error) {
+	if err := need(args, 1, 1, "one FILE, or - for standard input"); err != nil {
+		return nil, wire.TableAnswer{}, err
+	}
+	rows, err := a.readRows(args[0])
+	if err != nil {
+		return nil, wire.TableAnswer{}, err
+	}
+	now, err := a.load(ctx)
+	if err != nil {
+		return nil, now, err
+	}
+	return table.Diff(now.Rows, rows, replace), now, nil
+}
+
+// saveAndPrint saves the changes and prints the version that holds them.
+func (a *app) saveAndPrint(ctx context.Context, changes []table.Change) error {
+	version, err := a.save(ctx, changes)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(a.out, "saved %d rows; version %d\n", len(changes), version)
+	return nil
+}
--- /dev/null
+++ b/internal/cli/table_read.go
@@ -0,0 +1,153 @@
+package cli
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"rockcleat/internal/wire"
+	"rockcleat/table"
+	"strings"
+	"text/tabwriter"
+	"time"
+)
+
+// stdinName stands for standard input as a file.
+const stdinName = "-"
+
+// load reads the table in force.
+func (a *app) load(ctx context.Context) (wire.TableAnswer, error) {
+	var t wire.TableAnswer
+	err := a.get(ctx, wire.PathTable, &t)
+	return t, err
+}
+
+// show prints the table in force.
+func (a *app) show(ctx context.Context, asJSON bool) error {
+	t, err := a.load(ctx)
+	if err != nil {
+		return err
+	}
+	if asJSON {
+		return printJSON(a.out, t)
+	}
+	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, strings.ToUpper(strings.Join(table.Columns, "\t")))
+	for _, r := range t.Rows {
+		fmt.Fprintln(w, strings.Join(r.Cells(), "\t"))
+	}
+	fmt.Fprintf(w, "\nversion %d, %d rows\n", t.Version, len(t.Rows))
+	return w.Flush()
+}
+
+// export writes the table in force as CSV.
+func (a *app) export(ctx context.Context, args []string) error {
+	if err := need(args, 0, 1, "at most one FILE"); err != nil {
+		return err
+	}
+	t, err := a.load(ctx)
+	if err != nil {
+		return err
+	}
+	if len(args) == 0 || args[0] == stdinName {
+		return table.WriteCSV(a.out, t.Rows)
+	}
+	f, err := os.Create(args[0])
+	if err != nil {
+		return err
+	}
+	return errors.Join(table.WriteCSV(f, t.Rows), f.Close())
+}
+
+// diff prints what importing a file would change.
+func (a *app) diff(ctx context.Context, args []string, replace bool) error {
+	changes, now, err := a.changesFrom(ctx, args, replace)
+	if err != nil {
+		return err
+	}
+	for _, c := range changes {
+		old, seen := find(now.Rows, c.Name)
+		if seen > 0 {
+			fmt.Fprintln(a.out, "-", strings.Join(old.Cells(), ","))
+		}
+		if c.Row != nil {
+			fmt.Fprintln(a.out, "+", strings.Join(c.Row.Cells(), ","))
+		}
+	}
+	fmt.Fprintf(a.out, "%d rows differ from version %d\n", len(changes), now.Version)
+	return nil
+}
+
+// check lets an entry check a file without saving it.
+func (a *app) check(ctx context.Context, args []string, replace bool) error {
+	changes, now, err := a.changesFrom(ctx, args, replace)
+	if err != nil {
+		return err
+	}
+	c, err := a.client()
+	if err != nil {
+		return err
+	}
+	r := wire.SaveRequest{Edit: table.Edit{Changes: changes}}
+	if err := c.Post(ctx, a.entries()[0], wire.PathTableCheck, r, nil); err != nil {
+		if final, _ := saveError(err); final != nil {
+			return a.printErrors(final)
+		}
+		return err
+	}
+	fmt.Fprintf(a.out, "ok: %d rows would change from version %d\n", len(changes), now.Version)
+	return nil
+}
+
+// printErrors prints every error of a check, one a line.
+func (a *app) printErrors(err error) error {
+	var invalid *table.InvalidError
+	if errors.As(err, &invalid) {
+		for _, e := range invalid.Errors {
+			fmt.Fprintln(a.err, e.Error())
+		}
+	}
+	return err
+}
+
+// history prints the latest edits.
+func (a *app) history(ctx context.Context, _ []string) error {
+	var h wire.HistoryAnswer
+	if err := a.get(ctx, wire.PathHistory, &h); err != nil {
+		return err
+	}
+	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "VERSION\tTIME\tAUTHOR\tEDIT\tROWS")
+	for _, e := range h.Edits {
+		var names []string
+		for _, c := range e.Changes {
+			name := c.Name
+			if c.Row == nil {
+				name = "-" + name
+			}
+			names = append(names, name)
+		}
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Version, time.Unix(e.Time, 0).UTC().Format(time.RFC3339), e.Author, e.ID, shorten(names))
+	}
+	return w.Flush()
+}
+
+// shownNames is the number of row names that the history prints of an edit.
+const shownNames = 5
+
+// shorten joins names, the first shownNames of them if there are more.
+func shorten(names []string) string {
+	if len(names) > shownNames {
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:shownNames], " "), len(names)-shownNames)
+	}
+	return strings.Join(names, " ")
+}
+
+// printJSON prints a value as indented JSON.
+func printJSON(w io.Writer, v any) error {
+	enc := json.NewEncoder(w)
+	enc.SetIndent("", "  ")
+	return enc.Encode(v)
+}
