--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -15,7 +15,7 @@
 )
 
 // named finds what DECISIONS.md names as package.Name or package.Type.Name.
-var named = regexp.MustCompile("`((?:dispatch|gateway|placer|residency|backend|retry|lease|kv)\\.[\\w.]+)`")
+var named = regexp.MustCompile("`((?:dispatch|gateway|placer|residency|backend|retry|lease|kv|entry|agent|planner|placement|route|fairqueue|claim|ledger)\\.[\\w.]+)`")
 
 // TestDecisionsNameWhatIsThere checks that each function and constant that DECISIONS.md
 // names stands in the code.
--- /dev/null
+++ b/internal/entry/attempt.go
@@ -0,0 +1,82 @@
+package entry
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+
+	"github.com/rotisserie/eris"
+
+	"rockcleat/fleet"
+	"rockcleat/internal/wire"
+)
+
+// attempt sends the call to one server and reports whether the call is over.
+func (d *delivery) attempt(s fleet.Server) bool {
+	end := d.proxy.routes.Begin(s.ID)
+	defer end()
+	ctx, cancel := context.WithCancel(d.c.Request().Context())
+	defer cancel()
+	watch := newStallTimer(d.proxy.clock, d.proxy.limits.SilentTime.Std(), cancel)
+	defer watch.stop()
+	resp, err := d.proxy.agents.Do(d.request(watch.trace(ctx), s))
+	if err != nil {
+		return d.failed(s, err)
+	}
+	defer resp.Body.Close()
+	d.note(s, resp.Header)
+	switch wire.Outcome(resp.Header.Get(wire.HeaderOutcome)) {
+	case wire.OutcomeNotRun:
+		d.keepRefusal(resp)
+		return false
+	case wire.OutcomeAnswered:
+		return d.pass(s, resp, watch)
+	}
+	return d.lost(s, eris.Errorf("entry: agent answered %d without a known outcome", resp.StatusCode))
+}
+
+// hopHeaders are the headers of one connection, which are not passed on.
+var hopHeaders = []string{"Connection", "Transfer-Encoding", "Upgrade", "Te", "Trailer"}
+
+// request makes the request to an agent.
+func (d *delivery) request(ctx context.Context, s fleet.Server) *http.Request {
+	in := d.c.Request()
+	out := in.Clone(ctx)
+	out.RequestURI = ""
+	out.URL.Scheme, out.URL.Host = "http", s.Addr
+	out.Host = s.Addr
+	out.Body = io.NopCloser(bytes.NewReader(d.x.body))
+	out.ContentLength = int64(len(d.x.body))
+	if len(d.x.body) == 0 {
+		out.Body = http.NoBody
+	}
+	for _, h := range hopHeaders {
+		out.Header.Del(h)
+	}
+	h := out.Header
+	h.Set("Authorization", "Bearer "+d.proxy.secret)
+	h.Set(wire.HeaderRequestID, d.x.id)
+	h.Set(wire.HeaderRow, d.x.row.Name)
+	h.Set(wire.HeaderTokens, strconv.Itoa(d.x.tokens))
+	h.Set(wire.HeaderTableVersion, strconv.FormatUint(d.proxy.replica.Current().Version(), 10))
+	h.Set(wire.HeaderEntry, d.proxy.controlAddr())
+	h.Del(wire.HeaderResume)
+	if d.tokens > 0 {
+		h.Set(wire.HeaderResume, strconv.Itoa(d.tokens))
+	}
+	wire.SendOnce(out)
+	return out
+}
+
+// note notes what an agent says of itself on each answer.
+func (d *delivery) note(s fleet.Server, h http.Header) {
+	now := d.proxy.clock.Now()
+	if load, err := strconv.Atoi(h.Get(wire.HeaderLoad)); err == nil {
+		d.proxy.routes.Report(s.ID, load*max(s.Slots, 1)*max(len(s.Accelerators), 1)/100, now)
+	}
+	if inc := h.Get(wire.HeaderLeaving); inc != "" {
+		d.proxy.routes.Leave(s.ID, inc)
+	}
+}
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -18,10 +18,12 @@
 	length int
 }
 
+// begin keeps the status and the type.
 func (a *answerRecord) begin(status int, contentType string) {
 	a.answer.Status, a.answer.ContentType = status, contentType
 }
 
+// write keeps a piece of the body, up to the longest that a record holds.
 func (a *answerRecord) write(b []byte) {
 	a.length += len(b)
 	if a.length <= claim.MaxBody {
@@ -40,14 +42,14 @@
 }
 
 // runClaimed sends a request that may not be repeated, if its key is free.
-func (e *Entry) runClaimed(c echo.Context, x *call) error {
-	print := rendezvous.Key(c.Request().Method + "\x00" + c.Request().URL.RequestURI() + "\x00" + string(x.body))
-	r := wire.ClaimRequest{Key: x.key, Fingerprint: print, Attempt: uuid.NewString()}
-	a, err := e.claims.claim(c.Request().Context(), r)
+func (p *proxy) runClaimed(c echo.Context, x *call) error {
+	fingerprint := rendezvous.Key(c.Request().Method + "\x00" + c.Request().URL.RequestURI() + "\x00" + string(x.body))
+	r := wire.ClaimRequest{Key: x.key, Fingerprint: fingerprint, Attempt: uuid.NewString()}
+	a, err := p.claims.claim(c.Request().Context(), r)
 	if err != nil {
-		e.log.Warn("claim not recorded", zap.String("request", x.id), zap.Error(err))
-		e.claims.finish(wire.ClaimRequest{Key: x.key, Attempt: r.Attempt, Free: true})
-		e.metrics.Request(x.class(), string(wire.OutcomeNotRun))
+		p.log.Warn("claim not recorded", zap.String("request", x.id), zap.Error(err))
+		p.claims.finish(wire.ClaimRequest{Key: x.key, Attempt: r.Attempt, Free: true})
+		p.metrics.Request(x.class(), string(wire.OutcomeNotRun))
 		return wire.Failure{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer,
 			Code: "claim_not_recorded", RetryAfter: retrySoon,
@@ -55,7 +57,7 @@
 		}.Write(c)
 	}
 	if !a.Fresh {
-		return e.replay(c, x, a.Record, print)
+		return p.replay(c, x, a.Record, fingerprint)
 	}
 	x.answer = &answerRecord{}
 	done := r
@@ -63,19 +65,19 @@
 		switch o {
 		case wire.OutcomeAnswered:
 			done.Answer = x.answer.record()
-			e.claims.finish(done)
+			p.claims.finish(done)
 		case wire.OutcomeNotRun:
 			done.Free = true
-			e.claims.finish(done)
+			p.claims.finish(done)
 		}
 	}
-	e.forwardThen(c, x, finish)
+	p.forwardThen(c, x, finish)
 	return nil
 }
 
 // replay answers a request whose key has a record already.
-func (e *Entry) replay(c echo.Context, x *call, r claim.Record, print uint64) error {
-	if r.Fingerprint != print {
+func (p *proxy) replay(c echo.Context, x *call, r claim.Record, fingerprint uint64) error {
+	if r.Fingerprint != fingerprint {
 		f := badRequest("key_reused", wire.HeaderIdempotencyKey, "the Idempotency-Key was used for another request")
 		f.Status = http.StatusUnprocessableEntity
 		return f.Write(c)
@@ -84,7 +86,7 @@
 		h := c.Response().Header()
 		h.Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
 		h.Set(wire.HeaderReplayed, "true")
-		e.metrics.Request(x.class(), "replayed")
+		p.metrics.Request(x.class(), "replayed")
 		return c.Blob(r.Answer.Status, r.Answer.ContentType, r.Answer.Body)
 	}
 	f := wire.Failure{
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rotisserie/eris"
+	"github.com/labstack/echo/v4"
 	"go.uber.org/zap"
 
 	"rockcleat/clock"
@@ -18,8 +18,6 @@
 	"rockcleat/internal/telemetry"
 	"rockcleat/internal/wire"
 	"rockcleat/kv"
-	"rockcleat/retry"
-	"rockcleat/route"
 	"rockcleat/table"
 )
 
@@ -37,64 +35,72 @@
 
 // An Entry is the process that callers and operators speak to.
 type Entry struct {
-	settings  config.Entry
-	store     kv.Store
-	clock     clock.Service
-	log       *zap.Logger
-	metrics   *telemetry.Metrics
+	settings config.Entry
+	clock    clock.Service
+	log      *zap.Logger
+	metrics  *telemetry.Metrics
+	// replica is the table in force, view the servers' records; both are shared by the parts.
 	replica   table.Replica
 	view      fleet.View
-	routes    route.Table
-	budget    retry.Budget
+	decisions decisions
 	members   *members
 	planner   *planner.Planner
-	claims    *claims
-	decisions decisions
 	sync      *syncer
-	tableLog  *table.Log
-	peers     *wire.Client
-	agents    *http.Client
-	traffic   *wire.Traffic
-	proxied   wire.Traffic
-	requests  *server.Listener
-	control   *server.Listener
-	inFlight  atomic.Int64
-	leaving   atomic.Bool
-	stops     []func()
-	ctx       context.Context
-	done      context.CancelFunc
+	claims    *claims
+	operators *operators
+	proxy     *proxy
+	// traffic counts the bytes of control, proxied those of callers' requests.
+	traffic  *wire.Traffic
+	proxied  wire.Traffic
+	requests *server.Listener
+	control  *server.Listener
+	leaving  atomic.Bool
+	// stops end the subscriptions to the clock.
+	stops []func()
+	// ctx ends with the entry, after its last request.
+	ctx  context.Context
+	done context.CancelFunc
 }
 
-// New returns an Entry that does nothing until Start.
+// New returns an Entry that does nothing until Start. Its parts are made from those that need no
+// other up to the proxy.
 func New(o Options) *Entry {
-	e := &Entry{
-		settings: o.Settings,
-		store:    o.Store,
-		clock:    o.Clock,
-		log:      o.Log,
-		metrics:  o.Metrics,
-		traffic:  o.Traffic,
-	}
+	s := o.Settings
+	e := &Entry{settings: s, clock: o.Clock, log: o.Log, metrics: o.Metrics, traffic: o.Traffic}
 	e.ctx, e.done = context.WithCancel(context.Background())
-	e.routes.Hall = o.Settings.Hall
-	e.peers = wire.NewClient(o.Settings.Secret, e.traffic)
-	e.agents = &http.Client{Transport: wire.NewTransport(&e.proxied)}
-	e.members = newMembers(o.Settings.ID, o.Platform, o.Log)
-	e.tableLog = table.NewLog(o.Store, o.Clock, e.validate)
-	e.sync = newSyncer(e)
-	e.claims = newClaims(e)
+	peers := wire.NewClient(s.Secret, e.traffic)
+	e.members = newMembers(s.ID, o.Platform, o.Log)
 	e.planner = planner.New(planner.Options{
-		ID: o.Settings.ID, Addr: o.Settings.ControlListen, Settings: o.Settings.Planner, Store: o.Store,
-		Clock: o.Clock, Members: e.members, Catalogue: o.Platform, Agents: e.peers, View: &e.view,
-		Replica: &e.replica, Recorder: &e.decisions, Log: o.Log,
+		ID: s.ID, Addr: s.ControlListen, Settings: s.Planner, Store: o.Store, Clock: o.Clock, Members: e.members,
+		Catalogue: o.Platform, Agents: peers, View: &e.view, Replica: &e.replica, Recorder: &e.decisions, Log: o.Log,
+	})
+	tableLog := table.NewLog(o.Store, o.Clock, tableCheck(&e.view, e.planner))
+	e.sync = &syncer{syncerOptions: syncerOptions{
+		ctx: e.ctx, id: s.ID, replica: &e.replica, view: &e.view, tableLog: tableLog, members: e.members,
+		planner: e.planner, peers: peers, clock: o.Clock, log: o.Log,
+	}}
+	e.claims = newClaims(claimsOptions{
+		ctx: e.ctx, id: s.ID, addr: s.ControlListen, settings: s.Claims, store: o.Store, clock: o.Clock,
+		log: o.Log, peers: peers, members: e.members,
 	})
+	e.proxy = &proxy{
+		limits: s.Limits, secret: s.Secret, controlAddr: e.ControlAddr, ready: e.ready, leaving: e.leaving.Load,
+		replica: &e.replica, view: &e.view, members: e.members, claims: e.claims, decisions: &e.decisions,
+		agents: &http.Client{Transport: wire.NewTransport(&e.proxied)}, clock: o.Clock, log: o.Log, metrics: o.Metrics,
+	}
+	e.proxy.routes.Hall = s.Hall
+	e.operators = &operators{
+		id: s.ID, replica: &e.replica, view: &e.view, tableLog: tableLog, planner: e.planner, members: e.members,
+		decisions: &e.decisions, peers: peers, inFlight: e.proxy.inFlight.Load, traffic: o.Traffic, log: o.Log,
+		check: tableCheck(&e.view, e.planner),
+	}
 	return e
 }
 
 // Start binds the listeners and starts the entry's systems.
 func (e *Entry) Start() error {
 	var err error
-	if e.requests, err = server.Listen(e.settings.Listen, e.requestRouter(), &e.proxied, e.log); err != nil {
+	if e.requests, err = server.Listen(e.settings.Listen, e.proxy.router(), &e.proxied, e.log); err != nil {
 		return err
 	}
 	if e.control, err = server.Listen(e.settings.ControlListen, e.controlRouter(), e.traffic, e.log); err != nil {
@@ -112,6 +118,30 @@
 	return nil
 }
 
+// controlRouter returns the handler of the control listener.
+func (e *Entry) controlRouter() http.Handler {
+	r := server.NewRouter()
+	server.RegisterHealth(r, e.ready, e.metrics)
+	own := r.Group("", server.RequireSecret(e.settings.Secret, e.metrics))
+	own.POST(wire.PathSync, e.sync.answer)
+	own.POST(wire.PathNudge, e.nudge)
+	own.POST(wire.PathClaim, e.claims.serveClaim)
+	own.POST(wire.PathClaimFinish, e.claims.serveFinish)
+	e.operators.register(own)
+	return r
+}
+
+// nudge makes the planner exchange messages with a server's agent at once.
+func (e *Entry) nudge(c echo.Context) error {
+	var n wire.Nudge
+	if err := c.Bind(&n); err != nil {
+		return err
+	}
+	e.planner.Nudge(n.Server)
+	return c.NoContent(http.StatusOK)
+}
+
+// subscribe calls f every interval until the entry halts.
 func (e *Entry) subscribe(every time.Duration, f func(time.Time)) {
 	e.stops = append(e.stops, e.clock.Subscribe(every, f))
 }
@@ -129,34 +159,7 @@
 	for _, s := range e.view.Servers() {
 		live[s.ID] = true
 	}
-	e.routes.Forget(live)
-}
-
-// Stop turns readiness off, gives roles back, answers new requests for the leave
-// time, lets requests end until ctx does, and closes.
-func (e *Entry) Stop(ctx context.Context) error {
-	e.leaving.Store(true)
-	e.log.Info("leaving", zap.Int64("requests", e.inFlight.Load()))
-	e.planner.Stop(ctx)
-	clock.Sleep(ctx, e.clock, e.settings.LeaveTime.Std())
-	err := e.requests.Shutdown(ctx)
-	e.claims.stop(ctx)
-	e.halt()
-	if err != nil {
-		e.log.Error("requests cut by the end of the drain time", zap.Error(err))
-		_ = e.requests.Close()
-	}
-	if cerr := e.control.Close(); cerr != nil {
-		return cerr
-	}
-	return eris.Wrap(err, "entry: stop")
-}
-
-func (e *Entry) halt() {
-	e.done()
-	for _, stop := range e.stops {
-		stop()
-	}
+	e.proxy.routes.Forget(live)
 }
 
 // ready reports whether the entry should get requests from the balancer.
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -18,6 +18,7 @@
 
 // members follows the platform's list of VMs.
 type members struct {
+	// self is the id of this entry.
 	self   string
 	lister vmLister
 	log    *zap.Logger
@@ -27,11 +28,12 @@
 	vms     map[string]inventory.VM
 }
 
+// newMembers returns members that know no VM until the first step.
 func newMembers(self string, l vmLister, log *zap.Logger) *members {
 	return &members{self: self, lister: l, log: log, vms: make(map[string]inventory.VM)}
 }
 
-// step takes over what has changed; a list that cannot be read stays as it was.
+// step applies what has changed; a list that cannot be read stays as it was.
 func (m *members) step(ctx context.Context) {
 	m.mu.Lock()
 	since := m.version
@@ -53,6 +55,7 @@
 	}
 }
 
+// known reports whether the list has been read.
 func (m *members) known() bool { return m.Version() > 0 }
 
 // Version returns the version of the list as last read.
--- /dev/null
+++ b/internal/entry/proxy.go
@@ -0,0 +1,154 @@
+package entry
+
+import (
+	"net/http"
+	"strings"
+	"sync/atomic"
+
+	"github.com/labstack/echo/v4"
+	"go.uber.org/zap"
+
+	"rockcleat/clock"
+	"rockcleat/fleet"
+	"rockcleat/internal/config"
+	"rockcleat/internal/openai"
+	"rockcleat/internal/server"
+	"rockcleat/internal/telemetry"
+	"rockcleat/internal/wire"
+	"rockcleat/rendezvous"
+	"rockcleat/retry"
+	"rockcleat/route"
+	"rockcleat/table"
+)
+
+// A proxy serves callers' requests: it reads each whole, sends it to the agent of a backend server,
+// once more elsewhere where that is safe, and passes the answer on.
+type proxy struct {
+	limits config.Limits
+	secret string
+	// controlAddr returns the address at which agents reach this entry.
+	controlAddr func() string
+	// ready reports whether the balancer should send requests, leaving whether the entry stops.
+	ready     server.Readiness
+	leaving   func() bool
+	replica   *table.Replica
+	view      *fleet.View
+	members   *members
+	claims    *claims
+	decisions *decisions
+	agents    *http.Client
+	clock     clock.Service
+	log       *zap.Logger
+	metrics   *telemetry.Metrics
+	// routes holds the load of each server, budget the retries of this entry.
+	routes route.Table
+	budget retry.Budget
+	// inFlight counts the requests in progress.
+	inFlight atomic.Int64
+}
+
+// router returns the handler of callers' requests.
+func (p *proxy) router() http.Handler {
+	r := server.NewRouter()
+	r.GET(wire.PathReady, p.ready.Answer)
+	r.GET("/v1/models", p.listModels)
+	r.POST("/v1/chat/completions", p.limited(p.serveModel))
+	r.POST("/v1/completions", p.limited(p.serveModel))
+	r.Any("/*", p.limited(p.serveService))
+	return r
+}
+
+// limited bounds the requests in progress.
+func (p *proxy) limited(f echo.HandlerFunc) echo.HandlerFunc {
+	return func(c echo.Context) error {
+		n := p.inFlight.Add(1)
+		defer p.inFlight.Add(-1)
+		if p.leaving() {
+			c.Response().Header().Set("Connection", "close")
+		}
+		if n > int64(p.limits.InFlight) {
+			return wire.Failure{
+				Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
+				Code: "entry_full", Message: "this entry holds as many requests as it may", RetryAfter: retrySoon,
+			}.Write(c)
+		}
+		return f(c)
+	}
+}
+
+// listModels answers with the models of the table.
+func (p *proxy) listModels(c echo.Context) error {
+	l := openai.ModelList{Object: "list", Data: []openai.Model{}}
+	for _, r := range p.replica.Current().Rows() {
+		if r.Kind == table.KindService {
+			continue
+		}
+		l.Data = append(l.Data, openai.Model{ID: r.Name, Object: "model", OwnedBy: r.Organisation, Parent: r.Base})
+	}
+	c.Response().Header().Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
+	return c.JSON(http.StatusOK, l)
+}
+
+// serveModel answers a completion request.
+func (p *proxy) serveModel(c echo.Context) error {
+	x, f := p.newCall(c)
+	if f != nil {
+		return f.Write(c)
+	}
+	req, err := openai.ParseRequest(x.body)
+	if err != nil {
+		return badRequest("invalid_body", "", err.Error()).Write(c)
+	}
+	row, ok := p.replica.Current().Row(req.Model)
+	if !ok || row.Kind == table.KindService {
+		f := badRequest("model_not_found", "model", "the model "+req.Model+" does not exist")
+		f.Status = http.StatusNotFound
+		return f.Write(c)
+	}
+	x.row, x.stream, x.tokens = row, req.Stream, req.Cost()
+	prompt := req.Prompt()
+	x.prefix = rendezvous.Key(row.Name + "\x00" + prompt[:min(len(prompt), prefixBytes)])
+	x.repeatable = true
+	return p.run(c, x)
+}
+
+// serveService answers a call to a plain service.
+func (p *proxy) serveService(c echo.Context) error {
+	row, ok := serviceFor(p.replica.Current(), c.Request().URL.Path)
+	if !ok {
+		f := badRequest("not_found", "", "no service answers this path")
+		f.Status = http.StatusNotFound
+		return f.Write(c)
+	}
+	x, f := p.newCall(c)
+	if f != nil {
+		return f.Write(c)
+	}
+	x.row, x.tokens = row, 1
+	method := c.Request().Method
+	x.repeatable = method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
+	return p.run(c, x)
+}
+
+// serviceFor returns the service row with the longest path that the call's path is under.
+func serviceFor(t *table.Table, path string) (table.Row, bool) {
+	var best table.Row
+	for _, r := range t.Rows() {
+		under := path == r.Path || strings.HasPrefix(path, r.Path+"/")
+		if r.Kind == table.KindService && under && len(r.Path) > len(best.Path) {
+			best = r
+		}
+	}
+	return best, best.Path != ""
+}
+
+// run answers a call, through its claim if it has a key.
+func (p *proxy) run(c echo.Context, x *call) error {
+	if x.key != "" {
+		x.key = x.row.Name + "\x00" + x.key
+		x.repeatable = false
+		return p.runClaimed(c, x)
+	}
+	p.forward(c, x)
+	return nil
+}
--- a/internal/entry/stream_copy.go
+++ b/internal/entry/stream_copy.go
@@ -2,9 +2,7 @@
 
 import (
 	"bufio"
-	"bytes"
 	"encoding/json"
-	"errors"
 	"io"
 	"net/http"
 	"strings"
@@ -12,29 +10,13 @@
 	"github.com/rotisserie/eris"
 
 	"rockcleat/fleet"
-	"rockcleat/internal/openai"
 	"rockcleat/internal/wire"
 )
 
-// heldAnswer is the longest answer that is read whole before any of it is passed
-// on, so that one cut before its end can be had elsewhere; in bytes.
+// heldAnswer is the longest answer that is read whole before any of it is passed on, so that one
+// cut before its end can be had elsewhere; in bytes. Chosen, not measured.
 const heldAnswer = 1 << 20
 
-// maxEvent is the longest event of a stream, in bytes.
-const maxEvent = 1 << 20
-
-// Marks of a stream's events.
-var (
-	dataPrefix = []byte("data:")
-	doneMark   = []byte("[DONE]")
-)
-
-// Errors of a stream that does not end as it should.
-var (
-	errCut      = errors.New("entry: stream ended before its end mark")
-	errTooLarge = errors.New("entry: event too long")
-)
-
 // pass gives an answer to the caller and reports whether the call is over.
 func (d *delivery) pass(s fleet.Server, resp *http.Response, w *stallTimer) bool {
 	if d.x.stream && isStream(resp.Header) {
@@ -47,6 +29,7 @@
 	return d.passWhole(s, resp, w)
 }
 
+// isStream reports whether an answer is a stream of events.
 func isStream(h http.Header) bool {
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
@@ -85,6 +68,11 @@
 	d.x.answer.write(b)
 }
 
+// ownHeaders are the headers of an agent's answer that are not passed on to callers.
+var ownHeaders = []string{
+	wire.HeaderLoad, wire.HeaderLeaving, wire.HeaderTableVersion, "Connection", "Transfer-Encoding", "Date",
+}
+
 // begin sends the answer's header to the caller.
 func (d *delivery) begin(resp *http.Response) {
 	if d.begun {
@@ -96,16 +84,14 @@
 	for k, v := range resp.Header {
 		h[k] = v
 	}
-	for _, k := range []string{
-		wire.HeaderLoad, wire.HeaderLeaving, wire.HeaderTableVersion, "Connection", "Transfer-Encoding", "Date",
-	} {
+	for _, k := range ownHeaders {
 		h.Del(k)
 	}
 	if resp.ContentLength >= 0 {
 		h.Set("Content-Length", resp.Header.Get("Content-Length"))
 	}
 	h.Set(wire.HeaderRequestID, id)
-	d.e.metrics.FirstToken(d.x.class(), d.e.clock.Now().Sub(d.x.arrived).Seconds())
+	d.proxy.metrics.FirstToken(d.x.class(), d.proxy.clock.Now().Sub(d.x.arrived).Seconds())
 	d.c.Response().WriteHeader(resp.StatusCode)
 }
 
@@ -116,6 +102,7 @@
 	d.c.Response().Flush()
 }
 
+// A writerFunc is a function as an io.Writer.
 type writerFunc func([]byte)
 
 // Write implements io.Writer.
@@ -124,21 +111,6 @@
 	return len(b), nil
 }
 
-// A progressReader counts each read as progress.
-type progressReader struct {
-	r io.Reader
-	w *stallTimer
-}
-
-// Read implements io.Reader.
-func (h *progressReader) Read(b []byte) (int, error) {
-	n, err := h.r.Read(b)
-	if n > 0 {
-		h.w.progress()
-	}
-	return n, err
-}
-
 // passStream gives the events of a stream to the caller. Only an event that is
 // whole is passed on, so a stream cut anywhere can go on elsewhere from the
 // token after the last one given.
@@ -170,7 +142,7 @@
 		return d.abandoned()
 	}
 	if !d.x.repeatable && d.begun {
-		d.e.routes.Avoid(s.ID, d.e.clock.Now())
+		d.proxy.routes.Avoid(s.ID, d.proxy.clock.Now())
 		d.cutStream()
 		return true
 	}
@@ -189,57 +161,3 @@
 	}
 	panic(http.ErrAbortHandler)
 }
-
-// readEvent reads one event with the empty line after it.
-func readEvent(r *bufio.Reader) ([]byte, error) {
-	var event []byte
-	for {
-		line, err := r.ReadSlice('\n')
-		event = append(event, line...)
-		if len(event) > maxEvent {
-			return nil, errTooLarge
-		}
-		if errors.Is(err, bufio.ErrBufferFull) {
-			continue
-		}
-		if err == io.EOF {
-			return nil, errCut
-		}
-		if err != nil {
-			return nil, eris.Wrap(err, "entry: read stream")
-		}
-		if bytes.HasSuffix(event, []byte("\n\n")) || bytes.HasSuffix(event, []byte("\n\r\n")) || len(bytes.TrimSpace(event)) == 0 {
-			return event, nil
-		}
-	}
-}
-
-// dataOf returns an event's data, nil if it has none.
-func dataOf(event []byte) []byte {
-	for line := range bytes.Lines(event) {
-		if bytes.HasPrefix(line, dataPrefix) {
-			return bytes.TrimSpace(line[len(dataPrefix):])
-		}
-	}
-	return nil
-}
-
-func isDone(event []byte) bool { return bytes.Equal(dataOf(event), doneMark) }
-
-// carriesToken reports whether an event carries text of the answer.
-func carriesToken(event []byte) bool {
-	data := dataOf(event)
-	if data == nil {
-		return false
-	}
-	var c openai.Completion
-	if json.Unmarshal(data, &c) != nil {
-		return false
-	}
-	for _, choice := range c.Choices {
-		if choice.Text != "" || choice.Delta != nil && choice.Delta.Content != "" {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -10,42 +10,62 @@
 	"github.com/labstack/echo/v4"
 	"go.uber.org/zap"
 
+	"rockcleat/clock"
+	"rockcleat/fleet"
 	"rockcleat/internal/planner"
 	"rockcleat/internal/wire"
 	"rockcleat/kv"
 	"rockcleat/table"
 )
 
-// Times of the spreading of state.
+// Times and counts of the spreading of state; chosen, not measured. docs/CAPACITY.md has its
+// traffic.
 const (
+	// syncTimeout bounds one exchange with another entry.
 	syncTimeout = 2 * time.Second
 	// tableWait is how long one watch of the table waits.
 	tableWait = 20 * time.Second
-	// staleAfter is how long an entry without news from another one goes before
-	// it reads the table itself.
+	// staleAfter is how long an entry without news from another one goes before it reads the
+	// table itself.
 	staleAfter = 4 * time.Second
+	// watchPause is the time between two looks whether to watch, and before the next watch
+	// after one that failed.
 	watchPause = 500 * time.Millisecond
+	// watchers is the number of entries that watch the table although they plan no cell.
+	watchers = 4
 )
 
-// watchers is the number of entries that watch the table although they plan no cell.
-const watchers = 4
-
 // tableKey is the key of the ranking for watching the table.
 const tableKey = "table"
 
-// A syncer spreads the table and the servers' records between entries, by
-// asking one other entry at random for what is new on each tick.
+// syncerOptions are what a syncer is made of.
+type syncerOptions struct {
+	// ctx ends with the entry.
+	ctx      context.Context
+	id       string
+	replica  *table.Replica
+	view     *fleet.View
+	tableLog *table.Log
+	members  *members
+	planner  *planner.Planner
+	peers    *wire.Client
+	clock    clock.Service
+	log      *zap.Logger
+}
+
+// A syncer spreads the table and the servers' records between entries, by asking one other
+// entry at random for what is new on each tick.
 type syncer struct {
-	e *Entry
+	syncerOptions
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// lastSync is when another entry last answered, revision the store's at the last watch.
 	lastSync time.Time
 	revision kv.Revision
-	running  bool
+	// running says that an exchange is under way.
+	running bool
 }
 
-func newSyncer(e *Entry) *syncer { return &syncer{e: e} }
-
 // step asks one other entry for what is new.
 func (s *syncer) step() {
 	s.mu.Lock()
@@ -58,42 +78,45 @@
 	go s.exchange()
 }
 
+// exchange asks an entry chosen at random for what is new.
 func (s *syncer) exchange() {
 	defer func() {
 		s.mu.Lock()
 		s.running = false
 		s.mu.Unlock()
 	}()
-	peers := s.e.members.peers()
+	peers := s.members.peers()
 	if len(peers) == 0 {
 		return
 	}
 	peer := peers[rand.IntN(len(peers))]
-	ctx, cancel := context.WithTimeout(s.e.ctx, syncTimeout)
+	ctx, cancel := context.WithTimeout(s.ctx, syncTimeout)
 	defer cancel()
 	var a wire.SyncAnswer
-	err := s.e.peers.Post(ctx, peer.Control, wire.PathSync, s.request(), &a)
+	err := s.peers.Post(ctx, peer.Control, wire.PathSync, s.request(), &a)
 	if err != nil {
-		s.e.log.Debug("no answer from entry", zap.String("peer", peer.ID), zap.Error(err))
+		s.log.Debug("no answer from entry", zap.String("peer", peer.ID), zap.Error(err))
 		return
 	}
-	s.take(a)
+	s.apply(a)
 }
 
+// request says what this entry has.
 func (s *syncer) request() wire.SyncRequest {
 	return wire.SyncRequest{
-		From: s.e.settings.ID, Table: s.e.replica.Current().Version(), Cells: s.e.view.Digest(),
+		From: s.id, Table: s.replica.Current().Version(), Cells: s.view.Digest(),
 	}
 }
 
-func (s *syncer) take(a wire.SyncAnswer) {
-	if s.e.replica.Merge(a.Table) {
-		s.e.log.Info("table in force", zap.Uint64("version", s.e.replica.Current().Version()), zap.String("from", "entry"))
+// apply applies another entry's answer.
+func (s *syncer) apply(a wire.SyncAnswer) {
+	if s.replica.Merge(a.Table) {
+		s.log.Info("table in force", zap.Uint64("version", s.replica.Current().Version()), zap.String("from", "entry"))
 	}
-	s.e.view.Merge(a.Cells)
+	s.view.Merge(a.Cells)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastSync = s.e.clock.Now()
+	s.lastSync = s.clock.Now()
 }
 
 // answer gives another entry what it lacks.
@@ -102,10 +125,10 @@
 	if err := c.Bind(&r); err != nil {
 		return err
 	}
-	t := s.e.replica.Current()
+	t := s.replica.Current()
 	a := wire.SyncAnswer{Table: t.Since(r.Table), TableVersion: t.Version()}
 	if !r.TableOnly {
-		a.Cells = s.e.view.Since(r.Cells)
+		a.Cells = s.view.Since(r.Cells)
 	}
 	return c.JSON(http.StatusOK, a)
 }
@@ -113,45 +136,42 @@
 // watchTable follows the table in the platform's service, if this entry is one
 // that should or is cut off from the others.
 func (s *syncer) watchTable() {
-	for s.e.ctx.Err() == nil {
+	for s.ctx.Err() == nil {
 		if !s.shouldWatch() {
 			s.pause()
 			continue
 		}
 		if err := s.watchOnce(); err != nil {
-			s.e.log.Debug("table not watched", zap.Error(err))
+			s.log.Debug("table not watched", zap.Error(err))
 			s.pause()
 		}
 	}
 }
 
-func (s *syncer) pause() {
-	select {
-	case <-time.After(watchPause):
-	case <-s.e.ctx.Done():
-	}
-}
+// pause waits before the next look at the table.
+func (s *syncer) pause() { clock.Sleep(s.ctx, s.clock, watchPause) }
 
-// shouldWatch reports whether the entry is to watch the table: few entries do,
-// and the others hear of it from them.
+// shouldWatch reports whether the entry is to watch the table: few entries do, and the others
+// learn of changes from them.
 func (s *syncer) shouldWatch() bool {
-	if s.e.replica.Current().Version() == 0 || len(s.e.planner.Held()) > 0 {
+	if s.replica.Current().Version() == 0 || len(s.planner.Held()) > 0 {
 		return true
 	}
-	if planner.Rank(s.e.settings.ID, s.e.members.Entries(), tableKey) < watchers {
+	if planner.Rank(s.id, s.members.Entries(), tableKey) < watchers {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.e.clock.Now().Sub(s.lastSync) > staleAfter
+	return s.clock.Now().Sub(s.lastSync) > staleAfter
 }
 
+// watchOnce waits for a newer table than the one in force.
 func (s *syncer) watchOnce() error {
-	have := s.e.replica.Current()
+	have := s.replica.Current()
 	s.mu.Lock()
 	after := s.revision
 	s.mu.Unlock()
-	t, rev, err := s.e.tableLog.Watch(s.e.ctx, have, after, tableWait)
+	t, rev, err := s.tableLog.Watch(s.ctx, have, after, tableWait)
 	if err != nil {
 		return err
 	}
@@ -162,8 +182,9 @@
 	return nil
 }
 
+// offer puts a table in force if it is newer.
 func (s *syncer) offer(t *table.Table) {
-	if s.e.replica.Offer(t) {
-		s.e.log.Info("table in force", zap.Uint64("version", t.Version()), zap.String("from", "kv"))
+	if s.replica.Offer(t) {
+		s.log.Info("table in force", zap.Uint64("version", t.Version()), zap.String("from", "kv"))
 	}
 }
