--- a/cmd/rockcleat-standin/main.go
+++ b/cmd/rockcleat-standin/main.go
@@ -95,8 +95,6 @@
 	fs.StringVar(&o.Weights, "weights", "", "weight store's base URL")
 	fs.BoolVar(&o.ChecksOrders, "checks-orders", true, "refuse orders with an old fencing token")
 	fs.DurationVar(&o.ReportLag, "report-lag", 500*time.Millisecond, "by how much the reported load may be out of date")
-	fs.DurationVar(&o.EventLag, "event-lag", time.Second, "how late cache events are")
-	fs.IntVar(&o.EventGap, "event-gap", 10, "drop each n-th cache event; 0 drops none")
 	return command("engine", "Model engine.", fs, func() http.Handler { return standin.NewEngine(o) })
 }
 
--- a/internal/lab/call.go
+++ b/internal/lab/call.go
@@ -27,7 +27,7 @@
 	// Text is the answer's text and Tokens the number of its events.
 	Text   string
 	Tokens int
-	// Whole tells that a stream had its end mark, or another answer its full length.
+	// Whole says that a stream had its end mark, or another answer its full length.
 	Whole      bool
 	FirstToken time.Duration
 	Total      time.Duration
@@ -113,6 +113,7 @@
 	return a
 }
 
+// readWhole reads an answer that is no stream.
 func (a *Answer) readWhole(r io.Reader, began time.Time) {
 	data, err := io.ReadAll(r)
 	a.FirstToken = time.Since(began)
@@ -123,6 +124,7 @@
 	}
 }
 
+// readStream reads the events of a stream.
 func (a *Answer) readStream(r io.Reader, began time.Time) {
 	s := bufio.NewScanner(r)
 	var text strings.Builder
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -93,6 +93,7 @@
 	return nil
 }
 
+// placed reports whether an entry knows a ready place for every row.
 func (s *System) placed(ctx context.Context, e *Node) bool {
 	st, err := s.Status(ctx, e, false)
 	if err != nil {
@@ -124,6 +125,7 @@
 	})
 }
 
+// inForce reports whether every daemon that runs has the version.
 func (s *System) inForce(ctx context.Context, version uint64) bool {
 	for _, n := range s.nodes() {
 		var v wire.VersionAnswer
--- a/internal/lab/nodes.go
+++ b/internal/lab/nodes.go
@@ -13,6 +13,7 @@
 	"rockcleat/internal/inventory"
 )
 
+// process fills in the settings that all daemons have.
 func (s *System) process(p *config.Process, id, hall string) error {
 	var err error
 	if p.Listen, err = FreeAddr(); err != nil {
@@ -26,6 +27,7 @@
 	return nil
 }
 
+// addBackend starts the agent of a backend server and puts its VM into the list.
 func (s *System) addBackend(ctx context.Context, b *Backend, id, hall string, set func(*config.Agent)) error {
 	var a config.Agent
 	config.Defaults(&a)
@@ -141,6 +143,7 @@
 	return send(ctx, http.MethodPost, s.VMsURL+"/v1/vms", inventory.VMList{VMs: []inventory.VM{vm}}, nil)
 }
 
+// nodes returns all daemons.
 func (s *System) nodes() []*Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -20,6 +20,7 @@
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
+	// done is closed at the end, after err has been set.
 	done chan struct{}
 	err  error
 }
--- a/internal/lab/small.go
+++ b/internal/lab/small.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// smallRows returns the rows and the sizes of their models and adapters.
 func smallRows() ([]table.Row, map[string]placement.Size) {
 	sizes := make(map[string]placement.Size)
 	row := func(name string, kind table.Kind, tier table.Tier, mib int) table.Row {
--- a/internal/lab/system.go
+++ b/internal/lab/system.go
@@ -8,6 +8,7 @@
 	"path/filepath"
 	"strconv"
 	"sync"
+	"syscall"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -25,11 +26,14 @@
 // An EngineSpec describes the engines of a lab.
 type EngineSpec struct {
 	Accelerators int
-	MemoryMiB    int
-	Slots        int
-	Step         time.Duration
-	Prefill      float64
-	NoFence      bool
+	// MemoryMiB is the memory of each accelerator, Slots the number of sequences that it batches.
+	MemoryMiB int
+	Slots     int
+	// Step is the time of a decoding step, Prefill the number of prompt tokens read a second.
+	Step    time.Duration
+	Prefill float64
+	// NoFence makes the engine take orders of any fencing token.
+	NoFence bool
 }
 
 // Options describe a lab.
@@ -66,26 +70,32 @@
 // A Node is one daemon of a lab.
 type Node struct {
 	*Process
-	ID      string
-	Hall    string
+	ID   string
+	Hall string
+	// Addr is the address for requests, Control the one for control.
 	Addr    string
 	Control string
+	// config is the settings file, program the name of what runs.
 	config  string
 	program string
 }
 
 // A Backend is a backend server with the agent beside it.
 type Backend struct {
-	Agent   *Node
-	Server  *Process
-	URL     string
-	start   func() (*Process, error)
+	Agent  *Node
+	Server *Process
+	URL    string
+	// start starts the server anew at the same address.
+	start func() (*Process, error)
+	// Service says that it is a plain service.
 	Service bool
 }
 
 // A System is a running lab.
 type System struct {
-	opts   Options
+	opts Options
+	// KVURL, VMsURL and WURL are the stand-ins for the key-value service, the list of VMs and
+	// the weight store.
 	KVURL  string
 	VMsURL string
 	WURL   string
@@ -93,10 +103,11 @@
 	mu       sync.Mutex
 	Entries  []*Node
 	Backends []*Backend
-	all      []*Process
+	// all holds every process ever started.
+	all []*Process
 }
 
-// startTime bounds the start of one process.
+// startTime bounds the start of one process. Chosen, not measured.
 const startTime = 30 * time.Second
 
 // Start starts a lab and waits until its entries are ready and every row has a place.
@@ -109,6 +120,7 @@
 	return s, nil
 }
 
+// startAll starts the platform's stand-ins, then backend servers, then entries, and saves the rows.
 func (s *System) startAll(ctx context.Context) error {
 	if err := s.startPlatform(ctx); err != nil {
 		return err
@@ -165,8 +177,10 @@
 	return p, "http://" + addr, again, err
 }
 
+// float formats a flag's value.
 func float(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
 
+// startPlatform starts the stand-ins for the platform's services.
 func (s *System) startPlatform(ctx context.Context) (err error) {
 	o := s.opts
 	if _, s.KVURL, _, err = s.run(ctx, "kv", "kv", "-reads", float(o.KVReads), "-writes", float(o.KVWrites)); err != nil {
@@ -183,8 +197,10 @@
 	return send(ctx, http.MethodPut, s.WURL+"/v1/weights", inventory.Catalogue{Sizes: o.Sizes}, nil)
 }
 
+// hall returns the data hall of the i-th VM of a kind.
 func (s *System) hall(i int) string { return s.opts.Halls[i%len(s.opts.Halls)] }
 
+// startEngine starts an engine and its agent.
 func (s *System) startEngine(ctx context.Context, i int) error {
 	o := s.opts.Engine
 	name := fmt.Sprintf("engine-%d", i)
@@ -201,6 +217,7 @@
 	})
 }
 
+// startService starts a plain service and its agent.
 func (s *System) startService(ctx context.Context, i int) error {
 	name := fmt.Sprintf("service-%d", i)
 	p, url, again, err := s.run(ctx, name, "service", "-delay", s.opts.ServiceDelay.String())
@@ -220,7 +237,7 @@
 	s.mu.Unlock()
 	for _, p := range all {
 		p.Thaw()
-		p.Signal(9)
+		p.Signal(syscall.SIGKILL)
 	}
 	for _, p := range all {
 		<-p.done
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrBadRequest tells that a body is not a completion request.
+// ErrBadRequest says that a body is not a completion request.
 var ErrBadRequest = errors.New("openai: not a completion request")
 
 // A Message is one message of a chat; its content is text or a list of parts.
@@ -62,11 +62,16 @@
 	return b.String()
 }
 
-// bytesPerToken is a rough ratio for estimating prompts.
-const bytesPerToken = 4
+// Estimates of a request's tokens; chosen, not measured.
+const (
+	// bytesPerToken is a rough ratio for estimating prompts.
+	bytesPerToken = 4
+	// defaultAnswer is the length, in tokens, expected of an answer with no maximum.
+	defaultAnswer = 256
+)
 
-// defaultAnswer is the length, in tokens, expected of an answer with no maximum.
-const defaultAnswer = 256
+// PromptTokens estimates the length of the prompt.
+func (r Request) PromptTokens() int { return len(r.Prompt()) / bytesPerToken }
 
 // Cost returns the tokens that the request is expected to take.
 func (r Request) Cost() int {
@@ -74,7 +79,7 @@
 	if answer == 0 {
 		answer = defaultAnswer
 	}
-	return len(r.Prompt())/bytesPerToken + answer*max(r.N, 1)
+	return r.PromptTokens() + answer*max(r.N, 1)
 }
 
 // A Completion is a whole answer or one chunk of a stream.
@@ -109,38 +114,6 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Chunk returns one chunk of a streamed answer; finish is its finish reason, if any.
-func Chunk(r Request, text, finish string) Completion {
-	c := Choice{}
-	if finish != "" {
-		c.FinishReason = &finish
-	}
-	object := "chat.completion.chunk"
-	if len(r.Messages) == 0 {
-		object = "text_completion"
-		c.Text = text
-	} else {
-		c.Delta = &Content{Content: text}
-	}
-	return Completion{ID: "cmpl", Object: object, Model: r.Model, Choices: []Choice{c}}
-}
-
-// Whole returns an answer that is not streamed.
-func Whole(r Request, text string, tokens int) Completion {
-	finish := "length"
-	c := Choice{FinishReason: &finish}
-	object := "chat.completion"
-	if len(r.Messages) == 0 {
-		object = "text_completion"
-		c.Text = text
-	} else {
-		c.Message = &Content{Role: "assistant", Content: text}
-	}
-	prompt := len(r.Prompt()) / bytesPerToken
-	usage := &Usage{PromptTokens: prompt, CompletionTokens: tokens, TotalTokens: prompt + tokens}
-	return Completion{ID: "cmpl", Object: object, Model: r.Model, Choices: []Choice{c}, Usage: usage}
-}
-
 // A Model is one entry of the list of models.
 type Model struct {
 	ID      string `json:"id"`
--- /dev/null
+++ b/internal/standin/answers.go
@@ -0,0 +1,35 @@
+package standin
+
+import "rockcleat/internal/openai"
+
+// chunk returns one chunk of a streamed answer; finish is its finish reason, if any.
+func chunk(r openai.Request, text, finish string) openai.Completion {
+	c := openai.Choice{}
+	if finish != "" {
+		c.FinishReason = &finish
+	}
+	object := "chat.completion.chunk"
+	if len(r.Messages) == 0 {
+		object = "text_completion"
+		c.Text = text
+	} else {
+		c.Delta = &openai.Content{Content: text}
+	}
+	return openai.Completion{ID: "cmpl", Object: object, Model: r.Model, Choices: []openai.Choice{c}}
+}
+
+// whole returns an answer that is not streamed.
+func whole(r openai.Request, text string, tokens int) openai.Completion {
+	finish := "length"
+	c := openai.Choice{FinishReason: &finish}
+	object := "chat.completion"
+	if len(r.Messages) == 0 {
+		object = "text_completion"
+		c.Text = text
+	} else {
+		c.Message = &openai.Content{Role: "assistant", Content: text}
+	}
+	prompt := r.PromptTokens()
+	usage := &openai.Usage{PromptTokens: prompt, CompletionTokens: tokens, TotalTokens: prompt + tokens}
+	return openai.Completion{ID: "cmpl", Object: object, Model: r.Model, Choices: []openai.Choice{c}, Usage: usage}
+}
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -4,4 +4,7 @@
 //
 // Each can be made to fail through a Faults value, in the process or at the
 // path /fault.
+//
+// The forms of messages are those of the clients: packages kv, inventory and engine. Parameters
+// that are no numbers count as zero. Each stand-in keeps all it holds in memory.
 package standin
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -34,9 +34,6 @@
 	ChecksOrders bool
 	// ReportLag is by how much the load in a status may be out of date.
 	ReportLag time.Duration
-	// EventLag and EventGap make cache events late and drop each EventGap-th.
-	EventLag time.Duration
-	EventGap int
 }
 
 // finishedKept is the number of finished orders that the engine lists.
@@ -75,18 +72,20 @@
 
 	mu        sync.Mutex
 	residents []*resident
-	finished  []string
-	fence     int64
-	running   []int
-	waiters   []*sequence
-	cached    map[uint64]time.Time
-	events    []cacheEvent
-	eventSeq  uint64
-	reported  int
-	// reportedAt is when the load in the status was taken.
+	// finished holds the ids of the orders that ended last, fence the highest token seen.
+	finished []string
+	fence    int64
+	// running holds the running sequences of each accelerator, waiters those that wait.
+	running []int
+	waiters []*sequence
+	// cached holds when each cached prefix was last used.
+	cached map[uint64]time.Time
+	// reported is the load in the status, reportedAt when it was taken.
+	reported   int
 	reportedAt time.Time
 	stats      EngineStats
-	seen       map[string]int
+	// seen counts the starts of each request id.
+	seen map[string]int
 }
 
 // NewEngine returns an engine with nothing resident.
@@ -96,7 +95,6 @@
 	s.register(s.echo)
 	s.echo.GET(engine.PathStatus, s.status)
 	s.echo.POST(engine.PathOrders, s.order)
-	s.echo.GET("/v1/cache-events", s.cacheEvents)
 	s.echo.POST("/v1/chat/completions", s.generate)
 	s.echo.POST("/v1/completions", s.generate)
 	s.echo.GET("/stats", func(c echo.Context) error { return c.JSON(http.StatusOK, s.Stats()) })
@@ -104,6 +102,7 @@
 	return s
 }
 
+// listSeen answers with the starts of each request id.
 func (s *Engine) listSeen(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,6 +119,7 @@
 	return s.stats
 }
 
+// status answers with the engine's report; its load is as old as the lag allows.
 func (s *Engine) status(c echo.Context) error {
 	s.mu.Lock()
 	if now := time.Now(); now.Sub(s.reportedAt) >= s.opts.ReportLag {
@@ -203,6 +203,7 @@
 	go s.load(o, r)
 }
 
+// load fetches the weights and ends the order.
 func (s *Engine) load(o engine.Order, r *resident) {
 	err := s.fetch(o.Name)
 	s.mu.Lock()
@@ -263,6 +264,7 @@
 	})
 }
 
+// find returns what is resident on an accelerator under a name, or nil; s.mu is held.
 func (s *Engine) find(name string, accelerator int) *resident {
 	i := slices.IndexFunc(s.residents, func(r *resident) bool {
 		return r.Name == name && r.Accelerator == accelerator
@@ -273,10 +275,12 @@
 	return s.residents[i]
 }
 
+// remove takes a resident out; s.mu is held.
 func (s *Engine) remove(r *resident) {
 	s.residents = slices.DeleteFunc(s.residents, func(o *resident) bool { return o == r })
 }
 
+// finish lists an order among those that ended; s.mu is held.
 func (s *Engine) finish(id string) {
 	s.finished = append(s.finished, id)
 	if extra := len(s.finished) - finishedKept; extra > 0 {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -39,6 +39,7 @@
 	b.faults = f
 }
 
+// get returns the faults.
 func (b *faultBox) get() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,6 +57,7 @@
 	return true
 }
 
+// failLoad reports whether a load is to fail.
 func (b *faultBox) failLoad() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -27,25 +27,19 @@
 	start    chan bool
 }
 
-// defaultTokens is the length of an answer whose request sets none.
-const defaultTokens = 16
-
-// batchSlowdown is by how much a full batch slows each step.
-const batchSlowdown = 0.5
-
-// prefixBytes is how much of a prompt counts as its prefix.
-const prefixBytes = 256
-
-// cacheLimit is the number of prefixes that the engine keeps.
-const cacheLimit = 64
-
-// A cacheEvent tells that a prefix was cached.
-type cacheEvent struct {
-	Seq    uint64    `json:"seq"`
-	Model  string    `json:"model"`
-	Prefix uint64    `json:"prefix"`
-	At     time.Time `json:"at"`
-}
+// How the engine behaves; chosen, not measured.
+const (
+	// defaultTokens is the length of an answer whose request sets none.
+	defaultTokens = 16
+	// batchSlowdown is by how much a full batch slows each step.
+	batchSlowdown = 0.5
+	// prefixBytes is how much of a prompt counts as its prefix.
+	prefixBytes = 256
+	// bytesPerToken is the length of a token of a prompt.
+	bytesPerToken = 4
+	// cacheLimit is the number of prefixes that the engine keeps.
+	cacheLimit = 64
+)
 
 // generate answers a completion with tokens that follow from the prompt alone.
 func (s *Engine) generate(c echo.Context) error {
@@ -145,14 +139,12 @@
 // prefill returns the time to read the prompt, little if its prefix is cached.
 func (s *Engine) prefill(req openai.Request) time.Duration {
 	prompt := req.Prompt()
-	tokens := float64(len(prompt))/4 + 1
+	tokens := float64(len(prompt))/bytesPerToken + 1
 	prefix := rendezvous.Key(req.Model + "\x00" + prompt[:min(len(prompt), prefixBytes)])
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.cached[prefix]; ok {
-		tokens = max(tokens-prefixBytes/4, 1)
-	} else {
-		s.publish(req.Model, prefix)
+		tokens = max(tokens-prefixBytes/bytesPerToken, 1)
 	}
 	s.cached[prefix] = time.Now()
 	s.evict()
@@ -177,32 +169,6 @@
 	delete(s.cached, oldest)
 }
 
-// publish adds a cache event, or a gap; s.mu is held.
-func (s *Engine) publish(model string, prefix uint64) {
-	s.eventSeq++
-	if s.opts.EventGap > 0 && s.eventSeq%uint64(s.opts.EventGap) == 0 {
-		return
-	}
-	s.events = append(s.events, cacheEvent{Seq: s.eventSeq, Model: model, Prefix: prefix, At: time.Now()})
-	if extra := len(s.events) - finishedKept; extra > 0 {
-		s.events = slices.Clone(s.events[extra:])
-	}
-}
-
-func (s *Engine) cacheEvents(c echo.Context) error {
-	after, _ := strconv.ParseUint(c.QueryParam("after"), 10, 64)
-	visible := time.Now().Add(-s.opts.EventLag)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := []cacheEvent{}
-	for _, e := range s.events {
-		if e.Seq > after && e.At.Before(visible) {
-			out = append(out, e)
-		}
-	}
-	return c.JSON(http.StatusOK, out)
-}
-
 // token returns the i-th token of the answer to a prompt.
 func token(req openai.Request, i int) string {
 	return fmt.Sprintf("w%d-%04x ", i, rendezvous.Key(req.Model+req.Prompt()+strconv.Itoa(i))&0xffff)
@@ -227,6 +193,7 @@
 	return pause(c, time.Duration(float64(s.opts.Step)*(1+batchSlowdown*part))) && resident
 }
 
+// stream sends the tokens from one on as events, and the end mark.
 func (s *Engine) stream(c echo.Context, q *sequence, req openai.Request, from, total int) error {
 	w := c.Response()
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -235,11 +202,11 @@
 		if !s.step(c, q) {
 			return abort()
 		}
-		if err := writeEvent(w, openai.Chunk(req, token(req, i), "")); err != nil {
+		if err := writeEvent(w, chunk(req, token(req, i), "")); err != nil {
 			return nil
 		}
 	}
-	if err := writeEvent(w, openai.Chunk(req, "", "length")); err != nil {
+	if err := writeEvent(w, chunk(req, "", "length")); err != nil {
 		return nil
 	}
 	s.completed()
@@ -248,12 +215,14 @@
 	return nil
 }
 
+// completed counts an answer that was sent whole.
 func (s *Engine) completed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Completed++
 }
 
+// writeEvent sends one event.
 func writeEvent(w *echo.Response, chunk openai.Completion) error {
 	data, err := json.Marshal(chunk)
 	if err != nil {
@@ -266,6 +235,7 @@
 	return nil
 }
 
+// whole sends the answer at once, after the time of all its steps.
 func (s *Engine) whole(c echo.Context, q *sequence, req openai.Request, total int) error {
 	for range total {
 		if !s.step(c, q) {
@@ -273,5 +243,5 @@
 		}
 	}
 	s.completed()
-	return c.JSON(http.StatusOK, openai.Whole(req, Text(req, total), total))
+	return c.JSON(http.StatusOK, whole(req, Text(req, total), total))
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -78,6 +78,7 @@
 	return s
 }
 
+// limiter returns a limiter of a rate; zero is no limit.
 func limiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -95,6 +96,7 @@
 	return s.stats
 }
 
+// read counts and limits a call that changes nothing.
 func (s *KV) read(f echo.HandlerFunc) echo.HandlerFunc {
 	return s.counted(s.reads, func() { s.stats.Reads++ }, f)
 }
@@ -113,6 +115,7 @@
 	})
 }
 
+// counted applies a rate, counts the call and ends leases that are over before it.
 func (s *KV) counted(l *rate.Limiter, count func(), f echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		allowed := l.Allow()
@@ -163,6 +166,7 @@
 	s.changed = make(chan struct{})
 }
 
+// get answers with one entry.
 func (s *KV) get(c echo.Context) error {
 	s.mu.Lock()
 	e, ok := s.entries[c.QueryParam("key")]
@@ -173,6 +177,7 @@
 	return c.JSON(http.StatusOK, e)
 }
 
+// list answers with the entries of a prefix, in the order of their keys.
 func (s *KV) list(c echo.Context) error {
 	prefix := c.QueryParam("prefix")
 	var a kv.ListAnswer
@@ -187,6 +192,7 @@
 	return c.JSON(http.StatusOK, a)
 }
 
+// watch answers with an entry once it is newer than a revision, or after the wait.
 func (s *KV) watch(c echo.Context) error {
 	key := c.QueryParam("key")
 	after, _ := strconv.ParseInt(c.QueryParam("after"), 10, 64)
@@ -213,6 +219,7 @@
 	}
 }
 
+// put writes an entry if its revision is the expected one.
 func (s *KV) put(c echo.Context) error {
 	var w kv.Write
 	if err := c.Bind(&w); err != nil {
@@ -248,6 +255,7 @@
 	}
 }
 
+// delete removes an entry if its revision is the expected one.
 func (s *KV) delete(c echo.Context) error {
 	key := c.QueryParam("key")
 	expect, err := strconv.ParseInt(c.QueryParam("expect"), 10, 64)
@@ -269,6 +277,7 @@
 	return c.NoContent(http.StatusOK)
 }
 
+// grant makes a lease.
 func (s *KV) grant(c echo.Context) error {
 	var m kv.LeaseMessage
 	if err := c.Bind(&m); err != nil {
@@ -283,14 +292,17 @@
 	return c.JSON(http.StatusOK, kv.LeaseMessage{ID: id})
 }
 
+// keepAlive renews a lease.
 func (s *KV) keepAlive(c echo.Context) error {
 	return s.withLease(c, func(l *kvLease) { l.expires = time.Now().Add(l.ttl) })
 }
 
+// revoke ends a lease with its keys.
 func (s *KV) revoke(c echo.Context) error {
 	return s.withLease(c, func(l *kvLease) { l.expires = time.Time{} })
 }
 
+// withLease calls f with the lease that the message names.
 func (s *KV) withLease(c echo.Context, f func(*kvLease)) error {
 	var m kv.LeaseMessage
 	if err := c.Bind(&m); err != nil {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,7 +10,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// EffectsAnswer tells how often calls with each idempotency key took effect.
+// EffectsAnswer says how often calls with each idempotency key took effect.
 type EffectsAnswer struct {
 	Total   int            `json:"total"`
 	Effects map[string]int `json:"effects"`
@@ -59,6 +59,7 @@
 // maxServiceBody bounds the body that a call echoes, in bytes.
 const maxServiceBody = 1 << 20
 
+// serve answers a call and counts its effect.
 func (s *Service) serve(c echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxServiceBody))
 	if err != nil {
--- a/internal/standin/vms.go
+++ b/internal/standin/vms.go
@@ -49,6 +49,7 @@
 	s.log = append(s.log, vmRecord{vm: vm, version: s.version, at: time.Now()})
 }
 
+// change sets VMs.
 func (s *VMs) change(c echo.Context) error {
 	var l inventory.VMList
 	if err := c.Bind(&l); err != nil {
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -54,12 +54,14 @@
 	s.sizes[name] = size
 }
 
+// catalogue answers with what the store holds.
 func (s *Weights) catalogue(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.JSON(http.StatusOK, inventory.Catalogue{Sizes: s.sizes})
 }
 
+// add puts models and adapters into the store.
 func (s *Weights) add(c echo.Context) error {
 	var a inventory.Catalogue
 	if err := c.Bind(&a); err != nil {
@@ -100,6 +102,7 @@
 	return c.NoContent(http.StatusOK)
 }
 
+// count changes the number of loads in progress.
 func (s *Weights) count(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
