--- a/internal/cli/check_settings.go
+++ b/internal/cli/check_settings.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"fmt"
-	"rockcleat/internal/config"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
+
+	"rockcleat/internal/config"
 )
 
 // configCheck returns the command that checks a settings file.
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -3,8 +3,9 @@
 import (
 	"context"
 	"os"
-	"rockcleat/internal/wire"
 	"strings"
+
+	"rockcleat/internal/wire"
 )
 
 // client returns a client with the shared secret.
--- a/internal/cli/save.go
+++ b/internal/cli/save.go
@@ -6,11 +6,12 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"rockcleat/internal/wire"
-	"rockcleat/table"
 	"time"
 
 	"github.com/google/uuid"
+
+	"rockcleat/internal/wire"
+	"rockcleat/table"
 )
 
 // Tries of a save without an answer; chosen, not measured.
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"fmt"
-	"rockcleat/fleet"
-	"rockcleat/internal/wire"
 	"slices"
 	"strings"
 	"text/tabwriter"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
+
+	"rockcleat/fleet"
+	"rockcleat/internal/wire"
 )
 
 // statusCommand returns the command that prints the view of an entry.
--- a/internal/cli/table_edit.go
+++ b/internal/cli/table_edit.go
@@ -4,9 +4,10 @@
 	"context"
 	"fmt"
 	"os"
+	"strings"
+
 	"rockcleat/internal/wire"
 	"rockcleat/table"
-	"strings"
 )
 
 // importFile saves the rows of a CSV file as one edit.
--- a/internal/cli/table_read.go
+++ b/internal/cli/table_read.go
@@ -7,11 +7,12 @@
 	"fmt"
 	"io"
 	"os"
-	"rockcleat/internal/wire"
-	"rockcleat/table"
 	"strings"
 	"text/tabwriter"
 	"time"
+
+	"rockcleat/internal/wire"
+	"rockcleat/table"
 )
 
 // stdinName stands for standard input as a file.
--- a/internal/cli/why.go
+++ b/internal/cli/why.go
@@ -4,12 +4,13 @@
 	"context"
 	"fmt"
 	"net/url"
-	"rockcleat/internal/wire"
 	"strings"
 	"text/tabwriter"
 	"time"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
+
+	"rockcleat/internal/wire"
 )
 
 // whyCommand returns the command that prints decisions.
