--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,17 +99,7 @@
 		Owners: peers, OnOwnerSilent: lines.ownerSilent, OnModelMissing: modelMissing.send,
 	})
 	servers := newServerList(o.Decoder, o.Clock, o.Log, dispatcher)
-	holder := lease.New(o.Store, o.Clock, lease.Options{
-		Name: leaseName, Holder: s.ID, Addr: s.PeerListen, TTL: s.LeaseTTL.Std(),
-	})
-	fanout := kv.NewFanout(kv.FanoutOptions{
-		Clock: o.Clock, MaxAge: s.WatchTime.Std() / 2, IsWatcher: isHeld(holder),
-		OnSwitch: lines.watchSwitched, Digest: servers.digest,
-	})
-	leader := placer.New(placer.Options{
-		Lease: holder, Keys: fanout.View(o.OwnKeys, true), Engines: o.Engines, Registry: &servers.registry,
-		Routing: config.routing, Clock: o.Clock, Log: o.Log, SettleTime: s.LeaseTTL.Std(), FirstStart: s.FirstStart,
-	})
+	holder, fanout, leader := newPlacer(o, config, servers, lines)
 	reporter := &reporter{
 		self: sender{id: s.ID, addr: s.PeerListen, hall: s.Hall}, dispatcher: dispatcher, config: config,
 		servers: servers, gateways: gateways, placer: leader, fanout: fanout, peers: peers, clock: o.Clock, log: o.Log,
@@ -135,6 +125,24 @@
 	return g
 }
 
+// newPlacer returns the leader's role: the lease, the watches that its holder makes for all
+// gateways, and the placer.
+func newPlacer(o Options, config *configuration, servers *serverList, lines *requestLog) (*lease.Holder, *kv.Fanout, *placer.Placer) {
+	s := o.Settings
+	holder := lease.New(o.Store, o.Clock, lease.Options{
+		Name: leaseName, Holder: s.ID, Addr: s.PeerListen, TTL: s.LeaseTTL.Std(),
+	})
+	fanout := kv.NewFanout(kv.FanoutOptions{
+		Clock: o.Clock, MaxAge: s.WatchTime.Std() / 2, IsWatcher: isHeld(holder),
+		OnSwitch: lines.watchSwitched, Digest: servers.digest,
+	})
+	leader := placer.New(placer.Options{
+		Lease: holder, Keys: fanout.View(o.OwnKeys, true), Engines: o.Engines, Registry: &servers.registry,
+		Routing: config.routing, Clock: o.Clock, Log: o.Log, SettleTime: s.LeaseTTL.Std(), FirstStart: s.FirstStart,
+	})
+	return holder, fanout, leader
+}
+
 // isHeld returns a function that reports whether a lease is held.
 func isHeld(h *lease.Holder) func() bool {
 	return func() bool {
