--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -54,10 +54,14 @@
 	if d.begun {
 		panic(http.ErrAbortHandler)
 	}
-	_ = d.unknown().Write(d.c)
+	d.answer(d.unknown())
 	return true
 }
 
+// answer sends an answer of the entry's own. It fails if the caller has gone, and then there is
+// nobody to report it to.
+func (d *delivery) answer(f wire.Failure) { _ = f.Write(d.c) }
+
 // unknown is the answer to a request that may have run and is not sent again.
 func (d *delivery) unknown() wire.Failure {
 	return wire.Failure{
@@ -84,7 +88,7 @@
 	}
 	if d.mayHaveRun {
 		d.end(wire.OutcomeUnknown)
-		_ = d.unknown().Write(d.c)
+		d.answer(d.unknown())
 		return
 	}
 	if d.refusal == nil {
@@ -97,7 +101,7 @@
 		Time: d.proxy.clock.Now().UnixMilli(), Kind: "refuse", Name: d.x.row.Name, Reason: d.refusal.Code,
 	})
 	d.end(wire.OutcomeNotRun)
-	_ = d.refusal.Write(d.c)
+	d.answer(*d.refusal)
 }
 
 // end counts the outcome and passes it on to finish.
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -21,6 +21,7 @@
 	e.halt()
 	if err != nil {
 		e.log.Error("requests cut by the end of the drain time", zap.Error(err))
+		// What is left is cut; an error of closing changes nothing of that.
 		_ = e.requests.Close()
 	}
 	if cerr := e.control.Close(); cerr != nil {
--- /dev/null
+++ b/internal/proofs/memory_test.go
@@ -0,0 +1,100 @@
+package proofs
+
+import (
+	"fmt"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"rockcleat/internal/inventory"
+	"rockcleat/internal/lab"
+	"rockcleat/internal/standin"
+)
+
+// Promise 1: accelerator memory is never overcommitted.
+func TestMemory(t *testing.T) {
+	for name, unchecked := range map[string]bool{"orders checked": false, "orders not checked": true} {
+		t.Run(name, func(t *testing.T) {
+			tr := start(t, 1, "memory never overcommitted", func(o *lab.Options) {
+				o.Engine.NoFence = unchecked
+				o.Engine.Accelerators = 1
+				o.Engine.MemoryMiB = 24000
+				o.LoadSpeed = 40000
+				o.Sizes["digest"] = o.Sizes["summary"]
+			})
+			b := func() *lab.Backend { return tr.engines()[tr.rng.IntN(len(tr.engines()))] }
+			tr.runSteps([]step{
+				{"models swapped", tr.churn},
+				{"models swapped and agents killed", func() {
+					tr.swap()
+					tr.restart(b().Agent)
+					tr.restart(b().Agent)
+					tr.awaitSwapped()
+				}},
+				{"orders late and agents killed", func() {
+					for _, x := range tr.engines() {
+						tr.must(lab.Fault(tr.ctx, x.URL, standin.Faults{LateOrdersMs: 400}))
+					}
+					tr.swap()
+					tr.restart(b().Agent)
+					tr.swap()
+					tr.restart(b().Agent)
+					tr.awaitSwapped()
+					for _, x := range tr.engines() {
+						tr.must(lab.Fault(tr.ctx, x.URL, standin.Faults{}))
+					}
+				}},
+				{"load fails half-way", func() {
+					for _, x := range tr.engines() {
+						tr.must(lab.Fault(tr.ctx, x.URL, standin.Faults{FailLoads: 1}))
+					}
+					tr.churn()
+				}},
+				{"planner killed", func() {
+					p := tr.awaitPlanner()
+					tr.swap()
+					tr.restart(p)
+					tr.awaitSwapped()
+				}},
+				{"second agent while the first is frozen", func() { tr.twoAgents(b()) }},
+				{"key-value answers lost", func() {
+					tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseAnswers: 3}))
+					tr.churn()
+				}},
+			})
+			loads := 0
+			for _, x := range tr.engines() {
+				var s standin.EngineStats
+				tr.must(lab.Fetch(tr.ctx, x.URL+"/stats", &s))
+				loads += s.Loads
+				for range s.Overcommits {
+					tr.violation("%s was ordered to overcommit its memory", x.Agent.ID)
+				}
+			}
+			assert.Assert(t, loads > tr.swaps, "%d swaps met %d loads", tr.swaps, loads)
+			tr.row.worst = fmt.Sprintf("%d loads", loads)
+		})
+	}
+}
+
+// twoAgents freezes an agent, lets another take over its server, and thaws the first.
+func (tr *trial) twoAgents(b *lab.Backend) {
+	first := b.Agent
+	first.Freeze()
+	second, err := tr.SecondAgent(tr.ctx, b)
+	tr.must(err)
+	tr.must(tr.SetVM(tr.ctx, second, inventory.RoleBackend, inventory.VMLive))
+	tr.until("the second agent is known", func() bool {
+		st, err := tr.Status(tr.ctx, tr.awaitPlanner(), false)
+		return err == nil && knows(st, second.ID, second.Addr)
+	})
+	first.Thaw()
+	tr.churn()
+	second.Kill()
+	tr.restart(first)
+	tr.must(tr.SetVM(tr.ctx, first, inventory.RoleBackend, inventory.VMLive))
+	tr.until("the first agent is known again", func() bool {
+		st, err := tr.Status(tr.ctx, tr.awaitPlanner(), false)
+		return err == nil && knows(st, first.ID, first.Addr)
+	})
+}
--- /dev/null
+++ b/internal/proofs/reachable_test.go
@@ -0,0 +1,105 @@
+package proofs
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"rockcleat/internal/inventory"
+	"rockcleat/internal/lab"
+)
+
+// Promise 2: every model and adapter stays reachable.
+func TestReachable(t *testing.T) {
+	tr := start(t, 2, "every model reachable", func(o *lab.Options) { o.Engine.MemoryMiB = 36000 })
+	var mu sync.Mutex
+	allowed := false
+	allow := func(v bool) { mu.Lock(); allowed = v; mu.Unlock() }
+	names := slices.Sorted(func(yield func(string) bool) {
+		for n := range tr.copies() {
+			if !yield(n) {
+				return
+			}
+		}
+	})
+	done := make(chan struct{})
+	var wg sync.WaitGroup
+	wg.Add(1)
+	go func() {
+		defer wg.Done()
+		for {
+			mu.Lock()
+			n := tr.copies()
+			for _, name := range names {
+				if n[name] == 0 && !allowed {
+					tr.violation("%s had nowhere to run though no server was lost", name)
+				}
+			}
+			mu.Unlock()
+			select {
+			case <-done:
+				return
+			case <-time.After(20 * time.Millisecond):
+			}
+		}
+	}()
+	var worst time.Duration
+	tr.runSteps([]step{
+		{"tenfold demand of one model", func() {
+			name := names[tr.rng.IntN(len(names))]
+			stop := tr.load(24, func(_, i int) (lab.Request, int) { return tr.chat(tr.liveEntry(i).Addr, name, 40) })
+			tr.until("a second copy of "+name+" is there", func() bool { return tr.copies()[name] > 1 })
+			stop()
+		}},
+		{"planner killed", func() { tr.restart(tr.awaitPlanner()) }},
+		{"server and agent killed", func() {
+			tr.must(tr.AwaitPlaced(tr.ctx))
+			allow(true)
+			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
+			began := time.Now()
+			b.Server.Kill()
+			b.Agent.Kill()
+			tr.until("every model has a place again", func() bool {
+				n := tr.copies()
+				return !slices.ContainsFunc(names, func(name string) bool { return n[name] == 0 })
+			})
+			worst = max(worst, time.Since(began))
+			allow(false)
+			tr.must(tr.RestartServer(b))
+			tr.must(tr.StartNode(tr.ctx, b.Agent))
+			tr.must(tr.AwaitPlaced(tr.ctx))
+		}},
+		{"server leaves", func() {
+			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
+			tr.must(tr.SetVM(tr.ctx, b.Agent, inventory.RoleBackend, inventory.VMLeaving))
+			tr.until("every model has a place off the leaver", func() bool { return tr.placedWithout(b, names) })
+			tr.restart(b.Agent)
+			tr.must(tr.SetVM(tr.ctx, b.Agent, inventory.RoleBackend, inventory.VMLive))
+			tr.must(tr.AwaitPlaced(tr.ctx))
+		}},
+	})
+	close(done)
+	wg.Wait()
+	tr.checkChats()
+	tr.row.worst = fmt.Sprintf("%.1fs without a place after a lost server", worst.Seconds())
+}
+
+// placedWithout reports whether every name is ready on a server other than b's.
+func (tr *trial) placedWithout(b *lab.Backend, names []string) bool {
+	st, err := tr.Status(tr.ctx, tr.liveEntry(0), false)
+	if err != nil {
+		return false
+	}
+	for _, name := range names {
+		has := false
+		for _, s := range st.Servers {
+			has = has || s.ID != b.Agent.ID && s.Has(name)
+		}
+		if !has {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -26,7 +26,9 @@
 	TypeServer         = "server_error"
 )
 
-// A Failure is an answer that is not the backend server's own.
+// A Failure is an answer of an entry or agent that is not the backend server's own, in the form
+// that clients of the OpenAI API expect. A gateway refuses in the form of the users' platform
+// instead, as plain text (package gateway).
 type Failure struct {
 	Status     int
 	Outcome    Outcome
