--- a/internal/agent/catchup.go
+++ b/internal/agent/catchup.go
@@ -46,7 +46,8 @@
 )
 
 // stepOrphan keeps the table new while no planner speaks to the agent, as when
-// its planner has died while the platform's key-value service is out.
+// its planner has died while the platform's key-value service is out. It reads the whole list of
+// VMs once, in need; an entry follows the list all the time (package entry).
 func (a *Agent) stepOrphan(now time.Time) {
 	a.mu.Lock()
 	alone := now.Sub(a.contact.exchanged)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,6 +17,7 @@
 
 // Exit codes of the command.
 const (
+	// ExitOK says that the command did what it was asked.
 	ExitOK = 0
 	// ExitFailed says that nothing was changed.
 	ExitFailed = 1
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -17,10 +17,10 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// errNoTrace tells that no line speaks of the request.
+// errNoTrace says that no line speaks of the request.
 var errNoTrace = errors.New("no line speaks of this request; answered ones are logged up to a rate, see docs/OPERATIONS.md")
 
-// maxLogLine bounds one line of a log, in bytes.
+// maxLogLine bounds one line of a log, in bytes. Chosen, not measured.
 const maxLogLine = 1 << 20
 
 // Fields of a log line that a story does not repeat.
@@ -29,7 +29,7 @@
 }
 
 // aroundTime is how long before and after a request's lines those on its servers
-// are shown too.
+// are shown too. Chosen, not measured.
 const aroundTime = 3 * time.Second
 
 // A logLine is one line of a process's log.
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -48,17 +48,21 @@
 // Defaults of the gateway's settings; chosen, not measured. The platform's template sets grace,
 // lease_ttl and retry (deploy/gateway.yaml).
 const (
-	defaultGrace         = 8 * time.Second
-	defaultGatewayLease  = 3 * time.Second
-	defaultWatchTime     = 2 * time.Second
+	defaultGrace = 8 * time.Second
+	// defaultGatewayLease is three times that between two renewals (lease.renewalsPerTTL).
+	defaultGatewayLease = 3 * time.Second
+	// defaultWatchTime is how long a dead watch goes unnoticed.
+	defaultWatchTime = 2 * time.Second
+	// defaultStoreTimeout is less than the time between two renewals of the lease.
 	defaultStoreTimeout  = 900 * time.Millisecond
 	defaultEngineTimeout = 700 * time.Millisecond
 	defaultIdleTime      = 1500 * time.Millisecond
 	defaultBodyTime      = 5 * time.Second
 	defaultGateways      = 6
-	defaultRetryWindow   = 10 * time.Second
-	defaultRetryRatio    = 0.1
-	defaultRetryFixed    = 10
+	// The default budget allows one retry for ten requests and ten beside them in a window.
+	defaultRetryWindow = 10 * time.Second
+	defaultRetryRatio  = 0.1
+	defaultRetryFixed  = 10
 )
 
 func (g *Gateway) setDefaults() {
--- a/internal/daemon/flags.go
+++ b/internal/daemon/flags.go
@@ -10,8 +10,11 @@
 
 // Exit codes of the daemons.
 const (
-	ExitOK       = 0
-	ExitFailed   = 1
+	// ExitOK says that the process stopped as asked.
+	ExitOK = 0
+	// ExitFailed says that it could not start, or not stop in order.
+	ExitFailed = 1
+	// ExitSettings says that its flags or settings are wrong.
 	ExitSettings = 2
 )
 
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -133,7 +133,9 @@
 	}
 }
 
-// stepLease renews or contends for a shard's lease and opens or closes the shard with it.
+// stepLease renews or contends for a shard's lease and opens or closes the shard with it. A shard
+// closes as soon as its lease may have lapsed, since two owners would let one key run twice; a cell
+// (package planner) stays until another entry can hold it, since its agents compare tokens.
 func (c *claims) stepLease(i int, h *lease.Holder) {
 	ctx, cancel := context.WithTimeout(c.ctx, claimTimeout)
 	defer cancel()
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -17,10 +17,10 @@
 const (
 	// maxTries bounds the servers that it is sent to.
 	maxTries = 4
-	// arrivalPoll is the time between two looks for a server that is to arrive, and
-	// maxArrival bounds the wait for it.
+	// arrivalPoll is the time between two looks for a server that is to arrive.
 	arrivalPoll = 20 * time.Millisecond
-	maxArrival  = 10 * time.Second
+	// maxArrival bounds the wait for it.
+	maxArrival = 10 * time.Second
 )
 
 // A delivery is the state of passing one call's answer to its caller.
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -92,12 +92,14 @@
 	return 0, p.err
 }
 
-// Ports of the lab's processes lie below those that the system gives to outgoing
-// connections, which could otherwise take one before its process listens.
+// Ports of the lab's processes lie below those that the system gives to outgoing connections,
+// which could otherwise take one before its process listens; chosen, not measured.
 const (
+	// firstPort is the first of the ports, portCount their number.
 	firstPort = 10000
 	portCount = 20000
-	portStep  = 997
+	// portStep is how far apart labs whose process ids follow each other begin to search.
+	portStep = 997
 )
 
 // nextPort is where the search for a free port goes on; labs of different
@@ -121,7 +123,7 @@
 	return "", eris.New("lab: no free port")
 }
 
-// pollEvery is the time between two looks at a condition.
+// pollEvery is the time between two looks at a condition. Chosen, not measured.
 const pollEvery = 10 * time.Millisecond
 
 // Until waits until the condition holds or ctx ends.
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -14,7 +14,7 @@
 	"rockcleat/kv"
 )
 
-// maxValue is the longest value that the service holds, in bytes.
+// maxValue is the longest value that the service holds, in bytes. Chosen, not measured.
 const maxValue = 1 << 20
 
 // KVOptions configure a KV.
