--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -68,22 +68,27 @@
 
 // An Agent is the process beside one backend server.
 type Agent struct {
-	settings    config.Agent
-	engine      Engine
-	vms         VMLister
-	clock       clock.Service
-	log         *zap.Logger
-	metrics     *telemetry.Metrics
+	settings config.Agent
+	engine   Engine
+	vms      VMLister
+	clock    clock.Service
+	log      *zap.Logger
+	metrics  *telemetry.Metrics
+	// incarnation names this life of the agent; mu guards it.
 	incarnation string
-	backend     *http.Client
-	peers       *wire.Client
-	replica     table.Replica
-	traffic     *wire.Traffic
-	proxied     wire.Traffic
-	requests    *server.Listener
-	control     *server.Listener
-	record      *record
-	stops       []func()
+	// backend sends requests to the backend server, peers messages to entries.
+	backend *http.Client
+	peers   *wire.Client
+	replica table.Replica
+	// traffic counts the bytes of control, proxied those of requests.
+	traffic  *wire.Traffic
+	proxied  wire.Traffic
+	requests *server.Listener
+	control  *server.Listener
+	// record is what lasts of the agent; ordering guards it.
+	record *record
+	// stops end the subscriptions to the clock.
+	stops []func()
 	// ordering makes the handling of orders one at a time.
 	ordering sync.Mutex
 	// catching says that the table is being asked of an entry.
@@ -121,6 +126,7 @@
 	return a
 }
 
+// isService reports whether the backend server is a plain service.
 func (a *Agent) isService() bool { return a.settings.Backend.Kind == config.BackendService }
 
 // Start binds the listeners and starts the agent's systems.
@@ -147,6 +153,7 @@
 	return nil
 }
 
+// subscribe calls f every interval until the agent stops.
 func (a *Agent) subscribe(every time.Duration, f func(time.Time)) {
 	a.stops = append(a.stops, a.clock.Subscribe(every, f))
 }
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -6,7 +6,7 @@
 // placement: a cell's planner says what to load and unload.
 //
 // An Agent joins parts, each with its state: workload (the queue, what rows are granted and
-// ask for), engineState (the ledger, the slots, the engine's reports and the record that the
+// ask for), serverState (the ledger, the slots, the engine's reports and the record that the
 // planner gets), membership (whether it is leaving) and contact (the planner that spoke last,
 // and pauses of this process). The agent's mutex guards all four, since a request looks at all
 // of them at once; the record in the platform's service has a mutex of its own (ordering).
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -10,6 +10,7 @@
 	"rockcleat/internal/wire"
 )
 
+// controlRouter returns the handler of the control listener.
 func (a *Agent) controlRouter() http.Handler {
 	e := server.NewRouter()
 	server.RegisterHealth(e, a.ready, a.metrics)
@@ -41,8 +42,8 @@
 	if !a.accept(x) {
 		return c.JSON(http.StatusOK, a.answer(x))
 	}
-	a.heed(x)
-	if !x.Lapsed && a.meant(x) && x.TableVersion >= a.replica.Current().Version() {
+	a.followList(x)
+	if !x.Lapsed && a.isMeant(x) && x.TableVersion >= a.replica.Current().Version() {
 		a.mu.Lock()
 		a.work.setGrants(x.Grants)
 		a.mu.Unlock()
@@ -66,8 +67,8 @@
 	return true
 }
 
-// meant reports whether the exchange's orders and grants are for this incarnation.
-func (a *Agent) meant(x wire.Exchange) bool {
+// isMeant reports whether the exchange's orders and grants are for this incarnation.
+func (a *Agent) isMeant(x wire.Exchange) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return x.Incarnation == a.incarnation
@@ -101,6 +102,7 @@
 	ControlBytes int64  `json:"control_bytes"`
 }
 
+// status answers with the agent's state.
 func (a *Agent) status(c echo.Context) error {
 	a.ordering.Lock()
 	armed := a.record.armed
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -24,10 +24,10 @@
 // closed reports whether the agent takes no new work any more.
 func (m *membership) closed(now time.Time) bool { return m.leaving && !now.Before(m.closeAt) }
 
-// heed notes what a version of the platform's list says, and reports whether the agent stays
+// noteListed notes what a version of the platform's list says, and reports whether the agent stays
 // after all. Should a later version of the list say that it does not leave, it stays: what
 // made it leave was about its VM's former life.
-func (m *membership) heed(leaving bool, list uint64) (stays bool) {
+func (m *membership) noteListed(leaving bool, list uint64) (stays bool) {
 	if leaving {
 		m.listed = max(m.listed, list)
 		return false
@@ -84,15 +84,15 @@
 // nudgeTimeout bounds a message to the planner. Chosen, not measured.
 const nudgeTimeout = time.Second
 
-// heed leaves when the platform's list says so. If the agent stays after all, it does so under
+// followList leaves when the platform's list says so. If the agent stays after all, it does so under
 // a new incarnation, since others have marked the old one.
-func (a *Agent) heed(x wire.Exchange) {
+func (a *Agent) followList(x wire.Exchange) {
 	if x.Leaving {
 		a.Leave("the platform's list says so")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.membership.heed(x.Leaving, x.List) {
+	if !a.membership.noteListed(x.Leaving, x.List) {
 		return
 	}
 	a.incarnation = uuid.NewString()
