--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -28,7 +28,7 @@
 	silentOwners []string
 }
 
-// Ask implements dispatch.Places.
+// Admit implements dispatch.Owners.
 func (g *gatewayGroup) Admit(_ context.Context, owner string, r dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
 	g.mu.Lock()
 	g.asked++
--- a/internal/proofs/harness_test.go
+++ b/internal/proofs/harness_test.go
@@ -111,7 +111,7 @@
 	sent []sent
 }
 
-// settings make the daemons quick to notice, so that proofs are short.
+// quick makes the daemons notice failures soon, so that proofs are short.
 func quick(o *lab.Options) {
 	entry, agent := o.Entry, o.Agent
 	o.Entry = func(e *config.Entry) {
--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Lost implements kv.Follower.
+// Unreachable implements kv.Follower.
 func (w *watcher) Unreachable(error) {}
 
-// Heard implements kv.Follower.
+// Reachable implements kv.Follower.
 func (w *watcher) Reachable() {}
