--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -240,3 +240,13 @@
 		name: {Arrived: arrived, WorkTokens: arrived * 1000, Waiting: waiting, Service: service},
 	}})
 }
+
+// startWaitingFor starts a leader, lets a request wait for an adapter and waits for the first order.
+func (w *world) startWaitingFor(adapter string) {
+	p := w.start(true)
+	w.pass(5 * time.Second)
+	w.ask(adapter, 0, 0)
+	w.ask(adapter, 1, 1)
+	p.Wake()
+	w.run("adapter", w.ordered(1))
+}
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -195,12 +195,7 @@
 
 func testAdapterComesWhenItIsWaitedFor(t *testing.T) {
 	w := newWorld(t, 1, []string{"m0"})
-	p := w.start(true)
-	w.pass(5 * time.Second)
-	w.ask("m0/a1", 0, 0)
-	w.ask("m0/a1", 1, 1)
-	p.Wake()
-	w.run("adapter", w.ordered(1))
+	w.startWaitingFor("m0/a1")
 	assert.Equal(t, w.engines.orders()[0].order.Adapter, "a1")
 	w.run("published", func() bool {
 		r := w.ask("m0/a1", 1, 0).Residency["e0"].Residents
@@ -221,12 +216,7 @@
 		ID: "e0", Service: service, Hall: "h", Leaving: true,
 		Residents: []backend.Resident{{Model: "m0", Adapters: []string{"a1"}}},
 	}, w.clock.Now())
-	p := w.start(true)
-	w.pass(5 * time.Second)
-	w.ask("m0/a1", 0, 0)
-	w.ask("m0/a1", 1, 1)
-	p.Wake()
-	w.run("adapter", w.ordered(1))
+	w.startWaitingFor("m0/a1")
 	assert.Equal(t, w.engines.orders()[0].server, "e1")
 }
 
@@ -237,12 +227,7 @@
 func testLoadingAdaptersTakeSlots(t *testing.T) {
 	w := newWorld(t, 1, []string{"m0"})
 	w.engines.engines["e0"].coming = []backend.Adapter{{Model: "m0", Name: "a1"}, {Model: "m0", Name: "a2"}}
-	p := w.start(true)
-	w.pass(5 * time.Second)
-	w.ask("m0/a3", 0, 0)
-	w.ask("m0/a3", 1, 1)
-	p.Wake()
-	w.run("adapter", w.ordered(1))
+	w.startWaitingFor("m0/a3")
 	assert.Assert(t, w.engines.orders()[0].order.Unload, "both slots are taken: one must be freed first")
 }
 
