--- a/internal/entry/claim_calls.go
+++ b/internal/entry/claim_calls.go
@@ -124,26 +124,28 @@
 
 // serveClaim answers another entry's claim.
 func (c *claims) serveClaim(ec echo.Context) error {
-	var r wire.ClaimRequest
-	if err := ec.Bind(&r); err != nil {
-		return err
-	}
-	i := c.shardOf(r.Key)
-	if !c.shards[i].IsOpen() {
-		return ec.NoContent(http.StatusMisdirectedRequest)
-	}
-	a, err := c.claimHere(ec.Request().Context(), i, r)
-	if errors.Is(err, claim.ErrNotOwner) {
-		return ec.NoContent(http.StatusMisdirectedRequest)
-	}
-	if err != nil {
-		return ec.String(http.StatusServiceUnavailable, err.Error())
-	}
-	return ec.JSON(http.StatusOK, a)
+	return c.serveOwned(ec, func(i int, r wire.ClaimRequest) error {
+		a, err := c.claimHere(ec.Request().Context(), i, r)
+		switch {
+		case errors.Is(err, claim.ErrNotOwner):
+			return ec.NoContent(http.StatusMisdirectedRequest)
+		case err != nil:
+			return ec.String(http.StatusServiceUnavailable, err.Error())
+		}
+		return ec.JSON(http.StatusOK, a)
+	})
 }
 
 // serveFinish records the end of another entry's claimed request.
 func (c *claims) serveFinish(ec echo.Context) error {
+	return c.serveOwned(ec, func(i int, r wire.ClaimRequest) error {
+		c.finishHere(i, r)
+		return ec.NoContent(http.StatusOK)
+	})
+}
+
+// serveOwned passes another entry's message on with the key's shard, if this entry owns it.
+func (c *claims) serveOwned(ec echo.Context, serve func(shard int, r wire.ClaimRequest) error) error {
 	var r wire.ClaimRequest
 	if err := ec.Bind(&r); err != nil {
 		return err
@@ -152,6 +154,5 @@
 	if !c.shards[i].IsOpen() {
 		return ec.NoContent(http.StatusMisdirectedRequest)
 	}
-	c.finishHere(i, r)
-	return ec.NoContent(http.StatusOK)
+	return serve(i, r)
 }
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -53,7 +53,6 @@
 	shards  []*claim.Shard
 	holders []*lease.Holder
 	stops   []func()
-	wg      sync.WaitGroup
 
 	mu     sync.Mutex
 	owners map[int]ownerRecord
@@ -87,7 +86,6 @@
 	every := c.settings.LeaseTTL.Std() / claimLeasePart
 	c.stops = append(c.stops, c.clock.Subscribe(every, func(time.Time) { c.stepLeases() }))
 	for i := range c.shards {
-		c.wg.Add(1)
 		go c.run(i)
 	}
 	go c.stepLeases()
@@ -96,7 +94,6 @@
 // run writes the shard's records when there are some, no more often than the
 // shard's part of the write rate allows.
 func (c *claims) run(i int) {
-	defer c.wg.Done()
 	for {
 		select {
 		case <-c.shards[i].Wake():
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -75,10 +75,10 @@
 		Catalogue: o.Platform, Agents: peers, View: &e.view, Replica: &e.replica, Recorder: &e.decisions, Log: o.Log,
 	})
 	tableLog := table.NewLog(o.Store, o.Clock, tableCheck(&e.view, e.planner))
-	e.sync = &syncer{syncerOptions: syncerOptions{
+	e.sync = &syncer{
 		ctx: e.ctx, id: s.ID, replica: &e.replica, view: &e.view, tableLog: tableLog, members: e.members,
 		planner: e.planner, peers: peers, clock: o.Clock, log: o.Log,
-	}}
+	}
 	e.claims = newClaims(claimsOptions{
 		ctx: e.ctx, id: s.ID, addr: s.ControlListen, settings: s.Claims, store: o.Store, clock: o.Clock,
 		log: o.Log, peers: peers, members: e.members,
@@ -92,7 +92,6 @@
 	e.operators = &operators{
 		id: s.ID, replica: &e.replica, view: &e.view, tableLog: tableLog, planner: e.planner, members: e.members,
 		decisions: &e.decisions, peers: peers, inFlight: e.proxy.inFlight.Load, traffic: o.Traffic, log: o.Log,
-		check: tableCheck(&e.view, e.planner),
 	}
 	return e
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -34,12 +34,10 @@
 // operators answers operators: it shows, checks and saves the table, and shows what this entry
 // knows of the system.
 type operators struct {
-	id       string
-	replica  *table.Replica
-	view     *fleet.View
-	tableLog *table.Log
-	// check refuses tables that cannot be served.
-	check     func(next *table.Table) []table.CheckError
+	id        string
+	replica   *table.Replica
+	view      *fleet.View
+	tableLog  *table.Log
 	planner   *planner.Planner
 	members   *members
 	decisions *decisions
@@ -111,11 +109,7 @@
 	}
 	now := o.replica.Current()
 	next := now.Apply(r.Edit, now.Version()+1)
-	errs := next.Check()
-	if len(errs) == 0 {
-		errs = o.check(next)
-	}
-	if len(errs) > 0 {
+	if errs := o.tableLog.Check(next); len(errs) > 0 {
 		return c.JSON(http.StatusUnprocessableEntity, wire.SaveAnswer{Errors: errs})
 	}
 	return c.JSON(http.StatusOK, wire.SaveAnswer{Version: now.Version()})
@@ -123,7 +117,7 @@
 
 // tableCheck returns a check that refuses tables whose models do not all fit the accelerators
 // known.
-func tableCheck(view *fleet.View, p *planner.Planner) func(next *table.Table) []table.CheckError {
+func tableCheck(view *fleet.View, p *planner.Planner) table.Validator {
 	return func(next *table.Table) []table.CheckError {
 		sizes := p.Sizes()
 		servers := view.Servers()
@@ -164,13 +158,14 @@
 		return c.JSON(http.StatusOK, a)
 	}
 	a.Servers = o.view.Servers()
-	for _, vm := range o.members.all() {
+	vms := o.members.all()
+	for _, vm := range vms {
 		a.VMs = append(a.VMs, wire.VMStatus{
 			ID: vm.ID, Role: string(vm.Role), Hall: vm.Hall, Addr: vm.Addr, State: string(vm.State),
 		})
 	}
 	if c.QueryParam("versions") != "" {
-		o.askVersions(c.Request().Context(), a.VMs, o.members.all())
+		o.askVersions(c.Request().Context(), a.VMs, vms)
 	}
 	return c.JSON(http.StatusOK, a)
 }
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -38,8 +38,9 @@
 // tableKey is the key of the ranking for watching the table.
 const tableKey = "table"
 
-// syncerOptions are what a syncer is made of.
-type syncerOptions struct {
+// A syncer spreads the table and the servers' records between entries, by asking one other
+// entry at random for what is new on each tick.
+type syncer struct {
 	// ctx ends with the entry.
 	ctx      context.Context
 	id       string
@@ -51,12 +52,6 @@
 	peers    *wire.Client
 	clock    clock.Service
 	log      *zap.Logger
-}
-
-// A syncer spreads the table and the servers' records between entries, by asking one other
-// entry at random for what is new on each tick.
-type syncer struct {
-	syncerOptions
 
 	mu sync.Mutex
 	// lastSync is when another entry last answered, revision the store's at the last watch.
--- a/table/log.go
+++ b/table/log.go
@@ -170,7 +170,7 @@
 	}
 	e.Version = t.Version() + 1
 	next := t.Apply(e, e.Version)
-	if errs := l.check(next); len(errs) > 0 {
+	if errs := l.Check(next); len(errs) > 0 {
 		return nil, false, &InvalidError{Errors: errs}
 	}
 	h, err = l.append(ctx, h, e, next)
@@ -198,8 +198,9 @@
 	return nil
 }
 
-// check returns why a table must not be saved, if anything.
-func (l *Log) check(t *Table) []CheckError {
+// Check returns why a table must not be saved, if anything: errors of its rows, or else those of
+// the Validator.
+func (l *Log) Check(t *Table) []CheckError {
 	errs := t.Check()
 	if len(errs) == 0 && l.validate != nil {
 		errs = l.validate(t)
