--- a/backend/engine.go
+++ b/backend/engine.go
@@ -1,12 +1,22 @@
 package backend
 
-import "context"
+import (
+	"context"
+	"strings"
+)
 
 // An Adapter names an adapter of a model.
 type Adapter struct {
 	Model, Name string
 }
 
+// ParseAdapter reads the form MODEL/NAME; without a slash the name is empty, which is the model
+// itself.
+func ParseAdapter(text string) Adapter {
+	model, name, _ := strings.Cut(text, "/")
+	return Adapter{Model: model, Name: name}
+}
+
 // A Report is an engine's report on itself; it may be some hundred milliseconds old.
 type Report struct {
 	Residents []Resident
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -11,6 +11,7 @@
 	"strings"
 	"time"
 
+	"rockcleat/backend"
 	"rockcleat/dispatch"
 	"rockcleat/table"
 )
@@ -21,6 +22,8 @@
 	id      string
 	route   table.Route
 	service table.Service
+	// target is the model and adapter asked for; empty for a plain service's requests.
+	target backend.Adapter
 	// configVersion is that of the configuration that the request was matched with.
 	configVersion uint64
 	// body is read whole, so that it can be sent again.
@@ -72,7 +75,8 @@
 	if !ok {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "no such service yet", retryAfter: retrySoon}
 	}
-	if !p.mayServe(in.service, in.Request) {
+	in.target = backend.ParseAdapter(in.Header.Get(p.names.Model))
+	if !in.mayBeServed() {
 		return notRun("the model is not configured", retryConfigured)
 	}
 	in.deadline, ok = deadlineOf(in.arrived, in.route.Timeout, in.Header.Get(p.names.Deadline))
@@ -83,18 +87,14 @@
 	return nil
 }
 
-// mayServe reports whether a service's servers can ever serve the request: engines only
+// mayBeServed reports whether the service's servers can ever serve the request: engines only
 // load models that are configured. Adapters are configured by number, so they are not
 // looked at, and a service without servers may get some while the request waits.
-func (p *proxy) mayServe(service table.Service, r *http.Request) bool {
-	if service.Engine == nil {
+func (in *inbound) mayBeServed() bool {
+	if in.service.Engine == nil || in.target.Model == "" {
 		return true
 	}
-	model, _, _ := strings.Cut(r.Header.Get(p.names.Model), "/")
-	if model == "" {
-		return true
-	}
-	_, ok := service.Engine.Model(model)
+	_, ok := in.service.Engine.Model(in.target.Model)
 	return ok
 }
 
--- a/internal/gateway/needs.go
+++ b/internal/gateway/needs.go
@@ -45,7 +45,7 @@
 	if in.service.Engine == nil {
 		return needs
 	}
-	needs.Model, needs.Adapter, _ = strings.Cut(in.Header.Get(p.names.Model), "/")
+	needs.Model, needs.Adapter = in.target.Model, in.target.Name
 	needs.PromptTokens, needs.MaxOutputTokens = p.tokenCounts(in)
 	needs.Prefix = p.prefixBlocks(in)
 	needs.Gap = dispatch.GapBudget{
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -83,7 +83,7 @@
 		if x.Arrived == before.Arrived {
 			continue
 		}
-		a := adapterOf(name)
+		a := backend.ParseAdapter(name)
 		d.newTokens[a.Model] += float64(x.WorkTokens - before.WorkTokens)
 		if a.Name != "" {
 			d.adapterLastUsed[a] = now
@@ -129,12 +129,6 @@
 	return list, h.Sum64()
 }
 
-// adapterOf returns the model and adapter of a name such as MODEL/ADAPTER.
-func adapterOf(name string) backend.Adapter {
-	model, adapter, _ := strings.Cut(name, "/")
-	return backend.Adapter{Model: model, Name: adapter}
-}
-
 // step moves the rates on by a time.
 func (d *demand) step(elapsed time.Duration) {
 	for model := range d.newTokens {
@@ -166,9 +160,10 @@
 	}
 	for _, g := range d.gateways {
 		for name, x := range g.demands {
-			w := out[adapterOf(name).Model]
+			model := backend.ParseAdapter(name).Model
+			w := out[model]
 			w.Waiting += x.Waiting
-			out[adapterOf(name).Model] = w
+			out[model] = w
 		}
 	}
 	return out
@@ -181,7 +176,7 @@
 	running = make(map[backend.Adapter]int)
 	for _, g := range d.gateways {
 		for name, x := range g.demands {
-			a := adapterOf(name)
+			a := backend.ParseAdapter(name)
 			if a.Name == "" || x.Service != service {
 				continue
 			}
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -216,15 +216,15 @@
 	e.nextReport = e.cacheUnknownUntil
 }
 
-// isCached reports whether the machine has a model's weights in memory or on disk.
-func (e *engineState) isCached(model string) bool {
-	return slices.Contains(e.cachedInMemory, model) || slices.Contains(e.cachedOnDisk, model)
+// source returns where the engine would load a model from.
+func (e *engineState) source(model string) residency.Source {
+	return residency.SourceOf(e.cachedInMemory, e.cachedOnDisk, model)
 }
 
 // fromStore reports whether the first pending order loads from the weight store.
 func (e *engineState) fromStore() bool {
 	o := e.pending[0]
-	return !o.Unload && !e.isCached(o.Model)
+	return !o.Unload && e.source(o.Model) == residency.FromStore
 }
 
 // expectedTime returns how long the engine's first pending order should take.
@@ -234,13 +234,7 @@
 	if o.Unload || !ok {
 		return pollEvery
 	}
-	switch {
-	case slices.Contains(e.cachedInMemory, o.Model):
-		return m.MemoryLoadTime
-	case slices.Contains(e.cachedOnDisk, o.Model):
-		return m.DiskLoadTime
-	}
-	return m.StoreLoadTime
+	return residency.LoadTime(m, e.source(o.Model))
 }
 
 // addAdapter counts an adapter that the engine has accepted an order for.
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		last := e.pending[len(e.pending)-1]
-		if !e.isCached(last.Model) {
+		if e.source(last.Model) == residency.FromStore {
 			n++
 		}
 	}
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -181,7 +181,7 @@
 		if !e.Idle || holds(e, m.Name) {
 			continue
 		}
-		source := sourceOf(e, m.Name)
+		source := SourceOf(e.CachedInMemory, e.CachedOnDisk, m.Name)
 		if source == FromStore && !storeAllowed {
 			continue
 		}
@@ -189,7 +189,7 @@
 		if !ok {
 			continue
 		}
-		cost := loadTime(m, source).Seconds() + p.evictionCost(m, evictions) + sameHallPenalty*float64(inHall[e.Hall])
+		cost := LoadTime(m, source).Seconds() + p.evictionCost(m, evictions) + sameHallPenalty*float64(inHall[e.Hall])
 		if !found || cost < bestCost {
 			best, bestCost, found = Move{Engine: e.ID, Model: m.Name, Evictions: evictions, Source: source}, cost, true
 		}
@@ -208,8 +208,8 @@
 	return halls
 }
 
-// loadTime returns how long a model takes to load.
-func loadTime(m table.ModelSpec, s Source) time.Duration {
+// LoadTime returns how long a model takes to load.
+func LoadTime(m table.ModelSpec, s Source) time.Duration {
 	switch s {
 	case FromMemory:
 		return m.MemoryLoadTime
@@ -219,12 +219,13 @@
 	return m.StoreLoadTime
 }
 
-// sourceOf returns where an engine would load a model from.
-func sourceOf(e *EngineView, model string) Source {
-	if slices.Contains(e.CachedInMemory, model) {
+// SourceOf returns where a machine that has cached the weights of some models in memory and on
+// disk would load a model from.
+func SourceOf(inMemory, onDisk []string, model string) Source {
+	if slices.Contains(inMemory, model) {
 		return FromMemory
 	}
-	if slices.Contains(e.CachedOnDisk, model) {
+	if slices.Contains(onDisk, model) {
 		return FromDisk
 	}
 	return FromStore
