--- a/backend/registry.go
+++ b/backend/registry.go
@@ -114,11 +114,8 @@
 // isVisible reports whether a server's new record shows in a snapshot: what it holds does
 // not while the leader's residency of it is known.
 func (r *Registry) isVisible(old, s Server) bool {
-	if _, known := r.residency[s.ID]; !known {
-		return true
-	}
-	return old.Service != s.Service || old.Addr != s.Addr || old.Hall != s.Hall || old.Slots != s.Slots ||
-		old.Leaving != s.Leaving
+	_, known := r.residency[s.ID]
+	return !known || old.Listing() != s.Listing()
 }
 
 // Update sets one server at a time.
--- a/backend/server.go
+++ b/backend/server.go
@@ -36,6 +36,19 @@
 	CachedInMemory, CachedOnDisk []string
 }
 
+// A Listing is what the platform's list says of a server, but for what its engine holds: the
+// leader knows that better and publishes it.
+type Listing struct {
+	Service, Addr, Hall string
+	Slots               int
+	Leaving             bool
+}
+
+// Listing returns the server's part that only the platform's list says.
+func (s *Server) Listing() Listing {
+	return Listing{Service: s.Service, Addr: s.Addr, Hall: s.Hall, Slots: s.Slots, Leaving: s.Leaving}
+}
+
 // Holds reports whether the server has a model and adapter ready.
 func (s *Server) Holds(model, adapter string) bool {
 	for _, r := range s.Residents {
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -29,6 +29,11 @@
 // counting the tokens that an answer took. Chosen, not measured.
 const bytesPerEvent = 180
 
+// retrySoon is when to come back after a refusal whose end nobody knows: a load, a grant or a
+// planner's message may come at any time. Chosen, not measured.
+const retrySoon = time.Second
+
+// requestRouter returns the handler of the listener for requests.
 func (a *Agent) requestRouter() http.Handler {
 	e := server.NewRouter()
 	e.Use(server.RequireSecret(a.settings.Secret, a.metrics))
@@ -43,7 +48,7 @@
 	a.catchUp(req)
 	row, ok := a.replica.Current().Row(name)
 	if !ok {
-		return a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: time.Second})
+		return a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: retrySoon})
 	}
 	body, err := a.readBody(req)
 	if err != nil {
@@ -136,16 +141,16 @@
 	case a.closed():
 		return &fairqueue.Refusal{Reason: fairqueue.ReasonLeaving}
 	case a.clock.Now().Before(a.contact.distrustUntil):
-		return &fairqueue.Refusal{Reason: reasonPaused, RetryAfter: time.Second}
+		return &fairqueue.Refusal{Reason: reasonPaused, RetryAfter: retrySoon}
 	case total == 0:
-		return &fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: time.Second}
+		return &fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: retrySoon}
 	}
 	t.Limit = fairqueue.Limit{Weight: row.EffectiveWeight(), QueueTime: row.QueueTime}
 	t.Limit.Running = max(1, total*row.Share/100)
 	if row.Concurrency > 0 {
 		grant := a.work.grants[row.Name]
 		if grant == 0 {
-			return &fairqueue.Refusal{Reason: reasonConcurrency, RetryAfter: time.Second}
+			return &fairqueue.Refusal{Reason: reasonConcurrency, RetryAfter: retrySoon}
 		}
 		t.Limit.Running = min(t.Limit.Running, grant)
 	}
@@ -221,7 +226,7 @@
 	}
 	defer resp.Body.Close()
 	if p.row.Kind != table.KindService && resp.StatusCode == http.StatusNotFound {
-		return 0, a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: time.Second})
+		return 0, a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: retrySoon})
 	}
 	h := c.Response().Header()
 	copyHeader(h, resp.Header)
@@ -272,7 +277,7 @@
 	}
 	if wire.IsNotSent(err) {
 		f.Status, f.Outcome, f.Code = http.StatusServiceUnavailable, wire.OutcomeNotRun, "backend_unreachable"
-		f.Message, f.RetryAfter = "the backend server could not be reached; the request was not run", time.Second
+		f.Message, f.RetryAfter = "the backend server could not be reached; the request was not run", retrySoon
 	}
 	return f.Write(c)
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -1,8 +1,7 @@
 package gateway
 
 import (
-	"fmt"
-	"hash/fnv"
+	"hash/maphash"
 	"sync/atomic"
 	"time"
 
@@ -24,11 +23,13 @@
 	log      *zap.Logger
 	sink     serverSink
 	registry backend.Registry
-	listed   atomic.Bool
+	// seed makes digests, which are compared within this process only.
+	seed   maphash.Seed
+	listed atomic.Bool
 }
 
 func newServerList(d Decoder, c clock.Service, log *zap.Logger, sink serverSink) *serverList {
-	return &serverList{decoder: d, clock: c, log: log, sink: sink}
+	return &serverList{decoder: d, clock: c, log: log, sink: sink, seed: maphash.MakeSeed()}
 }
 
 // isListed reports whether the store's list has been read.
@@ -78,9 +79,9 @@
 	return srv, true
 }
 
-// digest returns a digest of what other gateways need to know of an entry: of a server all
-// but what it holds, since the leader publishes that. An entry that cannot be decoded
-// counts as changed with each revision; whoever applies it logs the error.
+// digest returns a digest of what other gateways need to know of an entry: of a server its
+// Listing. An entry that cannot be decoded counts as changed with each revision; whoever applies
+// it logs the error.
 func (s *serverList) digest(prefix string, e kv.Entry) uint64 {
 	if prefix != s.decoder.ServerPrefix() {
 		return uint64(e.Revision)
@@ -89,8 +90,5 @@
 	if err != nil {
 		return uint64(e.Revision)
 	}
-	h := fnv.New64a()
-	// Writing to a hash never fails.
-	_, _ = fmt.Fprintf(h, "%s\x00%s\x00%s\x00%d\x00%t", srv.Service, srv.Addr, srv.Hall, srv.Slots, srv.Leaving)
-	return h.Sum64()
+	return maphash.Comparable(s.seed, srv.Listing())
 }
