--- a/fairqueue/doc.go
+++ b/fairqueue/doc.go
@@ -1,13 +1,14 @@
-// Package fairqueue decides which waiting request of a backend server runs next, and which is
-// refused instead.
+// Package fairqueue schedules the requests of one backend server: it decides which waiting request
+// runs next and which is refused.
 //
-// Rows are served in proportion to their weights, counted in tokens, as by the Virtual Token
-// Counter (Sheng et al., "Fairness in Serving Large Language Models", OSDI 2024): each row has
-// a counter of tokens served divided by its weight, and the row with the lowest counter goes
-// first. Each row's limits on share, concurrency and queue time hold on top of that. A request
-// that cannot run within its queue time is refused when it arrives, not when it is late.
+// Rows of the operators' table share the server in proportion to their weights, measured in tokens, as
+// in the Virtual Token Counter scheduler (Sheng et al., "Fairness in Serving Large Language
+// Models", OSDI 2024). Each row has a counter of the tokens served divided by its weight, and the
+// row with the lowest counter runs next. A row's concurrency limit and queue time apply in
+// addition. A request whose estimated wait exceeds its queue time is refused on arrival.
 //
-// A Queue owns the waiting and running requests of one server and the rows' counters. It
-// relies on its caller to lock it, to call Step when time passes, and on Slots for what the
-// server can run. It sends nothing and knows no clock: times come with each call.
+// A Queue holds the waiting and running requests of one server and the counters of the rows.
+// Callers must serialize access to it and call Step as time passes; a Slots implementation provides
+// the server's capacity. The package does no I/O and reads no clock: each call takes the current
+// time.
 package fairqueue
--- a/fairqueue/example_test.go
+++ b/fairqueue/example_test.go
@@ -7,7 +7,7 @@
 	"rockcleat/fairqueue"
 )
 
-// oneSlot is a server that runs one request at a time.
+// oneSlot is a server with a single slot.
 type oneSlot struct{ taken bool }
 
 func (s *oneSlot) Take(string) (int, bool) {
@@ -19,7 +19,7 @@
 func (s *oneSlot) Release(int)      { s.taken = false }
 func (s *oneSlot) Total(string) int { return 1 }
 
-// A request runs, another waits for its slot, and a third has waited for too long.
+// The first request runs, the second waits for its slot, and the third exceeds its queue time.
 func Example() {
 	now := time.Unix(1000, 0)
 	q := fairqueue.New(&oneSlot{}, fairqueue.Options{})
--- a/fairqueue/fairqueue.go
+++ b/fairqueue/fairqueue.go
@@ -8,67 +8,65 @@
 	"time"
 )
 
-// A Reason says why a request was refused.
+// A Reason is the cause of a refusal.
 type Reason string
 
-// The reasons of a Refusal.
 const (
-	// ReasonQueueTime: the wait would exceed, or has exceeded, the row's queue time.
+	// ReasonQueueTime means that the wait would exceed, or has exceeded, the row's queue time.
 	ReasonQueueTime Reason = "queue_time"
-	// ReasonQueueFull: the server holds as many waiting requests as it may.
+	// ReasonQueueFull means that the server has the maximum number of waiting requests.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonLeaving: the server takes no new work.
+	// ReasonLeaving means that the server is draining and accepts no new requests.
 	ReasonLeaving Reason = "leaving"
-	// ReasonNotResident: the server no longer has what the request names.
+	// ReasonNotResident means that the server no longer holds the model or adapter.
 	ReasonNotResident Reason = "not_resident"
 )
 
-// Constants of a Queue.
 const (
-	// defaultMaxWaiting bounds the waiting requests of all rows.
+	// defaultMaxWaiting is the default of Options.MaxWaiting.
 	defaultMaxWaiting = 1024
-	// defaultDuration is assumed of a request before one has ended.
+	// defaultDuration is the initial estimate of a request's duration.
 	defaultDuration = 500 * time.Millisecond
-	// durationGain is how much one request moves the mean duration, 0 to 1.
+	// durationGain is the weight of the latest request in the moving average of durations, 0 to 1.
 	durationGain = 0.2
-	// minRetryAfter is the shortest time to come back that a refusal gives.
+	// minRetryAfter is the lower bound of Refusal.RetryAfter.
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// A Grant is the permission to run.
+// A Grant permits a request to run.
 type Grant struct {
-	// Slot is what Slots.Take returned for the ticket.
+	// Slot is the slot that Slots.Take returned.
 	Slot int
-	// Waited is the time spent in the queue.
+	// Waited is the time that the request spent in the queue.
 	Waited time.Duration
 }
 
-// A Refusal is the final answer to a request that has not run.
+// A Refusal rejects a request that has not run.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when to come back.
+	// RetryAfter is how long the client should wait before it retries.
 	RetryAfter time.Duration
 }
 
-// A Limit bounds the use of a row.
+// A Limit holds the limits of one row.
 type Limit struct {
-	// Weight is the row's weight with its tier's factor.
+	// Weight is the row's share relative to other rows, multiplied by the factor of its tier.
 	Weight int
-	// Running is the greatest number of requests running at once; 0 is no limit.
+	// Running is the maximum number of concurrent requests; 0 means no limit.
 	Running int
-	// QueueTime is the longest wait; 0 refuses whatever cannot run at once.
+	// QueueTime is the maximum wait. If it is 0, a request that cannot run immediately is refused.
 	QueueTime time.Duration
 }
 
-// A Ticket is one waiting or running request.
+// A Ticket is one request in a Queue.
 type Ticket struct {
-	// Row is the table row that the request falls under.
+	// Row is the name of the table row that the request belongs to.
 	Row string
-	// Tokens is the request's expected cost in tokens.
+	// Tokens is the estimated cost of the request in tokens.
 	Tokens int
-	// Limit is the row's limit when the request came.
+	// Limit is the limit of the row at the time of the request's arrival.
 	Limit Limit
-	// Granted and Refused are called once, one of the two, from within the queue's calls.
+	// The queue calls either Granted or Refused, at most once, from within one of its own methods.
 	Granted func(Grant)
 	Refused func(Refusal)
 
@@ -87,28 +85,28 @@
 	ticketDone
 )
 
-// Slots gives out a server's slots, in which requests run.
+// Slots provides a server's slots, each of which runs one request at a time.
 type Slots interface {
-	// Take returns a free slot for the row's model and holds it, or false.
+	// Take reserves a free slot for the row's model; ok is false if there is none.
 	Take(row string) (slot int, ok bool)
-	// Release gives a slot back.
+	// Release frees a slot that Take returned.
 	Release(slot int)
-	// Total returns the number of slots that serve the row's model.
+	// Total returns the number of slots, free or not, that can serve the row's model.
 	Total(row string) int
 }
 
-// A rowState is the queue's account of one row.
+// A rowState holds the requests and the counter of one row.
 type rowState struct {
 	waiting []*Ticket
 	running int
-	// served is the virtual token counter: tokens divided by weight.
+	// served is the virtual token counter: tokens served divided by weight.
 	served float64
 	weight int
 }
 
 func (r *rowState) idle() bool { return len(r.waiting) == 0 && r.running == 0 }
 
-// A Queue holds the requests of one backend server; it is not safe for
+// A Queue holds the waiting and running requests of one backend server. It is not safe for
 // concurrent use.
 type Queue struct {
 	slots      Slots
@@ -119,13 +117,14 @@
 	duration   time.Duration
 }
 
-// Options configure a Queue.
+// Options configures a Queue.
 type Options struct {
-	// MaxWaiting bounds the waiting requests of all rows; zero means 1024.
+	// MaxWaiting is the maximum number of waiting requests of all rows together. The default is
+	// 1024.
 	MaxWaiting int
 }
 
-// New returns an empty Queue over the slots.
+// New returns an empty Queue that runs requests in s.
 func New(s Slots, o Options) *Queue {
 	q := &Queue{slots: s, maxWaiting: o.MaxWaiting}
 	q.rows = make(map[string]*rowState)
@@ -142,7 +141,7 @@
 // Running returns the number of running requests.
 func (q *Queue) Running() int { return q.running }
 
-// Load returns the requests of one row that run or wait.
+// Load returns the number of running and waiting requests of a row.
 func (q *Queue) Load(row string) (running, waiting int) {
 	r, ok := q.rows[row]
 	if !ok {
@@ -151,7 +150,7 @@
 	return r.running, len(r.waiting)
 }
 
-// Push adds a request: it is granted, refused or left waiting.
+// Push adds a request. On return the request is granted, refused or waiting.
 func (q *Queue) Push(t *Ticket, now time.Time) {
 	t.arrived = now
 	if q.waiting >= q.maxWaiting {
@@ -173,8 +172,8 @@
 	}
 }
 
-// row returns the ticket's row; a row that was idle is lifted to the lowest
-// counter in use, so that idling earns no credit.
+// row returns the state of the ticket's row. If the row was idle, its counter is raised to the
+// lowest counter of a non-idle row, so that idle time earns no credit.
 func (q *Queue) row(t *Ticket) *rowState {
 	r, ok := q.rows[t.Row]
 	if !ok {
@@ -188,7 +187,7 @@
 	return r
 }
 
-// lowest returns the lowest counter of a row in use, or 0.
+// lowest returns the lowest counter of a non-idle row, or 0 if all rows are idle.
 func (q *Queue) lowest() float64 {
 	low := math.Inf(1)
 	for _, r := range q.rows {
@@ -202,8 +201,8 @@
 	return low
 }
 
-// estimate returns how long the ticket would wait, from the requests that
-// would run before it and the time that a request has lately taken.
+// estimate returns the expected wait of a ticket, computed from the requests that would run before
+// it and the average duration of recent requests.
 func (q *Queue) estimate(r *rowState, t *Ticket) time.Duration {
 	total := q.slots.Total(t.Row)
 	if total == 0 {
@@ -227,15 +226,15 @@
 	return time.Duration(ahead / float64(lanes) * float64(q.duration))
 }
 
-// Step refuses the requests that have waited too long and grants what can run.
+// Step refuses the requests that have exceeded their queue time and starts those that can run.
 func (q *Queue) Step(now time.Time) {
 	q.expire(now)
 	for q.grantOne(now) {
 	}
 }
 
-// expire refuses requests that have waited for too long. An edit of the row may have given a later
-// request a shorter time than those before it.
+// expire refuses the requests that have exceeded their queue time. It checks every request, since a
+// change of the row's limit can give a later request a shorter queue time.
 func (q *Queue) expire(now time.Time) {
 	for _, r := range q.rows {
 		for _, t := range slices.Clone(r.waiting) {
@@ -247,8 +246,8 @@
 	}
 }
 
-// grantOne starts the first request, in the order of the counters, that has a
-// slot and keeps its row's limits.
+// grantOne starts the next request for which a slot is free and its row's concurrency limit is not
+// reached. It reports whether it started one.
 func (q *Queue) grantOne(now time.Time) bool {
 	for _, r := range q.order() {
 		t := r.waiting[0]
@@ -266,7 +265,7 @@
 	return false
 }
 
-// order returns the rows with waiting requests, the one to serve first first.
+// order returns the rows with waiting requests, the lowest counter first.
 func (q *Queue) order() []*rowState {
 	var rows []*rowState
 	for r := range maps.Values(q.rows) {
@@ -278,7 +277,6 @@
 	return rows
 }
 
-// start grants a request.
 func (q *Queue) start(r *rowState, t *Ticket, slot int, now time.Time) {
 	t.state, t.slot, t.started = ticketRunning, slot, now
 	r.running++
@@ -287,8 +285,8 @@
 	t.Granted(Grant{Slot: slot, Waited: now.Sub(t.arrived)})
 }
 
-// Done ends a running request that used the given tokens, or takes back one
-// that still waits; it may be called twice.
+// Done ends a running request, which used the given number of tokens, or withdraws a waiting one.
+// Calls after the first have no effect.
 func (q *Queue) Done(t *Ticket, tokens int, now time.Time) {
 	r := q.rows[t.Row]
 	switch t.state {
@@ -309,27 +307,25 @@
 	}
 }
 
-// observe counts the duration of a request that has ended.
+// observe adds the duration of a finished request to the moving average.
 func (q *Queue) observe(d time.Duration) {
 	q.duration += time.Duration(durationGain * float64(d-q.duration))
 }
 
-// RefuseAll refuses every waiting request for the reason, so that its caller
-// can go elsewhere.
+// RefuseAll refuses all waiting requests with the given reason.
 func (q *Queue) RefuseAll(reason Reason) {
 	for _, r := range q.rows {
 		q.refuseWaiting(r, reason)
 	}
 }
 
-// RefuseRow refuses every waiting request of one row for the reason.
+// RefuseRow refuses all waiting requests of a row with the given reason.
 func (q *Queue) RefuseRow(row string, reason Reason) {
 	if r, ok := q.rows[row]; ok {
 		q.refuseWaiting(r, reason)
 	}
 }
 
-// refuseWaiting refuses every waiting request of a row.
 func (q *Queue) refuseWaiting(r *rowState, reason Reason) {
 	for len(r.waiting) > 0 {
 		t := r.waiting[0]
@@ -349,7 +345,7 @@
 	return names
 }
 
-// drop takes a request out of those that wait.
+// drop removes a request from its row's queue, if it is there.
 func (q *Queue) drop(r *rowState, t *Ticket) {
 	i := slices.Index(r.waiting, t)
 	if i < 0 {
@@ -359,7 +355,7 @@
 	q.waiting--
 }
 
-// refuse refuses a request that is not among those that wait.
+// refuse refuses a request that is not in its row's queue.
 func (q *Queue) refuse(t *Ticket, reason Reason, after time.Duration) {
 	t.state = ticketDone
 	t.Refused(Refusal{Reason: reason, RetryAfter: max(after, minRetryAfter)})
--- a/fairqueue/fairqueue_test.go
+++ b/fairqueue/fairqueue_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// pool is a number of slots that serve every row.
+// pool is a set of slots that serve every row.
 type pool struct{ free, total int }
 
 func (p *pool) Take(string) (int, bool) {
@@ -25,7 +25,7 @@
 func (p *pool) Release(int)      { p.free++ }
 func (p *pool) Total(string) int { return p.total }
 
-// request is a ticket with what came of it.
+// request is a ticket and its outcome.
 type request struct {
 	*fairqueue.Ticket
 	granted bool
@@ -49,8 +49,8 @@
 	return fairqueue.New(&pool{free: slots, total: slots}, o)
 }
 
-// TestWeights keeps rows of different weights waiting and counts whom each
-// freed slot goes to.
+// TestWeights checks that freed slots are divided in proportion to the rows' weights while all rows
+// have waiting requests.
 func TestWeights(t *testing.T) {
 	tests := map[string]struct {
 		weights map[string]int
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestIdleRowEarnsNoCredit lets a row rest while another is served: it does not
-// shut the other out afterwards.
+// TestIdleRowEarnsNoCredit checks that a row which was idle does not starve the others when it
+// becomes active.
 func TestIdleRowEarnsNoCredit(t *testing.T) {
 	q := newQueue(1, fairqueue.Options{})
 	now := start
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,11 +1,12 @@
-// Package relay arranges many processes in a tree along which news travels: the root has it first,
-// and each process asks its parent.
+// Package relay arranges the processes of a deployment in a distribution tree: updates start at the
+// root, and each process fetches them from its parent.
 //
-// All processes that know the same members and the same root agree on the tree without a message,
-// and a member that comes or goes moves few others. What one process sends grows with the tree's
-// width, not with the number of members, and news reaches all of them in a number of hops that is
-// the logarithm of that number.
+// Every process computes the tree from the list of members and the root alone, so processes with
+// the same list agree on it without coordination, and a member that joins or leaves moves few
+// others. The number of children of a process is bounded by Width, and an update reaches all
+// members in a number of hops that is logarithmic in their count.
 //
-// It owns no state and relies on nothing. It does not carry news, and it does not know which members
-// live: whoever gets no answer from a parent asks the next one of Position.Parents.
+// The package keeps no state and depends only on package rendezvous. It neither transfers updates
+// nor tracks which members are alive: a process whose parent does not answer tries the next address
+// in Position.Parents.
 package relay
--- a/relay/tree.go
+++ b/relay/tree.go
@@ -7,27 +7,28 @@
 	"rockcleat/rendezvous"
 )
 
-// Width is the number of children of a process: 9 processes are one level below the root at most,
-// 73 two and 585 three.
+// Width is the maximum number of children of a process. A tree of depth 1, 2 and 3 holds up to 9,
+// 73 and 585 processes, the root included.
 const Width = 8
 
-// A Member is a process of a tree.
+// A Member is one process in a tree.
 type Member struct {
-	// ID names the process, Addr is where it takes messages.
+	// ID is the unique name of the process, Addr the address at which it accepts requests.
 	ID, Addr string
 }
 
-// A Tree holds the members of a tree without its root; it is not to be changed.
+// A Tree holds the members from which positions are computed; the root is chosen per call. It is
+// immutable and safe for concurrent use.
 type Tree struct {
-	// members are in an order that depends on their names alone.
+	// members are sorted by rendezvous weight, so the order depends only on their IDs.
 	members []Member
 }
 
-// orderKey is the key by whose weights members are ordered, so that neighbours in name, which often
-// share a machine room, are not neighbours in the tree.
+// orderKey is the rendezvous key by which members are ordered. Hashing separates members with
+// similar names, which are likely to share a failure domain.
 var orderKey = rendezvous.Key("relay")
 
-// New returns the tree of a list of members.
+// New returns a tree of the given members.
 func New(list []Member) *Tree {
 	members := slices.Clone(list)
 	slices.SortFunc(members, func(a, b Member) int {
@@ -37,18 +38,18 @@
 	return &Tree{members: members}
 }
 
-// A Position is the place of a process in a tree.
+// A Position locates a process in a tree.
 type Position struct {
-	// Depth is the number of hops to the root, 0 for the root itself.
+	// Depth is the number of hops to the root; it is 0 for the root itself.
 	Depth int
-	// Parents are the addresses of the process's parent, of that one's parent and so on. The last
-	// is the root's, if one is known.
+	// Parents are the addresses of the ancestors, nearest first. The last one is the root, if the
+	// root is known.
 	Parents []string
 }
 
-// Position returns the place of the member at an address below the root at another; root is empty
-// if none is known, which leaves the first level without a parent. It reports false if the tree
-// does not have the member.
+// Position returns the position of the member at address addr in the tree below root. If root is
+// empty, members at depth 1 have no parent. The result is false if addr is neither the root nor a
+// member.
 func (t *Tree) Position(addr, root string) (Position, bool) {
 	if addr == root {
 		return Position{}, true
@@ -70,8 +71,8 @@
 	return p, true
 }
 
-// without returns the members without the one at an address; the last one takes its place, so that
-// few others move.
+// without returns the members except the one at addr. The last member takes its place, which moves
+// as few members as possible.
 func (t *Tree) without(addr string) []Member {
 	i := indexOf(t.members, addr)
 	if i < 0 {
--- a/relay/tree_test.go
+++ b/relay/tree_test.go
@@ -17,8 +17,8 @@
 	return list
 }
 
-// TestEveryMemberReachesTheRoot checks that the way over the parents ends at the root, that it is
-// as short as the width allows, and that nobody has too many children.
+// TestEveryMemberReachesTheRoot checks that each member's chain of parents ends at the root, that
+// the tree has the least possible depth, and that no process has more than Width children.
 func TestEveryMemberReachesTheRoot(t *testing.T) {
 	tests := map[string]struct{ members, depth int }{
 		"two":              {members: 2, depth: 1},
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestNoRoot checks that without a root the first level has no parent and the others keep theirs.
+// TestNoRoot checks that without a root the members at depth 1 have no parent and deeper members
+// keep theirs.
 func TestNoRoot(t *testing.T) {
 	list := members(30)
 	tree := relay.New(list)
@@ -75,7 +76,8 @@
 	assert.Assert(t, !ok)
 }
 
-// TestAnotherRootMovesFewMembers checks that most members keep their parents when the root changes.
+// TestAnotherRootMovesFewMembers checks that a change of the root changes the parents of few
+// members.
 func TestAnotherRootMovesFewMembers(t *testing.T) {
 	list := members(103)
 	tree := relay.New(list)
@@ -93,7 +95,8 @@
 	}
 }
 
-// TestRootOutsideTheTree checks a root that is no member yet, as one that has just started.
+// TestRootOutsideTheTree covers a root that is not in the list of members yet, such as a process
+// that has just started.
 func TestRootOutsideTheTree(t *testing.T) {
 	p, ok := relay.New(members(3)).Position("addr0", "elsewhere")
 	assert.Assert(t, ok)
--- a/rendezvous/doc.go
+++ b/rendezvous/doc.go
@@ -1,7 +1,9 @@
-// Package rendezvous divides keys among nodes by highest random weight (Thaler and Ravishankar,
-// IEEE/ACM ToN 1998): processes that know the same nodes agree without a message, and a node
-// that comes or goes moves only the keys that it gains or had.
+// Package rendezvous assigns keys to nodes by rendezvous (highest random weight) hashing (Thaler
+// and Ravishankar, IEEE/ACM ToN 1998). Processes with the same list of nodes agree on every
+// assignment without coordination, and adding or removing a node moves only the keys assigned to
+// that node.
 //
-// It owns no state and relies on nothing. Its hashes decide what processes of different
-// versions must agree on, and which shard a recorded claim is in, so they never change.
+// The package keeps no state and depends on no other package. Processes of different versions must
+// compute the same hashes, and stored claims are sharded by them, so the hash functions must never
+// change.
 package rendezvous
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -2,10 +2,12 @@
 
 import "hash/fnv"
 
-// Weight returns the weight of a node for a key; the node with the highest weight has the key.
+// Weight returns the weight of a node for a key. The key is assigned to the node with the highest
+// weight.
 func Weight(node string, key uint64) uint64 { return mix(Key(node) ^ mix(key)) }
 
-// Owner returns the node with the highest weight for a key, the first such one of the list; empty without nodes.
+// Owner returns the node with the highest weight for a key, the first of them in the list on a tie.
+// It returns the empty string if nodes is empty.
 func Owner(nodes []string, key uint64) string {
 	best, highest := "", uint64(0)
 	for _, n := range nodes {
@@ -16,17 +18,17 @@
 	return best
 }
 
-// mix is the finalizer of SplitMix64 (Steele et al., OOPSLA 2014).
+// mix is the SplitMix64 finalizer (Steele et al., OOPSLA 2014).
 func mix(z uint64) uint64 {
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
 	return z ^ (z >> 31)
 }
 
-// Key returns the key of a text: its FNV-1a hash.
+// Key returns the 64-bit FNV-1a hash of a string.
 func Key(text string) uint64 {
 	h := fnv.New64a()
-	// Writing to a hash never fails.
+	// hash.Hash.Write never returns an error.
 	_, _ = h.Write([]byte(text))
 	return h.Sum64()
 }
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -9,14 +9,15 @@
 	"rockcleat/rendezvous"
 )
 
-// TestValuesNeverChange pins values that processes of different versions agree on.
+// TestValuesNeverChange pins hash values, since processes of different versions must agree on them.
 func TestValuesNeverChange(t *testing.T) {
 	assert.Equal(t, rendezvous.Key(""), uint64(0xcbf29ce484222325))
 	assert.Equal(t, rendezvous.Key("renewal-7"), uint64(0x8c7fcbbc99b980c7))
 	assert.Equal(t, rendezvous.Weight("entry-1", 7), uint64(0xd0262d98fa8b1030))
 }
 
-// TestNodeThatGoesMovesOnlyItsKeys checks that the keys of other nodes stay.
+// TestNodeThatGoesMovesOnlyItsKeys checks that removing a node reassigns only the keys of that
+// node.
 func TestNodeThatGoesMovesOnlyItsKeys(t *testing.T) {
 	nodes := []string{"a", "b", "c", "d"}
 	owned := make(map[string]int)
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -8,7 +8,7 @@
 )
 
 func ExampleWindow() {
-	// Of ten processes, each may use a tenth of the fixed part.
+	// Each of ten processes may use a tenth of the fixed part.
 	w := retry.Window{Length: 10 * time.Second, Ratio: 0.2, Fixed: 10}
 	now := time.Unix(1000, 0)
 	for range 5 {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -4,18 +4,20 @@
 
 // Defaults of a Budget.
 const (
-	// defaultRatio is the number of retries for each first try.
+	// defaultRatio is the number of retries per first attempt.
 	defaultRatio = 0.2
-	// defaultBurst is the number of retries at once after a quiet time.
+	// defaultBurst is the capacity of the bucket in retries.
 	defaultBurst = 10
 )
 
-// A Budget bounds retries; it is safe for concurrent use and its zero value
-// allows one retry for five first tries and a burst of ten.
+// A Budget limits retries by a token bucket. It is safe for concurrent use. The zero value allows
+// one retry per five first attempts and a burst of ten retries.
 type Budget struct {
-	// Ratio is the number of retries allowed for each first try, without a unit.
+	// Ratio is the number of retries allowed per first attempt. If it is not positive, the first
+	// use sets it to 0.2.
 	Ratio float64
-	// Burst is the number of retries allowed at once.
+	// Burst is the number of retries allowed at once. If it is not positive, the first use sets it
+	// to 10.
 	Burst float64
 
 	mu     sync.Mutex
@@ -23,7 +25,7 @@
 	begun  bool
 }
 
-// First counts a first try.
+// First records a first attempt.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,7 +33,7 @@
 	b.tokens = min(b.tokens+b.Ratio, b.Burst)
 }
 
-// Allow takes one retry from the budget and reports whether there was one.
+// Allow takes one retry from the budget and reports whether the budget had one.
 func (b *Budget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -8,7 +8,7 @@
 	"rockcleat/retry"
 )
 
-// TestBound fails every request and counts how many are sent in all.
+// TestBound checks that retries stay within the budget when every request fails.
 func TestBound(t *testing.T) {
 	b := retry.Budget{Ratio: 0.1, Burst: 5}
 	retries := 0
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// windowParts is the number of parts that a Window's time is counted in: counts go out of
-// the window a twentieth of its length late at most.
+// windowParts is the number of buckets that a Window's length is divided into. A count expires at
+// most one bucket late.
 const windowParts = 20
 
-// A Window bounds the retries in any span of a length by a ratio of the first tries in it
-// and a fixed number; it is safe for concurrent use.
+// A Window limits the retries within any span of its length to Ratio times the first attempts in
+// that span plus a share of Fixed. It is safe for concurrent use.
 //
-// Its zero value allows no retry.
+// The zero value allows no retries.
 type Window struct {
-	// Length is the span that retries are counted over.
+	// Length is the duration of the sliding window.
 	Length time.Duration
-	// Ratio is the number of retries allowed for each first try, without a unit.
+	// Ratio is the number of retries allowed per first attempt.
 	Ratio float64
-	// Fixed is the number of retries allowed beside those, in all processes together.
+	// Fixed is the number of retries allowed in addition to Ratio, summed over all processes.
 	Fixed float64
 
 	mu    sync.Mutex
 	parts [windowParts + 1]windowPart
 }
 
-// windowPart counts one part of the time; number says which.
+// A windowPart counts the attempts in one bucket of time; number is the index of the bucket since
+// the Unix epoch.
 type windowPart struct {
 	number          int64
 	firsts, retries int
 }
 
-// First counts a first try.
+// First records a first attempt.
 func (w *Window) First(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.part(now).firsts++
 }
 
-// Allow counts a retry and reports whether there was room for it; share is the part of
-// Fixed that is this process's own, 0 to 1.
+// Allow reports whether a retry is allowed and records it if so. share is the fraction of Fixed
+// that belongs to this process, 0 to 1.
 func (w *Window) Allow(now time.Time, share float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -16,8 +16,8 @@
 	assert.Assert(t, !w.Allow(time.Unix(100, 0), 1))
 }
 
-// TestWindowInAnySpan checks that in no span of the window's length there are
-// more repeats than its first tries and the fixed part allow.
+// TestWindowInAnySpan checks that no span of the window's length contains more retries than the
+// first attempts and the fixed part allow.
 func TestWindowInAnySpan(t *testing.T) {
 	const length = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -38,10 +38,11 @@
 			firsts = append(firsts, now)
 		}
 		for _, end := range repeats {
-			// First tries of the span before count too, as the users count them.
+			// Retries early in the span may rely on first attempts made up to one window length
+			// before it.
 			allowed := ratio*float64(within(firsts, end, 2*length)) + fixed
 			if got := within(repeats, end, length); float64(got) > allowed {
-				t.Fatalf("%d repeats in a span, %.1f allowed", got, allowed)
+				t.Fatalf("%d retries within one window length, want at most %.1f", got, allowed)
 			}
 		}
 	})
--- a/route/example_test.go
+++ b/route/example_test.go
@@ -8,7 +8,7 @@
 	"rockcleat/route"
 )
 
-// Requests with the same prefix go to the same server while it is well.
+// Requests with the same prefix go to the same server until that server fails.
 func ExampleTable_Order() {
 	now := time.Unix(1000, 0)
 	var t route.Table
--- a/route/route.go
+++ b/route/route.go
@@ -10,45 +10,45 @@
 	"rockcleat/rendezvous"
 )
 
-// Constants of the choice.
 const (
-	// boundFactor is how far above the mean load a preferred server may be, as a factor.
+	// boundFactor is the ratio to the mean load up to which a prefix keeps its preferred server.
 	boundFactor = 1.25
-	// loadMaxAge is how long a reported load counts.
+	// loadMaxAge is how long a reported load is used.
 	loadMaxAge = 5 * time.Second
-	// avoidTime is how long a server that failed or refused is put last.
+	// avoidTime is how long a server that failed or refused a request is ordered last.
 	avoidTime = time.Second
 )
 
-// A Candidate is a server that may take a request.
+// A Candidate is a server that can take a request.
 type Candidate struct {
 	ID   string
 	Hall string
 }
 
-// A load describes one server's work.
+// A load is the state of one server.
 type load struct {
-	// reported is the load that the server put on an answer, and reportedAt when it came.
+	// reported is the load in the server's last response, in requests, and reportedAt the time of
+	// that response.
 	reported   int
 	reportedAt time.Time
-	// outstanding counts the requests that this process has there.
+	// outstanding is the number of requests that this process has sent there and not finished.
 	outstanding int
 	avoidUntil  time.Time
-	// leaving is the incarnation of the server that said that it is leaving.
+	// leaving is the incarnation that reported that it is draining; empty if none did.
 	leaving string
 }
 
-// A Table holds the load of all servers that a process has dealt with; it is
-// safe for concurrent use and its zero value is empty.
+// A Table holds the loads of the servers that a process has sent requests to. It is safe for
+// concurrent use; its zero value is empty.
 type Table struct {
-	// Hall is the process's own hall, preferred between equals.
+	// Hall is the data hall of the process. Its servers are tried before those of other halls.
 	Hall string
 
 	mu    sync.Mutex
 	loads map[string]*load
 }
 
-// entry returns the load of a server; the Table is locked.
+// entry returns the state of a server, creating it if needed. t.mu must be held.
 func (t *Table) entry(id string) *load {
 	if t.loads == nil {
 		t.loads = make(map[string]*load)
@@ -61,7 +61,7 @@
 	return l
 }
 
-// Begin counts a request sent to a server and returns a function that ends it.
+// Begin counts a request as outstanding at a server. The caller must call end exactly once.
 func (t *Table) Begin(id string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// Report sets the load that a server put on an answer, in requests.
+// Report records the load that a server put in a response, in requests.
 func (t *Table) Report(id string, value int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,21 +82,21 @@
 	l.reported, l.reportedAt = value, now
 }
 
-// Avoid puts a server last for a short while.
+// Avoid orders a server after all others for avoidTime.
 func (t *Table) Avoid(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.entry(id).avoidUntil = now.Add(avoidTime)
 }
 
-// Leave records that an incarnation of a server said that it is leaving.
+// Leave records that an incarnation of a server reported that it is draining.
 func (t *Table) Leave(id, incarnation string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.entry(id).leaving = incarnation
 }
 
-// Leaving reports whether the incarnation said that it is leaving.
+// Leaving reports whether Leave was last called for this incarnation of the server.
 func (t *Table) Leaving(id, incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +104,7 @@
 	return ok && l.leaving != "" && l.leaving == incarnation
 }
 
-// Forget drops servers that are not among the live ones.
+// Forget removes the servers that are not in live and have no outstanding requests.
 func (t *Table) Forget(live map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// value returns the load that counts for a server, in requests.
+// value returns the effective load of a server, in requests. t.mu must be held.
 func (t *Table) value(id string, now time.Time) float64 {
 	l, ok := t.loads[id]
 	if !ok {
@@ -128,15 +128,14 @@
 	return v
 }
 
-// avoided reports whether a server is put last now.
+// avoided reports whether a server is ordered last now. t.mu must be held.
 func (t *Table) avoided(id string, now time.Time) bool {
 	l, ok := t.loads[id]
 	return ok && now.Before(l.avoidUntil)
 }
 
-// Order returns the candidates in the order in which to try them.
-//
-// A prefix of zero stands for none.
+// Order returns the candidates in the order in which to try them. prefix is the hash of the
+// prompt's prefix; 0 means none.
 func (t *Table) Order(cands []Candidate, prefix uint64, now time.Time) []Candidate {
 	order := slices.Clone(cands)
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
@@ -151,7 +150,8 @@
 	return order
 }
 
-// rank puts avoided servers last and servers of the own hall first.
+// rank returns the sort key that orders avoided servers last and, within each group, servers of the
+// process's own hall first.
 func (t *Table) rank(c Candidate, now time.Time) int {
 	rank := 0
 	if t.avoided(c.ID, now) {
@@ -163,7 +163,7 @@
 	return rank
 }
 
-// usable returns how many of the ordered candidates are not put last.
+// usable returns the number of leading candidates in order that are not avoided.
 func (t *Table) usable(order []Candidate, now time.Time) int {
 	i := slices.IndexFunc(order, func(c Candidate) bool { return t.avoided(c.ID, now) })
 	if i < 0 {
@@ -172,8 +172,8 @@
 	return i
 }
 
-// first returns the index of the server to try first: the one that the prefix prefers, unless
-// its load is over the bound, or else the less loaded of two random ones.
+// first returns the index of the server to try first: the one preferred for the prefix unless its
+// load is over the bound, otherwise the less loaded of two picked at random.
 func (t *Table) first(order []Candidate, prefix uint64, now time.Time) int {
 	if len(order) < 2 {
 		return 0
@@ -190,8 +190,8 @@
 	return i
 }
 
-// bound returns the load up to which a preferred server is taken; one request more than the
-// mean is always allowed.
+// bound returns the highest load at which a preferred server is still chosen: boundFactor times the
+// mean, plus one request.
 func (t *Table) bound(order []Candidate, now time.Time) float64 {
 	sum := 0.0
 	for _, c := range order {
@@ -200,7 +200,7 @@
 	return boundFactor*sum/float64(len(order)) + 1
 }
 
-// preferred returns the index with the highest rendezvous weight for the prefix.
+// preferred returns the index of the candidate with the highest rendezvous weight for the prefix.
 func (t *Table) preferred(order []Candidate, prefix uint64) int {
 	best, bestHash := 0, uint64(0)
 	for i, c := range order {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -21,7 +21,7 @@
 	return c
 }
 
-// firsts counts which server comes first in a number of choices.
+// firsts returns how often each server came first in n calls of Order.
 func firsts(t *route.Table, cands []route.Candidate, prefix uint64, n int) map[string]int {
 	got := make(map[string]int)
 	for range n {
@@ -44,7 +44,8 @@
 			r := &route.Table{Hall: "h"}
 			tc.setup(r)
 			got := firsts(r, candidates(4), 0, 400)
-			// Of two picks with repetition a loaded server is first only when picked twice.
+			// Picks are made with replacement, so a loaded server comes first only if it is picked
+			// twice.
 			assert.Assert(t, got["s0"] < 60, "%v", got)
 			assert.Assert(t, tc.never == "" || got[tc.never] == 0, "%v", got)
 			assert.Equal(t, len(r.Order(candidates(4), 0, now)), 4)
@@ -58,8 +59,7 @@
 	}
 }
 
-// TestPrefix checks that one prefix keeps to one server until that is loaded
-// beyond the bound.
+// TestPrefix checks that a prefix keeps its server until the load of that server exceeds the bound.
 func TestPrefix(t *testing.T) {
 	r := &route.Table{}
 	got := firsts(r, candidates(4), 7, 100)
