--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -7,51 +7,51 @@
 	"rockcleat/backend"
 )
 
-// An AdmissionRequest asks the gateway that owns an engine for the right to send it one
-// request.
+// An AdmissionRequest asks the owner of an engine to admit one request to it.
 type AdmissionRequest struct {
 	Server string `json:"s"`
-	// The rest describes the request, as in Request.
+	// The other fields correspond to those of Request.
 	Model           string        `json:"m"`
 	Adapter         string        `json:"a,omitempty"`
 	Prefix          []PrefixBlock `json:"k,omitempty"`
 	PromptTokens    int           `json:"p"`
 	MaxOutputTokens int           `json:"o"`
 	Gap             GapBudget     `json:"l"`
-	// Late says that the answer cannot begin in time any more.
+	// Late means that the request can no longer meet its objective.
 	Late bool `json:"t,omitempty"`
 }
 
-// An AdmissionReply is the answer of the gateway that was asked.
+// An AdmissionReply is the owner's reply to an AdmissionRequest.
 type AdmissionReply struct {
-	// Owned says that the answering gateway owns the engine; all else is empty otherwise.
+	// Owned means that the replying gateway owns the engine. If it is false, the other fields are
+	// empty.
 	Owned bool `json:"y"`
-	// Admitted says that the request may be sent.
+	// Admitted means that the request may be sent.
 	Admitted bool `json:"g,omitempty"`
-	// Load is the load of all gateways at the engine, as the owner knows it.
+	// Load is the load of all gateways at the engine, as known to the owner.
 	Load Load `json:"l"`
-	// RetryAfterMs is when to ask again if the request is not admitted, in milliseconds.
+	// RetryAfterMs is how long to wait before asking again if the request was not admitted, in
+	// milliseconds.
 	RetryAfterMs int `json:"a,omitempty"`
 }
 
-// Owners asks other gateways for admission at the engines that they own.
+// Owners requests admission from the gateways that own engines.
 type Owners interface {
-	// Admit returns the owner's answer, or an error if there is none in time.
+	// Admit returns the reply of the owner, or an error if it does not reply in time.
 	Admit(ctx context.Context, owner string, r AdmissionRequest) (AdmissionReply, error)
 }
 
-// Times of admission.
 const (
-	// ownerSuspension is how long an owner that did not answer is not asked again: a
-	// gateway that has stopped is off the list of gateways after two seconds.
+	// ownerSuspension is how long an owner that did not answer is not asked. A gateway that has
+	// stopped is removed from the list of gateways within two seconds.
 	ownerSuspension = 700 * time.Millisecond
-	// grantAge is after how long a granted request is in the loads that gateways
-	// report; reports come each 80 ms up to 24 gateways.
+	// grantAge is how long a grant counts towards the load of an engine. After that the granted
+	// request is included in the loads that the other gateways report.
 	grantAge = 400 * time.Millisecond
-	// minGrantRetry is the shortest pause before asking again.
+	// minGrantRetry is the minimum delay before admission is requested again.
 	minGrantRetry = 5 * time.Millisecond
-	// fullGrantRetry is the pause for an engine without a slot or memory left, which
-	// comes free when a request ends.
+	// fullGrantRetry is the delay for an engine without a free slot or memory. Capacity is freed
+	// there when a request ends.
 	fullGrantRetry = 50 * time.Millisecond
 )
 
@@ -61,7 +61,7 @@
 	needTokens int
 }
 
-// Admit decides for the owner of an engine whether another gateway may send a request there.
+// Admit decides, as the owner of an engine, whether another gateway may send a request to it.
 func (d *Dispatcher) Admit(r AdmissionRequest) AdmissionReply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +90,7 @@
 	return reply
 }
 
-// grant counts an admission that was given.
+// grant records an admission. d.mu must be held.
 func (d *Dispatcher) grant(r *Request, s *backend.Server, c Candidate, now time.Time) {
 	l := d.load(s.ID)
 	l.grants = append(l.grants, grant{at: now, needTokens: c.NeedTokens})
@@ -98,7 +98,7 @@
 	l.prefixes.touch(r.target(), r.Prefix)
 }
 
-// granted returns the load of the requests that were admitted lately.
+// granted returns the load of the requests granted within grantAge and drops older grants.
 func (l *serverLoad) granted(now time.Time) Load {
 	recent := l.grants[:0]
 	for _, g := range l.grants {
@@ -114,12 +114,12 @@
 	return sum
 }
 
-// load returns the candidate's load.
 func (c Candidate) load() Load {
 	return Load{Running: c.Running, PrefillMs: int(c.PrefillAhead), UsedTokens: c.UsedTokens}
 }
 
-// admissionDelay returns when an engine that does not admit a request now may do so.
+// admissionDelay returns how long to wait until an engine that cannot admit a request now may be
+// able to.
 func (d *Dispatcher) admissionDelay(s *backend.Server, c Candidate, l Limits, now time.Time) time.Duration {
 	if !c.hasCapacity(l) {
 		return fullGrantRetry
@@ -131,8 +131,9 @@
 	return max((c.PrefillAhead + min(c.Prefill, limit) - limit).Duration(), minGrantRetry)
 }
 
-// confirm takes a permit, if the server has a limit, and asks the engine's owner for admission, if another gateway
-// owns it. It reports whether the request may be sent; the reservation is over if not.
+// confirm obtains a permit if the server has a rate limit, and the owner's admission if another
+// gateway owns the engine. It reports whether the request may be sent; if not, the reservation has
+// been released.
 func (d *Dispatcher) confirm(ctx context.Context, res *Reservation) bool {
 	if !d.takePermit(ctx, res) {
 		return false
@@ -144,7 +145,8 @@
 	return false
 }
 
-// askOwner asks the engine's owner for admission.
+// askOwner requests admission from the owner of the reserved engine. It reports whether the request
+// was admitted; if not, the reservation has been released.
 func (d *Dispatcher) askOwner(ctx context.Context, res *Reservation) bool {
 	r := res.req
 	r.GrantsAsked++
@@ -177,7 +179,8 @@
 	return false
 }
 
-// suspendOwner stops asking an owner for a while.
+// suspendOwner suspends an owner that did not answer and reports it once per suspension. d.mu must
+// be held.
 func (d *Dispatcher) suspendOwner(owner string, now time.Time, err error) {
 	if d.owners.suspend(owner, now) && d.opts.OnOwnerSilent != nil {
 		d.opts.OnOwnerSilent(owner, err)
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -5,79 +5,80 @@
 	"time"
 )
 
-// Weights of the expected cost of a server.
+// Terms of a candidate's cost.
 const (
-	// msPerRequest is the time that one running request adds to the others' steps.
+	// msPerRequest is the cost of each running request at an engine, which lengthens every decoding
+	// step.
 	msPerRequest Milliseconds = 1.5
-	// msPerPlainRequest is the time that one running request adds at a plain service.
+	// msPerPlainRequest is the cost of each running request at a server of a plain service.
 	msPerPlainRequest Milliseconds = 10.0
-	// msOtherHall is the cost of an engine in another data hall. Halls are 0.5 to 1.5
-	// ms apart (the brief); the rest keeps prompts and streams within a hall.
+	// msOtherHall is the cost of an engine in another data hall. It exceeds the network latency
+	// between halls, so that prompts and streams stay within a hall if possible.
 	msOtherHall Milliseconds = 25.0
-	// msPlainOtherHall is the same for a plain service, whose bodies are small.
+	// msPlainOtherHall is the cost of a server of a plain service in another data hall.
 	msPlainOtherHall Milliseconds = 10.0
 	// msOtherOwner is the cost of an engine that another gateway owns.
 	msOtherOwner Milliseconds = 30.0
-	// otherOwnerShare is the part of the prefill of a step up to which a request goes to
-	// an engine whose owner is not asked, while there are engines whose load is known
-	// exactly: what its owner has sent there is known late.
+	// otherOwnerShare limits the prompts sent to an engine without its owner's admission, as a
+	// fraction of the prefill time allowed per decoding step. It applies while another candidate's
+	// load is known exactly; the load that the owner places on its engine is known only with a
+	// delay.
 	otherOwnerShare = 0.6
-	// msSuspect is the cost of a server that stalls or has failed: more than any queue
-	// that admission allows, so that it is chosen last.
+	// msSuspect is the cost of a stalled server and, multiplied by FailureRate, of a failing one.
+	// It exceeds any prefill queue that admission allows, so that a stalled server is chosen last.
 	msSuspect Milliseconds = 2000.0
-	// msJitter bounds the cost by which gateways' choices differ (docs/design/0009).
+	// msJitter is the upper bound of Candidate.Jitter (docs/design/0009).
 	msJitter Milliseconds = 20.0
-	// stallTime is how long a server may owe a first byte and send nothing at all
-	// before it is suspected.
+	// stallTime is how long a server may send nothing while a first byte is outstanding before it
+	// counts as stalled.
 	stallTime = 1500 * time.Millisecond
 )
 
-// A Candidate is a server as a choice sees it.
+// A Candidate is the state of a server that Choose evaluates for one request.
 type Candidate struct {
-	// Running is the number of requests there, from all processes.
+	// Running is the number of requests that all processes have at the server.
 	Running int
-	// PrefillAhead is the prefill time of the prompts sent there before.
+	// PrefillAhead is the prefill time of the prompts queued there.
 	PrefillAhead Milliseconds
-	// PrefillInGap is, for an owned engine, the prefill time of other prompts within the
-	// longest gap that ends when this prompt is prefilled.
+	// PrefillInGap is set for an owned engine: the prefill time of other prompts within the window
+	// of length GapBudget.MaxGap that ends when this prompt is prefilled.
 	PrefillInGap Milliseconds
-	// UsedTokens is the engine's cache memory in use, CacheTokens what it has; the
-	// latter is 0 for a plain service.
+	// UsedTokens is the cache memory in use at the engine and CacheTokens its total, both in
+	// tokens. CacheTokens is 0 for a plain service.
 	UsedTokens, CacheTokens int
-	// Slots is the number of requests it works on at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots int
-	// Prefill is the time to prefill what the server has not cached of the prompt, and
-	// PrefillTokens the length of that part.
+	// Prefill is the time to prefill the uncached part of the prompt, PrefillTokens the length of
+	// that part in tokens.
 	Prefill       Milliseconds
 	PrefillTokens int
-	// NeedTokens is the cache memory that the request takes at most.
+	// NeedTokens is the maximum cache memory that the request uses, in tokens.
 	NeedTokens int
-	// SameHall says that the server is in this gateway's data hall.
+	// SameHall means that the server is in this gateway's data hall.
 	SameHall bool
-	// Owned says that this gateway owns the engine: it admits requests there, its own
-	// and other gateways'.
+	// Owned means that this gateway owns the engine and admits the requests of all gateways there.
 	Owned bool
-	// NeedsGrant says that another gateway owns the engine and is asked for admission.
+	// NeedsGrant means that another gateway owns the engine and has to admit the request.
 	NeedsGrant bool
-	// Jitter is a cost that differs from gateway to gateway, so that they do not all
-	// choose the same one of many servers whose loads they do not know.
+	// Jitter is a cost that differs between gateways, so that they do not all choose the same
+	// server when its load is unknown.
 	Jitter Milliseconds
-	// FailureRate is the server's recent share of failures, 0 to 1.
+	// FailureRate is the decayed failure rate of the server, 0 to 1.
 	FailureRate float64
-	// Stalled says that the server owes first bytes and has sent nothing for stallTime.
+	// Stalled means that first bytes are outstanding and the server has sent nothing for stallTime.
 	Stalled bool
 }
 
-// Limits bound what is sent to one engine.
+// Limits are the limits that apply to one request at one engine.
 type Limits struct {
-	// Gap is the budget of running streams: they pause while an engine prefills.
+	// Gap limits the pauses of running streams, which pause while the engine prefills.
 	Gap GapBudget
-	// Utilization is the part of slots and memory that may be taken, 0 to 1.
+	// Utilization is the fraction of slots and cache memory that may be used, 0 to 1.
 	Utilization float64
 }
 
-// admits reports whether the server can take the request now. exact says that there is a
-// candidate whose load is known exactly, since this gateway owns it or asks its owner.
+// admits reports whether the server can take the request now. exact means that the load of some
+// candidate is known exactly, because this gateway owns the engine or its owner can be asked.
 func (c Candidate) admits(l Limits, exact bool) bool {
 	if c.CacheTokens == 0 {
 		return true
@@ -97,8 +98,8 @@
 	return c.prefillFits(l.Gap.prefillPerStep(c.Running))
 }
 
-// hasCapacity reports whether the engine has a slot and memory left. An engine without
-// requests takes any request, since nothing would make it fit later.
+// hasCapacity reports whether the engine has a free slot and enough cache memory. An idle engine
+// takes any request, since no other request has to end to make room.
 func (c Candidate) hasCapacity(l Limits) bool {
 	if c.Running == 0 {
 		return true
@@ -109,19 +110,19 @@
 	return float64(c.UsedTokens+c.NeedTokens) <= l.Utilization*float64(c.CacheTokens)
 }
 
-// prefillFits reports whether the prompt's prefill, with that of others beside it, stays
-// within a limit. A prompt longer than the limit fits when there are no others.
+// prefillFits reports whether the prompt and the other prompts stay within the limit. A prompt
+// longer than the limit fits only if there are no others.
 func (c Candidate) prefillFits(limit Milliseconds) bool {
 	others := max(c.PrefillAhead, c.PrefillInGap)
 	return others == 0 || others+c.Prefill <= limit
 }
 
-// isIdleFor reports whether the engine prefills nothing and the prompt is short enough.
+// isIdleFor reports whether the engine has no prompts queued and the prompt is within the limit.
 func (c Candidate) isIdleFor(limit Milliseconds) bool {
 	return c.PrefillAhead == 0 && c.Prefill <= limit
 }
 
-// cost returns the expected time to the first byte, with penalties that are counted as time.
+// cost returns the expected time to first byte plus penalties.
 func (c Candidate) cost() Milliseconds {
 	ms := c.plainCost()
 	if c.CacheTokens > 0 {
@@ -133,7 +134,8 @@
 	return ms + c.Jitter + Milliseconds(c.FailureRate)*msSuspect
 }
 
-// engineCost is the time of the prompts ahead, of this one and of the running requests.
+// engineCost returns the cost of an engine: its queued prompts, this prompt and its running
+// requests.
 func (c Candidate) engineCost() Milliseconds {
 	ms := c.PrefillAhead + c.Prefill + Milliseconds(c.Running)*msPerRequest
 	if !c.Owned {
@@ -145,7 +147,8 @@
 	return ms
 }
 
-// plainCost is the time of the running requests; those beyond the slots count twice.
+// plainCost returns the cost of a server of a plain service. Requests beyond the number of slots
+// count twice.
 func (c Candidate) plainCost() Milliseconds {
 	ms := Milliseconds(c.Running) * msPerPlainRequest
 	if c.Slots > 0 && c.Running >= c.Slots {
@@ -157,7 +160,8 @@
 	return ms
 }
 
-// Choose returns the index of the cheapest candidate that admits the request, or -1.
+// Choose returns the index of the candidate with the lowest cost that can take the request, or -1
+// if there is none.
 func Choose(list []Candidate, l Limits) int {
 	exact := slices.ContainsFunc(list, func(c Candidate) bool { return (c.Owned || c.NeedsGrant) && !c.Stalled })
 	best := -1
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -1,29 +1,30 @@
 package dispatch
 
-// outputTokenWeight is how many prompt tokens one generated token counts as in a model's
-// demand. By arithmetic: a decoding step of 10.5 ms shared by some 20 running requests
-// takes as long as 10 prompt tokens at 0.05 ms each (docs/design/0009).
+// outputTokenWeight is the cost of one generated token in prompt tokens. A decoding step of 10.5 ms
+// shared by 20 requests takes about as long as the prefill of 10 prompt tokens at 0.05 ms each
+// (docs/design/0009).
 const outputTokenWeight = 10
 
-// A Demand counts what was asked of one model or adapter since the start.
+// A Demand describes the demand for one model or adapter. Counts are cumulative since the process
+// started unless stated otherwise.
 type Demand struct {
-	// Arrived is the number of requests.
+	// Arrived is the number of requests that have arrived.
 	Arrived int `json:"a"`
-	// WorkTokens is their work in prompt tokens; a token to generate counts as
-	// outputTokenWeight.
+	// WorkTokens is the work of these requests in prompt tokens: the prompts plus outputTokenWeight
+	// for each token to generate.
 	WorkTokens int `json:"t"`
-	// Waiting is the number of requests that wait for it now.
+	// Waiting is the current number of waiting requests.
 	Waiting int `json:"w,omitempty"`
-	// Running is the number of requests that run with it now.
+	// Running is the current number of requests at servers.
 	Running int `json:"n,omitempty"`
-	// Service is the service asked.
+	// Service is the name of the service.
 	Service string `json:"s"`
-	// ObjectiveMs is the shortest objective for the first byte among its requests, in
-	// milliseconds; 0 if one of them had none.
+	// ObjectiveMs is the shortest first-byte objective of all requests in milliseconds; 0 if any
+	// request had none.
 	ObjectiveMs int `json:"o,omitempty"`
 }
 
-// demandCounters count what is asked of models and adapters, by Request.target.
+// demandCounters holds the demand by Request.target.
 type demandCounters struct {
 	byTarget map[string]*Demand
 }
@@ -32,7 +33,7 @@
 	return demandCounters{byTarget: make(map[string]*Demand)}
 }
 
-// of returns the counters of a request's model or adapter.
+// of returns the demand for the request's model or adapter, creating it if needed.
 func (c *demandCounters) of(r *Request) *Demand {
 	x := c.byTarget[r.target()]
 	if x == nil {
@@ -42,7 +43,6 @@
 	return x
 }
 
-// all returns a copy of all counters.
 func (c *demandCounters) all() map[string]Demand {
 	out := make(map[string]Demand, len(c.byTarget))
 	for target, x := range c.byTarget {
@@ -51,7 +51,7 @@
 	return out
 }
 
-// CountArrival counts the arrival of a request for a model.
+// CountArrival counts the arrival of a request. Requests to plain services are not counted.
 func (d *Dispatcher) CountArrival(r *Request) {
 	if r.Model == "" {
 		return
@@ -66,7 +66,7 @@
 	x.WorkTokens += r.PromptTokens + outputTokenWeight*r.MaxOutputTokens
 }
 
-// Demands returns what was asked of each model and adapter.
+// Demands returns the demand for each model and adapter, by Request.target.
 func (d *Dispatcher) Demands() map[string]Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -9,62 +9,62 @@
 	"rockcleat/clock"
 )
 
-// Outcomes of Acquire.
+// Errors that Acquire returns.
 var (
-	// ErrNoServer says that no server can take the request and it must not wait.
-	ErrNoServer = errors.New("dispatch: no server")
-	// ErrShed says that the request would have to wait and is refused in favour of more
-	// urgent ones, which are served worse.
-	ErrShed = errors.New("dispatch: shed for more urgent requests")
-	// ErrWaitTimeout says that the request waited as long as it may.
-	ErrWaitTimeout = errors.New("dispatch: waited too long")
+	// ErrNoServer means that no server can take the request and the request may not wait.
+	ErrNoServer = errors.New("dispatch: no server can take the request")
+	// ErrShed means that the request would have to wait and is refused in favour of requests with
+	// higher priority.
+	ErrShed = errors.New("dispatch: request shed in favour of higher-priority requests")
+	// ErrWaitTimeout means that no server could take the request until its WaitUntil.
+	ErrWaitTimeout = errors.New("dispatch: timed out waiting for a server")
 )
 
-// Options configure a Dispatcher.
+// Options configures a Dispatcher.
 type Options struct {
-	// ID and Hall are this gateway's.
+	// ID is the ID of this gateway, Hall its data hall.
 	ID    string
 	Hall  string
 	Clock clock.Service
-	// Utilization is the part of an engine's slots and memory that may be taken, 0 to 1.
+	// Utilization is the fraction of an engine's slots and cache memory that may be used, 0 to 1.
 	Utilization float64
-	// CacheTokens returns the cache memory of a service's engines in tokens, 0 for a
-	// plain service.
+	// CacheTokens returns the cache memory of each engine of a service in tokens, 0 for a plain
+	// service.
 	CacheTokens func(service string) int
-	// Owners, if not nil, asks other gateways for admission at the engines that they own.
+	// Owners, if not nil, requests admission to engines that other gateways own.
 	Owners Owners
-	// Permits, if not nil, lets requests through to servers that have limits.
+	// Permits, if not nil, grants permits for servers with a rate limit.
 	Permits Permits
-	// OnOwnerSilent, if not nil, is called with an owner that did not answer and is not
-	// asked for a while. It is called with the Dispatcher locked and must not block.
+	// OnOwnerSilent, if not nil, is called when an owner has not answered, which is then not asked
+	// for a while. It is called with the Dispatcher locked and must not block.
 	OnOwnerSilent func(owner string, err error)
-	// OnModelMissing, if not nil, is called when a request waits for a model or adapter
+	// OnModelMissing, if not nil, is called when a request starts to wait for a model or adapter
 	// that no server holds. It is called with the Dispatcher locked and must not block.
 	OnModelMissing func()
 }
 
-// A Dispatcher reserves servers for requests; it is safe for concurrent use.
+// A Dispatcher reserves servers for requests. It is safe for concurrent use.
 type Dispatcher struct {
 	opts Options
 
 	mu      sync.Mutex
 	servers *backend.Snapshot
-	// loads holds this process's load at each server, remote that of the others.
+	// loads holds the load of this process by server ID, remote that of all other processes.
 	loads  map[string]*serverLoad
 	remote map[string]remoteLoad
-	// busiestOnly says that remote holds the busiest servers only.
+	// busiestOnly means that remote lists only the busiest servers.
 	busiestOnly bool
 	owners      owners
 	waiting     waitQueue
 	demand      demandCounters
 	speeds      speedBook
-	// shedders holds how requests of each service are served.
+	// shedders holds the shedder of each service.
 	shedders map[string]*shedder
-	// nextServe is when waiting requests are looked at next; zero if that is not set.
+	// nextServe is when serve is scheduled to run next; zero if it is not scheduled.
 	nextServe time.Time
 }
 
-// New returns a Dispatcher that knows no server.
+// New returns a Dispatcher without servers.
 func New(o Options) *Dispatcher {
 	return &Dispatcher{
 		opts: o, servers: &backend.Snapshot{}, loads: make(map[string]*serverLoad),
@@ -73,7 +73,7 @@
 	}
 }
 
-// SetServers sets the servers and lets waiting requests go to them.
+// SetServers replaces the list of servers and serves waiting requests.
 func (d *Dispatcher) SetServers(s *backend.Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,8 +87,8 @@
 	d.serve()
 }
 
-// SetRemote sets what other processes have at the servers; busiestOnly says that it lists
-// the busiest servers only.
+// SetRemote replaces the loads of all other processes, by server ID. busiestOnly means that the map
+// holds only the busiest servers.
 func (d *Dispatcher) SetRemote(remote map[string]Load, busiestOnly bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,15 +101,15 @@
 	d.serve()
 }
 
-// SetGateways sets the gateways among which engines are divided: each engine is owned by
-// one of them, in its own data hall where there is one.
+// SetGateways replaces the list of gateways, among which the engines are divided. Each engine is
+// owned by a gateway in its own data hall if there is one.
 func (d *Dispatcher) SetGateways(list []Gateway) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.owners.set(list)
 }
 
-// Loads returns what this process has at each server.
+// Loads returns the load of this process by server ID, without idle servers.
 func (d *Dispatcher) Loads() map[string]Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -122,7 +122,8 @@
 	return out
 }
 
-// CanSend reports whether there is a server that could take the request now.
+// CanSend reports whether some server could take the request now, as far as this gateway knows. It
+// reserves nothing.
 func (d *Dispatcher) CanSend(r *Request) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,8 +132,8 @@
 	return Choose(list, d.limits(r, now)) >= 0
 }
 
-// HolderCount returns how many servers that stay could serve the request, were they not
-// full; for a request that was refused, 0 says that no server held its model.
+// HolderCount returns the number of servers that hold the request's model and adapter and are not
+// draining, whether or not they have capacity.
 func (d *Dispatcher) HolderCount(r *Request) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,8 +150,8 @@
 	return n
 }
 
-// choose reserves the cheapest server, or returns nil. If one may come free by time alone,
-// waiting requests are looked at again then.
+// choose reserves the server with the lowest cost for the request, or returns nil. If prefill
+// progress alone can free capacity, it schedules the next serve. d.mu must be held.
 func (d *Dispatcher) choose(r *Request) *Reservation {
 	now := d.opts.Clock.Now()
 	servers, list := d.candidates(r, now)
@@ -165,12 +166,11 @@
 	return res
 }
 
-// lateShare is the part of the usable slots and memory of an engine that late requests may
-// take, so that they leave room for those that can still be in time. Under overload a queue
-// otherwise hands each place that comes free to a request that has missed its objective.
+// lateShare is the fraction of the usable slots and memory of an engine that late requests may use.
+// Without this limit, under overload every freed slot goes to a request that has already missed its
+// objective, and new requests become late as well.
 const lateShare = 0.5
 
-// limits returns what a request may take of an engine now.
 func (d *Dispatcher) limits(r *Request, now time.Time) Limits {
 	l := Limits{Gap: r.Gap, Utilization: d.opts.Utilization}
 	if r.isLate(now) {
@@ -179,7 +179,8 @@
 	return l
 }
 
-// candidates returns the servers that hold what the request needs and may be asked now.
+// candidates returns the servers that hold what the request needs and may be asked now, with the
+// candidate for each. d.mu must be held.
 func (d *Dispatcher) candidates(r *Request, now time.Time) (servers []*backend.Server, list []Candidate) {
 	memory := d.opts.CacheTokens(r.Service)
 	for _, s := range d.servers.Holding(r.Service, r.Model) {
@@ -199,7 +200,8 @@
 	return servers, list
 }
 
-// candidate returns a server as the choice for a request sees it.
+// candidate returns the state of a server for a request. memory is the engine's cache memory in
+// tokens. d.mu must be held.
 func (d *Dispatcher) candidate(r *Request, s *backend.Server, memory int, now time.Time) Candidate {
 	l := d.load(s.ID)
 	c := Candidate{
@@ -221,9 +223,9 @@
 	return c
 }
 
-// addLoads adds up what is at a server: the own requests, those that other gateways report
-// and, for an owned engine, what was granted lately. There the prefill ahead is known from
-// the grants, and better than from reports.
+// addLoads sets the load of a candidate: the requests of this process, those that other processes
+// reported and, for an owned engine, the recent grants. An owned engine's prefill queue is more
+// accurate than the reports, so it replaces them.
 func (d *Dispatcher) addLoads(c *Candidate, l *serverLoad, id string, now time.Time) {
 	others := d.remote[id].now(now)
 	c.Running = l.Running + others.Running
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,19 +1,23 @@
-// Package dispatch decides which backend server a gateway sends a request to, and which
-// request waits, in which order, and which is refused instead.
+// Package dispatch schedules the requests of a gateway: it chooses the backend server for each
+// request, orders the requests that have to wait, and refuses those that must not wait.
 //
-// A Dispatcher joins one type a job: the choice of a server (Candidate, Choose), admission
-// at the engines that this gateway owns (Admit, AdmissionRequest), the order of waiting
-// requests (waitQueue), load shedding by priority (shedder), what an engine is expected to
-// prefill and when (prefillQueue, PrefillSpeeds), which prefixes it has cached
-// (prefixCache) and what was asked of each model (demandCounters).
+// Each engine has one owner among the gateways, which admits all requests sent to it. A Dispatcher
+// combines server selection (Candidate, Choose), admission to the engines that this gateway owns
+// (Admit, AdmissionRequest), permits for servers with a rate limit (Permits), the queue of waiting
+// requests, load shedding by priority, a model of each engine's prefill work (PrefillSpeeds), an
+// estimate of the prefixes that each engine has cached (PrefixBlock), and counters of the demand
+// for each model (Demand).
 //
-// It owns what this process has sent and not finished, and who waits. What other processes
-// have sent, which servers there are and what they hold comes from the caller (SetRemote,
-// SetServers, SetGateways) and is as old as the caller's last word. It relies on package
-// clock, knows no network and keeps serving from what it knows when nothing new comes. It
-// does not decide what engines hold (package residency) or when a request is sent again
-// (package gateway). Package route is the choice of the entry, which sends through agents
-// that queue by themselves.
+// An engine is a backend server that runs models. A plain service has no models; requests to it
+// never wait.
+//
+// A Dispatcher owns the requests that this process has sent and not finished, and those that wait.
+// The caller provides the loads of other processes (SetRemote), the servers and the models that
+// they hold (SetServers), and the list of gateways (SetGateways). Between updates the Dispatcher
+// works with the last values. The package depends on package clock for time and does no network I/O
+// itself; Owners and Permits do it on its behalf. Package residency decides which models an engine
+// holds, package gateway when a request is retried. Package route is the counterpart for entries,
+// which send requests through agents that have their own queues.
 //
 // Estimated engine times are Milliseconds; all other times are time.Duration.
 package dispatch
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// A Load is the load of one process at one server.
+// A Load is the load at one server.
 type Load struct {
-	// Running is the number of requests.
+	// Running is the number of running requests.
 	Running int `json:"n"`
-	// PrefillMs is the time to prefill the prompts whose first byte has not come, in
+	// PrefillMs is the prefill time of the prompts whose first byte is outstanding, in
 	// milliseconds.
 	PrefillMs int `json:"r,omitempty"`
-	// UsedTokens is the cache memory that the requests take at most, in tokens.
+	// UsedTokens is the maximum cache memory that the requests use, in tokens.
 	UsedTokens int `json:"u,omitempty"`
 }
 
-// minus returns the load without a part of it.
+// minus returns l less part; no field of the result is negative.
 func (l Load) minus(part Load) Load {
 	return Load{
 		Running:    max(l.Running-part.Running, 0),
@@ -26,45 +26,47 @@
 	}
 }
 
-// A remoteLoad is the load of the other processes at one server at a time.
+// A remoteLoad is the load of all other processes at one server, as of a point in time.
 type remoteLoad struct {
 	Load
 	at time.Time
 }
 
-// now returns the load as it should be now: prefill goes on as time passes.
+// now returns the load expected now: the prefill time shrinks as time passes.
 func (l remoteLoad) now(now time.Time) Load {
 	out := l.Load
 	out.PrefillMs = max(out.PrefillMs-int(now.Sub(l.at)/time.Millisecond), 0)
 	return out
 }
 
-// A serverLoad is the load of this process at one server, with what it has observed there.
+// A serverLoad is the state of one server as seen by this process.
 type serverLoad struct {
 	Load
 	prefixes prefixCache
 	failures failureRate
 	// lastAnswer is when the server last sent something.
 	lastAnswer time.Time
-	// awaiting are the sends whose first byte has not come, the oldest first.
+	// awaiting lists the reservations whose first byte is outstanding, oldest first.
 	awaiting []*Reservation
-	// grants are the admissions given to other gateways' requests lately.
+	// grants are the recent admissions of other gateways' requests.
 	grants []grant
-	// prefill holds the prompts that an owned engine is expected to prefill.
+	// prefill holds the expected prefill times of an owned engine.
 	prefill prefillQueue
-	// deniedUntil is until when the engine's owner grants nothing.
+	// deniedUntil is the time until which the engine's owner is not asked again after it has denied
+	// admission.
 	deniedUntil time.Time
 	permits     permits
-	// lackedUntil is until when the engine is not asked for models and adapters that it has refused
-	// since it does not hold them.
+	// lackedUntil holds, for each model or adapter that the engine refused because it does not hold
+	// it, the time until which the engine is not asked for it again.
 	lackedUntil map[string]time.Time
 }
 
-// lackTime is how long an engine that does not hold a model or adapter is not asked for it again: as
-// long as what engines hold may take to be known elsewhere. Each such send takes from the retry budget.
+// lackTime is how long an engine is not asked for a model or adapter that it does not hold. It
+// covers the time until updated residency reaches this gateway; each misdirected attempt uses the
+// retry budget.
 const lackTime = time.Second
 
-// noteLack notes that the engine does not hold a model or adapter.
+// noteLack records that the engine does not hold a model or adapter.
 func (l *serverLoad) noteLack(target string, now time.Time) {
 	if l.lackedUntil == nil {
 		l.lackedUntil = make(map[string]time.Time)
@@ -73,7 +75,7 @@
 	l.lackedUntil[target] = now.Add(lackTime)
 }
 
-// askableFrom returns from when on the server may be asked for a model or adapter.
+// askableFrom returns the earliest time at which the server may be asked for a model or adapter.
 func (l *serverLoad) askableFrom(target string) time.Time {
 	if until := l.lackedUntil[target]; until.After(l.deniedUntil) {
 		return until
@@ -81,7 +83,8 @@
 	return l.deniedUntil
 }
 
-// isStalled reports whether the server owes a first byte and has sent nothing for stallTime.
+// isStalled reports whether a first byte is outstanding and the server has sent nothing for
+// stallTime.
 func (l *serverLoad) isStalled(now time.Time) bool {
 	if len(l.awaiting) == 0 {
 		return false
@@ -93,23 +96,22 @@
 	return now.Sub(since) > stallTime
 }
 
-// How a server's failure rate follows its outcomes.
+// Parameters of the failure rate.
 const (
-	// failureStep is how much one outcome moves the rate: a server with one failure
-	// costs 600 ms more for now.
+	// failureStep is the weight of the latest outcome in the moving average.
 	failureStep = 0.3
-	// failureHalfLife is how fast the rate decays, so that a server that was avoided is
-	// tried again.
+	// failureHalfLife is the half-life of the rate. The decay ensures that a server which was
+	// avoided is tried again.
 	failureHalfLife = 2 * time.Second
 )
 
-// A failureRate is a recent share of failures that decays with time.
+// A failureRate is an exponentially decayed average of failures.
 type failureRate struct {
 	share float64
 	when  time.Time
 }
 
-// at returns the share as it stands at a time.
+// at returns the rate at a point in time, 0 to 1.
 func (f *failureRate) at(now time.Time) float64 {
 	if f.share == 0 {
 		return 0
@@ -117,7 +119,7 @@
 	return f.share * math.Exp2(-float64(now.Sub(f.when))/float64(failureHalfLife))
 }
 
-// observe counts one outcome: 1 is a failure, 0 a success.
+// observe records an outcome: 1 is a failure, 0 a success.
 func (f *failureRate) observe(outcome float64, now time.Time) {
 	share := f.at(now)
 	f.share = share + (outcome-share)*failureStep
--- a/dispatch/owners.go
+++ b/dispatch/owners.go
@@ -9,21 +9,22 @@
 	"rockcleat/rendezvous"
 )
 
-// A Gateway is one of the processes that send requests.
+// A Gateway is a process that sends requests to backend servers.
 type Gateway struct {
 	ID   string `json:"id"`
 	Hall string `json:"hall"`
 }
 
-// owners divides the engines among the gateways by rendezvous hashing: the owner of an
-// engine admits all requests there, since what other gateways have sent is known late and
-// prompts that come together delay every stream of an engine.
+// owners assigns each engine to one gateway by rendezvous hashing. The owner admits all requests to
+// its engine, because prompts that arrive together delay every stream there and gateways learn of
+// each other's requests only with a delay.
 type owners struct {
 	self     string
 	gateways []Gateway
-	// byServer remembers the owner of each server.
+	// byServer caches the owner by server ID.
 	byServer map[string]string
-	// suspendedUntil is until when owners that did not answer are not asked.
+	// suspendedUntil holds, for each owner that did not answer, the time until which it is not
+	// asked.
 	suspendedUntil map[string]time.Time
 }
 
@@ -31,7 +32,7 @@
 	return owners{self: self, suspendedUntil: make(map[string]time.Time)}
 }
 
-// set sets the gateways.
+// set replaces the list of gateways.
 func (o *owners) set(list []Gateway) {
 	if slices.Equal(list, o.gateways) {
 		return
@@ -40,16 +41,15 @@
 	o.byServer = make(map[string]string)
 }
 
-// forget drops what is remembered of a server that has gone.
 func (o *owners) forget(server string) { delete(o.byServer, server) }
 
-// owns reports whether this gateway owns the server; it does as long as it knows of no
-// gateways.
+// owns reports whether this gateway owns the server. Without a list of gateways it owns all
+// servers.
 func (o *owners) owns(s *backend.Server) bool {
 	return len(o.gateways) == 0 || o.of(s) == o.self
 }
 
-// of returns the gateway that owns the server.
+// of returns the ID of the gateway that owns the server.
 func (o *owners) of(s *backend.Server) string {
 	owner, ok := o.byServer[s.ID]
 	if !ok {
@@ -59,12 +59,12 @@
 	return owner
 }
 
-// mayAsk reports whether an owner is to be asked for admission now.
+// mayAsk reports whether an owner is not suspended.
 func (o *owners) mayAsk(owner string, now time.Time) bool {
 	return !now.Before(o.suspendedUntil[owner])
 }
 
-// suspend stops asking an owner for ownerSuspension and reports whether it was asked before.
+// suspend suspends an owner for ownerSuspension and reports whether it was not suspended before.
 func (o *owners) suspend(owner string, now time.Time) bool {
 	if !o.mayAsk(owner, now) {
 		return false
@@ -73,14 +73,14 @@
 	return true
 }
 
-// jitter returns this gateway's own part of a server's cost.
+// jitter returns this gateway's value of Candidate.Jitter for a server.
 func (o *owners) jitter(server string) Milliseconds {
 	weight := rendezvous.Weight(o.self, rendezvous.Key(server))
 	return msJitter * Milliseconds(weight) / math.MaxUint64
 }
 
-// ownerAmong returns the gateway with the highest weight for the server, those of its data
-// hall before others.
+// ownerAmong returns the gateway with the highest rendezvous weight for the server, preferring
+// gateways in the server's data hall.
 func ownerAmong(list []Gateway, s *backend.Server) string {
 	key := rendezvous.Key(s.ID)
 	best, bestNear, bestWeight := "", false, uint64(0)
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -8,40 +8,43 @@
 	"rockcleat/backend"
 )
 
-// Permits lets requests through to servers that bound how many they take from all gateways together.
+// Permits grants the right to send requests to servers that limit the request rate of all gateways
+// together.
 type Permits interface {
-	// Any reports whether any server has a limit now.
+	// Any reports whether any server has a rate limit now.
 	Any() bool
-	// Limit returns a server's limit in requests a second; ok is false if it has none.
+	// Limit returns a server's rate limit in requests per second; ok is false if it has none.
 	Limit(server string) (perSecond float64, ok bool)
-	// Take asks for the right to send a server one request; wait is when to ask again if it is not granted.
+	// Take requests a permit to send one request to a server. If it is not granted, wait is how
+	// long to wait before asking again.
 	Take(ctx context.Context, server string) (granted bool, wait time.Duration)
-	// GiveBack gives back a right that was granted and not used.
+	// GiveBack returns a permit that was granted and not used.
 	GiveBack(server string)
 }
 
-// A LimitedError says that all servers that could take a request bound how many they take, and that none will take
-// it in time.
+// A LimitedError means that all servers that could take the request have a rate limit, and that
+// none can take it before its WaitUntil.
 type LimitedError struct {
-	// RetryAfter is when one may.
+	// RetryAfter is the estimated time until a server can take the request.
 	RetryAfter time.Duration
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *LimitedError) Error() string {
 	return fmt.Sprintf("dispatch: the servers take no more requests for %s", e.RetryAfter)
 }
 
-// permits is what a gateway knows of the requests that it may send to a server with a limit.
+// permits is the state of permit requests for one server.
 type permits struct {
-	// asked is the number of requests for which a permit is being asked, deniedUntil until when none is granted.
+	// asked is the number of permit requests in progress, deniedUntil the time until which no
+	// permit is requested.
 	asked       int
 	deniedUntil time.Time
-	// denials counts those that were denied since one was granted.
+	// denials is the number of denials since the last grant.
 	denials int
 }
 
-// limitOf returns a server's limit; ok is false if it has none.
+// limitOf returns a server's rate limit in requests per second; ok is false if it has none.
 func (d *Dispatcher) limitOf(server string) (perSecond float64, ok bool) {
 	if !d.hasLimits() {
 		return 0, false
@@ -49,11 +52,11 @@
 	return d.opts.Permits.Limit(server)
 }
 
-// hasLimits reports whether any server has a limit now.
+// hasLimits reports whether any server has a rate limit now.
 func (d *Dispatcher) hasLimits() bool { return d.opts.Permits != nil && d.opts.Permits.Any() }
 
-// LimitChanged notes that a server has named, changed or ended its limit: what it denied before says nothing any
-// more, and waiting requests are looked at again.
+// LimitChanged must be called when a server's rate limit is set, changed or removed. It discards
+// earlier denials and serves waiting requests.
 func (d *Dispatcher) LimitChanged(server string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,8 +66,9 @@
 	d.serve()
 }
 
-// isBarred reports whether a server with a limit is not to be asked for a request now. Waiting requests are looked
-// at again when it may be. For a request that may wait one permit is asked at a time: the rest would be in vain.
+// isBarred reports whether a request must not ask for a permit of a server now. After a denial it
+// schedules the next serve. Requests for models ask for one permit at a time, since they can wait
+// and further requests would be denied as well. d.mu must be held.
 func (d *Dispatcher) isBarred(r *Request, server string, now time.Time) bool {
 	p := d.load(server).permits
 	if now.Before(p.deniedUntil) {
@@ -74,8 +78,8 @@
 	return r.Model != "" && p.asked > 0
 }
 
-// takePermit asks for the right to send a reservation's request, if its server has a limit, and reports whether it
-// may be sent; the reservation is over if not.
+// takePermit obtains a permit for a reservation if its server has a rate limit. It reports whether
+// the request may be sent; if not, the reservation has been released.
 func (d *Dispatcher) takePermit(ctx context.Context, res *Reservation) bool {
 	_, limited := d.limitOf(res.server.ID)
 	if !limited && !res.asksPermit {
@@ -102,7 +106,7 @@
 	return granted
 }
 
-// endAsking notes that no permit is being asked for the reservation any more. The Dispatcher is locked.
+// endAsking records that the reservation no longer waits for a permit. d.mu must be held.
 func (r *Reservation) endAsking() {
 	if r.asksPermit {
 		r.asksPermit = false
@@ -110,17 +114,20 @@
 	}
 }
 
-// dropPermit gives back a permit for a send that is not made.
+// dropPermit returns the permit of an attempt that is not made.
 func (d *Dispatcher) dropPermit(res *Reservation) {
 	if res.hasPermit {
 		d.opts.Permits.GiveBack(res.server.ID)
 	}
 }
 
-// limitedWait returns how long a request waits until a server takes it, if all servers that could do so have limits
-// and bar it now; ok is false otherwise, and where another server could load the adapter that the request needs.
-// ahead is the number of requests that wait here before it for the same model or service. Where other gateways'
-// requests wait too, as denials in a row show, this gateway gets an equal part of the server's rate.
+// limitedWait estimates how long a request has to wait if every server that could take it has a
+// rate limit and denies permits now. ok is false if a server may take it now, or if an engine
+// without a rate limit could load the adapter that the request needs.
+//
+// ahead is the number of requests for the same model or service that are ahead in the wait queue.
+// Consecutive denials show that requests of other gateways wait as well, so the estimate assumes
+// that each gateway receives an equal share of the rate. d.mu must be held.
 func (d *Dispatcher) limitedWait(r *Request, ahead int, now time.Time) (wait time.Duration, ok bool) {
 	var soonest time.Time
 	perSecond := 0.0
@@ -154,11 +161,12 @@
 	return wait, ok
 }
 
-// minPerSecond keeps the wait at servers that take nothing finite, in requests a second.
+// minPerSecond is the rate assumed at least, in requests per second, so that the estimate stays
+// finite.
 const minPerSecond = 0.1
 
-// refuseHopeless ends the wait of requests that only servers with limits could take, and none in time. The
-// Dispatcher is locked.
+// refuseHopeless refuses the waiting requests that only servers with rate limits could take and
+// that none of these can take in time. d.mu must be held.
 func (d *Dispatcher) refuseHopeless(now time.Time) {
 	if !d.hasLimits() {
 		return
@@ -177,7 +185,8 @@
 	d.waiting.removeRefused()
 }
 
-// countAhead returns the number of waiting requests for the same model that are served before a request.
+// countAhead returns the number of waiting requests for the same model or adapter that are ahead of
+// r.
 func (q *waitQueue) countAhead(r *Request) int {
 	n := 0
 	for _, w := range q.list {
@@ -188,13 +197,14 @@
 	return n
 }
 
-// couldLoadAdapter reports whether a server lacks only the adapter that a request needs: it is loaded soon, since the
-// request waits for it.
+// couldLoadAdapter reports whether a server holds the request's model and only lacks its adapter,
+// which is then loaded because the request waits for it.
 func (d *Dispatcher) couldLoadAdapter(r *Request, s *backend.Server) bool {
 	return r.Adapter != "" && !s.Leaving && !r.excludes(s.ID) && s.Holds(r.Model, "")
 }
 
-// couldTake reports whether a server holds what a request needs and stays.
+// couldTake reports whether a server holds what the request needs, is not draining and is not
+// excluded.
 func (d *Dispatcher) couldTake(r *Request, s *backend.Server) bool {
 	return !s.Leaving && !r.excludes(s.ID) && (r.Model == "" || s.Holds(r.Model, r.Adapter))
 }
--- a/dispatch/prefill_queue.go
+++ b/dispatch/prefill_queue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A span is the time in which an engine is expected to prefill one prompt.
+// A span is the interval in which an engine is expected to prefill one prompt.
 type span struct{ from, to time.Time }
 
 // A prefillQueue holds the prompts that an engine is expected to prefill, one after the other.
@@ -12,11 +12,11 @@
 	spans []span
 }
 
-// spanMemory is how long spans that are over are kept: longer than any gap that a route
-// allows, since prefill counts within the gap that it falls into.
+// spanMemory is how long finished spans are kept, since they count towards the gap in which they
+// fall. It must exceed the longest gap that a route allows.
 const spanMemory = 2 * time.Second
 
-// end returns when the engine has prefilled everything.
+// end returns when the engine is expected to have prefilled all prompts.
 func (q *prefillQueue) end(now time.Time) time.Time {
 	if n := len(q.spans); n > 0 && q.spans[n-1].to.After(now) {
 		return q.spans[n-1].to
@@ -24,7 +24,8 @@
 	return now
 }
 
-// add appends a prompt and returns when it should be prefilled.
+// add appends a prompt and returns when the engine is expected to have prefilled it. It drops spans
+// older than spanMemory.
 func (q *prefillQueue) add(prefill time.Duration, now time.Time) time.Time {
 	first := 0
 	for first < len(q.spans) && now.Sub(q.spans[first].to) > spanMemory {
@@ -36,8 +37,8 @@
 	return from.Add(prefill)
 }
 
-// finish notes when a prompt was prefilled that was expected at another time: the queue
-// behind it is that much earlier or later.
+// finish corrects the queue when the prompt expected to be prefilled at one time was prefilled at
+// another. Later spans shift by the difference.
 func (q *prefillQueue) finish(expected, actual time.Time) {
 	shift := actual.Sub(expected)
 	for i := range q.spans {
@@ -59,8 +60,8 @@
 	return b
 }
 
-// busyWithin returns how long the engine prefills other prompts within a window that ends
-// when a prompt appended now is prefilled.
+// busyWithin returns how long the engine prefills other prompts within a window that ends when a
+// prompt appended now would be prefilled.
 func (q *prefillQueue) busyWithin(prefill, window time.Duration, now time.Time) time.Duration {
 	start := q.end(now).Add(prefill - window)
 	sum := time.Duration(0)
@@ -74,8 +75,8 @@
 	return sum
 }
 
-// nextStart returns after which time a prompt can be appended so that no more than a limit
-// is prefilled within any window.
+// nextStart returns how long to wait until a prompt can be appended such that prefill within any
+// window stays within the limit. The result is at least minGrantRetry and at most window.
 func (q *prefillQueue) nextStart(prefill, limit, window time.Duration, now time.Time) time.Duration {
 	for wait := time.Duration(0); wait < window; wait += minGrantRetry {
 		busy := q.busyWithin(prefill, window, now.Add(wait))
--- a/dispatch/prefill_speed.go
+++ b/dispatch/prefill_speed.go
@@ -2,35 +2,33 @@
 
 import "maps"
 
-// How a model's prefill speed is followed; the times of an engine are those of
-// docs/design/0009.
+// Parameters of the prefill speed estimate; the engine times are those of docs/design/0009.
 const (
-	// initialSpeed is assumed of a model that has not been seen, in milliseconds a
-	// token: 19.2 tokens a millisecond at today's engines.
+	// initialSpeed is the speed assumed for a model without samples, in milliseconds per token.
 	initialSpeed = 0.05
-	// speedQuantile is the part of the samples that are to be faster than the speed
-	// kept: a low one, since most samples hold waiting for other prompts too.
+	// speedQuantile is the quantile of the samples that the estimate follows. It is low because
+	// most samples include time spent waiting for other prompts.
 	speedQuantile = 0.25
-	// speedStep is how much one sample moves the speed.
+	// speedStep is the relative step by which a sample moves the estimate.
 	speedStep = 0.1
-	// minSampleTokens is the shortest prefill that shows the speed.
+	// minSampleTokens is the minimum length of a prefill, in tokens, that is used as a sample.
 	minSampleTokens = 300
-	// firstStepTime is the part of the time to first byte that is no prefill: one step.
+	// firstStepTime is the part of the time to first byte that is not prefill: one decoding step.
 	firstStepTime Milliseconds = 12.0
-	// minSpeed bounds the speed from below, in milliseconds a token.
+	// minSpeed is the lower bound of the estimate, in milliseconds per token.
 	minSpeed = 0.002
 )
 
-// A PrefillSample is one observation of how long a model took to prefill.
+// A PrefillSample is one measurement of a model's prefill speed.
 type PrefillSample struct {
 	Model string `json:"m"`
-	// MsPerToken is the time from a send to its first byte, less a step, by the length of what was
-	// not cached of the prompt, in milliseconds a token.
+	// MsPerToken is the time to first byte, less one decoding step, divided by the length of the
+	// uncached part of the prompt, in milliseconds per token.
 	MsPerToken float64 `json:"t"`
 }
 
-// newPrefillSample returns the sample of one answer; it reports false if the prompt was too short to
-// show the speed.
+// newPrefillSample returns the sample of one response. The result is false if the prefill was too
+// short to be used.
 func newPrefillSample(model string, tokens int, firstByte Milliseconds) (PrefillSample, bool) {
 	if tokens < minSampleTokens {
 		return PrefillSample{}, false
@@ -38,17 +36,18 @@
 	return PrefillSample{Model: model, MsPerToken: float64(max(firstByte-firstStepTime, 0)) / float64(tokens)}, true
 }
 
-// PrefillSpeeds keeps each model's time to prefill one prompt token, in milliseconds.
+// PrefillSpeeds estimates the prefill speed of each model, in milliseconds per prompt token.
 //
-// One gateway of many sees few samples of each model, and takes prompts for several times as long as
-// they are, so that engines with free slots refuse requests. So gateways pass their samples to the leader, which learns from all of them and tells all.
+// A single gateway sees too few samples of each model for an accurate estimate. Gateways therefore
+// send their samples to the leader, which distributes the speeds estimated from all of them.
 //
 // Its zero value is ready to use. It is not safe for concurrent use.
 type PrefillSpeeds struct {
 	byModel map[string]float64
 }
 
-// Of returns a model's speed, initialSpeed for one that has not been seen.
+// Of returns the speed of a model in milliseconds per token, or initialSpeed if there are no
+// samples.
 func (s *PrefillSpeeds) Of(model string) float64 {
 	if v, ok := s.byModel[model]; ok {
 		return v
@@ -56,10 +55,10 @@
 	return initialSpeed
 }
 
-// Known returns the speeds of the models that have been seen.
+// Known returns the speeds of all models that have been observed or set.
 func (s *PrefillSpeeds) Known() map[string]float64 { return maps.Clone(s.byModel) }
 
-// Set sets a model's speed.
+// Set sets the speed of a model in milliseconds per token.
 func (s *PrefillSpeeds) Set(model string, speed float64) {
 	if s.byModel == nil {
 		s.byModel = make(map[string]float64)
@@ -67,8 +66,9 @@
 	s.byModel[model] = max(speed, minSpeed)
 }
 
-// Observe counts a sample. The speed follows a quantile of the samples: it falls by a large step and
-// rises by a small one.
+// Observe updates the estimate with a sample. A sample below the estimate lowers it by a large
+// step, any other raises it by a small one, so that it converges to the speedQuantile of the
+// samples.
 func (s *PrefillSpeeds) Observe(x PrefillSample) {
 	v := s.Of(x.Model)
 	if x.MsPerToken < v {
@@ -79,7 +79,7 @@
 	s.Set(x.Model, v)
 }
 
-// prefillTime returns the time to prefill a number of tokens.
+// prefillTime returns the time to prefill the given number of tokens.
 func (s *PrefillSpeeds) prefillTime(model string, tokens int) Milliseconds {
 	return Milliseconds(s.Of(model) * float64(tokens))
 }
--- a/dispatch/prefix_cache.go
+++ b/dispatch/prefix_cache.go
@@ -2,17 +2,17 @@
 
 import "container/list"
 
-// A PrefixBlock is one block of a prompt's beginning; blocks are shared between requests.
+// A PrefixBlock is one block of a prompt's prefix. Requests whose prompts begin alike share blocks.
 type PrefixBlock struct {
 	ID     string `json:"i"`
 	Tokens int    `json:"t"`
 }
 
-// maxCachedBlocks bounds the blocks remembered for one server.
+// maxCachedBlocks is the maximum number of blocks kept per server.
 const maxCachedBlocks = 512
 
-// A prefixCache remembers which prompt blocks were last sent to a server, as an estimate
-// of what the server has cached.
+// A prefixCache is an LRU list of the prompt blocks sent to a server. It estimates the contents of
+// the server's own prefix cache.
 //
 // Its zero value is empty.
 type prefixCache struct {
@@ -20,10 +20,9 @@
 	index map[string]*list.Element
 }
 
-// blockKey names a block as cached for one model or adapter.
 func blockKey(target string, b PrefixBlock) string { return target + "\x00" + b.ID }
 
-// cachedTokens returns how many tokens of the prompt's beginning the server has cached.
+// cachedTokens returns the length of the longest cached prefix, in tokens.
 func (c *prefixCache) cachedTokens(target string, blocks []PrefixBlock) int {
 	tokens := 0
 	for _, b := range blocks {
@@ -35,7 +34,8 @@
 	return tokens
 }
 
-// touch remembers the blocks as the ones used last.
+// touch marks the blocks as the most recently used ones and evicts the least recently used beyond
+// maxCachedBlocks.
 func (c *prefixCache) touch(target string, blocks []PrefixBlock) {
 	if c.index == nil {
 		c.index = make(map[string]*list.Element)
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -5,44 +5,47 @@
 	"time"
 )
 
-// A Request describes a caller's request as far as a choice depends on it.
+// A Request holds the properties of a client request that scheduling depends on.
 type Request struct {
 	Service string
-	// Model and Adapter are empty for a plain service.
+	// Model and Adapter are empty for a plain service. Adapter is also empty for the base model.
 	Model, Adapter string
-	// PromptTokens is the length of the prompt, MaxOutputTokens the most to generate.
+	// PromptTokens is the length of the prompt, MaxOutputTokens the maximum number of tokens to
+	// generate.
 	PromptTokens, MaxOutputTokens int
-	// Prefix lists the blocks that the prompt begins with.
+	// Prefix lists the leading blocks of the prompt.
 	Prefix []PrefixBlock
-	// FirstByteObjective is how soon the answer should begin; 0 if no time is set.
+	// FirstByteObjective is the target time to first byte; 0 means none.
 	FirstByteObjective time.Duration
-	// Priority orders waiting requests; 0 goes first.
+	// Priority orders waiting requests. A lower value is served first; 0 is the highest priority.
 	Priority int
 	// WaitUntil is when the request stops waiting for a server.
 	WaitUntil time.Time
-	// SendBy is when the request must be sent for its answer to begin in time; after
-	// that it is late: requests that can still be in time go first, and it may take only
-	// a part of an engine. Zero is no limit.
+	// SendBy is the latest time at which the request can be sent and still meet its objective.
+	// After it the request is late: it is served after requests that are not late and may use only
+	// part of an engine. The zero value means that the request is never late.
 	SendBy time.Time
-	// Gap is the budget between two events of the request's stream.
+	// Gap limits the time between two events of the response stream.
 	Gap GapBudget
-	// Exclude names servers that are not to be chosen.
+	// Exclude lists the IDs of servers that must not be chosen.
 	Exclude []string
-	// MayHaveRun says that a server may have run the request, so that it is not shed.
+	// MayHaveRun means that a server may have processed the request already. Such a request is
+	// never late and never shed.
 	MayHaveRun bool
-	// GrantsAsked counts the admissions that other gateways were asked for, GrantsGiven
-	// and GrantsDenied their answers; the rest had no answer.
+	// GrantsAsked is the number of admissions requested from other gateways, GrantsGiven and
+	// GrantsDenied the numbers granted and denied; the others were not answered.
 	GrantsAsked, GrantsGiven, GrantsDenied int
-	// PermitsDenied counts the permits that were denied at servers with limits.
+	// PermitsDenied is the number of permits denied by servers with a rate limit.
 	PermitsDenied int
-	// admittedLate says that another gateway's request is late; its SendBy is not known here.
+	// admittedLate means that the request is late according to the gateway that asked for
+	// admission; its SendBy is not known here.
 	admittedLate bool
-	// sequence is the request's number in the order of arrival; 0 before it has waited.
+	// sequence is the request's position in the order of arrival, from 1; 0 if it has never waited.
 	sequence uint64
 }
 
-// isLate reports whether the answer to a request that is sent now cannot begin in time. One
-// that may have run is never late: its caller may have the beginning of an answer.
+// isLate reports whether the request can no longer meet its objective. A request that may have run
+// is never late, since the client may have received part of the response.
 func (r *Request) isLate(now time.Time) bool {
 	if r.MayHaveRun {
 		return false
@@ -50,10 +53,9 @@
 	return r.admittedLate || !r.SendBy.IsZero() && !now.Before(r.SendBy)
 }
 
-// excludes reports whether a server is not to be chosen.
 func (r *Request) excludes(server string) bool { return slices.Contains(r.Exclude, server) }
 
-// target names the model or adapter, as MODEL or MODEL/ADAPTER.
+// target returns the key of the model or adapter: MODEL or MODEL/ADAPTER.
 func (r *Request) target() string {
 	if r.Adapter == "" {
 		return r.Model
@@ -61,7 +63,7 @@
 	return r.Model + "/" + r.Adapter
 }
 
-// before reports whether the request is served before another one that waits.
+// before reports whether r is ahead of o in the wait queue.
 func (r *Request) before(o *Request) bool {
 	if r.Priority != o.Priority {
 		return r.Priority < o.Priority
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -7,32 +7,33 @@
 	"rockcleat/backend"
 )
 
-// A Reservation is capacity of one server, taken for one send of a request.
+// A Reservation is the capacity of one server reserved for one attempt at a request.
 type Reservation struct {
 	d      *Dispatcher
 	req    *Request
 	server *backend.Server
 	load   *serverLoad
-	// prefillTokens is the length of the prompt's uncached part, prefillMs its prefill time in
-	// milliseconds, usedTokens the cache memory that the request takes at most.
+	// prefillTokens is the length of the uncached part of the prompt, prefillMs its prefill time in
+	// milliseconds, usedTokens the maximum cache memory of the request in tokens.
 	prefillTokens int
 	prefillMs     int
 	usedTokens    int
 	sent          time.Time
-	// prefillEnd is when an owned engine should have prefilled the prompt; zero otherwise.
+	// prefillEnd is when an owned engine is expected to have prefilled the prompt; zero for other
+	// engines.
 	prefillEnd time.Time
 	choice     Candidate
-	// candidates is the number of servers that the choice was made among.
+	// candidates is the number of servers that were considered.
 	candidates int
-	// owner is the gateway that must admit the request; empty if none must.
+	// owner is the gateway that has to admit the request; empty if none has to.
 	owner string
-	// asksPermit says that a permit of a server with a limit is being asked for, hasPermit that it was granted.
+	// asksPermit means that a permit is being requested, hasPermit that it was granted.
 	asksPermit, hasPermit bool
-	// answering says that the first byte has come, over that the capacity is given back.
+	// answering means that the first byte has arrived, over that the capacity was released.
 	answering, over bool
 }
 
-// reserve takes capacity of a server for a request.
+// reserve reserves capacity of a server. d.mu must be held.
 func (d *Dispatcher) reserve(r *Request, s *backend.Server, c Candidate) *Reservation {
 	l := d.load(s.ID)
 	res := &Reservation{
@@ -66,14 +67,13 @@
 	return res
 }
 
-// Server returns the server that the request goes to.
+// Server returns the reserved server.
 func (r *Reservation) Server() *backend.Server { return r.server }
 
-// Choice returns what the choice of the server was made from and the number of servers
-// that it was made among.
+// Choice returns the candidate that was chosen and the number of candidates that were considered.
 func (r *Reservation) Choice() (c Candidate, among int) { return r.choice, r.candidates }
 
-// FirstByte notes that the answer has begun.
+// FirstByte records that the response has begun.
 func (r *Reservation) FirstByte() {
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
@@ -92,31 +92,33 @@
 	r.d.serve()
 }
 
-// endPrefill counts the prompt as prefilled.
+// endPrefill removes the prompt from the server's pending prefill. d.mu must be held.
 func (r *Reservation) endPrefill() {
 	r.answering = true
 	r.load.PrefillMs -= r.prefillMs
 	r.load.awaiting = slices.DeleteFunc(r.load.awaiting, func(x *Reservation) bool { return x == r })
 }
 
-// A SendResult says how a send ended.
+// A SendResult is the outcome of an attempt.
 type SendResult int
 
-// The results of a send.
 const (
-	// Answered is a whole answer.
+	// Answered means that the response was complete.
 	Answered SendResult = iota
-	// Failed is an answer or a break that counts against the server.
+	// Failed means that the attempt failed in a way that counts against the server, such as an
+	// error response or a broken connection.
 	Failed
-	// Refused is a refusal by the server, which counts neither way.
+	// Refused means that the server refused the request; it does not affect the server's failure
+	// rate.
 	Refused
-	// Misdirected is a refusal by a server that does not hold the model or is another one.
+	// Misdirected means that the server does not hold the model or is a different server than
+	// expected.
 	Misdirected
-	// Abandoned is a send that the caller gave up.
+	// Abandoned means that the client or the gateway canceled the attempt.
 	Abandoned
 )
 
-// Done gives the capacity back; calls after the first do nothing.
+// Done releases the capacity and records the outcome. Calls after the first have no effect.
 func (r *Reservation) Done(result SendResult) {
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
@@ -137,7 +139,7 @@
 	r.d.serve()
 }
 
-// release gives the capacity back; the Dispatcher is locked.
+// release releases the capacity. d.mu must be held.
 func (r *Reservation) release() {
 	if r.over {
 		return
--- a/dispatch/shed.go
+++ b/dispatch/shed.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Bounds of how much better less urgent requests may be served than more urgent ones
-// (docs/design/0010).
+// Parameters of load shedding (docs/design/0010).
 const (
-	// successHalfLife is how fast the results of requests are forgotten.
+	// successHalfLife is the half-life of recorded results.
 	successHalfLife = 10 * time.Second
-	// shedMargin is the difference of success rates from which on the less urgent are shed.
+	// shedMargin is how far the success rate of a priority must exceed that of a higher priority
+	// before it is shed.
 	shedMargin = 0.1
-	// minShedWeight is the number of requests, less what is forgotten, from which on the
-	// success rate of a priority counts.
+	// minShedWeight is the decayed number of results that a priority needs for its success rate to
+	// be compared.
 	minShedWeight = 4
 )
 
-// A shedder decides, for one service under load, whether requests of a priority are
-// refused instead of waiting, since more urgent ones are served worse.
+// A shedder decides, for one service under load, whether requests of a priority are refused instead
+// of waiting because requests of higher priority have a lower success rate.
 //
-// The order of waiting alone puts urgent requests at a disadvantage: they are late soon,
-// while the others still have time and are served in the next lull.
+// The wait queue alone cannot ensure this: requests with tight objectives become late early, while
+// requests of lower priority with longer objectives still have time and are served when the load
+// drops.
 //
-// Its zero value knows of no requests.
+// The zero value has no results.
 type shedder struct {
 	byPriority map[int]*successRate
 }
 
-// A successRate is a decayed average of the results of one priority's requests.
+// A successRate is the exponentially decayed average of the results of one priority.
 type successRate struct {
-	// weight counts requests and sum their results, both decayed up to when.
+	// weight is the decayed number of results and sum their decayed sum, both as of when.
 	weight, sum float64
 	when        time.Time
 }
 
-// value returns the average result, 0 to 1, and the weight behind it.
+// value returns the average result, 0 to 1, and the decayed number of results. Without results the
+// average is 1.
 func (r *successRate) value(now time.Time) (rate, weight float64) {
 	if r.weight == 0 {
 		return 1, 0
@@ -45,7 +47,7 @@
 
 func decay(d time.Duration) float64 { return math.Exp2(-float64(d) / float64(successHalfLife)) }
 
-// observe counts the result of a request, from 0 (not served) to 1 (served in time).
+// observe records a result, from 0 (not served) to 1 (served in time).
 func (s *shedder) observe(priority int, result float64, now time.Time) {
 	if s.byPriority == nil {
 		s.byPriority = make(map[int]*successRate)
@@ -61,8 +63,7 @@
 	rate.when = now
 }
 
-// sheds reports whether requests of a priority are served so much better than more urgent
-// ones that they are shed.
+// sheds reports whether requests of a priority are to be shed.
 func (s *shedder) sheds(priority int, now time.Time) bool {
 	rate, ok := s.byPriority[priority]
 	if !ok {
@@ -81,8 +82,8 @@
 	return false
 }
 
-// RecordResult records how well a request was served, from 0 (not at all) to 1 (in time). It
-// is called only for results that depend on load.
+// RecordResult records how well a request was served, from 0 (not served) to 1 (served in time).
+// Results that do not depend on load must not be recorded.
 func (d *Dispatcher) RecordResult(r *Request, result float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,15 +95,16 @@
 	s.observe(r.Priority, result, d.opts.Clock.Now())
 }
 
-// sheds reports whether a request that would have to wait is refused in favour of more
-// urgent ones that wait already. One that may have run is never shed.
+// sheds reports whether a request that would have to wait is refused in favour of waiting requests
+// with higher priority. A request that may have run is never shed. d.mu must be held.
 func (d *Dispatcher) sheds(r *Request) bool {
 	s := d.shedders[r.Service]
 	return s != nil && !r.MayHaveRun && d.moreUrgentWaits(r) && s.sheds(r.Priority, d.opts.Clock.Now())
 }
 
-// moreUrgentWaits reports whether a more urgent request of the same service waits for
-// capacity; one whose model no server holds waits for a load, not for capacity of others.
+// moreUrgentWaits reports whether a request with higher priority waits for capacity of the same
+// service. A request whose model no server holds does not count, since it waits for the model to be
+// loaded.
 func (d *Dispatcher) moreUrgentWaits(r *Request) bool {
 	for _, w := range d.waiting.list {
 		if w.req.Priority >= r.Priority {
--- a/dispatch/speed_book.go
+++ b/dispatch/speed_book.go
@@ -1,20 +1,21 @@
 package dispatch
 
-// maxSamples bounds the samples that are kept until they are taken: some ten times what one gateway
-// sees between two reports.
+// maxSamples is the maximum number of samples kept between two calls of TakePrefillSamples. Further
+// samples are dropped.
 const maxSamples = 128
 
-// A speedBook holds the speeds that one gateway reckons with: those that were learned from all
-// gateways' samples, and its own as long as there are none.
+// A speedBook holds the prefill speeds that this gateway uses: for each model the speed estimated
+// from all gateways' samples, or else from its own.
 type speedBook struct {
 	PrefillSpeeds
-	// shared names the models whose speeds were learned from all gateways.
+	// shared contains the models whose speeds were estimated from all gateways' samples.
 	shared map[string]bool
-	// samples are those that have not been taken yet.
+	// samples holds this gateway's samples since the last call of TakePrefillSamples.
 	samples []PrefillSample
 }
 
-// note counts a sample of this gateway's own.
+// note records a sample of this gateway. It updates the model's speed only if no shared one is
+// known.
 func (b *speedBook) note(x PrefillSample) {
 	if len(b.samples) < maxSamples {
 		b.samples = append(b.samples, x)
@@ -24,7 +25,7 @@
 	}
 }
 
-// share sets speeds that were learned from all gateways.
+// share sets speeds that were estimated from all gateways' samples.
 func (b *speedBook) share(speeds map[string]float64) {
 	if b.shared == nil {
 		b.shared = make(map[string]bool)
@@ -35,8 +36,8 @@
 	}
 }
 
-// TakePrefillSamples returns the samples since the last call. What its caller loses only makes the
-// speeds follow more slowly.
+// TakePrefillSamples returns the samples recorded since the last call. Losing them only makes the
+// estimates follow more slowly.
 func (d *Dispatcher) TakePrefillSamples() []PrefillSample {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,7 +46,8 @@
 	return samples
 }
 
-// SetPrefillSpeeds sets the speeds of models that were learned from all gateways' samples.
+// SetPrefillSpeeds sets the speeds estimated from all gateways' samples, by model, in milliseconds
+// per token.
 func (d *Dispatcher) SetPrefillSpeeds(speeds map[string]float64) {
 	if len(speeds) == 0 {
 		return
@@ -55,7 +57,8 @@
 	d.speeds.share(speeds)
 }
 
-// PrefillSpeeds returns the speeds that this gateway reckons with.
+// PrefillSpeeds returns the prefill speeds that this gateway uses, by model, in milliseconds per
+// token.
 func (d *Dispatcher) PrefillSpeeds() map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -9,25 +9,25 @@
 	"rockcleat/clock"
 )
 
-// A waiter is a request that waits for a server.
+// A waiter is a request in the wait queue.
 type waiter struct {
 	req *Request
-	// reservation or refused is set before ready is closed.
+	// Either reservation or refused is set before ready is closed.
 	reservation *Reservation
 	refused     *LimitedError
 	ready       chan struct{}
 }
 
-// A waitQueue holds the waiting requests in the order of priority and arrival.
+// A waitQueue holds the waiting requests, ordered by priority and then by arrival.
 //
 // Its zero value is empty.
 type waitQueue struct {
 	list []*waiter
-	// arrivals counts requests, so that those that wait again keep their order.
+	// arrivals is the last sequence number given out. A request keeps its number when it waits
+	// again.
 	arrivals uint64
 }
 
-// add puts a request among those that wait.
 func (q *waitQueue) add(w *waiter) {
 	if w.req.sequence == 0 {
 		q.arrivals++
@@ -40,23 +40,22 @@
 	q.list = slices.Insert(q.list, i, w)
 }
 
-// remove takes a request out.
 func (q *waitQueue) remove(w *waiter) {
 	q.list = slices.DeleteFunc(q.list, func(x *waiter) bool { return x == w })
 }
 
-// removeServed takes out all requests that have a reservation.
+// removeServed removes the requests that have a reservation.
 func (q *waitQueue) removeServed() {
 	q.list = slices.DeleteFunc(q.list, func(w *waiter) bool { return w.reservation != nil })
 }
 
-// removeRefused takes out all requests whose wait was ended.
+// removeRefused removes the requests that have been refused.
 func (q *waitQueue) removeRefused() {
 	q.list = slices.DeleteFunc(q.list, func(w *waiter) bool { return w.refused != nil })
 }
 
-// Acquire reserves a server for a request, waiting for one until the request's WaitUntil.
-// The error is ErrNoServer, ErrShed, ErrWaitTimeout, a *LimitedError or that of ctx.
+// Acquire reserves a server for a request and waits for one until the request's WaitUntil. The
+// error is ErrNoServer, ErrShed, ErrWaitTimeout, a *LimitedError or the error of ctx.
 func (d *Dispatcher) Acquire(ctx context.Context, r *Request) (*Reservation, error) {
 	for {
 		res, err := d.reserveOrWait(ctx, r)
@@ -72,8 +71,8 @@
 	}
 }
 
-// reserveOrWait reserves a server by what this gateway knows; another one may still have to
-// admit the request. Requests of plain services never wait.
+// reserveOrWait reserves a server according to this gateway's state; a permit or the owner's
+// admission may still be required. Requests to plain services never wait.
 func (d *Dispatcher) reserveOrWait(ctx context.Context, r *Request) (*Reservation, error) {
 	d.mu.Lock()
 	if res := d.choose(r); res != nil {
@@ -90,8 +89,8 @@
 	return d.wait(ctx, w)
 }
 
-// refusesAtOnce returns why a request that no server takes now must not wait; nil if it may. The Dispatcher is
-// locked.
+// refusesAtOnce returns the reason why a request that no server can take now must not wait, or nil
+// if it may. d.mu must be held.
 func (d *Dispatcher) refusesAtOnce(r *Request) error {
 	now := d.opts.Clock.Now()
 	mayWait := r.Model != "" && now.Before(r.WaitUntil)
@@ -110,7 +109,7 @@
 	return nil
 }
 
-// enqueue makes a request wait; the Dispatcher is locked.
+// enqueue adds a request to the wait queue. d.mu must be held.
 func (d *Dispatcher) enqueue(w *waiter) {
 	d.waiting.add(w)
 	d.demand.of(w.req).Waiting++
@@ -119,7 +118,8 @@
 	}
 }
 
-// wait waits for a reservation until the request's WaitUntil and ctx end.
+// wait blocks until the request has a reservation or is refused, its WaitUntil has passed or ctx is
+// done.
 func (d *Dispatcher) wait(ctx context.Context, w *waiter) (*Reservation, error) {
 	clock.Await(ctx, d.opts.Clock, w.ready, w.req.WaitUntil.Sub(d.opts.Clock.Now()))
 	d.mu.Lock()
@@ -144,8 +144,8 @@
 	return nil, ErrWaitTimeout
 }
 
-// serve gives servers to waiting requests: first to those that can still be in time, the
-// most urgent first, then to the others. The Dispatcher is locked.
+// serve reserves servers for waiting requests, first for those that are not late and then for the
+// others, each group in order of priority and arrival. d.mu must be held.
 func (d *Dispatcher) serve() {
 	if len(d.waiting.list) == 0 {
 		return
@@ -166,7 +166,7 @@
 	d.refuseHopeless(now)
 }
 
-// offer gives a waiting request a server if one admits it; full remembers the models and
+// offer reserves a server for a waiting request if one can take it. full records the models and
 // adapters for which there was none.
 func (d *Dispatcher) offer(w *waiter, full map[string]bool) {
 	target := w.req.target()
@@ -183,8 +183,8 @@
 	close(w.ready)
 }
 
-// serveAfterPrefill looks at waiting requests again when an engine should have prefilled
-// enough, since no event says so.
+// serveAfterPrefill schedules serve for when an engine is expected to have prefilled enough, which
+// no event signals.
 func (d *Dispatcher) serveAfterPrefill(servers []*backend.Server, list []Candidate, limits Limits, now time.Time) {
 	for i, c := range list {
 		if c.Owned && c.PrefillInGap > 0 || c.NeedsGrant && c.PrefillAhead > 0 {
@@ -193,7 +193,8 @@
 	}
 }
 
-// serveAt looks for servers for waiting requests at a time, unless that is to be done before.
+// serveAt schedules serve for the given time unless it is already scheduled for an earlier one.
+// d.mu must be held.
 func (d *Dispatcher) serveAt(when time.Time) {
 	if !d.nextServe.IsZero() && !when.Before(d.nextServe) {
 		return
