--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -17,14 +17,14 @@
 	"rockcleat/dispatch"
 )
 
-// A gatewayGroup is a number of dispatchers that ask each other for places.
+// A gatewayGroup is a set of dispatchers that request admission from each other.
 type gatewayGroup struct {
 	mu          sync.Mutex
 	dispatchers map[string]*dispatch.Dispatcher
-	// silent names gateways that do not answer.
+	// silent contains the gateways that do not answer.
 	silent map[string]bool
 	asked  int
-	// silentOwners lists the owners that were reported not to answer.
+	// silentOwners lists the owners passed to OnOwnerSilent.
 	silentOwners []string
 }
 
@@ -35,7 +35,7 @@
 	d, silent := g.dispatchers[owner], g.silent[owner]
 	g.mu.Unlock()
 	if silent {
-		return dispatch.AdmissionReply{}, errors.New("no answer")
+		return dispatch.AdmissionReply{}, errors.New("gateway did not answer")
 	}
 	return d.Admit(r), nil
 }
@@ -46,7 +46,7 @@
 	return g.asked
 }
 
-// newGroup returns a number of dispatchers that know the same servers.
+// newGroup returns a group of n dispatchers with the same servers.
 func newGroup(c clock.Service, n int, servers ...backend.Server) *gatewayGroup {
 	g := &gatewayGroup{dispatchers: make(map[string]*dispatch.Dispatcher), silent: make(map[string]bool)}
 	var list []dispatch.Gateway
@@ -65,15 +65,16 @@
 	return g
 }
 
-// longPrompt returns a request whose prompt is about all that an engine may prefill at once.
+// longPrompt returns a request whose prompt uses almost all of the prefill time that an engine
+// allows at once.
 func longPrompt(c clock.Service) *dispatch.Request {
 	r := request(c)
 	r.Gap = allowing(60)
 	return r
 }
 
-// TestRequestsAreAdmittedOnce has many gateways send at the same moment, before any has
-// learned of the others' requests: each engine gets one prompt.
+// TestRequestsAreAdmittedOnce checks that gateways which send at the same moment, before they learn
+// of each other's requests, place one prompt on each engine.
 func TestRequestsAreAdmittedOnce(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 6, engine("a"), engine("b"), engine("d"))
@@ -89,9 +90,9 @@
 	assert.DeepEqual(t, taken, map[string]int{"a": 1, "b": 1, "d": 1})
 }
 
-// TestDeniedAdmissionIsAskedForAgain checks that a request which found every place
-// taken waits and gets one when the prompt before it has been read, both at the
-// owner of the engine and at the other gateway.
+// TestDeniedAdmissionIsAskedForAgain checks that a request that was not admitted waits and is
+// admitted once the prompt ahead of it is prefilled, both at the engine's owner and at the other
+// gateway.
 func TestDeniedAdmissionIsAskedForAgain(t *testing.T) {
 	tests := map[string]struct{ first, second string }{
 		"one first":       {first: "g0", second: "g1"},
@@ -122,8 +123,8 @@
 	}
 }
 
-// TestSilentOwnerIsSuspended checks that requests go on when the owner of the
-// only engine does not answer, and that it is not asked for each of them.
+// TestSilentOwnerIsSuspended checks that requests are still sent when the only engine's owner does
+// not answer, and that the owner is not asked for each of them.
 func TestSilentOwnerIsSuspended(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 2, engine("a"))
@@ -146,8 +147,8 @@
 	assert.Equal(t, g.askedTimes(), 2, "asked again after a while")
 }
 
-// TestGrantCountsUntilItIsReported checks that a granted place takes slots and
-// memory of the engine until gateways' reports tell of it.
+// TestGrantCountsUntilItIsReported checks that a grant occupies slots and memory of the engine
+// until the gateways' reports include the request.
 func TestGrantCountsUntilItIsReported(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 1, engine("a"))
@@ -177,8 +178,8 @@
 	assert.Equal(t, owned, 1)
 }
 
-// TestOwnerKnowsCachedPrefixes checks that the owner remembers the prompts of all
-// gateways: the second one with the same blocks needs less prefill.
+// TestOwnerKnowsCachedPrefixes checks that the owner tracks the prefixes of all gateways' requests:
+// a second request with the same blocks needs less prefill.
 func TestOwnerKnowsCachedPrefixes(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := newGroup(c, 1, engine("a")).dispatchers["g0"]
@@ -191,8 +192,8 @@
 	assert.Assert(t, !d.Admit(ask).Admitted)
 }
 
-// TestDeniedPromptIsNotCached checks that a prompt which was not admitted and so not
-// sent does not count as cached by the engine.
+// TestDeniedPromptIsNotCached checks that a prompt that was not admitted, and therefore not sent,
+// does not count as cached.
 func TestDeniedPromptIsNotCached(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGroup(c, 2, engine("a"))
@@ -220,7 +221,8 @@
 	assert.Assert(t, req.GrantsDenied > 0)
 }
 
-// TestNoAdmissionAtALeavingEngine asks the owner, who knows first that its engine leaves.
+// TestNoAdmissionAtALeavingEngine checks that the owner of a draining engine admits nothing there,
+// even if the other gateways do not know yet that the engine is draining.
 func TestNoAdmissionAtALeavingEngine(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	leaving := engine("a")
--- a/dispatch/demand_test.go
+++ b/dispatch/demand_test.go
@@ -9,7 +9,8 @@
 	"rockcleat/clock/clocktest"
 )
 
-// TestShortestObjectiveIsCounted counts requests of one model with objectives, in order.
+// TestShortestObjectiveIsCounted checks ObjectiveMs after requests of one model with different
+// objectives.
 func TestShortestObjectiveIsCounted(t *testing.T) {
 	tests := map[string]struct {
 		objectives []time.Duration
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -51,15 +51,15 @@
 	}
 }
 
-// now returns a context that ends at once, for requests that must not wait.
+// now returns a canceled context, for requests that must not wait.
 func now() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
-// allowing returns the gap budget of streams that allow a prefill of some milliseconds on
-// an engine where nothing runs.
+// allowing returns the gap budget that allows the given prefill time on an engine without running
+// requests.
 func allowing(ms dispatch.Milliseconds) dispatch.GapBudget {
 	const step, share = 10.5, 0.93
 	return dispatch.GapBudget{MaxGap: (ms + step) / share, StepsPerEvent: 1}
@@ -187,7 +187,7 @@
 	assert.Equal(t, missing, 1, "the wait for an adapter that nobody holds is reported")
 }
 
-// acquire starts an Acquire and returns where its res will come.
+// acquire calls Acquire in a goroutine and returns a channel that receives the reservation.
 func acquire(d *dispatch.Dispatcher, r *dispatch.Request) chan *dispatch.Reservation {
 	out := make(chan *dispatch.Reservation, 1)
 	go func() {
@@ -214,7 +214,7 @@
 	}
 	tests := map[string]struct {
 		first, second kind
-		// secondWins says that the one that came later goes first.
+		// secondWins means that the later request is served first.
 		secondWins bool
 	}{
 		"order of arrival":               {first: kind{priority: 1}, second: kind{priority: 1}},
@@ -309,8 +309,8 @@
 	}
 }
 
-// TestNothingIsLeftOver checks that whatever becomes of requests, a Dispatcher
-// without requests counts none, and never more on an engine than it has slots.
+// TestNothingIsLeftOver checks, for random sequences of operations, that the load of an engine
+// never exceeds its slots and that no load remains once all reservations are done.
 func TestNothingIsLeftOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clocktest.New(time.Unix(1000, 0))
@@ -339,7 +339,7 @@
 			}
 			for id, l := range d.Loads() {
 				if l.Running > 8 || l.PrefillMs < 0 || l.UsedTokens < 0 {
-					t.Fatalf("load of %s: %+v", id, l)
+					t.Fatalf("load of %s out of range: %+v", id, l)
 				}
 			}
 		}
@@ -347,7 +347,7 @@
 			res.Done(dispatch.Abandoned)
 		}
 		if len(d.Loads()) != 0 || d.Demands()[model].Running != 0 || d.Demands()[model].Waiting != 0 {
-			t.Fatalf("left over: %v %v", d.Loads(), d.Demands())
+			t.Fatalf("loads %v and demands %v remain after all reservations were done", d.Loads(), d.Demands())
 		}
 	})
 }
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -10,7 +10,8 @@
 	"rockcleat/dispatch"
 )
 
-// Two requests go to the two servers of a service; a third goes where one has ended.
+// Two requests go to the two servers of a service. The third goes to the server whose request has
+// ended.
 func Example() {
 	c := clocktest.New(time.Unix(1000, 0))
 	var servers backend.Registry
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -15,8 +15,7 @@
 	"rockcleat/dispatch"
 )
 
-// TestLateRequestsTakePartOfAnEngine fills an engine of eight slots up to a number and asks
-// for one place more.
+// TestLateRequestsTakePartOfAnEngine checks how many slots of an engine late requests may use.
 func TestLateRequestsTakePartOfAnEngine(t *testing.T) {
 	tests := map[string]struct {
 		running    int
@@ -48,8 +47,8 @@
 	}
 }
 
-// TestOwnersHoldLateRequestsBack asks the owner of an engine with half of its slots taken
-// for a late request's place.
+// TestOwnersHoldLateRequestsBack checks that an owner denies a late request admission to an engine
+// with half of its slots in use.
 func TestOwnersHoldLateRequestsBack(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := dispatcher(c, engine("a"))
@@ -63,8 +62,8 @@
 	assert.Assert(t, !d.Admit(r).Admitted)
 }
 
-// A backlog is what has waited for a model until two engines hold it. Then callers at
-// three gateways ask for all that these can serve.
+// Parameters of a backlog: requests wait for a model until two engines hold it, while three
+// gateways continue to receive as many requests as these engines can serve.
 const (
 	backlogUntil   = 1500 * time.Millisecond
 	backlogTime    = 20 * time.Second
@@ -72,14 +71,13 @@
 	backlogService = time.Second
 	backlogSendBy  = 280 * time.Millisecond
 	backlogWait    = 1600 * time.Millisecond
-	// leastInTime is between the 196 of 320 requests that were in time, and 43 late, when
-	// late requests took any place, and the 300, and 5 late, since they leave half.
+	// leastInTime is the minimum number of requests served in time. It is missed if late requests
+	// may use all slots.
 	leastInTime = 280
 )
 
-// TestBacklogDoesNotDelayNewRequests plays a backlog and counts how callers are served. The
-// engines take up the backlog while new requests find places in time; some 20 of the 320
-// come too early for that.
+// TestBacklogDoesNotDelayNewRequests checks that engines work off a backlog without making new
+// requests late.
 func TestBacklogDoesNotDelayNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.Real{}
@@ -90,7 +88,6 @@
 	})
 }
 
-// served counts how callers were served.
 type served struct{ inTime, late int }
 
 func playBacklog(c clock.Service, g *gatewayGroup) (total served) {
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -16,11 +16,11 @@
 	"rockcleat/dispatch"
 )
 
-// Permits of a test: limits by server, and when each grants next.
+// testPermits implements dispatch.Permits with limits and replies fixed by server.
 type testPermits struct {
 	mu     sync.Mutex
 	limits map[string]float64
-	// waits are what each server's next answers to Take are; 0 grants.
+	// waits holds the next results of Take by server; 0 grants a permit.
 	waits map[string][]time.Duration
 	taken map[string]int
 	back  int
@@ -50,10 +50,10 @@
 
 func (p *testPermits) GiveBack(string) { p.back++ }
 
-// granting returns that a server grants a number of times.
+// granting returns n results of Take that grant a permit.
 func granting(n int) []time.Duration { return make([]time.Duration, n) }
 
-// limitedDispatcher returns a Dispatcher whose servers may have limits.
+// limitedDispatcher returns a Dispatcher that requests permits from p.
 func limitedDispatcher(c clock.Service, p dispatch.Permits, owners dispatch.Owners, servers ...backend.Server) *dispatch.Dispatcher {
 	d := dispatch.New(dispatch.Options{
 		ID: "g", Hall: "h", Clock: c, Utilization: 1, Permits: p, Owners: owners,
@@ -68,12 +68,14 @@
 	return d
 }
 
-// TestLimitedServers lets requests of a plain service arrive while servers have limits.
+// TestLimitedServers checks which servers of a plain service receive requests while servers have
+// rate limits.
 func TestLimitedServers(t *testing.T) {
 	tests := map[string]struct {
 		limits map[string]float64
 		waits  map[string][]time.Duration
-		// want are the servers chosen, in turn; empty if the request is refused.
+		// want lists the servers chosen, in order; an empty string means that the request is
+		// refused.
 		want []string
 	}{
 		"one without a limit when no more are granted": {
@@ -108,8 +110,9 @@
 	}
 }
 
-// TestHopelessRequests lets requests for a model come whose only engine has a limit: those that can be granted in
-// time wait, the most urgent first, and the others are refused at once with a time to come back.
+// TestHopelessRequests checks requests for a model whose only engine has a rate limit: those that
+// can be granted a permit in time wait in order of priority, and the others are refused immediately
+// with a RetryAfter.
 func TestHopelessRequests(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	permits := &testPermits{
@@ -141,7 +144,8 @@
 	assert.Equal(t, res.Server().ID, "a")
 }
 
-// TestWaitEndsWhenItIsHopeless lets a limit fall while a request waits for its only engine.
+// TestWaitEndsWhenItIsHopeless checks that a waiting request is refused when its only engine can no
+// longer take it in time.
 func TestWaitEndsWhenItIsHopeless(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	permits := &testPermits{
@@ -163,7 +167,7 @@
 	poll.WaitOn(t, waiting(d, 0))
 }
 
-// TestLimitEnds lets a server answer without its limit while requests wait for it.
+// TestLimitEnds checks that waiting requests are served when a server's rate limit is removed.
 func TestLimitEnds(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	permits := &testPermits{
@@ -177,14 +181,14 @@
 	assert.Equal(t, (<-waits).Server().ID, "a")
 }
 
-// denyingOwners answer that their engines are full.
+// denyingOwners denies every admission.
 type denyingOwners struct{}
 
 func (denyingOwners) Admit(context.Context, string, dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
 	return dispatch.AdmissionReply{Owned: true, RetryAfterMs: 60_000}, nil
 }
 
-// TestPermitIsGivenBack checks that a permit is given back if the engine's owner admits no request.
+// TestPermitIsGivenBack checks that a permit is returned if the engine's owner denies admission.
 func TestPermitIsGivenBack(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	permits := &testPermits{
@@ -200,8 +204,8 @@
 	assert.Equal(t, permits.back, 1)
 }
 
-// TestWaitForAnAdapter lets requests for an adapter come whose only engine takes no more: they wait if another engine
-// could load it, and are refused at once otherwise.
+// TestWaitForAnAdapter checks requests for an adapter whose only engine grants no permits: they
+// wait if another engine could load the adapter and are refused immediately otherwise.
 func TestWaitForAnAdapter(t *testing.T) {
 	tests := map[string]struct {
 		otherHolds   string
--- a/dispatch/prefill_queue_test.go
+++ b/dispatch/prefill_queue_test.go
@@ -14,7 +14,8 @@
 	}
 	tests := map[string]struct {
 		line []prompt
-		// at and read are the next prompt's; busy is what is read beside it within the window.
+		// at and read belong to the next prompt. busy is the prefill time of other prompts within
+		// the window.
 		at, read, busy int
 	}{
 		"nothing":                     {read: 50},
@@ -40,8 +41,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// TestPrefillQueueKeepsGaps sends prompts as soon as the line lets them and checks
-// that in no time as long as a pause more than the limit is read.
+// TestPrefillQueueKeepsGaps checks that prompts sent as early as nextStart allows never exceed the
+// prefill limit in any window.
 func TestPrefillQueueKeepsGaps(t *testing.T) {
 	const window, limit = 300 * time.Millisecond, 200 * time.Millisecond
 	now := time.Unix(1000, 0)
@@ -76,7 +77,8 @@
 
 func TestPrefillQueueFollowsTheEngine(t *testing.T) {
 	tests := map[string]struct {
-		// took is what the first of two prompts of 100 ms took, end when both are read.
+		// took is the actual time for the first of two prompts that are expected to take 100 ms
+		// each; end is when both are prefilled.
 		took, end int
 	}{
 		"as expected": {took: 100, end: 200},
--- a/dispatch/prefill_speed_test.go
+++ b/dispatch/prefill_speed_test.go
@@ -10,8 +10,8 @@
 	"rockcleat/dispatch"
 )
 
-// TestPrefillSpeeds checks how a model's speed follows samples, and that one learned from all gateways
-// stays until the next one comes.
+// TestPrefillSpeeds checks how a model's speed follows its samples, and that a gateway's own
+// samples do not change a speed estimated from all gateways.
 func TestPrefillSpeeds(t *testing.T) {
 	const fast = 0.0057
 	var s dispatch.PrefillSpeeds
--- a/dispatch/shed_test.go
+++ b/dispatch/shed_test.go
@@ -11,7 +11,7 @@
 	"rockcleat/clock/clocktest"
 )
 
-// TestSheds asks for requests of priority 2 after others were served well or badly.
+// TestSheds checks whether requests of priority 2 are shed, given the results of other requests.
 func TestSheds(t *testing.T) {
 	type outcome struct {
 		priority, count int
@@ -46,13 +46,13 @@
 	}
 }
 
-// TestLessUrgentAreShed brings a request of priority 2 to a full engine after those of
-// priority 1 were served worse: it is refused at once only if one of these waits, and only
-// if it has not run anywhere yet.
+// TestLessUrgentAreShed checks that a request that a full engine cannot take is shed only if a
+// higher-priority request with a lower success rate waits for the engine and the request has not
+// run anywhere.
 func TestLessUrgentAreShed(t *testing.T) {
 	tests := map[string]struct {
 		urgentWaits, begun bool
-		// model is what the urgent one waits for.
+		// model is the model of the waiting higher-priority request.
 		model string
 		want  error
 	}{
