--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -45,19 +45,19 @@
 	// ownerSuspension is how long an owner that did not answer is not asked. A gateway that has
 	// stopped is removed from the list of gateways within two seconds.
 	ownerSuspension = 700 * time.Millisecond
-	// grantAge is how long a grant counts towards the load of an engine. After that the granted
+	// grantTTL is how long a grant counts towards the load of an engine. After that the granted
 	// request is included in the loads that the other gateways report.
-	grantAge = 400 * time.Millisecond
-	// minGrantRetry is the minimum delay before admission is requested again.
-	minGrantRetry = 5 * time.Millisecond
-	// fullGrantRetry is the delay for an engine without a free slot or memory. Capacity is freed
+	grantTTL = 400 * time.Millisecond
+	// minAdmissionRetry is the minimum delay before admission is requested again.
+	minAdmissionRetry = 5 * time.Millisecond
+	// fullEngineRetry is the delay for an engine without a free slot or memory. Capacity is freed
 	// there when a request ends.
-	fullGrantRetry = 50 * time.Millisecond
+	fullEngineRetry = 50 * time.Millisecond
 )
 
 // A grant is an admission given to another gateway's request.
 type grant struct {
-	at         time.Time
+	grantedAt  time.Time
 	needTokens int
 }
 
@@ -77,32 +77,32 @@
 	c := d.candidate(req, s, d.opts.CacheTokens(s.Service), now)
 	reply := AdmissionReply{Owned: true, Load: c.load()}
 	if s.Leaving {
-		reply.RetryAfterMs = int(fullGrantRetry.Milliseconds())
+		reply.RetryAfterMs = int(fullEngineRetry.Milliseconds())
 		return reply
 	}
-	limits := d.limits(req, now)
-	if !c.admits(limits, true) {
+	limits := d.limitsFor(req, now)
+	if !c.canTake(limits, true) {
 		reply.RetryAfterMs = int(d.admissionDelay(s, c, limits, now).Milliseconds())
 		return reply
 	}
-	d.grant(req, s, c, now)
+	d.recordGrant(req, s, c, now)
 	reply.Admitted = true
 	return reply
 }
 
-// grant records an admission. d.mu must be held.
-func (d *Dispatcher) grant(r *Request, s *backend.Server, c Candidate, now time.Time) {
-	l := d.load(s.ID)
-	l.grants = append(l.grants, grant{at: now, needTokens: c.NeedTokens})
+// recordGrant records an admission. d.mu must be held.
+func (d *Dispatcher) recordGrant(r *Request, s *backend.Server, c Candidate, now time.Time) {
+	l := d.loadOf(s.ID)
+	l.grants = append(l.grants, grant{grantedAt: now, needTokens: c.NeedTokens})
 	l.prefill.add(c.Prefill.Duration(), now)
-	l.prefixes.touch(r.target(), r.Prefix)
+	l.prefixes.touch(r.targetKey(), r.Prefix)
 }
 
-// granted returns the load of the requests granted within grantAge and drops older grants.
-func (l *serverLoad) granted(now time.Time) Load {
+// grantedLoad returns the load of the requests granted within grantTTL and drops older grants.
+func (l *serverLoad) grantedLoad(now time.Time) Load {
 	recent := l.grants[:0]
 	for _, g := range l.grants {
-		if now.Sub(g.at) < grantAge {
+		if now.Sub(g.grantedAt) < grantTTL {
 			recent = append(recent, g)
 		}
 	}
@@ -122,32 +122,32 @@
 // able to.
 func (d *Dispatcher) admissionDelay(s *backend.Server, c Candidate, l Limits, now time.Time) time.Duration {
 	if !c.hasCapacity(l) {
-		return fullGrantRetry
+		return fullEngineRetry
 	}
 	limit := l.Gap.prefillPerGap(c.Running)
 	if c.Owned {
-		return d.load(s.ID).prefill.nextStart(c.Prefill.Duration(), limit.Duration(), l.Gap.MaxGap.Duration(), now)
+		return d.loadOf(s.ID).prefill.nextStart(c.Prefill.Duration(), limit.Duration(), l.Gap.MaxGap.Duration(), now)
 	}
-	return max((c.PrefillAhead + min(c.Prefill, limit) - limit).Duration(), minGrantRetry)
+	return max((c.PrefillAhead + min(c.Prefill, limit) - limit).Duration(), minAdmissionRetry)
 }
 
-// confirm obtains a permit if the server has a rate limit, and the owner's admission if another
-// gateway owns the engine. It reports whether the request may be sent; if not, the reservation has
-// been released.
-func (d *Dispatcher) confirm(ctx context.Context, res *Reservation) bool {
-	if !d.takePermit(ctx, res) {
+// obtainApprovals obtains a permit if the server has a rate limit, and the owner's admission if
+// another gateway owns the engine. It reports whether the request may be sent; if not, the
+// reservation has been released.
+func (d *Dispatcher) obtainApprovals(ctx context.Context, res *Reservation) bool {
+	if !d.obtainPermit(ctx, res) {
 		return false
 	}
-	if res.owner == "" || d.askOwner(ctx, res) {
+	if res.owner == "" || d.requestAdmission(ctx, res) {
 		return true
 	}
-	d.dropPermit(res)
+	d.returnPermit(res)
 	return false
 }
 
-// askOwner requests admission from the owner of the reserved engine. It reports whether the request
-// was admitted; if not, the reservation has been released.
-func (d *Dispatcher) askOwner(ctx context.Context, res *Reservation) bool {
+// requestAdmission requests admission from the owner of the reserved engine. It reports whether the
+// request was admitted; if not, the reservation has been released.
+func (d *Dispatcher) requestAdmission(ctx context.Context, res *Reservation) bool {
 	r := res.req
 	r.GrantsAsked++
 	late := r.isLate(d.opts.Clock.Now())
@@ -167,15 +167,15 @@
 	}
 	if reply.Admitted {
 		r.GrantsGiven++
-		res.sent = now
-		res.load.prefixes.touch(r.target(), r.Prefix)
-		d.remote[res.server.ID] = remoteLoad{Load: reply.Load.minus(res.load.Load), at: now}
+		res.sentAt = now
+		res.load.prefixes.touch(r.targetKey(), r.Prefix)
+		d.remote[res.server.ID] = remoteLoad{Load: reply.Load.minus(res.load.Load), reportedAt: now}
 		return true
 	}
 	r.GrantsDenied++
 	res.release()
-	d.remote[res.server.ID] = remoteLoad{Load: reply.Load.minus(res.load.Load), at: now}
-	res.load.deniedUntil = now.Add(time.Duration(reply.RetryAfterMs) * time.Millisecond)
+	d.remote[res.server.ID] = remoteLoad{Load: reply.Load.minus(res.load.Load), reportedAt: now}
+	res.load.admissionDeniedUntil = now.Add(time.Duration(reply.RetryAfterMs) * time.Millisecond)
 	return false
 }
 
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -21,18 +21,18 @@
 type gatewayGroup struct {
 	mu          sync.Mutex
 	dispatchers map[string]*dispatch.Dispatcher
-	// silent contains the gateways that do not answer.
-	silent map[string]bool
-	asked  int
-	// silentOwners lists the owners passed to OnOwnerSilent.
-	silentOwners []string
+	// unresponsive contains the gateways that do not answer.
+	unresponsive map[string]bool
+	requests     int
+	// reportedOwners lists the owners passed to OnOwnerSilent.
+	reportedOwners []string
 }
 
 // Admit implements dispatch.Owners.
 func (g *gatewayGroup) Admit(_ context.Context, owner string, r dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
 	g.mu.Lock()
-	g.asked++
-	d, silent := g.dispatchers[owner], g.silent[owner]
+	g.requests++
+	d, silent := g.dispatchers[owner], g.unresponsive[owner]
 	g.mu.Unlock()
 	if silent {
 		return dispatch.AdmissionReply{}, errors.New("gateway did not answer")
@@ -40,23 +40,23 @@
 	return d.Admit(r), nil
 }
 
-func (g *gatewayGroup) askedTimes() int {
+func (g *gatewayGroup) requestCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.asked
+	return g.requests
 }
 
-// newGroup returns a group of n dispatchers with the same servers.
-func newGroup(c clock.Service, n int, servers ...backend.Server) *gatewayGroup {
-	g := &gatewayGroup{dispatchers: make(map[string]*dispatch.Dispatcher), silent: make(map[string]bool)}
+// newGatewayGroup returns a group of n dispatchers with the same servers.
+func newGatewayGroup(c clock.Service, n int, servers ...backend.Server) *gatewayGroup {
+	g := &gatewayGroup{dispatchers: make(map[string]*dispatch.Dispatcher), unresponsive: make(map[string]bool)}
 	var list []dispatch.Gateway
 	for i := range n {
 		list = append(list, dispatch.Gateway{ID: fmt.Sprint("g", i), Hall: "h"})
 	}
 	for _, x := range list {
 		d := dispatch.New(dispatch.Options{
-			ID: x.ID, Hall: x.Hall, Clock: c, Utilization: 1, CacheTokens: func(string) int { return memory }, Owners: g,
-			OnOwnerSilent: func(owner string, _ error) { g.silentOwners = append(g.silentOwners, owner) },
+			ID: x.ID, Hall: x.Hall, Clock: c, Utilization: 1, CacheTokens: func(string) int { return cacheTokens }, Owners: g,
+			OnOwnerSilent: func(owner string, _ error) { g.reportedOwners = append(g.reportedOwners, owner) },
 		})
 		d.SetServers(snapshot(servers...))
 		d.SetGateways(list)
@@ -65,11 +65,11 @@
 	return g
 }
 
-// longPrompt returns a request whose prompt uses almost all of the prefill time that an engine
-// allows at once.
-func longPrompt(c clock.Service) *dispatch.Request {
+// longPromptRequest returns a request whose prompt uses almost all of the prefill time that an
+// engine allows at once.
+func longPromptRequest(c clock.Service) *dispatch.Request {
 	r := request(c)
-	r.Gap = allowing(60)
+	r.Gap = gapForPrefill(60)
 	return r
 }
 
@@ -77,11 +77,11 @@
 // of each other's requests, place one prompt on each engine.
 func TestRequestsAreAdmittedOnce(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
-	g := newGroup(c, 6, engine("a"), engine("b"), engine("d"))
+	g := newGatewayGroup(c, 6, engine("a"), engine("b"), engine("d"))
 	taken := make(map[string]int)
 	for _, d := range g.dispatchers {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
-		res, err := d.Acquire(ctx, longPrompt(c))
+		res, err := d.Acquire(ctx, longPromptRequest(c))
 		cancel()
 		if err == nil {
 			taken[res.Server().ID]++
@@ -101,11 +101,11 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := clocktest.New(time.Unix(1000, 0))
-			g := newGroup(c, 2, engine("a"))
-			before, err := g.dispatchers[test.first].Acquire(context.Background(), longPrompt(c))
+			g := newGatewayGroup(c, 2, engine("a"))
+			before, err := g.dispatchers[test.first].Acquire(context.Background(), longPromptRequest(c))
 			assert.NilError(t, err)
 			second := g.dispatchers[test.second]
-			req := longPrompt(c)
+			req := longPromptRequest(c)
 			got := acquire(second, req)
 			poll.WaitOn(t, waiting(second, 1))
 			before.FirstByte()
@@ -127,31 +127,31 @@
 // not answer, and that the owner is not asked for each of them.
 func TestSilentOwnerIsSuspended(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
-	g := newGroup(c, 2, engine("a"))
-	g.silent["g0"], g.silent["g1"] = true, true
+	g := newGatewayGroup(c, 2, engine("a"))
+	g.unresponsive["g0"], g.unresponsive["g1"] = true, true
 	for range 5 {
 		for _, d := range g.dispatchers {
-			res, err := d.Acquire(context.Background(), longPrompt(c))
+			res, err := d.Acquire(context.Background(), longPromptRequest(c))
 			assert.NilError(t, err)
 			res.FirstByte()
 			res.Done(dispatch.Answered)
 		}
 	}
-	assert.Equal(t, g.askedTimes(), 1)
-	assert.Equal(t, len(g.silentOwners), 1)
+	assert.Equal(t, g.requestCount(), 1)
+	assert.Equal(t, len(g.reportedOwners), 1)
 	c.Advance(time.Second)
 	for _, d := range g.dispatchers {
-		_, err := d.Acquire(context.Background(), longPrompt(c))
+		_, err := d.Acquire(context.Background(), longPromptRequest(c))
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, g.askedTimes(), 2, "asked again after a while")
+	assert.Equal(t, g.requestCount(), 2, "asked again after a while")
 }
 
 // TestGrantCountsUntilItIsReported checks that a grant occupies slots and memory of the engine
 // until the gateways' reports include the request.
 func TestGrantCountsUntilItIsReported(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
-	g := newGroup(c, 1, engine("a"))
+	g := newGatewayGroup(c, 1, engine("a"))
 	d := g.dispatchers["g0"]
 	ask := dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 100, MaxOutputTokens: 100}
 	for range 8 {
@@ -167,7 +167,7 @@
 
 func TestAdmissionAtAnotherGatewaysEngine(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
-	g := newGroup(c, 2, engine("a"))
+	g := newGatewayGroup(c, 2, engine("a"))
 	owned := 0
 	for _, d := range g.dispatchers {
 		if d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model}).Owned {
@@ -182,9 +182,9 @@
 // a second request with the same blocks needs less prefill.
 func TestOwnerKnowsCachedPrefixes(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
-	d := newGroup(c, 1, engine("a")).dispatchers["g0"]
+	d := newGatewayGroup(c, 1, engine("a")).dispatchers["g0"]
 	ask := dispatch.AdmissionRequest{
-		Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: allowing(60), Prefix: []dispatch.PrefixBlock{{ID: "p", Tokens: 950}},
+		Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: gapForPrefill(60), Prefix: []dispatch.PrefixBlock{{ID: "p", Tokens: 950}},
 	}
 	assert.Assert(t, d.Admit(ask).Admitted)
 	assert.Assert(t, d.Admit(ask).Admitted, "the prefix is cached, so that both fit")
@@ -196,14 +196,14 @@
 // does not count as cached.
 func TestDeniedPromptIsNotCached(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
-	g := newGroup(c, 2, engine("a"))
+	g := newGatewayGroup(c, 2, engine("a"))
 	other := g.dispatchers["g0"]
 	for _, d := range g.dispatchers {
-		if !d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: allowing(60)}).Owned {
+		if !d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: gapForPrefill(60)}).Owned {
 			other = d
 		}
 	}
-	req := longPrompt(c)
+	req := longPromptRequest(c)
 	req.Prefix = []dispatch.PrefixBlock{{ID: "p", Tokens: 1000}}
 	got := acquire(other, req)
 	poll.WaitOn(t, waiting(other, 1))
@@ -227,7 +227,7 @@
 	c := clocktest.New(time.Unix(1000, 0))
 	leaving := engine("a")
 	leaving.Leaving = true
-	d := newGroup(c, 1, leaving).dispatchers["g0"]
+	d := newGatewayGroup(c, 1, leaving).dispatchers["g0"]
 	answer := d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model})
 	assert.Assert(t, answer.Owned && !answer.Admitted && answer.RetryAfterMs > 0, "%+v", answer)
 }
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -7,31 +7,31 @@
 
 // Terms of a candidate's cost.
 const (
-	// msPerRequest is the cost of each running request at an engine, which lengthens every decoding
+	// requestCost is the cost of each running request at an engine, which lengthens every decoding
 	// step.
-	msPerRequest Milliseconds = 1.5
-	// msPerPlainRequest is the cost of each running request at a server of a plain service.
-	msPerPlainRequest Milliseconds = 10.0
-	// msOtherHall is the cost of an engine in another data hall. It exceeds the network latency
+	requestCost Milliseconds = 1.5
+	// plainRequestCost is the cost of each running request at a server of a plain service.
+	plainRequestCost Milliseconds = 10.0
+	// otherHallCost is the cost of an engine in another data hall. It exceeds the network latency
 	// between halls, so that prompts and streams stay within a hall if possible.
-	msOtherHall Milliseconds = 25.0
-	// msPlainOtherHall is the cost of a server of a plain service in another data hall.
-	msPlainOtherHall Milliseconds = 10.0
-	// msOtherOwner is the cost of an engine that another gateway owns.
-	msOtherOwner Milliseconds = 30.0
-	// otherOwnerShare limits the prompts sent to an engine without its owner's admission, as a
-	// fraction of the prefill time allowed per decoding step. It applies while another candidate's
-	// load is known exactly; the load that the owner places on its engine is known only with a
-	// delay.
-	otherOwnerShare = 0.6
-	// msSuspect is the cost of a stalled server and, multiplied by FailureRate, of a failing one.
+	otherHallCost Milliseconds = 25.0
+	// plainOtherHallCost is the cost of a server of a plain service in another data hall.
+	plainOtherHallCost Milliseconds = 10.0
+	// otherOwnerCost is the cost of an engine that another gateway owns.
+	otherOwnerCost Milliseconds = 30.0
+	// unadmittedPrefillShare limits the prompts sent to an engine without its owner's admission, as
+	// a fraction of the prefill time allowed per decoding step. It applies while another
+	// candidate's load is known exactly; the load that the owner places on its engine is known only
+	// with a delay.
+	unadmittedPrefillShare = 0.6
+	// suspectCost is the cost of a stalled server and, multiplied by FailureRate, of a failing one.
 	// It exceeds any prefill queue that admission allows, so that a stalled server is chosen last.
-	msSuspect Milliseconds = 2000.0
-	// msJitter is the upper bound of Candidate.Jitter (docs/design/0009).
-	msJitter Milliseconds = 20.0
-	// stallTime is how long a server may send nothing while a first byte is outstanding before it
-	// counts as stalled.
-	stallTime = 1500 * time.Millisecond
+	suspectCost Milliseconds = 2000.0
+	// maxJitter is the upper bound of Candidate.Jitter (docs/design/0009).
+	maxJitter Milliseconds = 20.0
+	// stallTimeout is how long a server may send nothing while a first byte is outstanding before
+	// it counts as stalled.
+	stallTimeout = 1500 * time.Millisecond
 )
 
 // A Candidate is the state of a server that Choose evaluates for one request.
@@ -65,7 +65,8 @@
 	Jitter Milliseconds
 	// FailureRate is the decayed failure rate of the server, 0 to 1.
 	FailureRate float64
-	// Stalled means that first bytes are outstanding and the server has sent nothing for stallTime.
+	// Stalled means that first bytes are outstanding and the server has sent nothing for
+	// stallTimeout.
 	Stalled bool
 }
 
@@ -77,9 +78,9 @@
 	Utilization float64
 }
 
-// admits reports whether the server can take the request now. exact means that the load of some
+// canTake reports whether the server can take the request now. exact means that the load of some
 // candidate is known exactly, because this gateway owns the engine or its owner can be asked.
-func (c Candidate) admits(l Limits, exact bool) bool {
+func (c Candidate) canTake(l Limits, exact bool) bool {
 	if c.CacheTokens == 0 {
 		return true
 	}
@@ -93,7 +94,7 @@
 	case c.Owned || c.NeedsGrant:
 		return c.prefillFits(l.Gap.prefillPerGap(c.Running))
 	case exact:
-		return c.isIdleFor(l.Gap.prefillPerStep(c.Running) * otherOwnerShare)
+		return c.fitsIdle(l.Gap.prefillPerStep(c.Running) * unadmittedPrefillShare)
 	}
 	return c.prefillFits(l.Gap.prefillPerStep(c.Running))
 }
@@ -117,45 +118,45 @@
 	return others == 0 || others+c.Prefill <= limit
 }
 
-// isIdleFor reports whether the engine has no prompts queued and the prompt is within the limit.
-func (c Candidate) isIdleFor(limit Milliseconds) bool {
+// fitsIdle reports whether the engine has no prompts queued and the prompt is within the limit.
+func (c Candidate) fitsIdle(limit Milliseconds) bool {
 	return c.PrefillAhead == 0 && c.Prefill <= limit
 }
 
 // cost returns the expected time to first byte plus penalties.
 func (c Candidate) cost() Milliseconds {
-	ms := c.plainCost()
+	ms := c.plainServiceCost()
 	if c.CacheTokens > 0 {
 		ms = c.engineCost()
 	}
 	if c.Stalled {
-		ms += msSuspect
+		ms += suspectCost
 	}
-	return ms + c.Jitter + Milliseconds(c.FailureRate)*msSuspect
+	return ms + c.Jitter + Milliseconds(c.FailureRate)*suspectCost
 }
 
 // engineCost returns the cost of an engine: its queued prompts, this prompt and its running
 // requests.
 func (c Candidate) engineCost() Milliseconds {
-	ms := c.PrefillAhead + c.Prefill + Milliseconds(c.Running)*msPerRequest
+	ms := c.PrefillAhead + c.Prefill + Milliseconds(c.Running)*requestCost
 	if !c.Owned {
-		ms += msOtherOwner
+		ms += otherOwnerCost
 	}
 	if !c.SameHall {
-		ms += msOtherHall
+		ms += otherHallCost
 	}
 	return ms
 }
 
-// plainCost returns the cost of a server of a plain service. Requests beyond the number of slots
-// count twice.
-func (c Candidate) plainCost() Milliseconds {
-	ms := Milliseconds(c.Running) * msPerPlainRequest
+// plainServiceCost returns the cost of a server of a plain service. Requests beyond the number of
+// slots count twice.
+func (c Candidate) plainServiceCost() Milliseconds {
+	ms := Milliseconds(c.Running) * plainRequestCost
 	if c.Slots > 0 && c.Running >= c.Slots {
-		ms += Milliseconds(c.Running-c.Slots+1) * msPerPlainRequest
+		ms += Milliseconds(c.Running-c.Slots+1) * plainRequestCost
 	}
 	if !c.SameHall {
-		ms += msPlainOtherHall
+		ms += plainOtherHallCost
 	}
 	return ms
 }
@@ -167,7 +168,7 @@
 	best := -1
 	bestCost := Milliseconds(0)
 	for i, c := range list {
-		if !c.admits(l, exact) {
+		if !c.canTake(l, exact) {
 			continue
 		}
 		if cost := c.cost(); best < 0 || cost < bestCost {
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -24,26 +24,26 @@
 	ObjectiveMs int `json:"o,omitempty"`
 }
 
-// demandCounters holds the demand by Request.target.
-type demandCounters struct {
+// demandByTarget holds the demand for each model and adapter, by Request.targetKey.
+type demandByTarget struct {
 	byTarget map[string]*Demand
 }
 
-func newDemandCounters() demandCounters {
-	return demandCounters{byTarget: make(map[string]*Demand)}
+func newDemandByTarget() demandByTarget {
+	return demandByTarget{byTarget: make(map[string]*Demand)}
 }
 
-// of returns the demand for the request's model or adapter, creating it if needed.
-func (c *demandCounters) of(r *Request) *Demand {
-	x := c.byTarget[r.target()]
+// get returns the demand for the request's model or adapter, creating it if needed.
+func (c *demandByTarget) get(r *Request) *Demand {
+	x := c.byTarget[r.targetKey()]
 	if x == nil {
 		x = &Demand{Service: r.Service}
-		c.byTarget[r.target()] = x
+		c.byTarget[r.targetKey()] = x
 	}
 	return x
 }
 
-func (c *demandCounters) all() map[string]Demand {
+func (c *demandByTarget) snapshot() map[string]Demand {
 	out := make(map[string]Demand, len(c.byTarget))
 	for target, x := range c.byTarget {
 		out[target] = *x
@@ -58,7 +58,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	x := d.demand.of(r)
+	x := d.demand.get(r)
 	if ms := int(r.FirstByteObjective.Milliseconds()); x.Arrived == 0 || ms < x.ObjectiveMs {
 		x.ObjectiveMs = ms
 	}
@@ -66,9 +66,9 @@
 	x.WorkTokens += r.PromptTokens + outputTokenWeight*r.MaxOutputTokens
 }
 
-// Demands returns the demand for each model and adapter, by Request.target.
+// Demands returns the demand for each model and adapter. Keys have the form MODEL or MODEL/ADAPTER.
 func (d *Dispatcher) Demands() map[string]Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.demand.all()
+	return d.demand.snapshot()
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	service = "llm"
-	model   = "m"
-	memory  = 100_000
+	service     = "llm"
+	model       = "m"
+	cacheTokens = 100_000
 )
 
 // engine returns an engine that holds the model.
@@ -38,7 +38,7 @@
 
 func dispatcher(c clock.Service, servers ...backend.Server) *dispatch.Dispatcher {
 	d := dispatch.New(dispatch.Options{
-		ID: "g", Hall: "h", Clock: c, Utilization: 1, CacheTokens: func(string) int { return memory },
+		ID: "g", Hall: "h", Clock: c, Utilization: 1, CacheTokens: func(string) int { return cacheTokens },
 	})
 	d.SetServers(snapshot(servers...))
 	return d
@@ -51,22 +51,22 @@
 	}
 }
 
-// now returns a canceled context, for requests that must not wait.
-func now() context.Context {
+// canceledContext returns a canceled context, for requests that must not wait.
+func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
-// allowing returns the gap budget that allows the given prefill time on an engine without running
-// requests.
-func allowing(ms dispatch.Milliseconds) dispatch.GapBudget {
+// gapForPrefill returns the gap budget that allows the given prefill time on an engine without
+// running requests.
+func gapForPrefill(ms dispatch.Milliseconds) dispatch.GapBudget {
 	const step, share = 10.5, 0.93
 	return dispatch.GapBudget{MaxGap: (ms + step) / share, StepsPerEvent: 1}
 }
 
 func TestChoose(t *testing.T) {
-	idle := dispatch.Candidate{CacheTokens: memory, Slots: 8, NeedTokens: 1000, Prefill: 50, SameHall: true, Owned: true}
+	idle := dispatch.Candidate{CacheTokens: cacheTokens, Slots: 8, NeedTokens: 1000, Prefill: 50, SameHall: true, Owned: true}
 	with := func(change func(c *dispatch.Candidate)) dispatch.Candidate {
 		c := idle
 		change(&c)
@@ -86,42 +86,42 @@
 		"silent before nothing": {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Stalled = true })}, want: 0},
 		"failing comes last":    {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.FailureRate = 0.5 }), with(func(c *dispatch.Candidate) { c.PrefillAhead = 500 })}, want: 1},
 		"slots full":            {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Running = 8 })}, want: -1},
-		"memory full":           {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Running, c.UsedTokens = 1, memory })}, want: -1},
+		"memory full":           {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Running, c.UsedTokens = 1, cacheTokens })}, want: -1},
 		"larger than the memory, alone": {
-			list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.NeedTokens = 2 * memory })}, want: 0,
+			list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.NeedTokens = 2 * cacheTokens })}, want: 0,
 		},
 		"prefill limit": {
 			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 })},
-			limits: dispatch.Limits{Gap: allowing(100)}, want: -1,
+			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: -1,
 		},
 		"prefill limit, nothing ahead": {
 			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Prefill = 400 })},
-			limits: dispatch.Limits{Gap: allowing(100)}, want: 0,
+			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: 0,
 		},
 		"another's engine that prefills, while an own one is full": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
 				with(func(c *dispatch.Candidate) { c.PrefillAhead, c.Prefill, c.Owned = 1, 30, false }),
 			},
-			limits: dispatch.Limits{Gap: allowing(100)}, want: -1,
+			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: -1,
 		},
 		"another's engine that is idle, for a long prompt": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
 				with(func(c *dispatch.Candidate) { c.Prefill, c.Owned = 90, false }),
 			},
-			limits: dispatch.Limits{Gap: allowing(100)}, want: -1,
+			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: -1,
 		},
 		"another's engine that is idle": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
 				with(func(c *dispatch.Candidate) { c.Prefill, c.Owned = 30, false }),
 			},
-			limits: dispatch.Limits{Gap: allowing(100)}, want: 1,
+			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: 1,
 		},
 		"another's engine, where no own one has the model": {
 			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead, c.Prefill, c.Owned = 30, 30, false })},
-			limits: dispatch.Limits{Gap: allowing(100)}, want: 0,
+			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: 0,
 		},
 		"plain service: fewest requests": {
 			list: []dispatch.Candidate{{Slots: 6, Running: 4, SameHall: true}, {Slots: 6, Running: 1, SameHall: true}}, want: 1,
@@ -146,7 +146,7 @@
 	empty.Residents = nil
 	d := dispatcher(c, leaving, empty)
 	r := request(c)
-	_, err := d.Acquire(now(), r)
+	_, err := d.Acquire(canceledContext(), r)
 	assert.Assert(t, errors.Is(err, context.Canceled))
 	r.WaitUntil = c.Now()
 	_, err = d.Acquire(context.Background(), r)
@@ -154,10 +154,10 @@
 	d.SetServers(snapshot(leaving, empty, engine("good")))
 	r = request(c)
 	r.Exclude = []string{"good"}
-	_, err = d.Acquire(now(), r)
+	_, err = d.Acquire(canceledContext(), r)
 	assert.Assert(t, errors.Is(err, context.Canceled))
 	r.Exclude = nil
-	res, err := d.Acquire(now(), r)
+	res, err := d.Acquire(canceledContext(), r)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Server().ID, "good")
 }
@@ -168,18 +168,18 @@
 	with.Residents = []backend.Resident{{Model: model, Adapters: []string{"a1"}}}
 	missing := 0
 	d := dispatch.New(dispatch.Options{
-		ID: "g", Clock: c, Utilization: 1, CacheTokens: func(string) int { return memory }, OnModelMissing: func() { missing++ },
+		ID: "g", Clock: c, Utilization: 1, CacheTokens: func(string) int { return cacheTokens }, OnModelMissing: func() { missing++ },
 	})
 	d.SetServers(snapshot(without, with))
 	r := request(c)
 	r.Adapter = "a1"
-	res, err := d.Acquire(now(), r)
+	res, err := d.Acquire(canceledContext(), r)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Server().ID, "b")
 	assert.Equal(t, missing, 0)
 	r = request(c)
 	r.Adapter = "a2"
-	_, err = d.Acquire(now(), r)
+	_, err = d.Acquire(canceledContext(), r)
 	assert.Assert(t, err != nil)
 	assert.Equal(t, d.HolderCount(r), 0)
 	r.Adapter = ""
@@ -230,20 +230,20 @@
 			s := engine("a")
 			s.Slots = 1
 			d := dispatcher(c, s)
-			blocker, err := d.Acquire(now(), request(c))
+			blocker, err := d.Acquire(canceledContext(), request(c))
 			assert.NilError(t, err)
-			var ress []chan *dispatch.Reservation
+			var reservations []chan *dispatch.Reservation
 			for i, k := range []kind{test.first, test.second} {
 				r := request(c)
 				r.Priority = k.priority
 				if k.late {
 					r.SendBy = c.Now().Add(-time.Millisecond)
 				}
-				ress = append(ress, acquire(d, r))
+				reservations = append(reservations, acquire(d, r))
 				poll.WaitOn(t, waiting(d, i+1))
 			}
 			blocker.Done(dispatch.Answered)
-			winner, loser := ress[0], ress[1]
+			winner, loser := reservations[0], reservations[1]
 			if test.secondWins {
 				winner, loser = loser, winner
 			}
@@ -259,7 +259,7 @@
 	s := engine("a")
 	s.Slots = 1
 	d := dispatcher(c, s)
-	_, err := d.Acquire(now(), request(c))
+	_, err := d.Acquire(canceledContext(), request(c))
 	assert.NilError(t, err)
 	r := request(c)
 	r.WaitUntil = c.Now().Add(20 * time.Millisecond)
@@ -278,11 +278,11 @@
 	firsts := make(map[string]int)
 	for _, g := range gateways {
 		d := dispatch.New(dispatch.Options{
-			ID: g.ID, Hall: g.Hall, Clock: c, Utilization: 1, CacheTokens: func(string) int { return memory },
+			ID: g.ID, Hall: g.Hall, Clock: c, Utilization: 1, CacheTokens: func(string) int { return cacheTokens },
 		})
 		d.SetServers(snapshot(servers...))
 		d.SetGateways(gateways)
-		res, err := d.Acquire(now(), request(c))
+		res, err := d.Acquire(canceledContext(), request(c))
 		assert.NilError(t, err)
 		firsts[res.Server().ID]++
 	}
@@ -295,23 +295,23 @@
 	shared := []dispatch.PrefixBlock{{ID: "common", Tokens: 900}}
 	r := request(c)
 	r.Prefix = append(shared, dispatch.PrefixBlock{ID: "1", Tokens: 100})
-	first, err := d.Acquire(now(), r)
+	first, err := d.Acquire(canceledContext(), r)
 	assert.NilError(t, err)
 	first.FirstByte()
 	first.Done(dispatch.Answered)
 	for i := range 5 {
 		r := request(c)
 		r.Prefix = append(shared, dispatch.PrefixBlock{ID: fmt.Sprint("own", i), Tokens: 100})
-		res, err := d.Acquire(now(), r)
+		res, err := d.Acquire(canceledContext(), r)
 		assert.NilError(t, err)
 		assert.Equal(t, res.Server().ID, first.Server().ID)
 		res.Done(dispatch.Answered)
 	}
 }
 
-// TestNothingIsLeftOver checks, for random sequences of operations, that the load of an engine
+// TestLoadsReturnToZero checks, for random sequences of operations, that the load of an engine
 // never exceeds its slots and that no load remains once all reservations are done.
-func TestNothingIsLeftOver(t *testing.T) {
+func TestLoadsReturnToZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clocktest.New(time.Unix(1000, 0))
 		d := dispatcher(c, engine("a"), engine("b"), engine("c"))
@@ -321,8 +321,8 @@
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				r := request(c)
-				r.Gap = allowing(dispatch.Milliseconds(rapid.IntRange(0, 200).Draw(t, "limit")))
-				if res, err := d.Acquire(now(), r); err == nil {
+				r.Gap = gapForPrefill(dispatch.Milliseconds(rapid.IntRange(0, 200).Draw(t, "limit")))
+				if res, err := d.Acquire(canceledContext(), r); err == nil {
 					open = append(open, res)
 				}
 			case 1:
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -54,13 +54,13 @@
 	remote map[string]remoteLoad
 	// busiestOnly means that remote lists only the busiest servers.
 	busiestOnly bool
-	owners      owners
-	waiting     waitQueue
-	demand      demandCounters
-	speeds      speedBook
+	owners      ownership
+	queue       waitQueue
+	demand      demandByTarget
+	speeds      speedEstimates
 	// shedders holds the shedder of each service.
 	shedders map[string]*shedder
-	// nextServe is when serve is scheduled to run next; zero if it is not scheduled.
+	// nextServe is when serveWaiting is scheduled to run next; zero if it is not scheduled.
 	nextServe time.Time
 }
 
@@ -68,7 +68,7 @@
 func New(o Options) *Dispatcher {
 	return &Dispatcher{
 		opts: o, servers: &backend.Snapshot{}, loads: make(map[string]*serverLoad),
-		remote: make(map[string]remoteLoad), demand: newDemandCounters(),
+		remote: make(map[string]remoteLoad), demand: newDemandByTarget(),
 		owners: newOwners(o.ID), shedders: make(map[string]*shedder),
 	}
 }
@@ -81,10 +81,10 @@
 	for id, l := range d.loads {
 		if _, ok := s.Server(id); !ok && l.Running == 0 {
 			delete(d.loads, id)
-			d.owners.forget(id)
+			d.owners.removeServer(id)
 		}
 	}
-	d.serve()
+	d.serveWaiting()
 }
 
 // SetRemote replaces the loads of all other processes, by server ID. busiestOnly means that the map
@@ -96,9 +96,9 @@
 	d.busiestOnly = busiestOnly
 	d.remote = make(map[string]remoteLoad, len(remote))
 	for id, l := range remote {
-		d.remote[id] = remoteLoad{Load: l, at: now}
+		d.remote[id] = remoteLoad{Load: l, reportedAt: now}
 	}
-	d.serve()
+	d.serveWaiting()
 }
 
 // SetGateways replaces the list of gateways, among which the engines are divided. Each engine is
@@ -106,7 +106,7 @@
 func (d *Dispatcher) SetGateways(list []Gateway) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.owners.set(list)
+	d.owners.setGateways(list)
 }
 
 // Loads returns the load of this process by server ID, without idle servers.
@@ -129,7 +129,7 @@
 	defer d.mu.Unlock()
 	now := d.opts.Clock.Now()
 	_, list := d.candidates(r, now)
-	return Choose(list, d.limits(r, now)) >= 0
+	return Choose(list, d.limitsFor(r, now)) >= 0
 }
 
 // HolderCount returns the number of servers that hold the request's model and adapter and are not
@@ -150,19 +150,19 @@
 	return n
 }
 
-// choose reserves the server with the lowest cost for the request, or returns nil. If prefill
-// progress alone can free capacity, it schedules the next serve. d.mu must be held.
-func (d *Dispatcher) choose(r *Request) *Reservation {
+// tryReserve reserves the server with the lowest cost for the request, or returns nil. If prefill
+// progress alone can free capacity, it schedules serveWaiting for that time. d.mu must be held.
+func (d *Dispatcher) tryReserve(r *Request) *Reservation {
 	now := d.opts.Clock.Now()
 	servers, list := d.candidates(r, now)
-	limits := d.limits(r, now)
+	limits := d.limitsFor(r, now)
 	i := Choose(list, limits)
 	if i < 0 {
-		d.serveAfterPrefill(servers, list, limits, now)
+		d.scheduleAfterPrefill(servers, list, limits, now)
 		return nil
 	}
 	res := d.reserve(r, servers[i], list[i])
-	res.candidates = len(list)
+	res.candidateCount = len(list)
 	return res
 }
 
@@ -171,7 +171,7 @@
 // objective, and new requests become late as well.
 const lateShare = 0.5
 
-func (d *Dispatcher) limits(r *Request, now time.Time) Limits {
+func (d *Dispatcher) limitsFor(r *Request, now time.Time) Limits {
 	l := Limits{Gap: r.Gap, Utilization: d.opts.Utilization}
 	if r.isLate(now) {
 		l.Utilization *= lateShare
@@ -182,39 +182,39 @@
 // candidates returns the servers that hold what the request needs and may be asked now, with the
 // candidate for each. d.mu must be held.
 func (d *Dispatcher) candidates(r *Request, now time.Time) (servers []*backend.Server, list []Candidate) {
-	memory := d.opts.CacheTokens(r.Service)
+	cacheTokens := d.opts.CacheTokens(r.Service)
 	for _, s := range d.servers.Holding(r.Service, r.Model) {
-		if !d.couldTake(r, s) {
+		if !d.isEligible(r, s) {
 			continue
 		}
-		if from := d.load(s.ID).askableFrom(r.target()); now.Before(from) {
-			d.serveAt(from)
+		if from := d.loadOf(s.ID).eligibleFrom(r.targetKey()); now.Before(from) {
+			d.scheduleServe(from)
 			continue
 		}
-		if _, limited := d.limitOf(s.ID); limited && d.isBarred(r, s.ID, now) {
+		if _, limited := d.rateLimitOf(s.ID); limited && d.isPermitBlocked(r, s.ID, now) {
 			continue
 		}
 		servers = append(servers, s)
-		list = append(list, d.candidate(r, s, memory, now))
+		list = append(list, d.candidate(r, s, cacheTokens, now))
 	}
 	return servers, list
 }
 
 // candidate returns the state of a server for a request. memory is the engine's cache memory in
 // tokens. d.mu must be held.
-func (d *Dispatcher) candidate(r *Request, s *backend.Server, memory int, now time.Time) Candidate {
-	l := d.load(s.ID)
+func (d *Dispatcher) candidate(r *Request, s *backend.Server, cacheTokens int, now time.Time) Candidate {
+	l := d.loadOf(s.ID)
 	c := Candidate{
-		CacheTokens: memory, Slots: s.Slots, SameHall: s.Hall == d.opts.Hall, Owned: d.owners.owns(s),
+		CacheTokens: cacheTokens, Slots: s.Slots, SameHall: s.Hall == d.opts.Hall, Owned: d.owners.owns(s),
 		FailureRate: l.failures.at(now), NeedTokens: r.PromptTokens + r.MaxOutputTokens, Stalled: l.isStalled(now),
 	}
-	c.NeedsGrant = !c.Owned && r.Model != "" && d.opts.Owners != nil && d.owners.mayAsk(d.owners.of(s), now)
-	d.addLoads(&c, l, s.ID, now)
+	c.NeedsGrant = !c.Owned && r.Model != "" && d.opts.Owners != nil && d.owners.isAvailable(d.owners.ownerOf(s), now)
+	d.setLoads(&c, l, s.ID, now)
 	if _, known := d.remote[s.ID]; d.busiestOnly && !known && !c.Owned {
 		c.Jitter = d.owners.jitter(s.ID)
 	}
 	if r.Model != "" {
-		c.PrefillTokens = max(r.PromptTokens-l.prefixes.cachedTokens(r.target(), r.Prefix), 0)
+		c.PrefillTokens = max(r.PromptTokens-l.prefixes.cachedTokens(r.targetKey(), r.Prefix), 0)
 		c.Prefill = d.speeds.prefillTime(r.Model, c.PrefillTokens)
 	}
 	if c.Owned && r.Gap.MaxGap > 0 {
@@ -223,23 +223,23 @@
 	return c
 }
 
-// addLoads sets the load of a candidate: the requests of this process, those that other processes
+// setLoads sets the load of a candidate: the requests of this process, those that other processes
 // reported and, for an owned engine, the recent grants. An owned engine's prefill queue is more
 // accurate than the reports, so it replaces them.
-func (d *Dispatcher) addLoads(c *Candidate, l *serverLoad, id string, now time.Time) {
-	others := d.remote[id].now(now)
+func (d *Dispatcher) setLoads(c *Candidate, l *serverLoad, id string, now time.Time) {
+	others := d.remote[id].expectedAt(now)
 	c.Running = l.Running + others.Running
 	c.UsedTokens = l.UsedTokens + others.UsedTokens
 	c.PrefillAhead = Milliseconds(l.PrefillMs + others.PrefillMs)
 	if c.Owned && d.opts.Owners != nil {
-		granted := l.granted(now)
+		granted := l.grantedLoad(now)
 		c.Running += granted.Running
 		c.UsedTokens += granted.UsedTokens
 		c.PrefillAhead = max(InMilliseconds(l.prefill.end(now).Sub(now)), Milliseconds(l.PrefillMs))
 	}
 }
 
-func (d *Dispatcher) load(id string) *serverLoad {
+func (d *Dispatcher) loadOf(id string) *serverLoad {
 	l := d.loads[id]
 	if l == nil {
 		l = &serverLoad{}
--- a/dispatch/failing_server_test.go
+++ b/dispatch/failing_server_test.go
@@ -15,17 +15,17 @@
 func TestStalledServer(t *testing.T) {
 	c := clocktest.New(time.Now())
 	d := dispatcher(c, engine("a"), engine("b"))
-	first, err := d.Acquire(now(), request(c))
+	first, err := d.Acquire(canceledContext(), request(c))
 	assert.NilError(t, err)
 	c.Advance(3 * time.Second)
 	for range 5 {
-		res, err := d.Acquire(now(), request(c))
+		res, err := d.Acquire(canceledContext(), request(c))
 		assert.NilError(t, err)
 		assert.Assert(t, res.Server().ID != first.Server().ID)
 		res.FirstByte()
 	}
 	first.FirstByte()
-	res, err := d.Acquire(now(), request(c))
+	res, err := d.Acquire(canceledContext(), request(c))
 	assert.NilError(t, err)
 	assert.Equal(t, res.Server().ID, first.Server().ID, "a server that spoke again is chosen again")
 }
@@ -33,18 +33,18 @@
 func TestFailingServerReturns(t *testing.T) {
 	c := clocktest.New(time.Now())
 	d := dispatcher(c, engine("a"), engine("b"))
-	bad, err := d.Acquire(now(), request(c))
+	bad, err := d.Acquire(canceledContext(), request(c))
 	assert.NilError(t, err)
 	bad.Done(dispatch.Failed)
 	for range 3 {
-		res, err := d.Acquire(now(), request(c))
+		res, err := d.Acquire(canceledContext(), request(c))
 		assert.NilError(t, err)
 		assert.Assert(t, res.Server().ID != bad.Server().ID)
 	}
 	c.Advance(30 * time.Second)
 	seen := make(map[string]bool)
 	for range 4 {
-		res, err := d.Acquire(now(), request(c))
+		res, err := d.Acquire(canceledContext(), request(c))
 		assert.NilError(t, err)
 		seen[res.Server().ID] = true
 	}
@@ -59,12 +59,12 @@
 	e := engine("e1")
 	e.Residents = append(e.Residents, backend.Resident{Model: "other"})
 	d := dispatcher(c, e)
-	res, err := d.Acquire(now(), request(c))
+	res, err := d.Acquire(canceledContext(), request(c))
 	assert.NilError(t, err)
 	res.Done(dispatch.Misdirected)
 	other := request(c)
 	other.Model = "other"
-	res, err = d.Acquire(now(), other)
+	res, err = d.Acquire(canceledContext(), other)
 	assert.NilError(t, err)
 	res.Done(dispatch.Answered)
 	got := acquire(d, request(c))
--- a/dispatch/gap.go
+++ b/dispatch/gap.go
@@ -26,12 +26,14 @@
 
 // Parameters of the time that an engine spends between two events of a stream (docs/design/0009).
 const (
-	// gapShare is the fraction of MaxGap available to the engine; the rest is left for the network.
-	gapShare = 0.93
-	// baseStep is the duration of a decoding step without prefill, before stepPerRequest is added.
-	baseStep Milliseconds = 10.5
-	// stepPerRequest is the time that each running request adds to a decoding step.
-	stepPerRequest Milliseconds = 0.2
+	// engineGapShare is the fraction of MaxGap available to the engine; the rest is left for the
+	// network.
+	engineGapShare = 0.93
+	// baseStepTime is the duration of a decoding step without prefill, before stepTimePerRequest is
+	// added.
+	baseStepTime Milliseconds = 10.5
+	// stepTimePerRequest is the time that each running request adds to a decoding step.
+	stepTimePerRequest Milliseconds = 0.2
 	// minPrefillPerStep is the prefill time per decoding step that is allowed even if it exceeds
 	// the gap budget, so that engines do not idle between prompts. A larger value lengthens the
 	// pauses of streams.
@@ -42,8 +44,8 @@
 // within one gap.
 func (g GapBudget) prefillPerGap(running int) Milliseconds {
 	steps := Milliseconds(max(g.StepsPerEvent, 1))
-	decoding := steps * (baseStep + stepPerRequest*Milliseconds(running))
-	return max(g.MaxGap*gapShare-decoding, steps*minPrefillPerStep)
+	decoding := steps * (baseStepTime + stepTimePerRequest*Milliseconds(running))
+	return max(g.MaxGap*engineGapShare-decoding, steps*minPrefillPerStep)
 }
 
 // prefillPerStep returns the prefill time allowed per decoding step.
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -29,13 +29,13 @@
 // A remoteLoad is the load of all other processes at one server, as of a point in time.
 type remoteLoad struct {
 	Load
-	at time.Time
+	reportedAt time.Time
 }
 
-// now returns the load expected now: the prefill time shrinks as time passes.
-func (l remoteLoad) now(now time.Time) Load {
+// expectedAt returns the load expected at a time: the prefill time shrinks as time passes.
+func (l remoteLoad) expectedAt(now time.Time) Load {
 	out := l.Load
-	out.PrefillMs = max(out.PrefillMs-int(now.Sub(l.at)/time.Millisecond), 0)
+	out.PrefillMs = max(out.PrefillMs-int(now.Sub(l.reportedAt)/time.Millisecond), 0)
 	return out
 }
 
@@ -44,62 +44,62 @@
 	Load
 	prefixes prefixCache
 	failures failureRate
-	// lastAnswer is when the server last sent something.
-	lastAnswer time.Time
-	// awaiting lists the reservations whose first byte is outstanding, oldest first.
-	awaiting []*Reservation
+	// lastResponse is when the server last sent something.
+	lastResponse time.Time
+	// awaitingFirstByte lists the reservations whose first byte is outstanding, oldest first.
+	awaitingFirstByte []*Reservation
 	// grants are the recent admissions of other gateways' requests.
 	grants []grant
 	// prefill holds the expected prefill times of an owned engine.
 	prefill prefillQueue
-	// deniedUntil is the time until which the engine's owner is not asked again after it has denied
-	// admission.
-	deniedUntil time.Time
-	permits     permits
-	// lackedUntil holds, for each model or adapter that the engine refused because it does not hold
-	// it, the time until which the engine is not asked for it again.
-	lackedUntil map[string]time.Time
+	// admissionDeniedUntil is the time until which the engine's owner is not asked again after it
+	// has denied admission.
+	admissionDeniedUntil time.Time
+	permits              permitState
+	// notResidentUntil holds, for each model or adapter that the engine refused because it does not
+	// hold it, the time until which the engine is not asked for it again.
+	notResidentUntil map[string]time.Time
 }
 
-// lackTime is how long an engine is not asked for a model or adapter that it does not hold. It
-// covers the time until updated residency reaches this gateway; each misdirected attempt uses the
-// retry budget.
-const lackTime = time.Second
+// notResidentTTL is how long an engine is not asked for a model or adapter that it does not hold.
+// It covers the time until updated residency reaches this gateway; each misdirected attempt uses
+// the retry budget.
+const notResidentTTL = time.Second
 
-// noteLack records that the engine does not hold a model or adapter.
-func (l *serverLoad) noteLack(target string, now time.Time) {
-	if l.lackedUntil == nil {
-		l.lackedUntil = make(map[string]time.Time)
+// markNotResident records that the engine does not hold a model or adapter.
+func (l *serverLoad) markNotResident(target string, now time.Time) {
+	if l.notResidentUntil == nil {
+		l.notResidentUntil = make(map[string]time.Time)
 	}
-	maps.DeleteFunc(l.lackedUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
-	l.lackedUntil[target] = now.Add(lackTime)
+	maps.DeleteFunc(l.notResidentUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
+	l.notResidentUntil[target] = now.Add(notResidentTTL)
 }
 
-// askableFrom returns the earliest time at which the server may be asked for a model or adapter.
-func (l *serverLoad) askableFrom(target string) time.Time {
-	if until := l.lackedUntil[target]; until.After(l.deniedUntil) {
+// eligibleFrom returns the earliest time at which the server may be asked for a model or adapter.
+func (l *serverLoad) eligibleFrom(target string) time.Time {
+	if until := l.notResidentUntil[target]; until.After(l.admissionDeniedUntil) {
 		return until
 	}
-	return l.deniedUntil
+	return l.admissionDeniedUntil
 }
 
 // isStalled reports whether a first byte is outstanding and the server has sent nothing for
-// stallTime.
+// stallTimeout.
 func (l *serverLoad) isStalled(now time.Time) bool {
-	if len(l.awaiting) == 0 {
+	if len(l.awaitingFirstByte) == 0 {
 		return false
 	}
-	since := l.awaiting[0].sent
-	if l.lastAnswer.After(since) {
-		since = l.lastAnswer
+	since := l.awaitingFirstByte[0].sentAt
+	if l.lastResponse.After(since) {
+		since = l.lastResponse
 	}
-	return now.Sub(since) > stallTime
+	return now.Sub(since) > stallTimeout
 }
 
 // Parameters of the failure rate.
 const (
-	// failureStep is the weight of the latest outcome in the moving average.
-	failureStep = 0.3
+	// failureSmoothing is the weight of the latest outcome in the moving average.
+	failureSmoothing = 0.3
 	// failureHalfLife is the half-life of the rate. The decay ensures that a server which was
 	// avoided is tried again.
 	failureHalfLife = 2 * time.Second
@@ -107,21 +107,21 @@
 
 // A failureRate is an exponentially decayed average of failures.
 type failureRate struct {
-	share float64
-	when  time.Time
+	rate      float64
+	updatedAt time.Time
 }
 
 // at returns the rate at a point in time, 0 to 1.
 func (f *failureRate) at(now time.Time) float64 {
-	if f.share == 0 {
+	if f.rate == 0 {
 		return 0
 	}
-	return f.share * math.Exp2(-float64(now.Sub(f.when))/float64(failureHalfLife))
+	return f.rate * math.Exp2(-float64(now.Sub(f.updatedAt))/float64(failureHalfLife))
 }
 
 // observe records an outcome: 1 is a failure, 0 a success.
 func (f *failureRate) observe(outcome float64, now time.Time) {
 	share := f.at(now)
-	f.share = share + (outcome-share)*failureStep
-	f.when = now
+	f.rate = share + (outcome-share)*failureSmoothing
+	f.updatedAt = now
 }
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -15,8 +15,8 @@
 	"rockcleat/dispatch"
 )
 
-// TestLateRequestsTakePartOfAnEngine checks how many slots of an engine late requests may use.
-func TestLateRequestsTakePartOfAnEngine(t *testing.T) {
+// TestLateRequestsUsePartOfAnEngine checks how many slots of an engine late requests may use.
+func TestLateRequestsUsePartOfAnEngine(t *testing.T) {
 	tests := map[string]struct {
 		running    int
 		late       bool
@@ -34,7 +34,7 @@
 			c := clocktest.New(time.Unix(1000, 0))
 			d := dispatcher(c, engine("a"))
 			for range test.running {
-				_, err := d.Acquire(now(), request(c))
+				_, err := d.Acquire(canceledContext(), request(c))
 				assert.NilError(t, err)
 			}
 			r := request(c)
@@ -47,13 +47,13 @@
 	}
 }
 
-// TestOwnersHoldLateRequestsBack checks that an owner denies a late request admission to an engine
+// TestOwnersLimitLateRequests checks that an owner denies a late request admission to an engine
 // with half of its slots in use.
-func TestOwnersHoldLateRequestsBack(t *testing.T) {
+func TestOwnersLimitLateRequests(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := dispatcher(c, engine("a"))
 	for range 4 {
-		_, err := d.Acquire(now(), request(c))
+		_, err := d.Acquire(canceledContext(), request(c))
 		assert.NilError(t, err)
 	}
 	r := dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 100}
@@ -81,8 +81,8 @@
 func TestBacklogDoesNotDelayNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.Real{}
-		g := newGroup(c, 3)
-		served := playBacklog(c, g)
+		g := newGatewayGroup(c, 3)
+		served := runBacklog(c, g)
 		t.Logf("in time %d, late %d", served.inTime, served.late)
 		assert.Assert(t, served.inTime >= leastInTime, "in time %d, late %d", served.inTime, served.late)
 	})
@@ -90,7 +90,7 @@
 
 type served struct{ inTime, late int }
 
-func playBacklog(c clock.Service, g *gatewayGroup) (total served) {
+func runBacklog(c clock.Service, g *gatewayGroup) (total served) {
 	var mu sync.Mutex
 	call := func(d *dispatch.Dispatcher) {
 		r := request(c)
--- a/dispatch/owners.go
+++ b/dispatch/owners.go
@@ -15,10 +15,10 @@
 	Hall string `json:"hall"`
 }
 
-// owners assigns each engine to one gateway by rendezvous hashing. The owner admits all requests to
-// its engine, because prompts that arrive together delay every stream there and gateways learn of
-// each other's requests only with a delay.
-type owners struct {
+// ownership assigns each engine to one gateway by rendezvous hashing. The owner admits all requests
+// to its engine, because prompts that arrive together delay every stream there and gateways learn
+// of each other's requests only with a delay.
+type ownership struct {
 	self     string
 	gateways []Gateway
 	// byServer caches the owner by server ID.
@@ -28,12 +28,12 @@
 	suspendedUntil map[string]time.Time
 }
 
-func newOwners(self string) owners {
-	return owners{self: self, suspendedUntil: make(map[string]time.Time)}
+func newOwners(self string) ownership {
+	return ownership{self: self, suspendedUntil: make(map[string]time.Time)}
 }
 
-// set replaces the list of gateways.
-func (o *owners) set(list []Gateway) {
+// setGateways replaces the list of gateways.
+func (o *ownership) setGateways(list []Gateway) {
 	if slices.Equal(list, o.gateways) {
 		return
 	}
@@ -41,32 +41,32 @@
 	o.byServer = make(map[string]string)
 }
 
-func (o *owners) forget(server string) { delete(o.byServer, server) }
+func (o *ownership) removeServer(server string) { delete(o.byServer, server) }
 
 // owns reports whether this gateway owns the server. Without a list of gateways it owns all
 // servers.
-func (o *owners) owns(s *backend.Server) bool {
-	return len(o.gateways) == 0 || o.of(s) == o.self
+func (o *ownership) owns(s *backend.Server) bool {
+	return len(o.gateways) == 0 || o.ownerOf(s) == o.self
 }
 
-// of returns the ID of the gateway that owns the server.
-func (o *owners) of(s *backend.Server) string {
+// ownerOf returns the ID of the gateway that owns the server.
+func (o *ownership) ownerOf(s *backend.Server) string {
 	owner, ok := o.byServer[s.ID]
 	if !ok {
-		owner = ownerAmong(o.gateways, s)
+		owner = findOwner(o.gateways, s)
 		o.byServer[s.ID] = owner
 	}
 	return owner
 }
 
-// mayAsk reports whether an owner is not suspended.
-func (o *owners) mayAsk(owner string, now time.Time) bool {
+// isAvailable reports whether an owner is not suspended.
+func (o *ownership) isAvailable(owner string, now time.Time) bool {
 	return !now.Before(o.suspendedUntil[owner])
 }
 
 // suspend suspends an owner for ownerSuspension and reports whether it was not suspended before.
-func (o *owners) suspend(owner string, now time.Time) bool {
-	if !o.mayAsk(owner, now) {
+func (o *ownership) suspend(owner string, now time.Time) bool {
+	if !o.isAvailable(owner, now) {
 		return false
 	}
 	o.suspendedUntil[owner] = now.Add(ownerSuspension)
@@ -74,21 +74,21 @@
 }
 
 // jitter returns this gateway's value of Candidate.Jitter for a server.
-func (o *owners) jitter(server string) Milliseconds {
+func (o *ownership) jitter(server string) Milliseconds {
 	weight := rendezvous.Weight(o.self, rendezvous.Key(server))
-	return msJitter * Milliseconds(weight) / math.MaxUint64
+	return maxJitter * Milliseconds(weight) / math.MaxUint64
 }
 
-// ownerAmong returns the gateway with the highest rendezvous weight for the server, preferring
+// findOwner returns the gateway with the highest rendezvous weight for the server, preferring
 // gateways in the server's data hall.
-func ownerAmong(list []Gateway, s *backend.Server) string {
+func findOwner(list []Gateway, s *backend.Server) string {
 	key := rendezvous.Key(s.ID)
-	best, bestNear, bestWeight := "", false, uint64(0)
+	best, bestSameHall, bestWeight := "", false, uint64(0)
 	for _, g := range list {
-		near := g.Hall == s.Hall
+		sameHall := g.Hall == s.Hall
 		weight := rendezvous.Weight(g.ID, key)
-		if best == "" || near && !bestNear || near == bestNear && weight > bestWeight {
-			best, bestNear, bestWeight = g.ID, near, weight
+		if best == "" || sameHall && !bestSameHall || sameHall == bestSameHall && weight > bestWeight {
+			best, bestSameHall, bestWeight = g.ID, sameHall, weight
 		}
 	}
 	return best
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -34,26 +34,26 @@
 	return fmt.Sprintf("dispatch: the servers take no more requests for %s", e.RetryAfter)
 }
 
-// permits is the state of permit requests for one server.
-type permits struct {
-	// asked is the number of permit requests in progress, deniedUntil the time until which no
+// permitState is the state of permit requests for one server.
+type permitState struct {
+	// pending is the number of permit requests in progress, deniedUntil the time until which no
 	// permit is requested.
-	asked       int
+	pending     int
 	deniedUntil time.Time
-	// denials is the number of denials since the last grant.
-	denials int
+	// consecutiveDenials is the number of denials since the last grant.
+	consecutiveDenials int
 }
 
-// limitOf returns a server's rate limit in requests per second; ok is false if it has none.
-func (d *Dispatcher) limitOf(server string) (perSecond float64, ok bool) {
-	if !d.hasLimits() {
+// rateLimitOf returns a server's rate limit in requests per second; ok is false if it has none.
+func (d *Dispatcher) rateLimitOf(server string) (perSecond float64, ok bool) {
+	if !d.hasRateLimits() {
 		return 0, false
 	}
 	return d.opts.Permits.Limit(server)
 }
 
-// hasLimits reports whether any server has a rate limit now.
-func (d *Dispatcher) hasLimits() bool { return d.opts.Permits != nil && d.opts.Permits.Any() }
+// hasRateLimits reports whether any server has a rate limit now.
+func (d *Dispatcher) hasRateLimits() bool { return d.opts.Permits != nil && d.opts.Permits.Any() }
 
 // LimitChanged must be called when a server's rate limit is set, changed or removed. It discards
 // earlier denials and serves waiting requests.
@@ -61,28 +61,28 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if l := d.loads[server]; l != nil {
-		l.permits.deniedUntil, l.permits.denials = time.Time{}, 0
+		l.permits.deniedUntil, l.permits.consecutiveDenials = time.Time{}, 0
 	}
-	d.serve()
+	d.serveWaiting()
 }
 
-// isBarred reports whether a request must not ask for a permit of a server now. After a denial it
-// schedules the next serve. Requests for models ask for one permit at a time, since they can wait
-// and further requests would be denied as well. d.mu must be held.
-func (d *Dispatcher) isBarred(r *Request, server string, now time.Time) bool {
-	p := d.load(server).permits
+// isPermitBlocked reports whether no permit must be requested for r at a server now. If a denial is
+// the reason, it schedules serveWaiting for when the denial ends. For requests that can wait, only
+// one permit is requested at a time, since others would be denied as well. d.mu must be held.
+func (d *Dispatcher) isPermitBlocked(r *Request, server string, now time.Time) bool {
+	p := d.loadOf(server).permits
 	if now.Before(p.deniedUntil) {
-		d.serveAt(p.deniedUntil)
+		d.scheduleServe(p.deniedUntil)
 		return true
 	}
-	return r.Model != "" && p.asked > 0
+	return r.Model != "" && p.pending > 0
 }
 
-// takePermit obtains a permit for a reservation if its server has a rate limit. It reports whether
-// the request may be sent; if not, the reservation has been released.
-func (d *Dispatcher) takePermit(ctx context.Context, res *Reservation) bool {
-	_, limited := d.limitOf(res.server.ID)
-	if !limited && !res.asksPermit {
+// obtainPermit obtains a permit for a reservation if its server has a rate limit. It reports
+// whether the request may be sent; if not, the reservation has been released.
+func (d *Dispatcher) obtainPermit(ctx context.Context, res *Reservation) bool {
+	_, limited := d.rateLimitOf(res.server.ID)
+	if !limited && !res.permitPending {
 		return true
 	}
 	granted, wait := true, time.Duration(0)
@@ -93,59 +93,60 @@
 	defer d.mu.Unlock()
 	now := d.opts.Clock.Now()
 	p := &res.load.permits
-	res.endAsking()
+	res.endPermitRequest()
 	if granted {
-		res.hasPermit, p.denials = limited, 0
+		res.hasPermit, p.consecutiveDenials = limited, 0
 	} else {
 		p.deniedUntil = now.Add(wait)
-		p.denials++
+		p.consecutiveDenials++
 		res.req.PermitsDenied++
 		res.release()
 	}
-	d.serve()
+	d.serveWaiting()
 	return granted
 }
 
-// endAsking records that the reservation no longer waits for a permit. d.mu must be held.
-func (r *Reservation) endAsking() {
-	if r.asksPermit {
-		r.asksPermit = false
-		r.load.permits.asked--
+// endPermitRequest records that the reservation no longer waits for a permit. d.mu must be held.
+func (r *Reservation) endPermitRequest() {
+	if r.permitPending {
+		r.permitPending = false
+		r.load.permits.pending--
 	}
 }
 
-// dropPermit returns the permit of an attempt that is not made.
-func (d *Dispatcher) dropPermit(res *Reservation) {
+// returnPermit returns the permit of an attempt that is not made.
+func (d *Dispatcher) returnPermit(res *Reservation) {
 	if res.hasPermit {
 		d.opts.Permits.GiveBack(res.server.ID)
 	}
 }
 
-// limitedWait estimates how long a request has to wait if every server that could take it has a
-// rate limit and denies permits now. ok is false if a server may take it now, or if an engine
-// without a rate limit could load the adapter that the request needs.
+// estimatePermitWait estimates how long a request has to wait if every server that could take it
+// has a rate limit and none may be asked for a permit now. ok is false if a server may be asked
+// now, if no server could take the request, or if an engine without a rate limit could load the
+// adapter that the request needs.
 //
 // ahead is the number of requests for the same model or service that are ahead in the wait queue.
-// Consecutive denials show that requests of other gateways wait as well, so the estimate assumes
-// that each gateway receives an equal share of the rate. d.mu must be held.
-func (d *Dispatcher) limitedWait(r *Request, ahead int, now time.Time) (wait time.Duration, ok bool) {
+// Consecutive denials show that requests of other gateways wait as well; each gateway is then
+// assumed to receive an equal share of the rate. d.mu must be held.
+func (d *Dispatcher) estimatePermitWait(r *Request, ahead int, now time.Time) (wait time.Duration, ok bool) {
 	var soonest time.Time
 	perSecond := 0.0
 	contested := true
 	for _, s := range d.servers.Holding(r.Service, r.Model) {
-		rate, limited := d.limitOf(s.ID)
-		if !limited && d.couldLoadAdapter(r, s) {
+		rate, limited := d.rateLimitOf(s.ID)
+		if !limited && d.canLoadAdapter(r, s) {
 			return 0, false
 		}
-		if !d.couldTake(r, s) {
+		if !d.isEligible(r, s) {
 			continue
 		}
-		p := d.load(s.ID).permits
+		p := d.loadOf(s.ID).permits
 		from := p.deniedUntil
-		if !limited || !now.Before(from) && p.asked == 0 {
+		if !limited || !now.Before(from) && p.pending == 0 {
 			return 0, false
 		}
-		contested = contested && p.denials > 1
+		contested = contested && p.consecutiveDenials > 1
 		if !ok || from.Before(soonest) {
 			soonest, ok = from, true
 		}
@@ -156,33 +157,33 @@
 		ahead++
 	}
 	if ok && ahead > 0 {
-		wait += time.Duration(float64(ahead*max(len(d.owners.gateways), 1)) / max(perSecond, minPerSecond) * float64(time.Second))
+		wait += time.Duration(float64(ahead*max(len(d.owners.gateways), 1)) / max(perSecond, minRate) * float64(time.Second))
 	}
 	return wait, ok
 }
 
-// minPerSecond is the rate assumed at least, in requests per second, so that the estimate stays
-// finite.
-const minPerSecond = 0.1
+// minRate is the lower bound of the rate used in the estimate, in requests per second. It keeps the
+// estimate finite.
+const minRate = 0.1
 
-// refuseHopeless refuses the waiting requests that only servers with rate limits could take and
+// refuseUnservable refuses the waiting requests that only servers with rate limits could take and
 // that none of these can take in time. d.mu must be held.
-func (d *Dispatcher) refuseHopeless(now time.Time) {
-	if !d.hasLimits() {
+func (d *Dispatcher) refuseUnservable(now time.Time) {
+	if !d.hasRateLimits() {
 		return
 	}
 	ahead := make(map[string]int)
-	for _, w := range d.waiting.list {
-		target := w.req.target()
-		if wait, ok := d.limitedWait(w.req, ahead[target], now); ok && now.Add(wait).After(w.req.WaitUntil) {
+	for _, w := range d.queue.list {
+		target := w.req.targetKey()
+		if wait, ok := d.estimatePermitWait(w.req, ahead[target], now); ok && now.Add(wait).After(w.req.WaitUntil) {
 			w.refused = &LimitedError{RetryAfter: wait}
-			d.demand.of(w.req).Waiting--
+			d.demand.get(w.req).Waiting--
 			close(w.ready)
 			continue
 		}
 		ahead[target]++
 	}
-	d.waiting.removeRefused()
+	d.queue.removeRefused()
 }
 
 // countAhead returns the number of waiting requests for the same model or adapter that are ahead of
@@ -190,21 +191,21 @@
 func (q *waitQueue) countAhead(r *Request) int {
 	n := 0
 	for _, w := range q.list {
-		if w.req.target() == r.target() && (r.sequence == 0 && w.req.Priority <= r.Priority || r.sequence != 0 && w.req.before(r)) {
+		if w.req.targetKey() == r.targetKey() && (r.sequence == 0 && w.req.Priority <= r.Priority || r.sequence != 0 && w.req.isAheadOf(r)) {
 			n++
 		}
 	}
 	return n
 }
 
-// couldLoadAdapter reports whether a server holds the request's model and only lacks its adapter,
+// canLoadAdapter reports whether a server holds the request's model and only lacks its adapter,
 // which is then loaded because the request waits for it.
-func (d *Dispatcher) couldLoadAdapter(r *Request, s *backend.Server) bool {
-	return r.Adapter != "" && !s.Leaving && !r.excludes(s.ID) && s.Holds(r.Model, "")
+func (d *Dispatcher) canLoadAdapter(r *Request, s *backend.Server) bool {
+	return r.Adapter != "" && !s.Leaving && !r.isExcluded(s.ID) && s.Holds(r.Model, "")
 }
 
-// couldTake reports whether a server holds what the request needs, is not draining and is not
+// isEligible reports whether a server holds what the request needs, is not draining and is not
 // excluded.
-func (d *Dispatcher) couldTake(r *Request, s *backend.Server) bool {
-	return !s.Leaving && !r.excludes(s.ID) && (r.Model == "" || s.Holds(r.Model, r.Adapter))
+func (d *Dispatcher) isEligible(r *Request, s *backend.Server) bool {
+	return !s.Leaving && !r.isExcluded(s.ID) && (r.Model == "" || s.Holds(r.Model, r.Adapter))
 }
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -20,10 +20,10 @@
 type testPermits struct {
 	mu     sync.Mutex
 	limits map[string]float64
-	// waits holds the next results of Take by server; 0 grants a permit.
-	waits map[string][]time.Duration
-	taken map[string]int
-	back  int
+	// results holds the next results of Take by server; 0 grants a permit.
+	results  map[string][]time.Duration
+	taken    map[string]int
+	returned int
 }
 
 func (p *testPermits) Any() bool { return len(p.limits) > 0 }
@@ -36,11 +36,11 @@
 func (p *testPermits) Take(_ context.Context, server string) (bool, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waits := p.waits[server]
+	waits := p.results[server]
 	if len(waits) == 0 {
 		return false, time.Second
 	}
-	p.waits[server] = waits[1:]
+	p.results[server] = waits[1:]
 	if waits[0] > 0 {
 		return false, waits[0]
 	}
@@ -48,10 +48,10 @@
 	return true, 0
 }
 
-func (p *testPermits) GiveBack(string) { p.back++ }
+func (p *testPermits) GiveBack(string) { p.returned++ }
 
-// granting returns n results of Take that grant a permit.
-func granting(n int) []time.Duration { return make([]time.Duration, n) }
+// grantResults returns n results of Take that grant a permit.
+func grantResults(n int) []time.Duration { return make([]time.Duration, n) }
 
 // limitedDispatcher returns a Dispatcher that requests permits from p.
 func limitedDispatcher(c clock.Service, p dispatch.Permits, owners dispatch.Owners, servers ...backend.Server) *dispatch.Dispatcher {
@@ -61,7 +61,7 @@
 			if name != service {
 				return 0
 			}
-			return memory
+			return cacheTokens
 		},
 	})
 	d.SetServers(snapshot(servers...))
@@ -79,19 +79,19 @@
 		want []string
 	}{
 		"one without a limit when no more are granted": {
-			limits: map[string]float64{"a": 1}, waits: map[string][]time.Duration{"a": granting(1)}, want: []string{"a", "b", "b", "b"},
+			limits: map[string]float64{"a": 1}, waits: map[string][]time.Duration{"a": grantResults(1)}, want: []string{"a", "b", "b", "b"},
 		},
 		"one that denies is not asked again soon": {
 			limits: map[string]float64{"a": 1}, waits: map[string][]time.Duration{"a": {time.Second, 0, 0}}, want: []string{"b", "b", "b"},
 		},
 		"both have limits": {
-			limits: map[string]float64{"a": 1, "b": 1}, waits: map[string][]time.Duration{"a": granting(1), "b": granting(1)},
+			limits: map[string]float64{"a": 1, "b": 1}, waits: map[string][]time.Duration{"a": grantResults(1), "b": grantResults(1)},
 			want: []string{"a", "b", "", ""},
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			permits := &testPermits{limits: test.limits, waits: test.waits, taken: make(map[string]int)}
+			permits := &testPermits{limits: test.limits, results: test.waits, taken: make(map[string]int)}
 			d := limitedDispatcher(clocktest.New(time.Unix(0, 0)), permits, nil,
 				backend.Server{ID: "a", Service: "app", Hall: "h"}, backend.Server{ID: "b", Service: "app", Hall: "h"})
 			for i, want := range test.want {
@@ -110,27 +110,27 @@
 	}
 }
 
-// TestHopelessRequests checks requests for a model whose only engine has a rate limit: those that
-// can be granted a permit in time wait in order of priority, and the others are refused immediately
-// with a RetryAfter.
-func TestHopelessRequests(t *testing.T) {
+// TestRequestsThatNoServerCanTakeInTime checks requests for a model whose only engine has a rate
+// limit: those that can be granted a permit in time wait in order of priority, and the others are
+// refused immediately with a RetryAfter.
+func TestRequestsThatNoServerCanTakeInTime(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	permits := &testPermits{
 		limits: map[string]float64{"a": 2}, taken: make(map[string]int),
-		waits: map[string][]time.Duration{"a": {500 * time.Millisecond, 0, 500 * time.Millisecond, 0}},
+		results: map[string][]time.Duration{"a": {500 * time.Millisecond, 0, 500 * time.Millisecond, 0}},
 	}
 	d := limitedDispatcher(c, permits, nil, engine("a"))
-	patient, urgent := request(c), request(c)
-	patient.WaitUntil = c.Now().Add(1200 * time.Millisecond)
+	relaxed, urgent := request(c), request(c)
+	relaxed.WaitUntil = c.Now().Add(1200 * time.Millisecond)
 	urgent.WaitUntil, urgent.Priority = c.Now().Add(900*time.Millisecond), 1
-	first := acquire(d, patient)
+	first := acquire(d, relaxed)
 	poll.WaitOn(t, waiting(d, 1))
 	second := acquire(d, urgent)
 	poll.WaitOn(t, waiting(d, 2))
 
-	hopeless := request(c)
-	hopeless.WaitUntil = c.Now().Add(600 * time.Millisecond)
-	_, err := d.Acquire(t.Context(), hopeless)
+	tooLate := request(c)
+	tooLate.WaitUntil = c.Now().Add(600 * time.Millisecond)
+	_, err := d.Acquire(t.Context(), tooLate)
 	var limited *dispatch.LimitedError
 	assert.Assert(t, errors.As(err, &limited), "%v", err)
 	assert.Equal(t, limited.RetryAfter, 1500*time.Millisecond, "two wait before it at two a second")
@@ -144,13 +144,13 @@
 	assert.Equal(t, res.Server().ID, "a")
 }
 
-// TestWaitEndsWhenItIsHopeless checks that a waiting request is refused when its only engine can no
-// longer take it in time.
-func TestWaitEndsWhenItIsHopeless(t *testing.T) {
+// TestWaitEndsWhenPermitsComeTooLate checks that a waiting request is refused when its only engine
+// can no longer take it in time.
+func TestWaitEndsWhenPermitsComeTooLate(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	permits := &testPermits{
 		limits: map[string]float64{"a": 2}, taken: make(map[string]int),
-		waits: map[string][]time.Duration{"a": {500 * time.Millisecond, 4 * time.Second}},
+		results: map[string][]time.Duration{"a": {500 * time.Millisecond, 4 * time.Second}},
 	}
 	d := limitedDispatcher(c, permits, nil, engine("a"))
 	r := request(c)
@@ -171,7 +171,7 @@
 func TestLimitEnds(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	permits := &testPermits{
-		limits: map[string]float64{"a": 0.5}, taken: make(map[string]int), waits: map[string][]time.Duration{"a": {2 * time.Second}},
+		limits: map[string]float64{"a": 0.5}, taken: make(map[string]int), results: map[string][]time.Duration{"a": {2 * time.Second}},
 	}
 	d := limitedDispatcher(c, permits, nil, engine("a"))
 	waits := acquire(d, request(c))
@@ -192,7 +192,7 @@
 func TestPermitIsGivenBack(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	permits := &testPermits{
-		limits: map[string]float64{"a": 2}, taken: make(map[string]int), waits: map[string][]time.Duration{"a": granting(1)},
+		limits: map[string]float64{"a": 2}, taken: make(map[string]int), results: map[string][]time.Duration{"a": grantResults(1)},
 	}
 	d := limitedDispatcher(c, permits, denyingOwners{}, engine("a"))
 	d.SetGateways([]dispatch.Gateway{{ID: "other", Hall: "h"}})
@@ -201,7 +201,7 @@
 	_, err := d.Acquire(t.Context(), r)
 	assert.Assert(t, err != nil)
 	assert.Equal(t, permits.taken["a"], 1)
-	assert.Equal(t, permits.back, 1)
+	assert.Equal(t, permits.returned, 1)
 }
 
 // TestWaitForAnAdapter checks requests for an adapter whose only engine grants no permits: they
@@ -220,7 +220,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := clocktest.New(time.Unix(0, 0))
 			permits := &testPermits{limits: map[string]float64{"a": 0}, taken: make(map[string]int)}
-			permits.waits = map[string][]time.Duration{"a": {time.Hour}}
+			permits.results = map[string][]time.Duration{"a": {time.Hour}}
 			a, b := engine("a"), engine("b")
 			a.Residents = []backend.Resident{{Model: model, Adapters: []string{"a1"}}}
 			b.Residents, b.Leaving = []backend.Resident{{Model: test.otherHolds}}, test.otherLeaving
--- a/dispatch/prefill_queue.go
+++ b/dispatch/prefill_queue.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// A span is the interval in which an engine is expected to prefill one prompt.
-type span struct{ from, to time.Time }
+// A prefillSpan is the interval in which an engine is expected to prefill one prompt.
+type prefillSpan struct{ from, to time.Time }
 
 // A prefillQueue holds the prompts that an engine is expected to prefill, one after the other.
 //
 // Its zero value is empty.
 type prefillQueue struct {
-	spans []span
+	spans []prefillSpan
 }
 
-// spanMemory is how long finished spans are kept, since they count towards the gap in which they
+// spanRetention is how long finished spans are kept, since they count towards the gap in which they
 // fall. It must exceed the longest gap that a route allows.
-const spanMemory = 2 * time.Second
+const spanRetention = 2 * time.Second
 
 // end returns when the engine is expected to have prefilled all prompts.
 func (q *prefillQueue) end(now time.Time) time.Time {
@@ -25,21 +25,21 @@
 }
 
 // add appends a prompt and returns when the engine is expected to have prefilled it. It drops spans
-// older than spanMemory.
+// older than spanRetention.
 func (q *prefillQueue) add(prefill time.Duration, now time.Time) time.Time {
 	first := 0
-	for first < len(q.spans) && now.Sub(q.spans[first].to) > spanMemory {
+	for first < len(q.spans) && now.Sub(q.spans[first].to) > spanRetention {
 		first++
 	}
 	q.spans = append(q.spans[:0], q.spans[first:]...)
 	from := q.end(now)
-	q.spans = append(q.spans, span{from: from, to: from.Add(prefill)})
+	q.spans = append(q.spans, prefillSpan{from: from, to: from.Add(prefill)})
 	return from.Add(prefill)
 }
 
-// finish corrects the queue when the prompt expected to be prefilled at one time was prefilled at
-// another. Later spans shift by the difference.
-func (q *prefillQueue) finish(expected, actual time.Time) {
+// correct adjusts the queue when the prompt that was expected to be prefilled at one time was
+// prefilled at another. Later spans shift by the difference.
+func (q *prefillQueue) correct(expected, actual time.Time) {
 	shift := actual.Sub(expected)
 	for i := range q.spans {
 		s := &q.spans[i]
@@ -48,12 +48,12 @@
 			s.from, s.to = s.from.Add(shift), s.to.Add(shift)
 		case s.to.After(actual) || s.to.Equal(expected):
 			s.to = actual
-			s.from = earlier(s.from, actual)
+			s.from = earlierOf(s.from, actual)
 		}
 	}
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
@@ -76,12 +76,12 @@
 }
 
 // nextStart returns how long to wait until a prompt can be appended such that prefill within any
-// window stays within the limit. The result is at least minGrantRetry and at most window.
+// window stays within the limit. The result is at least minAdmissionRetry and at most window.
 func (q *prefillQueue) nextStart(prefill, limit, window time.Duration, now time.Time) time.Duration {
-	for wait := time.Duration(0); wait < window; wait += minGrantRetry {
+	for wait := time.Duration(0); wait < window; wait += minAdmissionRetry {
 		busy := q.busyWithin(prefill, window, now.Add(wait))
 		if busy == 0 || busy+prefill <= limit {
-			return max(wait, minGrantRetry)
+			return max(wait, minAdmissionRetry)
 		}
 	}
 	return window
--- a/dispatch/prefill_queue_test.go
+++ b/dispatch/prefill_queue_test.go
@@ -30,11 +30,11 @@
 		t.Run(name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
 			at := func(n int) time.Time { return start.Add(ms(n)) }
-			var l prefillQueue
+			var q prefillQueue
 			for _, p := range test.line {
-				l.add(ms(p.read), at(p.at))
+				q.add(ms(p.read), at(p.at))
 			}
-			assert.Equal(t, l.busyWithin(ms(test.read), window, at(test.at)), ms(test.busy))
+			assert.Equal(t, q.busyWithin(ms(test.read), window, at(test.at)), ms(test.busy))
 		})
 	}
 }
@@ -46,29 +46,29 @@
 func TestPrefillQueueKeepsGaps(t *testing.T) {
 	const window, limit = 300 * time.Millisecond, 200 * time.Millisecond
 	now := time.Unix(1000, 0)
-	var l prefillQueue
-	var all []span
+	var q prefillQueue
+	var all []prefillSpan
 	for i := range 40 {
-		read := ms(20 + i*37%120)
-		if busy := l.busyWithin(read, window, now); busy > 0 && busy+read > limit {
-			wait := l.nextStart(read, limit, window, now)
+		prefill := ms(20 + i*37%120)
+		if busy := q.busyWithin(prefill, window, now); busy > 0 && busy+prefill > limit {
+			wait := q.nextStart(prefill, limit, window, now)
 			assert.Assert(t, wait > 0 && wait <= window)
 			now = now.Add(wait)
 		}
-		l.add(read, now)
-		all = append(all, l.spans[len(l.spans)-1])
+		q.add(prefill, now)
+		all = append(all, q.spans[len(q.spans)-1])
 	}
 	for _, last := range all {
 		sum := time.Duration(0)
 		for _, s := range all {
-			from, to := later(s.from, last.to.Add(-window)), earlier(s.to, last.to)
+			from, to := laterOf(s.from, last.to.Add(-window)), earlierOf(s.to, last.to)
 			sum += max(to.Sub(from), 0)
 		}
 		assert.Assert(t, sum <= limit, "%v read in %v", sum, window)
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -88,12 +88,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
-			var l prefillQueue
-			first := l.add(ms(100), start)
-			l.add(ms(100), start)
-			l.finish(first, start.Add(ms(test.took)))
-			assert.Equal(t, l.end(start).Sub(start), ms(test.end))
-			assert.Equal(t, l.busyWithin(0, time.Second, start), ms(test.took+100))
+			var q prefillQueue
+			first := q.add(ms(100), start)
+			q.add(ms(100), start)
+			q.correct(first, start.Add(ms(test.took)))
+			assert.Equal(t, q.end(start).Sub(start), ms(test.end))
+			assert.Equal(t, q.busyWithin(0, time.Second, start), ms(test.took+100))
 		})
 	}
 }
--- a/dispatch/prefill_speed.go
+++ b/dispatch/prefill_speed.go
@@ -9,12 +9,12 @@
 	// speedQuantile is the quantile of the samples that the estimate follows. It is low because
 	// most samples include time spent waiting for other prompts.
 	speedQuantile = 0.25
-	// speedStep is the relative step by which a sample moves the estimate.
-	speedStep = 0.1
+	// speedStepSize is the relative step by which a sample moves the estimate.
+	speedStepSize = 0.1
 	// minSampleTokens is the minimum length of a prefill, in tokens, that is used as a sample.
 	minSampleTokens = 300
-	// firstStepTime is the part of the time to first byte that is not prefill: one decoding step.
-	firstStepTime Milliseconds = 12.0
+	// firstDecodeTime is the part of the time to first byte that is not prefill: one decoding step.
+	firstDecodeTime Milliseconds = 12.0
 	// minSpeed is the lower bound of the estimate, in milliseconds per token.
 	minSpeed = 0.002
 )
@@ -33,7 +33,7 @@
 	if tokens < minSampleTokens {
 		return PrefillSample{}, false
 	}
-	return PrefillSample{Model: model, MsPerToken: float64(max(firstByte-firstStepTime, 0)) / float64(tokens)}, true
+	return PrefillSample{Model: model, MsPerToken: float64(max(firstByte-firstDecodeTime, 0)) / float64(tokens)}, true
 }
 
 // PrefillSpeeds estimates the prefill speed of each model, in milliseconds per prompt token.
@@ -72,9 +72,9 @@
 func (s *PrefillSpeeds) Observe(x PrefillSample) {
 	v := s.Of(x.Model)
 	if x.MsPerToken < v {
-		v *= 1 - speedStep*(1-speedQuantile)
+		v *= 1 - speedStepSize*(1-speedQuantile)
 	} else {
-		v *= 1 + speedStep*speedQuantile
+		v *= 1 + speedStepSize*speedQuantile
 	}
 	s.Set(x.Model, v)
 }
--- a/dispatch/prefill_speed_test.go
+++ b/dispatch/prefill_speed_test.go
@@ -30,7 +30,7 @@
 	d.SetPrefillSpeeds(map[string]float64{model: fast})
 	r := request(c)
 	r.PromptTokens = 1000
-	res, err := d.Acquire(now(), r)
+	res, err := d.Acquire(canceledContext(), r)
 	assert.NilError(t, err)
 	c.Advance(time.Second)
 	res.FirstByte()
--- a/dispatch/prefix_cache.go
+++ b/dispatch/prefix_cache.go
@@ -16,8 +16,8 @@
 //
 // Its zero value is empty.
 type prefixCache struct {
-	order *list.List
-	index map[string]*list.Element
+	lru   *list.List
+	byKey map[string]*list.Element
 }
 
 func blockKey(target string, b PrefixBlock) string { return target + "\x00" + b.ID }
@@ -26,7 +26,7 @@
 func (c *prefixCache) cachedTokens(target string, blocks []PrefixBlock) int {
 	tokens := 0
 	for _, b := range blocks {
-		if _, ok := c.index[blockKey(target, b)]; !ok {
+		if _, ok := c.byKey[blockKey(target, b)]; !ok {
 			break
 		}
 		tokens += b.Tokens
@@ -37,21 +37,21 @@
 // touch marks the blocks as the most recently used ones and evicts the least recently used beyond
 // maxCachedBlocks.
 func (c *prefixCache) touch(target string, blocks []PrefixBlock) {
-	if c.index == nil {
-		c.index = make(map[string]*list.Element)
-		c.order = list.New()
+	if c.byKey == nil {
+		c.byKey = make(map[string]*list.Element)
+		c.lru = list.New()
 	}
 	for _, b := range blocks {
 		key := blockKey(target, b)
-		if e, ok := c.index[key]; ok {
-			c.order.MoveToFront(e)
+		if e, ok := c.byKey[key]; ok {
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.index[key] = c.order.PushFront(key)
+		c.byKey[key] = c.lru.PushFront(key)
 	}
-	for c.order.Len() > maxCachedBlocks {
-		last := c.order.Back()
-		delete(c.index, last.Value.(string))
-		c.order.Remove(last)
+	for c.lru.Len() > maxCachedBlocks {
+		last := c.lru.Back()
+		delete(c.byKey, last.Value.(string))
+		c.lru.Remove(last)
 	}
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -53,18 +53,18 @@
 	return r.admittedLate || !r.SendBy.IsZero() && !now.Before(r.SendBy)
 }
 
-func (r *Request) excludes(server string) bool { return slices.Contains(r.Exclude, server) }
+func (r *Request) isExcluded(server string) bool { return slices.Contains(r.Exclude, server) }
 
-// target returns the key of the model or adapter: MODEL or MODEL/ADAPTER.
-func (r *Request) target() string {
+// targetKey returns the key of the model or adapter: MODEL or MODEL/ADAPTER.
+func (r *Request) targetKey() string {
 	if r.Adapter == "" {
 		return r.Model
 	}
 	return r.Model + "/" + r.Adapter
 }
 
-// before reports whether r is ahead of o in the wait queue.
-func (r *Request) before(o *Request) bool {
+// isAheadOf reports whether r is ahead of o in the wait queue.
+func (r *Request) isAheadOf(o *Request) bool {
 	if r.Priority != o.Priority {
 		return r.Priority < o.Priority
 	}
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -18,51 +18,51 @@
 	prefillTokens int
 	prefillMs     int
 	usedTokens    int
-	sent          time.Time
+	sentAt        time.Time
 	// prefillEnd is when an owned engine is expected to have prefilled the prompt; zero for other
 	// engines.
 	prefillEnd time.Time
-	choice     Candidate
-	// candidates is the number of servers that were considered.
-	candidates int
+	candidate  Candidate
+	// candidateCount is the number of servers that were considered.
+	candidateCount int
 	// owner is the gateway that has to admit the request; empty if none has to.
 	owner string
-	// asksPermit means that a permit is being requested, hasPermit that it was granted.
-	asksPermit, hasPermit bool
-	// answering means that the first byte has arrived, over that the capacity was released.
-	answering, over bool
+	// permitPending means that a permit is being requested, hasPermit that it was granted.
+	permitPending, hasPermit bool
+	// firstByteSeen means that the first byte has arrived, released that the capacity was released.
+	firstByteSeen, released bool
 }
 
 // reserve reserves capacity of a server. d.mu must be held.
 func (d *Dispatcher) reserve(r *Request, s *backend.Server, c Candidate) *Reservation {
-	l := d.load(s.ID)
+	l := d.loadOf(s.ID)
 	res := &Reservation{
-		d: d, req: r, server: s, load: l, choice: c, sent: d.opts.Clock.Now(),
+		d: d, req: r, server: s, load: l, candidate: c, sentAt: d.opts.Clock.Now(),
 		prefillTokens: c.PrefillTokens, prefillMs: int(c.Prefill + 0.5), usedTokens: c.NeedTokens,
 	}
 	if c.NeedsGrant {
-		res.owner = d.owners.of(s)
+		res.owner = d.owners.ownerOf(s)
 	}
 	if r.Model == "" {
 		res.usedTokens = 0
 	}
-	if _, limited := d.limitOf(s.ID); limited {
-		res.asksPermit = true
-		l.permits.asked++
+	if _, limited := d.rateLimitOf(s.ID); limited {
+		res.permitPending = true
+		l.permits.pending++
 	}
 	l.Running++
 	l.PrefillMs += res.prefillMs
 	l.UsedTokens += res.usedTokens
-	l.awaiting = append(l.awaiting, res)
+	l.awaitingFirstByte = append(l.awaitingFirstByte, res)
 	if c.Owned {
-		res.prefillEnd = l.prefill.add(c.Prefill.Duration(), res.sent)
+		res.prefillEnd = l.prefill.add(c.Prefill.Duration(), res.sentAt)
 	}
 	if r.Model == "" {
 		return res
 	}
-	d.demand.of(r).Running++
+	d.demand.get(r).Running++
 	if res.owner == "" {
-		l.prefixes.touch(r.target(), r.Prefix)
+		l.prefixes.touch(r.targetKey(), r.Prefix)
 	}
 	return res
 }
@@ -71,32 +71,32 @@
 func (r *Reservation) Server() *backend.Server { return r.server }
 
 // Choice returns the candidate that was chosen and the number of candidates that were considered.
-func (r *Reservation) Choice() (c Candidate, among int) { return r.choice, r.candidates }
+func (r *Reservation) Choice() (c Candidate, candidates int) { return r.candidate, r.candidateCount }
 
 // FirstByte records that the response has begun.
 func (r *Reservation) FirstByte() {
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
 	now := r.d.opts.Clock.Now()
-	r.load.lastAnswer = now
-	if r.answering || r.over {
+	r.load.lastResponse = now
+	if r.firstByteSeen || r.released {
 		return
 	}
-	r.endPrefill()
+	r.removePendingPrefill()
 	if !r.prefillEnd.IsZero() {
-		r.load.prefill.finish(r.prefillEnd, now.Add(-firstStepTime.Duration()))
+		r.load.prefill.correct(r.prefillEnd, now.Add(-firstDecodeTime.Duration()))
 	}
-	if x, ok := newPrefillSample(r.req.Model, r.prefillTokens, InMilliseconds(now.Sub(r.sent))); ok {
-		r.d.speeds.note(x)
+	if x, ok := newPrefillSample(r.req.Model, r.prefillTokens, InMilliseconds(now.Sub(r.sentAt))); ok {
+		r.d.speeds.addSample(x)
 	}
-	r.d.serve()
+	r.d.serveWaiting()
 }
 
-// endPrefill removes the prompt from the server's pending prefill. d.mu must be held.
-func (r *Reservation) endPrefill() {
-	r.answering = true
+// removePendingPrefill removes the prompt from the server's pending prefill. d.mu must be held.
+func (r *Reservation) removePendingPrefill() {
+	r.firstByteSeen = true
 	r.load.PrefillMs -= r.prefillMs
-	r.load.awaiting = slices.DeleteFunc(r.load.awaiting, func(x *Reservation) bool { return x == r })
+	r.load.awaitingFirstByte = slices.DeleteFunc(r.load.awaitingFirstByte, func(x *Reservation) bool { return x == r })
 }
 
 // A SendResult is the outcome of an attempt.
@@ -122,36 +122,36 @@
 func (r *Reservation) Done(result SendResult) {
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
-	if r.over {
+	if r.released {
 		return
 	}
 	now := r.d.opts.Clock.Now()
 	switch result {
 	case Answered:
 		r.load.failures.observe(0, now)
-		r.load.lastAnswer = now
+		r.load.lastResponse = now
 	case Failed:
 		r.load.failures.observe(1, now)
 	case Misdirected:
-		r.load.noteLack(r.req.target(), now)
+		r.load.markNotResident(r.req.targetKey(), now)
 	}
 	r.release()
-	r.d.serve()
+	r.d.serveWaiting()
 }
 
 // release releases the capacity. d.mu must be held.
 func (r *Reservation) release() {
-	if r.over {
+	if r.released {
 		return
 	}
-	r.over = true
-	r.endAsking()
-	if !r.answering {
-		r.endPrefill()
+	r.released = true
+	r.endPermitRequest()
+	if !r.firstByteSeen {
+		r.removePendingPrefill()
 	}
 	r.load.Running--
 	r.load.UsedTokens -= r.usedTokens
 	if r.req.Model != "" {
-		r.d.demand.of(r.req).Running--
+		r.d.demand.get(r.req).Running--
 	}
 }
--- a/dispatch/shed.go
+++ b/dispatch/shed.go
@@ -12,9 +12,9 @@
 	// shedMargin is how far the success rate of a priority must exceed that of a higher priority
 	// before it is shed.
 	shedMargin = 0.1
-	// minShedWeight is the decayed number of results that a priority needs for its success rate to
-	// be compared.
-	minShedWeight = 4
+	// minResultWeight is the decayed number of results that a priority needs for its success rate
+	// to be compared.
+	minResultWeight = 4
 )
 
 // A shedder decides, for one service under load, whether requests of a priority are refused instead
@@ -33,7 +33,7 @@
 type successRate struct {
 	// weight is the decayed number of results and sum their decayed sum, both as of when.
 	weight, sum float64
-	when        time.Time
+	updatedAt   time.Time
 }
 
 // value returns the average result, 0 to 1, and the decayed number of results. Without results the
@@ -42,10 +42,10 @@
 	if r.weight == 0 {
 		return 1, 0
 	}
-	return r.sum / r.weight, r.weight * decay(now.Sub(r.when))
+	return r.sum / r.weight, r.weight * decayFactor(now.Sub(r.updatedAt))
 }
 
-func decay(d time.Duration) float64 { return math.Exp2(-float64(d) / float64(successHalfLife)) }
+func decayFactor(d time.Duration) float64 { return math.Exp2(-float64(d) / float64(successHalfLife)) }
 
 // observe records a result, from 0 (not served) to 1 (served in time).
 func (s *shedder) observe(priority int, result float64, now time.Time) {
@@ -57,25 +57,25 @@
 		rate = &successRate{}
 		s.byPriority[priority] = rate
 	}
-	left := decay(now.Sub(rate.when))
-	rate.weight = rate.weight*left + 1
-	rate.sum = rate.sum*left + result
-	rate.when = now
+	factor := decayFactor(now.Sub(rate.updatedAt))
+	rate.weight = rate.weight*factor + 1
+	rate.sum = rate.sum*factor + result
+	rate.updatedAt = now
 }
 
-// sheds reports whether requests of a priority are to be shed.
-func (s *shedder) sheds(priority int, now time.Time) bool {
+// shouldShed reports whether requests of a priority are to be shed.
+func (s *shedder) shouldShed(priority int, now time.Time) bool {
 	rate, ok := s.byPriority[priority]
 	if !ok {
 		return false
 	}
-	own, _ := rate.value(now)
+	ownRate, _ := rate.value(now)
 	for p, other := range s.byPriority {
 		if p >= priority {
 			continue
 		}
-		urgent, weight := other.value(now)
-		if weight >= minShedWeight && own > urgent+shedMargin {
+		higherRate, weight := other.value(now)
+		if weight >= minResultWeight && ownRate > higherRate+shedMargin {
 			return true
 		}
 	}
@@ -95,18 +95,18 @@
 	s.observe(r.Priority, result, d.opts.Clock.Now())
 }
 
-// sheds reports whether a request that would have to wait is refused in favour of waiting requests
-// with higher priority. A request that may have run is never shed. d.mu must be held.
-func (d *Dispatcher) sheds(r *Request) bool {
+// shouldShed reports whether a request that would have to wait is refused in favour of waiting
+// requests with higher priority. A request that may have run is never shed. d.mu must be held.
+func (d *Dispatcher) shouldShed(r *Request) bool {
 	s := d.shedders[r.Service]
-	return s != nil && !r.MayHaveRun && d.moreUrgentWaits(r) && s.sheds(r.Priority, d.opts.Clock.Now())
+	return s != nil && !r.MayHaveRun && d.higherPriorityWaits(r) && s.shouldShed(r.Priority, d.opts.Clock.Now())
 }
 
-// moreUrgentWaits reports whether a request with higher priority waits for capacity of the same
+// higherPriorityWaits reports whether a request with higher priority waits for capacity of the same
 // service. A request whose model no server holds does not count, since it waits for the model to be
 // loaded.
-func (d *Dispatcher) moreUrgentWaits(r *Request) bool {
-	for _, w := range d.waiting.list {
+func (d *Dispatcher) higherPriorityWaits(r *Request) bool {
+	for _, w := range d.queue.list {
 		if w.req.Priority >= r.Priority {
 			return false
 		}
--- a/dispatch/shed_test.go
+++ b/dispatch/shed_test.go
@@ -41,15 +41,15 @@
 					s.observe(o.priority, o.result, now)
 				}
 			}
-			assert.Equal(t, s.sheds(2, now.Add(test.after)), test.want)
+			assert.Equal(t, s.shouldShed(2, now.Add(test.after)), test.want)
 		})
 	}
 }
 
-// TestLessUrgentAreShed checks that a request that a full engine cannot take is shed only if a
+// TestLowerPriorityIsShed checks that a request that a full engine cannot take is shed only if a
 // higher-priority request with a lower success rate waits for the engine and the request has not
 // run anywhere.
-func TestLessUrgentAreShed(t *testing.T) {
+func TestLowerPriorityIsShed(t *testing.T) {
 	tests := map[string]struct {
 		urgentWaits, begun bool
 		// model is the model of the waiting higher-priority request.
--- a/dispatch/speed_book.go
+++ b/dispatch/speed_book.go
@@ -1,32 +1,32 @@
 package dispatch
 
-// maxSamples is the maximum number of samples kept between two calls of TakePrefillSamples. Further
-// samples are dropped.
-const maxSamples = 128
+// maxPendingSamples is the maximum number of samples kept between two calls of TakePrefillSamples.
+// Further samples are dropped.
+const maxPendingSamples = 128
 
-// A speedBook holds the prefill speeds that this gateway uses: for each model the speed estimated
-// from all gateways' samples, or else from its own.
-type speedBook struct {
+// speedEstimates holds the prefill speeds that this gateway uses: for each model the speed
+// estimated from all gateways' samples, or else the one estimated from its own.
+type speedEstimates struct {
 	PrefillSpeeds
 	// shared contains the models whose speeds were estimated from all gateways' samples.
 	shared map[string]bool
-	// samples holds this gateway's samples since the last call of TakePrefillSamples.
-	samples []PrefillSample
+	// pendingSamples holds this gateway's samples since the last call of TakePrefillSamples.
+	pendingSamples []PrefillSample
 }
 
-// note records a sample of this gateway. It updates the model's speed only if no shared one is
+// addSample records a sample of this gateway. It updates the model's speed only if no shared one is
 // known.
-func (b *speedBook) note(x PrefillSample) {
-	if len(b.samples) < maxSamples {
-		b.samples = append(b.samples, x)
+func (b *speedEstimates) addSample(x PrefillSample) {
+	if len(b.pendingSamples) < maxPendingSamples {
+		b.pendingSamples = append(b.pendingSamples, x)
 	}
 	if !b.shared[x.Model] {
 		b.Observe(x)
 	}
 }
 
-// share sets speeds that were estimated from all gateways' samples.
-func (b *speedBook) share(speeds map[string]float64) {
+// setShared sets speeds that were estimated from all gateways' samples.
+func (b *speedEstimates) setShared(speeds map[string]float64) {
 	if b.shared == nil {
 		b.shared = make(map[string]bool)
 	}
@@ -41,8 +41,8 @@
 func (d *Dispatcher) TakePrefillSamples() []PrefillSample {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	samples := d.speeds.samples
-	d.speeds.samples = nil
+	samples := d.speeds.pendingSamples
+	d.speeds.pendingSamples = nil
 	return samples
 }
 
@@ -54,7 +54,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.speeds.share(speeds)
+	d.speeds.setShared(speeds)
 }
 
 // PrefillSpeeds returns the prefill speeds that this gateway uses, by model, in milliseconds per
--- a/fairqueue/doc.go
+++ b/fairqueue/doc.go
@@ -1,8 +1,8 @@
 // Package fairqueue schedules the requests of one backend server: it decides which waiting request
 // runs next and which is refused.
 //
-// Rows of the operators' table share the server in proportion to their weights, measured in tokens, as
-// in the Virtual Token Counter scheduler (Sheng et al., "Fairness in Serving Large Language
+// Rows of the operators' table share the server in proportion to their weights, measured in tokens,
+// as in the Virtual Token Counter scheduler (Sheng et al., "Fairness in Serving Large Language
 // Models", OSDI 2024). Each row has a counter of the tokens served divided by its weight, and the
 // row with the lowest counter runs next. A row's concurrency limit and queue time apply in
 // addition. A request whose estimated wait exceeds its queue time is refused on arrival.
--- a/fairqueue/fairqueue.go
+++ b/fairqueue/fairqueue.go
@@ -27,8 +27,9 @@
 	defaultMaxWaiting = 1024
 	// defaultDuration is the initial estimate of a request's duration.
 	defaultDuration = 500 * time.Millisecond
-	// durationGain is the weight of the latest request in the moving average of durations, 0 to 1.
-	durationGain = 0.2
+	// durationSmoothing is the weight of the latest request in the moving average of durations, 0
+	// to 1.
+	durationSmoothing = 0.2
 	// minRetryAfter is the lower bound of Refusal.RetryAfter.
 	minRetryAfter = 100 * time.Millisecond
 )
@@ -99,22 +100,22 @@
 type rowState struct {
 	waiting []*Ticket
 	running int
-	// served is the virtual token counter: tokens served divided by weight.
-	served float64
-	weight int
+	// counter is the virtual token counter: tokens served divided by weight.
+	counter float64
+	weight  int
 }
 
-func (r *rowState) idle() bool { return len(r.waiting) == 0 && r.running == 0 }
+func (r *rowState) isIdle() bool { return len(r.waiting) == 0 && r.running == 0 }
 
 // A Queue holds the waiting and running requests of one backend server. It is not safe for
 // concurrent use.
 type Queue struct {
-	slots      Slots
-	maxWaiting int
-	rows       map[string]*rowState
-	waiting    int
-	running    int
-	duration   time.Duration
+	slots        Slots
+	maxWaiting   int
+	rows         map[string]*rowState
+	waiting      int
+	running      int
+	meanDuration time.Duration
 }
 
 // Options configures a Queue.
@@ -128,7 +129,7 @@
 func New(s Slots, o Options) *Queue {
 	q := &Queue{slots: s, maxWaiting: o.MaxWaiting}
 	q.rows = make(map[string]*rowState)
-	q.duration = defaultDuration
+	q.meanDuration = defaultDuration
 	if q.maxWaiting <= 0 {
 		q.maxWaiting = defaultMaxWaiting
 	}
@@ -154,11 +155,11 @@
 func (q *Queue) Push(t *Ticket, now time.Time) {
 	t.arrived = now
 	if q.waiting >= q.maxWaiting {
-		q.refuse(t, ReasonQueueFull, q.duration)
+		q.refuse(t, ReasonQueueFull, q.meanDuration)
 		return
 	}
-	r := q.row(t)
-	if wait := q.estimate(r, t); wait > t.Limit.QueueTime {
+	r := q.activateRow(t)
+	if wait := q.estimateWait(r, t); wait > t.Limit.QueueTime {
 		q.refuse(t, ReasonQueueTime, wait-t.Limit.QueueTime)
 		return
 	}
@@ -167,32 +168,32 @@
 	q.waiting++
 	q.Step(now)
 	if t.state == ticketWaiting && t.Limit.QueueTime == 0 {
-		q.drop(r, t)
-		q.refuse(t, ReasonQueueTime, q.duration)
+		q.dequeue(r, t)
+		q.refuse(t, ReasonQueueTime, q.meanDuration)
 	}
 }
 
-// row returns the state of the ticket's row. If the row was idle, its counter is raised to the
-// lowest counter of a non-idle row, so that idle time earns no credit.
-func (q *Queue) row(t *Ticket) *rowState {
+// activateRow returns the state of the ticket's row with its weight updated. If the row was idle,
+// its counter is raised to the lowest counter of a non-idle row, so that idle time earns no credit.
+func (q *Queue) activateRow(t *Ticket) *rowState {
 	r, ok := q.rows[t.Row]
 	if !ok {
 		r = &rowState{}
 		q.rows[t.Row] = r
 	}
-	if r.idle() {
-		r.served = max(r.served, q.lowest())
+	if r.isIdle() {
+		r.counter = max(r.counter, q.lowestCounter())
 	}
 	r.weight = max(t.Limit.Weight, 1)
 	return r
 }
 
-// lowest returns the lowest counter of a non-idle row, or 0 if all rows are idle.
-func (q *Queue) lowest() float64 {
+// lowestCounter returns the lowest counter of a non-idle row, or 0 if all rows are idle.
+func (q *Queue) lowestCounter() float64 {
 	low := math.Inf(1)
 	for _, r := range q.rows {
-		if !r.idle() {
-			low = min(low, r.served)
+		if !r.isIdle() {
+			low = min(low, r.counter)
 		}
 	}
 	if math.IsInf(low, 1) {
@@ -201,9 +202,9 @@
 	return low
 }
 
-// estimate returns the expected wait of a ticket, computed from the requests that would run before
-// it and the average duration of recent requests.
-func (q *Queue) estimate(r *rowState, t *Ticket) time.Duration {
+// estimateWait returns the expected wait of a ticket, computed from the requests that would run
+// before it and the average duration of recent requests.
+func (q *Queue) estimateWait(r *rowState, t *Ticket) time.Duration {
 	total := q.slots.Total(t.Row)
 	if total == 0 {
 		return 0
@@ -213,17 +214,17 @@
 		if o == r {
 			continue
 		}
-		part := float64(len(r.waiting)+1) * float64(max(o.weight, 1)) / float64(r.weight)
-		ahead += min(float64(len(o.waiting)), part)
+		share := float64(len(r.waiting)+1) * float64(max(o.weight, 1)) / float64(r.weight)
+		ahead += min(float64(len(o.waiting)), share)
 	}
 	if ahead == 0 {
 		return 0
 	}
-	lanes := total
+	parallelism := total
 	if limit := t.Limit.Running; limit > 0 {
-		lanes = min(lanes, limit)
+		parallelism = min(parallelism, limit)
 	}
-	return time.Duration(ahead / float64(lanes) * float64(q.duration))
+	return time.Duration(ahead / float64(parallelism) * float64(q.meanDuration))
 }
 
 // Step refuses the requests that have exceeded their queue time and starts those that can run.
@@ -239,8 +240,8 @@
 	for _, r := range q.rows {
 		for _, t := range slices.Clone(r.waiting) {
 			if now.Sub(t.arrived) > t.Limit.QueueTime {
-				q.drop(r, t)
-				q.refuse(t, ReasonQueueTime, q.duration)
+				q.dequeue(r, t)
+				q.refuse(t, ReasonQueueTime, q.meanDuration)
 			}
 		}
 	}
@@ -249,7 +250,7 @@
 // grantOne starts the next request for which a slot is free and its row's concurrency limit is not
 // reached. It reports whether it started one.
 func (q *Queue) grantOne(now time.Time) bool {
-	for _, r := range q.order() {
+	for _, r := range q.rowsInOrder() {
 		t := r.waiting[0]
 		if limit := t.Limit.Running; limit > 0 && r.running >= limit {
 			continue
@@ -258,22 +259,22 @@
 		if !ok {
 			continue
 		}
-		q.drop(r, t)
+		q.dequeue(r, t)
 		q.start(r, t, slot, now)
 		return true
 	}
 	return false
 }
 
-// order returns the rows with waiting requests, the lowest counter first.
-func (q *Queue) order() []*rowState {
+// rowsInOrder returns the rows with waiting requests, the lowest counter first.
+func (q *Queue) rowsInOrder() []*rowState {
 	var rows []*rowState
 	for r := range maps.Values(q.rows) {
 		if len(r.waiting) > 0 {
 			rows = append(rows, r)
 		}
 	}
-	slices.SortFunc(rows, func(a, b *rowState) int { return cmp.Compare(a.served, b.served) })
+	slices.SortFunc(rows, func(a, b *rowState) int { return cmp.Compare(a.counter, b.counter) })
 	return rows
 }
 
@@ -281,7 +282,7 @@
 	t.state, t.slot, t.started = ticketRunning, slot, now
 	r.running++
 	q.running++
-	r.served += float64(t.Tokens) / float64(r.weight)
+	r.counter += float64(t.Tokens) / float64(r.weight)
 	t.Granted(Grant{Slot: slot, Waited: now.Sub(t.arrived)})
 }
 
@@ -291,25 +292,25 @@
 	r := q.rows[t.Row]
 	switch t.state {
 	case ticketWaiting:
-		q.drop(r, t)
+		q.dequeue(r, t)
 		t.state = ticketDone
 	case ticketRunning:
 		t.state = ticketDone
 		r.running--
 		q.running--
-		r.served += float64(tokens-t.Tokens) / float64(r.weight)
-		q.observe(now.Sub(t.started))
+		r.counter += float64(tokens-t.Tokens) / float64(r.weight)
+		q.observeDuration(now.Sub(t.started))
 		q.slots.Release(t.slot)
 		q.Step(now)
 	}
-	if r != nil && r.idle() && r.served <= q.lowest() {
+	if r != nil && r.isIdle() && r.counter <= q.lowestCounter() {
 		delete(q.rows, t.Row)
 	}
 }
 
-// observe adds the duration of a finished request to the moving average.
-func (q *Queue) observe(d time.Duration) {
-	q.duration += time.Duration(durationGain * float64(d-q.duration))
+// observeDuration adds the duration of a finished request to the moving average.
+func (q *Queue) observeDuration(d time.Duration) {
+	q.meanDuration += time.Duration(durationSmoothing * float64(d-q.meanDuration))
 }
 
 // RefuseAll refuses all waiting requests with the given reason.
@@ -329,7 +330,7 @@
 func (q *Queue) refuseWaiting(r *rowState, reason Reason) {
 	for len(r.waiting) > 0 {
 		t := r.waiting[0]
-		q.drop(r, t)
+		q.dequeue(r, t)
 		q.refuse(t, reason, 0)
 	}
 }
@@ -345,8 +346,8 @@
 	return names
 }
 
-// drop removes a request from its row's queue, if it is there.
-func (q *Queue) drop(r *rowState, t *Ticket) {
+// dequeue removes a request from its row's queue, if it is there.
+func (q *Queue) dequeue(r *rowState, t *Ticket) {
 	i := slices.Index(r.waiting, t)
 	if i < 0 {
 		return
@@ -356,7 +357,7 @@
 }
 
 // refuse refuses a request that is not in its row's queue.
-func (q *Queue) refuse(t *Ticket, reason Reason, after time.Duration) {
+func (q *Queue) refuse(t *Ticket, reason Reason, retryAfter time.Duration) {
 	t.state = ticketDone
-	t.Refused(Refusal{Reason: reason, RetryAfter: max(after, minRetryAfter)})
+	t.Refused(Refusal{Reason: reason, RetryAfter: max(retryAfter, minRetryAfter)})
 }
--- a/fairqueue/fairqueue_test.go
+++ b/fairqueue/fairqueue_test.go
@@ -12,18 +12,18 @@
 
 var start = time.Unix(1000, 0)
 
-// pool is a set of slots that serve every row.
-type pool struct{ free, total int }
+// slotPool is a set of slots that serve every row.
+type slotPool struct{ free, total int }
 
-func (p *pool) Take(string) (int, bool) {
+func (p *slotPool) Take(string) (int, bool) {
 	if p.free == 0 {
 		return 0, false
 	}
 	p.free--
 	return p.free, true
 }
-func (p *pool) Release(int)      { p.free++ }
-func (p *pool) Total(string) int { return p.total }
+func (p *slotPool) Release(int)      { p.free++ }
+func (p *slotPool) Total(string) int { return p.total }
 
 // request is a ticket and its outcome.
 type request struct {
@@ -46,7 +46,7 @@
 }
 
 func newQueue(slots int, o fairqueue.Options) *fairqueue.Queue {
-	return fairqueue.New(&pool{free: slots, total: slots}, o)
+	return fairqueue.New(&slotPool{free: slots, total: slots}, o)
 }
 
 // TestWeights checks that freed slots are divided in proportion to the rows' weights while all rows
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestQueueBound(t *testing.T) {
+func TestMaxWaiting(t *testing.T) {
 	q := newQueue(1, fairqueue.Options{MaxWaiting: 2})
 	var last *request
 	for range 4 {
--- a/relay/tree.go
+++ b/relay/tree.go
@@ -24,15 +24,15 @@
 	members []Member
 }
 
-// orderKey is the rendezvous key by which members are ordered. Hashing separates members with
+// memberOrderKey is the rendezvous key by which members are ordered. Hashing separates members with
 // similar names, which are likely to share a failure domain.
-var orderKey = rendezvous.Key("relay")
+var memberOrderKey = rendezvous.Key("relay")
 
 // New returns a tree of the given members.
 func New(list []Member) *Tree {
 	members := slices.Clone(list)
 	slices.SortFunc(members, func(a, b Member) int {
-		weights := cmp.Compare(rendezvous.Weight(b.ID, orderKey), rendezvous.Weight(a.ID, orderKey))
+		weights := cmp.Compare(rendezvous.Weight(b.ID, memberOrderKey), rendezvous.Weight(a.ID, memberOrderKey))
 		return cmp.Or(weights, cmp.Compare(a.ID, b.ID))
 	})
 	return &Tree{members: members}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -20,16 +20,16 @@
 	// to 10.
 	Burst float64
 
-	mu     sync.Mutex
-	tokens float64
-	begun  bool
+	mu          sync.Mutex
+	tokens      float64
+	initialized bool
 }
 
 // First records a first attempt.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initialize()
 	b.tokens = min(b.tokens+b.Ratio, b.Burst)
 }
 
@@ -37,7 +37,7 @@
 func (b *Budget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initialize()
 	if b.tokens < 1 {
 		return false
 	}
@@ -45,11 +45,11 @@
 	return true
 }
 
-func (b *Budget) begin() {
-	if b.begun {
+func (b *Budget) initialize() {
+	if b.initialized {
 		return
 	}
-	b.begun = true
+	b.initialized = true
 	if b.Ratio <= 0 {
 		b.Ratio = defaultRatio
 	}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -8,8 +8,8 @@
 	"rockcleat/retry"
 )
 
-// TestBound checks that retries stay within the budget when every request fails.
-func TestBound(t *testing.T) {
+// TestRetriesStayWithinBudget checks that retries stay within the budget when every request fails.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	b := retry.Budget{Ratio: 0.1, Burst: 5}
 	retries := 0
 	for range 1000 {
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// windowParts is the number of buckets that a Window's length is divided into. A count expires at
+// windowBuckets is the number of buckets that a Window's length is divided into. A count expires at
 // most one bucket late.
-const windowParts = 20
+const windowBuckets = 20
 
 // A Window limits the retries within any span of its length to Ratio times the first attempts in
 // that span plus a share of Fixed. It is safe for concurrent use.
@@ -21,22 +21,22 @@
 	// Fixed is the number of retries allowed in addition to Ratio, summed over all processes.
 	Fixed float64
 
-	mu    sync.Mutex
-	parts [windowParts + 1]windowPart
+	mu      sync.Mutex
+	buckets [windowBuckets + 1]bucket
 }
 
-// A windowPart counts the attempts in one bucket of time; number is the index of the bucket since
-// the Unix epoch.
-type windowPart struct {
-	number          int64
-	firsts, retries int
+// A bucket counts the attempts in one interval; index is the number of that interval since the Unix
+// epoch.
+type bucket struct {
+	index                  int64
+	firstAttempts, retries int
 }
 
 // First records a first attempt.
 func (w *Window) First(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.part(now).firsts++
+	w.bucketAt(now).firstAttempts++
 }
 
 // Allow reports whether a retry is allowed and records it if so. share is the fraction of Fixed
@@ -44,34 +44,34 @@
 func (w *Window) Allow(now time.Time, share float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	firsts, retries := w.sum(now)
-	if float64(retries+1) > w.Ratio*float64(firsts)+w.Fixed*share {
+	firstAttempts, retries := w.totals(now)
+	if float64(retries+1) > w.Ratio*float64(firstAttempts)+w.Fixed*share {
 		return false
 	}
-	w.part(now).retries++
+	w.bucketAt(now).retries++
 	return true
 }
 
-func (w *Window) number(now time.Time) int64 {
-	return now.UnixNano() / max(int64(w.Length)/windowParts, 1)
+func (w *Window) indexAt(now time.Time) int64 {
+	return now.UnixNano() / max(int64(w.Length)/windowBuckets, 1)
 }
 
-func (w *Window) part(now time.Time) *windowPart {
-	n := w.number(now)
-	p := &w.parts[n%int64(len(w.parts))]
-	if p.number != n {
-		*p = windowPart{number: n}
+func (w *Window) bucketAt(now time.Time) *bucket {
+	i := w.indexAt(now)
+	b := &w.buckets[i%int64(len(w.buckets))]
+	if b.index != i {
+		*b = bucket{index: i}
 	}
-	return p
+	return b
 }
 
-func (w *Window) sum(now time.Time) (firsts, retries int) {
-	n := w.number(now)
-	for _, p := range w.parts {
-		if p.number > n-int64(len(w.parts)) && p.number <= n {
-			firsts += p.firsts
-			retries += p.retries
+func (w *Window) totals(now time.Time) (firstAttempts, retries int) {
+	current := w.indexAt(now)
+	for _, b := range w.buckets {
+		if b.index > current-int64(len(w.buckets)) && b.index <= current {
+			firstAttempts += b.firstAttempts
+			retries += b.retries
 		}
 	}
-	return firsts, retries
+	return firstAttempts, retries
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -25,30 +25,30 @@
 		fixed := rapid.Float64Range(0, 20).Draw(t, "fixed")
 		w := retry.Window{Length: length, Ratio: ratio, Fixed: fixed}
 		now := time.Unix(1000, 0)
-		var firsts, repeats []time.Time
+		var firstAttempts, retries []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "repeat") {
 				if w.Allow(now, 1) {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 				continue
 			}
 			w.First(now)
-			firsts = append(firsts, now)
+			firstAttempts = append(firstAttempts, now)
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			// Retries early in the span may rely on first attempts made up to one window length
 			// before it.
-			allowed := ratio*float64(within(firsts, end, 2*length)) + fixed
-			if got := within(repeats, end, length); float64(got) > allowed {
+			allowed := ratio*float64(countWithin(firstAttempts, end, 2*length)) + fixed
+			if got := countWithin(retries, end, length); float64(got) > allowed {
 				t.Fatalf("%d retries within one window length, want at most %.1f", got, allowed)
 			}
 		}
 	})
 }
 
-func within(times []time.Time, end time.Time, span time.Duration) int {
+func countWithin(times []time.Time, end time.Time, span time.Duration) int {
 	n := 0
 	for _, x := range times {
 		if !x.After(end) && end.Sub(x) < span {
--- a/route/route.go
+++ b/route/route.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// boundFactor is the ratio to the mean load up to which a prefix keeps its preferred server.
-	boundFactor = 1.25
-	// loadMaxAge is how long a reported load is used.
-	loadMaxAge = 5 * time.Second
-	// avoidTime is how long a server that failed or refused a request is ordered last.
-	avoidTime = time.Second
+	// loadBoundFactor is the ratio to the mean load up to which a prefix keeps its preferred
+	// server.
+	loadBoundFactor = 1.25
+	// reportTTL is how long a reported load is used.
+	reportTTL = 5 * time.Second
+	// avoidDuration is how long a server that failed or refused a request is ordered last.
+	avoidDuration = time.Second
 )
 
 // A Candidate is a server that can take a request.
@@ -25,8 +26,8 @@
 	Hall string
 }
 
-// A load is the state of one server.
-type load struct {
+// A serverState is what a Table knows about one server.
+type serverState struct {
 	// reported is the load in the server's last response, in requests, and reportedAt the time of
 	// that response.
 	reported   int
@@ -34,8 +35,8 @@
 	// outstanding is the number of requests that this process has sent there and not finished.
 	outstanding int
 	avoidUntil  time.Time
-	// leaving is the incarnation that reported that it is draining; empty if none did.
-	leaving string
+	// leavingIncarnation is the incarnation that reported that it is draining; empty if none did.
+	leavingIncarnation string
 }
 
 // A Table holds the loads of the servers that a process has sent requests to. It is safe for
@@ -44,19 +45,19 @@
 	// Hall is the data hall of the process. Its servers are tried before those of other halls.
 	Hall string
 
-	mu    sync.Mutex
-	loads map[string]*load
+	mu      sync.Mutex
+	servers map[string]*serverState
 }
 
-// entry returns the state of a server, creating it if needed. t.mu must be held.
-func (t *Table) entry(id string) *load {
-	if t.loads == nil {
-		t.loads = make(map[string]*load)
+// state returns the state of a server, creating it if needed. t.mu must be held.
+func (t *Table) state(id string) *serverState {
+	if t.servers == nil {
+		t.servers = make(map[string]*serverState)
 	}
-	l, ok := t.loads[id]
+	l, ok := t.servers[id]
 	if !ok {
-		l = &load{}
-		t.loads[id] = l
+		l = &serverState{}
+		t.servers[id] = l
 	}
 	return l
 }
@@ -65,7 +66,7 @@
 func (t *Table) Begin(id string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.entry(id)
+	l := t.state(id)
 	l.outstanding++
 	return func() {
 		t.mu.Lock()
@@ -75,77 +76,78 @@
 }
 
 // Report records the load that a server put in a response, in requests.
-func (t *Table) Report(id string, value int, now time.Time) {
+func (t *Table) Report(id string, load int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.entry(id)
-	l.reported, l.reportedAt = value, now
+	l := t.state(id)
+	l.reported, l.reportedAt = load, now
 }
 
-// Avoid orders a server after all others for avoidTime.
+// Avoid orders a server after all others for avoidDuration.
 func (t *Table) Avoid(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.entry(id).avoidUntil = now.Add(avoidTime)
+	t.state(id).avoidUntil = now.Add(avoidDuration)
 }
 
 // Leave records that an incarnation of a server reported that it is draining.
 func (t *Table) Leave(id, incarnation string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.entry(id).leaving = incarnation
+	t.state(id).leavingIncarnation = incarnation
 }
 
 // Leaving reports whether Leave was last called for this incarnation of the server.
 func (t *Table) Leaving(id, incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l, ok := t.loads[id]
-	return ok && l.leaving != "" && l.leaving == incarnation
+	l, ok := t.servers[id]
+	return ok && l.leavingIncarnation != "" && l.leavingIncarnation == incarnation
 }
 
 // Forget removes the servers that are not in live and have no outstanding requests.
 func (t *Table) Forget(live map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, l := range t.loads {
+	for id, l := range t.servers {
 		if !live[id] && l.outstanding == 0 {
-			delete(t.loads, id)
+			delete(t.servers, id)
 		}
 	}
 }
 
-// value returns the effective load of a server, in requests. t.mu must be held.
-func (t *Table) value(id string, now time.Time) float64 {
-	l, ok := t.loads[id]
+// effectiveLoad returns the load of a server that the choice uses: the greater of the outstanding
+// requests and a recent report. t.mu must be held.
+func (t *Table) effectiveLoad(id string, now time.Time) float64 {
+	l, ok := t.servers[id]
 	if !ok {
 		return 0
 	}
 	v := float64(l.outstanding)
-	if now.Sub(l.reportedAt) < loadMaxAge {
+	if now.Sub(l.reportedAt) < reportTTL {
 		v = max(v, float64(l.reported))
 	}
 	return v
 }
 
-// avoided reports whether a server is ordered last now. t.mu must be held.
-func (t *Table) avoided(id string, now time.Time) bool {
-	l, ok := t.loads[id]
+// isAvoided reports whether a server is ordered last now. t.mu must be held.
+func (t *Table) isAvoided(id string, now time.Time) bool {
+	l, ok := t.servers[id]
 	return ok && now.Before(l.avoidUntil)
 }
 
 // Order returns the candidates in the order in which to try them. prefix is the hash of the
 // prompt's prefix; 0 means none.
-func (t *Table) Order(cands []Candidate, prefix uint64, now time.Time) []Candidate {
-	order := slices.Clone(cands)
+func (t *Table) Order(candidates []Candidate, prefix uint64, now time.Time) []Candidate {
+	order := slices.Clone(candidates)
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	slices.SortStableFunc(order, func(a, b Candidate) int { return cmp.Compare(t.rank(a, now), t.rank(b, now)) })
-	usable := t.usable(order, now)
-	if first := t.first(order[:usable], prefix, now); first > 0 {
-		c := order[first]
-		order = slices.Insert(slices.Delete(order, first, first+1), 0, c)
+	usableCount := t.countUsable(order, now)
+	if firstIndex := t.pickFirst(order[:usableCount], prefix, now); firstIndex > 0 {
+		c := order[firstIndex]
+		order = slices.Insert(slices.Delete(order, firstIndex, firstIndex+1), 0, c)
 	}
 	return order
 }
@@ -154,7 +156,7 @@
 // process's own hall first.
 func (t *Table) rank(c Candidate, now time.Time) int {
 	rank := 0
-	if t.avoided(c.ID, now) {
+	if t.isAvoided(c.ID, now) {
 		rank += 2
 	}
 	if c.Hall != t.Hall {
@@ -163,49 +165,50 @@
 	return rank
 }
 
-// usable returns the number of leading candidates in order that are not avoided.
-func (t *Table) usable(order []Candidate, now time.Time) int {
-	i := slices.IndexFunc(order, func(c Candidate) bool { return t.avoided(c.ID, now) })
+// countUsable returns the number of leading candidates in order that are not avoided.
+func (t *Table) countUsable(order []Candidate, now time.Time) int {
+	i := slices.IndexFunc(order, func(c Candidate) bool { return t.isAvoided(c.ID, now) })
 	if i < 0 {
 		return len(order)
 	}
 	return i
 }
 
-// first returns the index of the server to try first: the one preferred for the prefix unless its
-// load is over the bound, otherwise the less loaded of two picked at random.
-func (t *Table) first(order []Candidate, prefix uint64, now time.Time) int {
+// pickFirst returns the index of the server to try first: the one preferred for the prefix unless
+// its load is over the bound, otherwise the less loaded of two picked at random.
+func (t *Table) pickFirst(order []Candidate, prefix uint64, now time.Time) int {
 	if len(order) < 2 {
 		return 0
 	}
 	if prefix != 0 {
-		if i := t.preferred(order, prefix); t.value(order[i].ID, now) <= t.bound(order, now) {
+		if i := t.preferredIndex(order, prefix); t.effectiveLoad(order[i].ID, now) <= t.loadBound(order, now) {
 			return i
 		}
 	}
 	i, j := rand.IntN(len(order)), rand.IntN(len(order))
-	if t.value(order[j].ID, now) < t.value(order[i].ID, now) {
+	if t.effectiveLoad(order[j].ID, now) < t.effectiveLoad(order[i].ID, now) {
 		return j
 	}
 	return i
 }
 
-// bound returns the highest load at which a preferred server is still chosen: boundFactor times the
-// mean, plus one request.
-func (t *Table) bound(order []Candidate, now time.Time) float64 {
+// loadBound returns the highest load at which a preferred server is still chosen: loadBoundFactor
+// times the mean, plus one request.
+func (t *Table) loadBound(order []Candidate, now time.Time) float64 {
 	sum := 0.0
 	for _, c := range order {
-		sum += t.value(c.ID, now)
+		sum += t.effectiveLoad(c.ID, now)
 	}
-	return boundFactor*sum/float64(len(order)) + 1
+	return loadBoundFactor*sum/float64(len(order)) + 1
 }
 
-// preferred returns the index of the candidate with the highest rendezvous weight for the prefix.
-func (t *Table) preferred(order []Candidate, prefix uint64) int {
-	best, bestHash := 0, uint64(0)
+// preferredIndex returns the index of the candidate with the highest rendezvous weight for the
+// prefix.
+func (t *Table) preferredIndex(order []Candidate, prefix uint64) int {
+	best, bestWeight := 0, uint64(0)
 	for i, c := range order {
-		if h := rendezvous.Weight(c.ID, prefix); h >= bestHash {
-			best, bestHash = i, h
+		if weight := rendezvous.Weight(c.ID, prefix); weight >= bestWeight {
+			best, bestWeight = i, weight
 		}
 	}
 	return best
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -21,8 +21,8 @@
 	return c
 }
 
-// firsts returns how often each server came first in n calls of Order.
-func firsts(t *route.Table, cands []route.Candidate, prefix uint64, n int) map[string]int {
+// countFirst returns how often each server came first in n calls of Order.
+func countFirst(t *route.Table, cands []route.Candidate, prefix uint64, n int) map[string]int {
 	got := make(map[string]int)
 	for range n {
 		got[t.Order(cands, prefix, now)[0].ID]++
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := &route.Table{Hall: "h"}
 			tc.setup(r)
-			got := firsts(r, candidates(4), 0, 400)
+			got := countFirst(r, candidates(4), 0, 400)
 			// Picks are made with replacement, so a loaded server comes first only if it is picked
 			// twice.
 			assert.Assert(t, got["s0"] < 60, "%v", got)
@@ -62,14 +62,14 @@
 // TestPrefix checks that a prefix keeps its server until the load of that server exceeds the bound.
 func TestPrefix(t *testing.T) {
 	r := &route.Table{}
-	got := firsts(r, candidates(4), 7, 100)
+	got := countFirst(r, candidates(4), 7, 100)
 	assert.Equal(t, len(got), 1)
 	var preferred string
 	for id := range got {
 		preferred = id
 	}
 	begin(r, preferred, 20)
-	got = firsts(r, candidates(4), 7, 100)
+	got = countFirst(r, candidates(4), 7, 100)
 	assert.Assert(t, got[preferred] < 30, "%v", got)
 }
 
