--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -10,7 +10,7 @@
 // An AdmissionRequest asks the owner of an engine to admit one request to it.
 type AdmissionRequest struct {
 	Server string `json:"s"`
-	// The other fields correspond to those of Request.
+	// The fields below correspond to those of Request.
 	Model           string        `json:"m"`
 	Adapter         string        `json:"a,omitempty"`
 	Prefix          []PrefixBlock `json:"k,omitempty"`
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -100,7 +100,7 @@
 }
 
 // hasCapacity reports whether the engine has a free slot and enough cache memory. An idle engine
-// takes any request, since no other request has to end to make room.
+// takes any request, since waiting would not free more capacity.
 func (c Candidate) hasCapacity(l Limits) bool {
 	if c.Running == 0 {
 		return true
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -24,28 +24,28 @@
 	ObjectiveMs int `json:"o,omitempty"`
 }
 
-// demandByTarget holds the demand for each model and adapter, by Request.targetKey.
-type demandByTarget struct {
+// demandTable holds the demand for each model and adapter, by Request.targetKey.
+type demandTable struct {
 	byTarget map[string]*Demand
 }
 
-func newDemandByTarget() demandByTarget {
-	return demandByTarget{byTarget: make(map[string]*Demand)}
+func newDemandTable() demandTable {
+	return demandTable{byTarget: make(map[string]*Demand)}
 }
 
 // get returns the demand for the request's model or adapter, creating it if needed.
-func (c *demandByTarget) get(r *Request) *Demand {
-	x := c.byTarget[r.targetKey()]
+func (t *demandTable) get(r *Request) *Demand {
+	x := t.byTarget[r.targetKey()]
 	if x == nil {
 		x = &Demand{Service: r.Service}
-		c.byTarget[r.targetKey()] = x
+		t.byTarget[r.targetKey()] = x
 	}
 	return x
 }
 
-func (c *demandByTarget) snapshot() map[string]Demand {
-	out := make(map[string]Demand, len(c.byTarget))
-	for target, x := range c.byTarget {
+func (t *demandTable) snapshot() map[string]Demand {
+	out := make(map[string]Demand, len(t.byTarget))
+	for target, x := range t.byTarget {
 		out[target] = *x
 	}
 	return out
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -16,7 +16,7 @@
 	// ErrShed means that the request would have to wait and is refused in favour of requests with
 	// higher priority.
 	ErrShed = errors.New("dispatch: request shed in favour of higher-priority requests")
-	// ErrWaitTimeout means that no server could take the request until its WaitUntil.
+	// ErrWaitTimeout means that no server could take the request before its WaitUntil.
 	ErrWaitTimeout = errors.New("dispatch: timed out waiting for a server")
 )
 
@@ -35,8 +35,8 @@
 	Owners Owners
 	// Permits, if not nil, grants permits for servers with a rate limit.
 	Permits Permits
-	// OnOwnerSilent, if not nil, is called when an owner has not answered, which is then not asked
-	// for a while. It is called with the Dispatcher locked and must not block.
+	// OnOwnerSilent, if not nil, is called when an owner has not answered and is suspended: it is
+	// not asked for a while. It is called with the Dispatcher locked and must not block.
 	OnOwnerSilent func(owner string, err error)
 	// OnModelMissing, if not nil, is called when a request starts to wait for a model or adapter
 	// that no server holds. It is called with the Dispatcher locked and must not block.
@@ -56,7 +56,7 @@
 	busiestOnly bool
 	owners      ownership
 	queue       waitQueue
-	demand      demandByTarget
+	demand      demandTable
 	speeds      speedEstimates
 	// shedders holds the shedder of each service.
 	shedders map[string]*shedder
@@ -68,8 +68,8 @@
 func New(o Options) *Dispatcher {
 	return &Dispatcher{
 		opts: o, servers: &backend.Snapshot{}, loads: make(map[string]*serverLoad),
-		remote: make(map[string]remoteLoad), demand: newDemandByTarget(),
-		owners: newOwners(o.ID), shedders: make(map[string]*shedder),
+		remote: make(map[string]remoteLoad), demand: newDemandTable(),
+		owners: newOwnership(o.ID), shedders: make(map[string]*shedder),
 	}
 }
 
@@ -200,8 +200,8 @@
 	return servers, list
 }
 
-// candidate returns the state of a server for a request. memory is the engine's cache memory in
-// tokens. d.mu must be held.
+// candidate returns the state of a server for a request. cacheTokens is the engine's cache memory
+// in tokens. d.mu must be held.
 func (d *Dispatcher) candidate(r *Request, s *backend.Server, cacheTokens int, now time.Time) Candidate {
 	l := d.loadOf(s.ID)
 	c := Candidate{
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,9 +1,10 @@
 // Package dispatch schedules the requests of a gateway: it chooses the backend server for each
-// request, orders the requests that have to wait, and refuses those that must not wait.
+// request, orders the requests that have to wait, and refuses those that cannot be served in time.
 //
-// Each engine has one owner among the gateways, which admits all requests sent to it. A Dispatcher
-// combines server selection (Candidate, Choose), admission to the engines that this gateway owns
-// (Admit, AdmissionRequest), permits for servers with a rate limit (Permits), the queue of waiting
+// Each engine has one owner among the gateways, which admits the requests of all gateways to it. If
+// the owner does not answer, a gateway decides from the loads that it knows. A Dispatcher combines
+// server selection (Candidate, Choose), admission to the engines that this gateway owns (Admit,
+// AdmissionRequest), permits for servers with a rate limit (Permits), the queue of waiting
 // requests, load shedding by priority, a model of each engine's prefill work (PrefillSpeeds), an
 // estimate of the prefixes that each engine has cached (PrefixBlock), and counters of the demand
 // for each model (Demand).
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A Load is the load at one server.
+// A Load is the work in progress at one server, either of one process or of several together.
 type Load struct {
 	// Running is the number of running requests.
 	Running int `json:"n"`
@@ -121,7 +121,7 @@
 
 // observe records an outcome: 1 is a failure, 0 a success.
 func (f *failureRate) observe(outcome float64, now time.Time) {
-	share := f.at(now)
-	f.rate = share + (outcome-share)*failureSmoothing
+	rate := f.at(now)
+	f.rate = rate + (outcome-rate)*failureSmoothing
 	f.updatedAt = now
 }
--- a/dispatch/owners.go
+++ b/dispatch/owners.go
@@ -28,7 +28,7 @@
 	suspendedUntil map[string]time.Time
 }
 
-func newOwners(self string) ownership {
+func newOwnership(self string) ownership {
 	return ownership{self: self, suspendedUntil: make(map[string]time.Time)}
 }
 
--- a/dispatch/prefill_queue_test.go
+++ b/dispatch/prefill_queue_test.go
@@ -14,8 +14,8 @@
 	}
 	tests := map[string]struct {
 		line []prompt
-		// at and read belong to the next prompt. busy is the prefill time of other prompts within
-		// the window.
+		// at is the arrival and read the prefill time of the next prompt; busy is the expected
+		// prefill time of other prompts within the window. All are in milliseconds.
 		at, read, busy int
 	}{
 		"nothing":                     {read: 50},
@@ -78,7 +78,7 @@
 func TestPrefillQueueFollowsTheEngine(t *testing.T) {
 	tests := map[string]struct {
 		// took is the actual time for the first of two prompts that are expected to take 100 ms
-		// each; end is when both are prefilled.
+		// each; end is when both are prefilled. Both are in milliseconds.
 		took, end int
 	}{
 		"as expected": {took: 100, end: 200},
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -22,8 +22,8 @@
 	// WaitUntil is when the request stops waiting for a server.
 	WaitUntil time.Time
 	// SendBy is the latest time at which the request can be sent and still meet its objective.
-	// After it the request is late: it is served after requests that are not late and may use only
-	// part of an engine. The zero value means that the request is never late.
+	// After it the request is late and may use only part of an engine. Waiting requests whose
+	// SendBy has not passed are served before all others. The zero value sets no limit.
 	SendBy time.Time
 	// Gap limits the time between two events of the response stream.
 	Gap GapBudget
--- a/dispatch/shed.go
+++ b/dispatch/shed.go
@@ -31,7 +31,7 @@
 
 // A successRate is the exponentially decayed average of the results of one priority.
 type successRate struct {
-	// weight is the decayed number of results and sum their decayed sum, both as of when.
+	// weight is the decayed number of results and sum their decayed sum, both as of updatedAt.
 	weight, sum float64
 	updatedAt   time.Time
 }
--- a/dispatch/speed_book.go
+++ b/dispatch/speed_book.go
@@ -16,23 +16,23 @@
 
 // addSample records a sample of this gateway. It updates the model's speed only if no shared one is
 // known.
-func (b *speedEstimates) addSample(x PrefillSample) {
-	if len(b.pendingSamples) < maxPendingSamples {
-		b.pendingSamples = append(b.pendingSamples, x)
+func (e *speedEstimates) addSample(x PrefillSample) {
+	if len(e.pendingSamples) < maxPendingSamples {
+		e.pendingSamples = append(e.pendingSamples, x)
 	}
-	if !b.shared[x.Model] {
-		b.Observe(x)
+	if !e.shared[x.Model] {
+		e.Observe(x)
 	}
 }
 
 // setShared sets speeds that were estimated from all gateways' samples.
-func (b *speedEstimates) setShared(speeds map[string]float64) {
-	if b.shared == nil {
-		b.shared = make(map[string]bool)
+func (e *speedEstimates) setShared(speeds map[string]float64) {
+	if e.shared == nil {
+		e.shared = make(map[string]bool)
 	}
 	for model, speed := range speeds {
-		b.shared[model] = true
-		b.Set(model, speed)
+		e.shared[model] = true
+		e.Set(model, speed)
 	}
 }
 
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -142,8 +142,8 @@
 	return nil, ErrWaitTimeout
 }
 
-// serveWaiting reserves servers for waiting requests, first for those that are not late and then
-// for the others, each group in order of priority and arrival. d.mu must be held.
+// serveWaiting reserves servers for waiting requests, first for those whose SendBy has not passed
+// and then for the others, each group in order of priority and arrival. d.mu must be held.
 func (d *Dispatcher) serveWaiting() {
 	if len(d.queue.list) == 0 {
 		return
--- a/route/route.go
+++ b/route/route.go
@@ -54,24 +54,24 @@
 	if t.servers == nil {
 		t.servers = make(map[string]*serverState)
 	}
-	l, ok := t.servers[id]
+	s, ok := t.servers[id]
 	if !ok {
-		l = &serverState{}
-		t.servers[id] = l
+		s = &serverState{}
+		t.servers[id] = s
 	}
-	return l
+	return s
 }
 
 // Begin counts a request as outstanding at a server. The caller must call end exactly once.
 func (t *Table) Begin(id string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.state(id)
-	l.outstanding++
+	s := t.state(id)
+	s.outstanding++
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		l.outstanding--
+		s.outstanding--
 	}
 }
 
@@ -79,8 +79,8 @@
 func (t *Table) Report(id string, load int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.state(id)
-	l.reported, l.reportedAt = load, now
+	s := t.state(id)
+	s.reported, s.reportedAt = load, now
 }
 
 // Avoid orders a server after all others for avoidDuration.
@@ -101,16 +101,16 @@
 func (t *Table) Leaving(id, incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l, ok := t.servers[id]
-	return ok && l.leavingIncarnation != "" && l.leavingIncarnation == incarnation
+	s, ok := t.servers[id]
+	return ok && s.leavingIncarnation != "" && s.leavingIncarnation == incarnation
 }
 
 // Forget removes the servers that are not in live and have no outstanding requests.
 func (t *Table) Forget(live map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, l := range t.servers {
-		if !live[id] && l.outstanding == 0 {
+	for id, s := range t.servers {
+		if !live[id] && s.outstanding == 0 {
 			delete(t.servers, id)
 		}
 	}
@@ -119,21 +119,21 @@
 // effectiveLoad returns the load of a server that the choice uses: the greater of the outstanding
 // requests and a recent report. t.mu must be held.
 func (t *Table) effectiveLoad(id string, now time.Time) float64 {
-	l, ok := t.servers[id]
+	s, ok := t.servers[id]
 	if !ok {
 		return 0
 	}
-	v := float64(l.outstanding)
-	if now.Sub(l.reportedAt) < reportTTL {
-		v = max(v, float64(l.reported))
+	v := float64(s.outstanding)
+	if now.Sub(s.reportedAt) < reportTTL {
+		v = max(v, float64(s.reported))
 	}
 	return v
 }
 
 // isAvoided reports whether a server is ordered last now. t.mu must be held.
 func (t *Table) isAvoided(id string, now time.Time) bool {
-	l, ok := t.servers[id]
-	return ok && now.Before(l.avoidUntil)
+	s, ok := t.servers[id]
+	return ok && now.Before(s.avoidUntil)
 }
 
 // Order returns the candidates in the order in which to try them. prefix is the hash of the
