--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -128,9 +128,9 @@
 	second := acquire(d, urgent)
 	poll.WaitOn(t, waiting(d, 2))
 
-	tooLate := request(c)
-	tooLate.WaitUntil = c.Now().Add(600 * time.Millisecond)
-	_, err := d.Acquire(t.Context(), tooLate)
+	unservable := request(c)
+	unservable.WaitUntil = c.Now().Add(600 * time.Millisecond)
+	_, err := d.Acquire(t.Context(), unservable)
 	var limited *dispatch.LimitedError
 	assert.Assert(t, errors.As(err, &limited), "%v", err)
 	assert.Equal(t, limited.RetryAfter, 1500*time.Millisecond, "two wait before it at two a second")
--- a/dispatch/shed_test.go
+++ b/dispatch/shed_test.go
@@ -82,14 +82,14 @@
 			}
 			if test.urgentWaits {
 				d.mu.Lock()
-				urgent := request(1, time.Minute)
-				urgent.Model = test.model
-				d.enqueue(&waiter{req: urgent, ready: make(chan struct{})})
+				higher := request(1, time.Minute)
+				higher.Model = test.model
+				d.enqueue(&waiter{req: higher, ready: make(chan struct{})})
 				d.mu.Unlock()
 			}
-			less := request(2, time.Millisecond)
-			less.MayHaveRun = test.begun
-			_, err = d.Acquire(context.Background(), less)
+			lower := request(2, time.Millisecond)
+			lower.MayHaveRun = test.begun
+			_, err = d.Acquire(context.Background(), lower)
 			assert.Equal(t, err, test.want)
 		})
 	}
--- a/relay/tree.go
+++ b/relay/tree.go
@@ -71,8 +71,8 @@
 	return p, true
 }
 
-// without returns the members except the one at addr. The last member takes its place, which moves
-// as few members as possible.
+// without returns the members except the one at addr. The last member takes its place, so that the
+// others keep their positions.
 func (t *Tree) without(addr string) []Member {
 	i := indexOf(t.members, addr)
 	if i < 0 {
--- a/rendezvous/doc.go
+++ b/rendezvous/doc.go
@@ -3,7 +3,7 @@
 // assignment without coordination, and adding or removing a node moves only the keys assigned to
 // that node.
 //
-// The package keeps no state and depends on no other package. Processes of different versions must
-// compute the same hashes, and stored claims are sharded by them, so the hash functions must never
-// change.
+// The package keeps no state and depends on no other package of this project. Processes of
+// different versions must compute the same hashes, and stored claims are sharded by them, so the
+// hash functions must never change.
 package rendezvous
