--- a/dispatch/shed_test.go
+++ b/dispatch/shed_test.go
@@ -11,7 +11,7 @@
 	"rockcleat/clock/clocktest"
 )
 
-// TestSheds asks for requests of priority 2 after others were served well or badly.
+// TestSheds checks whether requests of priority 2 are shed, given the results of other requests.
 func TestSheds(t *testing.T) {
 	type outcome struct {
 		priority, count int
@@ -41,18 +41,18 @@
 					s.observe(o.priority, o.result, now)
 				}
 			}
-			assert.Equal(t, s.sheds(2, now.Add(test.after)), test.want)
+			assert.Equal(t, s.shouldShed(2, now.Add(test.after)), test.want)
 		})
 	}
 }
 
-// TestLessUrgentAreShed brings a request of priority 2 to a full engine after those of
-// priority 1 were served worse: it is refused at once only if one of these waits, and only
-// if it has not run anywhere yet.
-func TestLessUrgentAreShed(t *testing.T) {
+// TestLowerPriorityIsShed checks that a request that a full engine cannot take is shed only if a
+// higher-priority request with a lower success rate waits for the engine and the request has not
+// run anywhere.
+func TestLowerPriorityIsShed(t *testing.T) {
 	tests := map[string]struct {
 		urgentWaits, begun bool
-		// model is what the urgent one waits for.
+		// model is the model of the waiting higher-priority request.
 		model string
 		want  error
 	}{
@@ -82,14 +82,14 @@
 			}
 			if test.urgentWaits {
 				d.mu.Lock()
-				urgent := request(1, time.Minute)
-				urgent.Model = test.model
-				d.enqueue(&waiter{req: urgent, ready: make(chan struct{})})
+				higher := request(1, time.Minute)
+				higher.Model = test.model
+				d.enqueue(&waiter{req: higher, ready: make(chan struct{})})
 				d.mu.Unlock()
 			}
-			less := request(2, time.Millisecond)
-			less.MayHaveRun = test.begun
-			_, err = d.Acquire(context.Background(), less)
+			lower := request(2, time.Millisecond)
+			lower.MayHaveRun = test.begun
+			_, err = d.Acquire(context.Background(), lower)
 			assert.Equal(t, err, test.want)
 		})
 	}
--- a/fairqueue/fairqueue.go
+++ b/fairqueue/fairqueue.go
@@ -8,67 +8,66 @@
 	"time"
 )
 
-// A Reason says why a request was refused.
+// A Reason is the cause of a refusal.
 type Reason string
 
-// The reasons of a Refusal.
 const (
-	// ReasonQueueTime: the wait would exceed, or has exceeded, the row's queue time.
+	// ReasonQueueTime means that the wait would exceed, or has exceeded, the row's queue time.
 	ReasonQueueTime Reason = "queue_time"
-	// ReasonQueueFull: the server holds as many waiting requests as it may.
+	// ReasonQueueFull means that the server has the maximum number of waiting requests.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonLeaving: the server takes no new work.
+	// ReasonLeaving means that the server is draining and accepts no new requests.
 	ReasonLeaving Reason = "leaving"
-	// ReasonNotResident: the server no longer has what the request names.
+	// ReasonNotResident means that the server no longer holds the model or adapter.
 	ReasonNotResident Reason = "not_resident"
 )
 
-// Constants of a Queue.
 const (
-	// defaultMaxWaiting bounds the waiting requests of all rows.
+	// defaultMaxWaiting is the default of Options.MaxWaiting.
 	defaultMaxWaiting = 1024
-	// defaultDuration is assumed of a request before one has ended.
+	// defaultDuration is the initial estimate of a request's duration.
 	defaultDuration = 500 * time.Millisecond
-	// durationGain is how much one request moves the mean duration, 0 to 1.
-	durationGain = 0.2
-	// minRetryAfter is the shortest time to come back that a refusal gives.
+	// durationSmoothing is the weight of the latest request in the moving average of durations, 0
+	// to 1.
+	durationSmoothing = 0.2
+	// minRetryAfter is the lower bound of Refusal.RetryAfter.
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// A Grant is the permission to run.
+// A Grant permits a request to run.
 type Grant struct {
-	// Slot is what Slots.Take returned for the ticket.
+	// Slot is the slot that Slots.Take returned.
 	Slot int
-	// Waited is the time spent in the queue.
+	// Waited is the time that the request spent in the queue.
 	Waited time.Duration
 }
 
-// A Refusal is the final answer to a request that has not run.
+// A Refusal rejects a request that has not run.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when to come back.
+	// RetryAfter is how long the client should wait before it retries.
 	RetryAfter time.Duration
 }
 
-// A Limit bounds the use of a row.
+// A Limit holds the limits of one row.
 type Limit struct {
-	// Weight is the row's weight with its tier's factor.
+	// Weight is the row's share relative to other rows, multiplied by the factor of its tier.
 	Weight int
-	// Running is the greatest number of requests running at once; 0 is no limit.
+	// Running is the maximum number of concurrent requests; 0 means no limit.
 	Running int
-	// QueueTime is the longest wait; 0 refuses whatever cannot run at once.
+	// QueueTime is the maximum wait. If it is 0, a request that cannot run immediately is refused.
 	QueueTime time.Duration
 }
 
-// A Ticket is one waiting or running request.
+// A Ticket is one request in a Queue.
 type Ticket struct {
-	// Row is the table row that the request falls under.
+	// Row is the name of the table row that the request belongs to.
 	Row string
-	// Tokens is the request's expected cost in tokens.
+	// Tokens is the estimated cost of the request in tokens.
 	Tokens int
-	// Limit is the row's limit when the request came.
+	// Limit is the limit of the row at the time of the request's arrival.
 	Limit Limit
-	// Granted and Refused are called once, one of the two, from within the queue's calls.
+	// The queue calls either Granted or Refused, at most once, from within one of its own methods.
 	Granted func(Grant)
 	Refused func(Refusal)
 
@@ -87,49 +86,50 @@
 	ticketDone
 )
 
-// Slots gives out a server's slots, in which requests run.
+// Slots provides a server's slots, each of which runs one request at a time.
 type Slots interface {
-	// Take returns a free slot for the row's model and holds it, or false.
+	// Take reserves a free slot for the row's model; ok is false if there is none.
 	Take(row string) (slot int, ok bool)
-	// Release gives a slot back.
+	// Release frees a slot that Take returned.
 	Release(slot int)
-	// Total returns the number of slots that serve the row's model.
+	// Total returns the number of slots, free or not, that can serve the row's model.
 	Total(row string) int
 }
 
-// A rowState is the queue's account of one row.
+// A rowState holds the requests and the counter of one row.
 type rowState struct {
 	waiting []*Ticket
 	running int
-	// served is the virtual token counter: tokens divided by weight.
-	served float64
-	weight int
+	// counter is the virtual token counter: tokens served divided by weight.
+	counter float64
+	weight  int
 }
 
-func (r *rowState) idle() bool { return len(r.waiting) == 0 && r.running == 0 }
+func (r *rowState) isIdle() bool { return len(r.waiting) == 0 && r.running == 0 }
 
-// A Queue holds the requests of one backend server; it is not safe for
+// A Queue holds the waiting and running requests of one backend server. It is not safe for
 // concurrent use.
 type Queue struct {
-	slots      Slots
-	maxWaiting int
-	rows       map[string]*rowState
-	waiting    int
-	running    int
-	duration   time.Duration
+	slots        Slots
+	maxWaiting   int
+	rows         map[string]*rowState
+	waiting      int
+	running      int
+	meanDuration time.Duration
 }
 
-// Options configure a Queue.
+// Options configures a Queue.
 type Options struct {
-	// MaxWaiting bounds the waiting requests of all rows; zero means 1024.
+	// MaxWaiting is the maximum number of waiting requests of all rows together. The default is
+	// 1024.
 	MaxWaiting int
 }
 
-// New returns an empty Queue over the slots.
+// New returns an empty Queue that runs requests in s.
 func New(s Slots, o Options) *Queue {
 	q := &Queue{slots: s, maxWaiting: o.MaxWaiting}
 	q.rows = make(map[string]*rowState)
-	q.duration = defaultDuration
+	q.meanDuration = defaultDuration
 	if q.maxWaiting <= 0 {
 		q.maxWaiting = defaultMaxWaiting
 	}
@@ -142,7 +142,7 @@
 // Running returns the number of running requests.
 func (q *Queue) Running() int { return q.running }
 
-// Load returns the requests of one row that run or wait.
+// Load returns the number of running and waiting requests of a row.
 func (q *Queue) Load(row string) (running, waiting int) {
 	r, ok := q.rows[row]
 	if !ok {
@@ -151,15 +151,15 @@
 	return r.running, len(r.waiting)
 }
 
-// Push adds a request: it is granted, refused or left waiting.
+// Push adds a request. On return the request is granted, refused or waiting.
 func (q *Queue) Push(t *Ticket, now time.Time) {
 	t.arrived = now
 	if q.waiting >= q.maxWaiting {
-		q.refuse(t, ReasonQueueFull, q.duration)
+		q.refuse(t, ReasonQueueFull, q.meanDuration)
 		return
 	}
-	r := q.row(t)
-	if wait := q.estimate(r, t); wait > t.Limit.QueueTime {
+	r := q.activateRow(t)
+	if wait := q.estimateWait(r, t); wait > t.Limit.QueueTime {
 		q.refuse(t, ReasonQueueTime, wait-t.Limit.QueueTime)
 		return
 	}
@@ -168,32 +168,32 @@
 	q.waiting++
 	q.Step(now)
 	if t.state == ticketWaiting && t.Limit.QueueTime == 0 {
-		q.drop(r, t)
-		q.refuse(t, ReasonQueueTime, q.duration)
+		q.dequeue(r, t)
+		q.refuse(t, ReasonQueueTime, q.meanDuration)
 	}
 }
 
-// row returns the ticket's row; a row that was idle is lifted to the lowest
-// counter in use, so that idling earns no credit.
-func (q *Queue) row(t *Ticket) *rowState {
+// activateRow returns the state of the ticket's row with its weight updated. If the row was idle,
+// its counter is raised to the lowest counter of a non-idle row, so that idle time earns no credit.
+func (q *Queue) activateRow(t *Ticket) *rowState {
 	r, ok := q.rows[t.Row]
 	if !ok {
 		r = &rowState{}
 		q.rows[t.Row] = r
 	}
-	if r.idle() {
-		r.served = max(r.served, q.lowest())
+	if r.isIdle() {
+		r.counter = max(r.counter, q.lowestCounter())
 	}
 	r.weight = max(t.Limit.Weight, 1)
 	return r
 }
 
-// lowest returns the lowest counter of a row in use, or 0.
-func (q *Queue) lowest() float64 {
+// lowestCounter returns the lowest counter of a non-idle row, or 0 if all rows are idle.
+func (q *Queue) lowestCounter() float64 {
 	low := math.Inf(1)
 	for _, r := range q.rows {
-		if !r.idle() {
-			low = min(low, r.served)
+		if !r.isIdle() {
+			low = min(low, r.counter)
 		}
 	}
 	if math.IsInf(low, 1) {
@@ -202,9 +202,9 @@
 	return low
 }
 
-// estimate returns how long the ticket would wait, from the requests that
-// would run before it and the time that a request has lately taken.
-func (q *Queue) estimate(r *rowState, t *Ticket) time.Duration {
+// estimateWait returns the expected wait of a ticket, computed from the requests that would run
+// before it and the average duration of recent requests.
+func (q *Queue) estimateWait(r *rowState, t *Ticket) time.Duration {
 	total := q.slots.Total(t.Row)
 	if total == 0 {
 		return 0
@@ -214,43 +214,43 @@
 		if o == r {
 			continue
 		}
-		part := float64(len(r.waiting)+1) * float64(max(o.weight, 1)) / float64(r.weight)
-		ahead += min(float64(len(o.waiting)), part)
+		share := float64(len(r.waiting)+1) * float64(max(o.weight, 1)) / float64(r.weight)
+		ahead += min(float64(len(o.waiting)), share)
 	}
 	if ahead == 0 {
 		return 0
 	}
-	lanes := total
+	parallelism := total
 	if limit := t.Limit.Running; limit > 0 {
-		lanes = min(lanes, limit)
+		parallelism = min(parallelism, limit)
 	}
-	return time.Duration(ahead / float64(lanes) * float64(q.duration))
+	return time.Duration(ahead / float64(parallelism) * float64(q.meanDuration))
 }
 
-// Step refuses the requests that have waited too long and grants what can run.
+// Step refuses the requests that have exceeded their queue time and starts those that can run.
 func (q *Queue) Step(now time.Time) {
 	q.expire(now)
 	for q.grantOne(now) {
 	}
 }
 
-// expire refuses requests that have waited for too long. An edit of the row may have given a later
-// request a shorter time than those before it.
+// expire refuses the requests that have exceeded their queue time. It checks every request, since a
+// change of the row's limit can give a later request a shorter queue time.
 func (q *Queue) expire(now time.Time) {
 	for _, r := range q.rows {
 		for _, t := range slices.Clone(r.waiting) {
 			if now.Sub(t.arrived) > t.Limit.QueueTime {
-				q.drop(r, t)
-				q.refuse(t, ReasonQueueTime, q.duration)
+				q.dequeue(r, t)
+				q.refuse(t, ReasonQueueTime, q.meanDuration)
 			}
 		}
 	}
 }
 
-// grantOne starts the first request, in the order of the counters, that has a
-// slot and keeps its row's limits.
+// grantOne starts the next request for which a slot is free and its row's concurrency limit is not
+// reached. It reports whether it started one.
 func (q *Queue) grantOne(now time.Time) bool {
-	for _, r := range q.order() {
+	for _, r := range q.rowsInOrder() {
 		t := r.waiting[0]
 		if limit := t.Limit.Running; limit > 0 && r.running >= limit {
 			continue
@@ -259,81 +259,78 @@
 		if !ok {
 			continue
 		}
-		q.drop(r, t)
+		q.dequeue(r, t)
 		q.start(r, t, slot, now)
 		return true
 	}
 	return false
 }
 
-// order returns the rows with waiting requests, the one to serve first first.
-func (q *Queue) order() []*rowState {
+// rowsInOrder returns the rows with waiting requests, the lowest counter first.
+func (q *Queue) rowsInOrder() []*rowState {
 	var rows []*rowState
 	for r := range maps.Values(q.rows) {
 		if len(r.waiting) > 0 {
 			rows = append(rows, r)
 		}
 	}
-	slices.SortFunc(rows, func(a, b *rowState) int { return cmp.Compare(a.served, b.served) })
+	slices.SortFunc(rows, func(a, b *rowState) int { return cmp.Compare(a.counter, b.counter) })
 	return rows
 }
 
-// start grants a request.
 func (q *Queue) start(r *rowState, t *Ticket, slot int, now time.Time) {
 	t.state, t.slot, t.started = ticketRunning, slot, now
 	r.running++
 	q.running++
-	r.served += float64(t.Tokens) / float64(r.weight)
+	r.counter += float64(t.Tokens) / float64(r.weight)
 	t.Granted(Grant{Slot: slot, Waited: now.Sub(t.arrived)})
 }
 
-// Done ends a running request that used the given tokens, or takes back one
-// that still waits; it may be called twice.
+// Done ends a running request, which used the given number of tokens, or withdraws a waiting one.
+// Calls after the first have no effect.
 func (q *Queue) Done(t *Ticket, tokens int, now time.Time) {
 	r := q.rows[t.Row]
 	switch t.state {
 	case ticketWaiting:
-		q.drop(r, t)
+		q.dequeue(r, t)
 		t.state = ticketDone
 	case ticketRunning:
 		t.state = ticketDone
 		r.running--
 		q.running--
-		r.served += float64(tokens-t.Tokens) / float64(r.weight)
-		q.observe(now.Sub(t.started))
+		r.counter += float64(tokens-t.Tokens) / float64(r.weight)
+		q.observeDuration(now.Sub(t.started))
 		q.slots.Release(t.slot)
 		q.Step(now)
 	}
-	if r != nil && r.idle() && r.served <= q.lowest() {
+	if r != nil && r.isIdle() && r.counter <= q.lowestCounter() {
 		delete(q.rows, t.Row)
 	}
 }
 
-// observe counts the duration of a request that has ended.
-func (q *Queue) observe(d time.Duration) {
-	q.duration += time.Duration(durationGain * float64(d-q.duration))
+// observeDuration adds the duration of a finished request to the moving average.
+func (q *Queue) observeDuration(d time.Duration) {
+	q.meanDuration += time.Duration(durationSmoothing * float64(d-q.meanDuration))
 }
 
-// RefuseAll refuses every waiting request for the reason, so that its caller
-// can go elsewhere.
+// RefuseAll refuses all waiting requests with the given reason.
 func (q *Queue) RefuseAll(reason Reason) {
 	for _, r := range q.rows {
 		q.refuseWaiting(r, reason)
 	}
 }
 
-// RefuseRow refuses every waiting request of one row for the reason.
+// RefuseRow refuses all waiting requests of a row with the given reason.
 func (q *Queue) RefuseRow(row string, reason Reason) {
 	if r, ok := q.rows[row]; ok {
 		q.refuseWaiting(r, reason)
 	}
 }
 
-// refuseWaiting refuses every waiting request of a row.
 func (q *Queue) refuseWaiting(r *rowState, reason Reason) {
 	for len(r.waiting) > 0 {
 		t := r.waiting[0]
-		q.drop(r, t)
+		q.dequeue(r, t)
 		q.refuse(t, reason, 0)
 	}
 }
@@ -349,8 +346,8 @@
 	return names
 }
 
-// drop takes a request out of those that wait.
-func (q *Queue) drop(r *rowState, t *Ticket) {
+// dequeue removes a request from its row's queue, if it is there.
+func (q *Queue) dequeue(r *rowState, t *Ticket) {
 	i := slices.Index(r.waiting, t)
 	if i < 0 {
 		return
@@ -359,8 +356,8 @@
 	q.waiting--
 }
 
-// refuse refuses a request that is not among those that wait.
-func (q *Queue) refuse(t *Ticket, reason Reason, after time.Duration) {
+// refuse refuses a request that is not in its row's queue.
+func (q *Queue) refuse(t *Ticket, reason Reason, retryAfter time.Duration) {
 	t.state = ticketDone
-	t.Refused(Refusal{Reason: reason, RetryAfter: max(after, minRetryAfter)})
+	t.Refused(Refusal{Reason: reason, RetryAfter: max(retryAfter, minRetryAfter)})
 }
--- a/fairqueue/fairqueue_test.go
+++ b/fairqueue/fairqueue_test.go
@@ -12,20 +12,20 @@
 
 var start = time.Unix(1000, 0)
 
-// pool is a number of slots that serve every row.
-type pool struct{ free, total int }
+// slotPool is a set of slots that serve every row.
+type slotPool struct{ free, total int }
 
-func (p *pool) Take(string) (int, bool) {
+func (p *slotPool) Take(string) (int, bool) {
 	if p.free == 0 {
 		return 0, false
 	}
 	p.free--
 	return p.free, true
 }
-func (p *pool) Release(int)      { p.free++ }
-func (p *pool) Total(string) int { return p.total }
+func (p *slotPool) Release(int)      { p.free++ }
+func (p *slotPool) Total(string) int { return p.total }
 
-// request is a ticket with what came of it.
+// request is a ticket and its outcome.
 type request struct {
 	*fairqueue.Ticket
 	granted bool
@@ -46,11 +46,11 @@
 }
 
 func newQueue(slots int, o fairqueue.Options) *fairqueue.Queue {
-	return fairqueue.New(&pool{free: slots, total: slots}, o)
+	return fairqueue.New(&slotPool{free: slots, total: slots}, o)
 }
 
-// TestWeights keeps rows of different weights waiting and counts whom each
-// freed slot goes to.
+// TestWeights checks that freed slots are divided in proportion to the rows' weights while all rows
+// have waiting requests.
 func TestWeights(t *testing.T) {
 	tests := map[string]struct {
 		weights map[string]int
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestIdleRowEarnsNoCredit lets a row rest while another is served: it does not
-// shut the other out afterwards.
+// TestIdleRowEarnsNoCredit checks that a row which was idle does not starve the others when it
+// becomes active.
 func TestIdleRowEarnsNoCredit(t *testing.T) {
 	q := newQueue(1, fairqueue.Options{})
 	now := start
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestQueueBound(t *testing.T) {
+func TestMaxWaiting(t *testing.T) {
 	q := newQueue(1, fairqueue.Options{MaxWaiting: 2})
 	var last *request
 	for range 4 {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -4,38 +4,40 @@
 
 // Defaults of a Budget.
 const (
-	// defaultRatio is the number of retries for each first try.
+	// defaultRatio is the number of retries per first attempt.
 	defaultRatio = 0.2
-	// defaultBurst is the number of retries at once after a quiet time.
+	// defaultBurst is the capacity of the bucket in retries.
 	defaultBurst = 10
 )
 
-// A Budget bounds retries; it is safe for concurrent use and its zero value
-// allows one retry for five first tries and a burst of ten.
+// A Budget limits retries by a token bucket. It is safe for concurrent use. The zero value allows
+// one retry per five first attempts and a burst of ten retries.
 type Budget struct {
-	// Ratio is the number of retries allowed for each first try, without a unit.
+	// Ratio is the number of retries allowed per first attempt. If it is not positive, the first
+	// use sets it to 0.2.
 	Ratio float64
-	// Burst is the number of retries allowed at once.
+	// Burst is the number of retries allowed at once. If it is not positive, the first use sets it
+	// to 10.
 	Burst float64
 
-	mu     sync.Mutex
-	tokens float64
-	begun  bool
+	mu          sync.Mutex
+	tokens      float64
+	initialized bool
 }
 
-// First counts a first try.
+// First records a first attempt.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initialize()
 	b.tokens = min(b.tokens+b.Ratio, b.Burst)
 }
 
-// Allow takes one retry from the budget and reports whether there was one.
+// Allow takes one retry from the budget and reports whether the budget had one.
 func (b *Budget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initialize()
 	if b.tokens < 1 {
 		return false
 	}
@@ -43,11 +45,11 @@
 	return true
 }
 
-func (b *Budget) begin() {
-	if b.begun {
+func (b *Budget) initialize() {
+	if b.initialized {
 		return
 	}
-	b.begun = true
+	b.initialized = true
 	if b.Ratio <= 0 {
 		b.Ratio = defaultRatio
 	}
