--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -7,34 +7,34 @@
 	"rockcleat/backend"
 )
 
-// An AdapterMove brings an adapter to an engine.
+// An AdapterMove is the load of an adapter on an engine.
 type AdapterMove struct {
 	Engine string
 	backend.Adapter
-	// Evict is an adapter to unload first, if its name is not empty.
+	// Evict is the adapter to unload first; its Name is empty if there is none.
 	Evict backend.Adapter
 }
 
 // An AdapterInput is the input of PlanAdapters.
 type AdapterInput struct {
-	// Slots is the number of adapters that an engine holds.
-	Slots   int
+	// Slots is the number of adapters that an engine can hold.
+	Slots int
+	// Engines are the engines without an order in progress.
 	Engines []EngineView
-	// Missing lists adapters that are waited for and that no engine holds.
+	// Missing are the adapters that requests wait for and that no usable engine holds.
 	Missing []backend.Adapter
-	// LastUsed is when each adapter was last asked for, RequestsByAdapter how many
-	// requests use it now.
+	// LastUsed is the time of the last request for each adapter, RequestsByAdapter the number of
+	// requests that use it now.
 	LastUsed          map[backend.Adapter]time.Time
 	RequestsByAdapter map[backend.Adapter]int
-	// RequestsByEngine is the number of requests at each engine.
+	// RequestsByEngine is the number of requests running on each engine.
 	RequestsByEngine map[string]int
-	// WaitingSince is since when each missing adapter has been waited for.
+	// WaitingSince is the time since which requests have waited for each missing adapter.
 	WaitingSince map[backend.Adapter]time.Time
-	// Now is when the plan is made.
-	Now time.Time
+	Now          time.Time
 }
 
-// PlanAdapters returns the moves to start now, at most one an engine.
+// PlanAdapters returns the moves to start now, at most one for each engine.
 func PlanAdapters(in AdapterInput) []AdapterMove {
 	var moves []AdapterMove
 	taken := make(map[string]bool)
@@ -49,9 +49,8 @@
 	return moves
 }
 
-// cheapestMove returns the move to the least loaded engine that holds the adapter's model,
-// one with a free slot first. Requests and adapters count alike: each takes time or memory
-// of the engine.
+// cheapestMove returns the move to the least loaded engine that holds the adapter's model, and prefers
+// engines with a free slot. The load of an engine is its number of requests plus its number of adapters.
 func (in *AdapterInput) cheapestMove(a backend.Adapter, taken map[string]bool) (AdapterMove, bool) {
 	var best AdapterMove
 	found := false
@@ -78,12 +77,12 @@
 	return best, found
 }
 
-// fullEnginePenalty is the cost of an engine without a free adapter slot, in requests: more
-// than an engine serves at once, so that free slots are used first.
+// fullEnginePenalty is the additional cost of an engine without a free adapter slot, in requests. It exceeds
+// the number of requests that an engine runs at once, so that free slots are used first.
 const fullEnginePenalty = 1000
 
-// minAdapterResidence is how long an adapter that was asked for stays at least, unless
-// another has been waited for as long.
+// minAdapterResidence is how long an adapter stays loaded after its last request, unless requests have waited
+// for another adapter for longer than that.
 const minAdapterResidence = time.Second
 
 func adapterCount(e *EngineView) int {
@@ -94,9 +93,9 @@
 	return n
 }
 
-// evictionFor returns the adapter to unload for another: the one asked for least recently
-// that no request uses and nobody waits for. For an adapter that has been waited for
-// longer than minAdapterResidence, one goes first that a further engine holds too.
+// evictionFor returns the adapter to unload for another one: the least recently requested adapter that no
+// request uses or waits for. If requests have waited for the other adapter for longer than minAdapterResidence,
+// an adapter that another engine holds too is preferred, even one in use.
 func (in *AdapterInput) evictionFor(e *EngineView, wanted backend.Adapter) (backend.Adapter, bool) {
 	var unused, doubled []backend.Adapter
 	overdue := in.Now.Sub(in.WaitingSince[wanted]) > minAdapterResidence && !in.WaitingSince[wanted].IsZero()
@@ -123,7 +122,7 @@
 	return slices.MinFunc(list, func(a, b backend.Adapter) int { return in.LastUsed[a].Compare(in.LastUsed[b]) }), true
 }
 
-// replicas returns how many engines that stay hold the adapter.
+// replicas returns the number of engines that hold the adapter, without the engines that are leaving.
 func (in *AdapterInput) replicas(a backend.Adapter) int {
 	n := 0
 	for i := range in.Engines {
--- a/residency/doc.go
+++ b/residency/doc.go
@@ -1,19 +1,18 @@
-// Package residency decides which engine holds which models and adapters on the users'
-// platform, where one leader issues all orders to engines.
+// Package residency plans which models and adapters are loaded on which engines, for deployments in which
+// one leader issues all orders to engines.
 //
-// Plan and PlanAdapters are pure functions from what engines hold and what is asked for to
-// the next moves. Every model keeps one replica, but for those that can be loaded within
-// the objective of their requests, and those whose weights an engine's machine has cached
-// while their demand is not expected to rise. The rest of the memory is divided among
-// models by a power of their demand, with a part for the models whose demand should rise
-// next (Forecast), as far as demand has shown in which order it moves (Succession). No plan
-// overfills an engine, leaves a model without a way back or orders twice from one engine.
+// Plan and PlanAdapters are pure functions. They compute the next moves from the models and adapters that
+// each engine holds and from their demand. Every model keeps one replica, with two exceptions: models that
+// can be loaded within the latency objective of their requests, and models whose weights are cached on the
+// engine's machine while their demand is not expected to rise. The remaining memory is divided among the
+// models in proportion to a power of their demand. Forecast raises the demand of the models that are
+// expected to be requested next, to the extent that demand has been observed to move along the operators'
+// list of models (Succession). A plan never exceeds an engine's memory, never evicts the last replica of a
+// model that needs one, and has at most one move for each engine.
 //
-// The package owns no state but what a Succession has learned; demand, the engines' views
-// and the number of loads that the weight store allows come from the caller (package
-// placer), which issues the orders and knows how old its view is. Off the platform package
-// placement decides instead: there every backend server has an agent, cells are planned
-// apart, and rows have weights.
+// The only state that the package owns is what a Succession has observed. The caller (package placer)
+// supplies demand, the state of the engines and the number of loads that the weight store accepts, and
+// issues the orders. Where every backend server has an agent, package placement plans instead.
 //
-// Memory is in MB, demand in prompt tokens a second, costs of moves in seconds of loading.
+// Memory is in MB, demand in prompt tokens per second, and the cost of a move in seconds of loading.
 package residency
--- a/residency/evict.go
+++ b/residency/evict.go
@@ -8,8 +8,8 @@
 	"rockcleat/table"
 )
 
-// evictions returns what to unload so that a model fits on an engine, what serves the
-// least demand first, and whether that is enough.
+// evictions returns the models to unload so that a model fits on an engine, in increasing order of demand
+// per replica; ok is false if the model doesn't fit even then.
 func (p *plan) evictions(e *EngineView, m table.ModelSpec) (evictions []string, ok bool) {
 	need := p.missingMemory(e, m)
 	if need <= 0 {
@@ -32,10 +32,11 @@
 	return nil, false
 }
 
-// evictable reports whether a replica of the model may be evicted. The last one is only if
-// the model is no longer configured, or may be loaded again on request (mayReturn) and the
-// other model has a replica and far more demand. Otherwise one too many is, if it was not
-// loaded recently; for a model that has no replica, any is.
+// evictable reports whether a replica of model may be evicted from an engine to load the model named other.
+//
+// The last replica may be evicted if the model is no longer configured, or if mayReturn allows it and other
+// already has a replica and far more demand. Of several replicas, any may be evicted if other has none;
+// otherwise only one above the model's target that was not loaded recently.
 func (p *plan) evictable(e *EngineView, model, other string) bool {
 	forFirstReplica := p.replicas[other] == 0
 	if p.replicas[model] <= 1 {
@@ -48,13 +49,13 @@
 	return !e.RecentlyLoaded[model] && p.replicas[model] > p.targets[model]
 }
 
-// outweighs reports whether a further replica of a model is worth the last one of another.
+// outweighs reports whether the demand per replica of a model justifies evicting the last replica of another.
 func (p *plan) outweighs(model, last string) bool {
 	return p.demandPerReplica(model) > lastReplicaFactor*p.in.Demands[last].TokensPerSecond
 }
 
-// mayReturn reports whether the last replica of a model may leave an engine, to be loaded
-// again when there is a request for it.
+// mayReturn reports whether the last replica of a model may be evicted from an engine, to be loaded again on
+// the next request for it.
 func (p *plan) mayReturn(e *EngineView, model string) bool {
 	if p.in.Demands[model].Waiting > 0 || e.RecentlyLoaded[model] {
 		return false
@@ -68,25 +69,25 @@
 	return false
 }
 
-// evictionCost returns what the evictions for a model cost, in seconds of loading: each by
-// its share of the demand that it and the new replica serve.
+// evictionCost returns the cost of the evictions for a model, in seconds of loading. Each eviction costs
+// evictionPenalty times the evicted replica's share of the demand that it and the new replica serve.
 func (p *plan) evictionCost(m table.ModelSpec, evictions []string) float64 {
 	sum := 0.0
 	for _, model := range evictions {
 		lost := p.demandPerReplica(model)
-		// The 1, a token a second, only keeps the share defined without demand.
+		// The 1 token per second avoids a division by zero without demand.
 		sum += evictionPenalty * lost / (p.demandPerReplica(m.Name) + lost + 1)
 	}
 	return sum
 }
 
-// demandPerReplica is the demand that one replica of a model serves, in tokens a second.
+// demandPerReplica returns the demand that one replica of a model serves, in tokens per second.
 func (p *plan) demandPerReplica(model string) float64 {
 	return p.in.Demands[model].TokensPerSecond / float64(max(p.replicas[model], 1))
 }
 
-// missingMemory returns how much memory an engine lacks for a model, in MB; the memory that
-// its adapter slots may take, or its adapters do take, stays reserved.
+// missingMemory returns how much memory an engine lacks for a model, in MB; it is negative if memory remains.
+// The memory of all adapter slots stays reserved, or that of the loaded adapters if they take more.
 func (p *plan) missingMemory(e *EngineView, m table.ModelSpec) float64 {
 	spec := p.in.Spec
 	bare := Free(spec, withoutAdapters(e.Residents))
@@ -94,7 +95,7 @@
 	return m.WeightsMB + adapters - bare
 }
 
-// Free returns the memory that an engine has left beside its residents, in MB.
+// Free returns the memory of an engine that its residents leave free, in MB.
 func Free(spec *table.EngineSpec, residents []backend.Resident) float64 {
 	free := spec.WeightsMB
 	for _, r := range residents {
@@ -103,8 +104,8 @@
 	return free
 }
 
-// weightsOf returns the memory of a model with its adapters, in MB; 0 for one that is not
-// configured, whose size nobody knows.
+// weightsOf returns the memory of a model and its adapters, in MB; 0 for a model that is not configured,
+// since its size is unknown.
 func weightsOf(spec *table.EngineSpec, r backend.Resident) float64 {
 	m, ok := spec.Model(r.Model)
 	if !ok {
@@ -113,7 +114,7 @@
 	return m.WeightsMB + float64(len(r.Adapters))*m.AdapterMB
 }
 
-// adapterReserve returns the memory that an engine's adapter slots may take, in MB.
+// adapterReserve returns the memory of an engine's adapter slots if all hold the largest adapter, in MB.
 func adapterReserve(spec *table.EngineSpec) float64 {
 	largest := 0.0
 	for _, m := range spec.Models {
@@ -124,7 +125,7 @@
 	return largest * float64(spec.AdapterSlots)
 }
 
-// withoutAdapters returns the models alone.
+// withoutAdapters returns the residents without their adapters.
 func withoutAdapters(residents []backend.Resident) []backend.Resident {
 	out := make([]backend.Resident, len(residents))
 	for i, r := range residents {
--- a/residency/example_test.go
+++ b/residency/example_test.go
@@ -8,7 +8,7 @@
 	"rockcleat/table"
 )
 
-// A model that nobody holds comes in the place of one that is held twice.
+// A model without a replica replaces one of two replicas of another model.
 func ExamplePlan() {
 	spec := &table.EngineSpec{WeightsMB: 100, Models: []table.ModelSpec{
 		{Name: "draft", WeightsMB: 60}, {Name: "hint", WeightsMB: 60},
--- a/residency/forecast.go
+++ b/residency/forecast.go
@@ -2,15 +2,15 @@
 
 import "rockcleat/table"
 
-// successorShare is the part of a model's demand that the models right behind it in the list
-// are expected to get, if rises are known to follow the list.
+// successorShare is the fraction of a model's demand that each of the models right behind it in the list is
+// expected to get, at a confidence of 1.
 const successorShare = 0.9
 
-// Forecast returns the demands with what is expected to rise next: as far as the succession
-// shows that demand moves along the operators' list, the models behind a busy one get a part
-// of its demand in advance.
+// Forecast returns the demand expected of each model. The models right behind another one in the operators'
+// list are expected to get at least a fraction of its demand, weighted with the confidence of s that demand
+// moves along the list. A nil s has confidence 0.
 //
-// While nothing has been asked for, the replicas that are there stand for demand.
+// While no model has demand, the replicas of each model beyond its first are used as its demand.
 func Forecast(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView, s *Succession) map[string]Demand {
 	measured := measuredDemand(spec, demands, engines)
 	share := successorShare * s.Confidence()
@@ -27,8 +27,8 @@
 	return out
 }
 
-// measuredDemand returns the demand of each model in the order of the list, in tokens a
-// second, or the number of its spare replicas while nothing has been asked for.
+// measuredDemand returns the demand of each model in the order of the list, in tokens per second. While no
+// model has demand, it returns the number of replicas beyond the first of each.
 func measuredDemand(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView) []float64 {
 	measured := make([]float64, len(spec.Models))
 	for i, m := range spec.Models {
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -9,33 +9,33 @@
 	"rockcleat/table"
 )
 
-// An EngineView is one engine as a plan sees it.
+// An EngineView is the state of one engine that a plan is based on.
 type EngineView struct {
 	ID   string
 	Hall string
 	// Residents are the models that are ready or being loaded.
 	Residents []backend.Resident
-	// Idle says that no order is under way.
+	// Idle is true if no order is in progress.
 	Idle bool
-	// Leaving says that the engine is about to go; its replicas do not count.
+	// Leaving is true if the engine is about to shut down. Its replicas do not count.
 	Leaving bool
-	// InNeed says that the engine takes few requests for now: no adapter is loaded there.
+	// InNeed is true while the engine accepts few requests. No adapter is loaded on it.
 	InNeed bool
-	// CachedInMemory and CachedOnDisk name the models whose weights the engine's machine
+	// CachedInMemory and CachedOnDisk are the names of the models whose weights the engine's machine
 	// has cached.
 	CachedInMemory, CachedOnDisk []string
-	// RecentlyLoaded names the models that were loaded too recently to be evicted.
+	// RecentlyLoaded holds the names of the models that were loaded too recently to be evicted.
 	RecentlyLoaded map[string]bool
 }
 
-// A Demand measures what is asked of one model.
+// A Demand is the demand for one model.
 type Demand struct {
-	// TokensPerSecond is the work asked for, in prompt tokens.
+	// TokensPerSecond is the rate of requested prompt tokens.
 	TokensPerSecond float64
-	// Waiting is the number of requests that wait for it.
+	// Waiting is the number of requests that wait for the model.
 	Waiting int
-	// Asked says that there was a request for it, Objective is the shortest objective for
-	// the first byte among its requests; 0 if one of them had none.
+	// Asked is true if the model has been requested. Objective is the shortest objective for the time to
+	// the first byte among its requests; 0 if one of them has none.
 	Asked     bool
 	Objective time.Duration
 }
@@ -46,13 +46,13 @@
 	Engines []EngineView
 	// Demands holds the demand of each model, by name.
 	Demands map[string]Demand
-	// Succession is what is known of the order in which models' demand rises.
+	// Succession is the observed order in which the demand of models rises; nil if nothing was observed.
 	Succession *Succession
-	// StoreLoadsAllowed is the number of loads that the weight store allows now.
+	// StoreLoadsAllowed is the number of loads that the weight store accepts now.
 	StoreLoadsAllowed int
 }
 
-// A Source says where weights are loaded from.
+// A Source is the place that weights are loaded from.
 type Source int
 
 // The sources of weights.
@@ -62,7 +62,7 @@
 	FromMemory
 )
 
-// String returns the source's name for logs.
+// String returns the name used in logs.
 func (s Source) String() string {
 	switch s {
 	case FromDisk:
@@ -73,7 +73,7 @@
 	return "store"
 }
 
-// A Move brings one model to one engine.
+// A Move is the load of one model on one engine.
 type Move struct {
 	Engine string
 	Model  string
@@ -84,16 +84,16 @@
 
 // plan is the working state of one call of Plan.
 type plan struct {
-	in Input
-	// residences holds when each model needs a replica.
+	in         Input
 	residences map[string]residence
-	replicas   map[string]int
-	targets    map[string]int
-	// engines are those that stay.
+	// replicas and targets hold the present and the planned number of replicas, by model.
+	replicas map[string]int
+	targets  map[string]int
+	// engines are the engines that are not leaving.
 	engines []*EngineView
 }
 
-// Plan returns the moves to start now, the most urgent first, at most one an engine.
+// Plan returns the moves to start now, the most urgent first, at most one for each engine.
 func Plan(in Input) []Move {
 	p := &plan{in: in, replicas: make(map[string]int)}
 	p.in.Demands = Forecast(in.Spec, in.Demands, in.Engines, in.Succession)
@@ -112,7 +112,7 @@
 	return p.moves()
 }
 
-// moves looks for a move for each model that has too few replicas.
+// moves returns a move for each model with fewer replicas than its target, where one is possible.
 func (p *plan) moves() []Move {
 	var moves []Move
 	storeLoads := p.in.StoreLoadsAllowed
@@ -143,11 +143,9 @@
 	return list
 }
 
-// compareUrgency orders models by how urgent a further replica is. One without a replica
-// goes first, since its requests cannot be served at all: among these the one with the
-// most demand, where a waiting request counts as a token a second, so that a model which
-// has just been asked for goes before one that nobody asks for. Then the others, by the
-// demand on each replica.
+// compareUrgency orders models by the urgency of a further replica, the most urgent first. Models without a
+// replica come first, since their requests cannot be served at all, in decreasing order of missingUrgency. The
+// others follow in decreasing order of replicaUrgency.
 func (p *plan) compareUrgency(a, b string) int {
 	missingA, missingB := p.replicas[a] == 0, p.replicas[b] == 0
 	switch {
@@ -161,6 +159,8 @@
 	return cmp.Compare(p.replicaUrgency(b), p.replicaUrgency(a))
 }
 
+// missingUrgency returns the urgency of the first replica of a model. A waiting request counts as one token
+// per second, so that a model with its first request comes before a model without any.
 func (p *plan) missingUrgency(model string) float64 {
 	d := p.in.Demands[model]
 	return d.TokensPerSecond + float64(d.Waiting)
@@ -172,16 +172,16 @@
 
 // Penalties of a move, in seconds of loading.
 const (
-	// sameHallPenalty is the cost of each replica in the same data hall, so that a hall's
-	// loss does not take all replicas of a model.
+	// sameHallPenalty is the cost of each replica in the same data hall. It spreads the replicas of a model
+	// over data halls, so that the loss of one does not take all of them.
 	sameHallPenalty = 1.5
-	// evictionPenalty is the cost of evicting a replica that serves all of the demand
-	// that it and the new one serve together.
+	// evictionPenalty is the cost of evicting a replica that serves all of the demand that it and the new
+	// replica serve together.
 	evictionPenalty = 1.0
 )
 
-// cheapestMove returns the cheapest move that brings a model to an engine, by the time of
-// the load, the demand on what is evicted and the replicas in the engine's data hall.
+// cheapestMove returns the cheapest move that loads a model. The cost is the sum of the load time, the eviction
+// cost and the penalty for replicas in the engine's data hall.
 func (p *plan) cheapestMove(m table.ModelSpec, storeAllowed bool) (Move, bool) {
 	var best Move
 	found := false
@@ -218,7 +218,7 @@
 	return halls
 }
 
-// LoadTime returns how long a model takes to load.
+// LoadTime returns the time that a model takes to load from a source.
 func LoadTime(m table.ModelSpec, s Source) time.Duration {
 	switch s {
 	case FromMemory:
@@ -229,8 +229,8 @@
 	return m.StoreLoadTime
 }
 
-// SourceOf returns where a machine that has cached the weights of some models in memory and on
-// disk would load a model from.
+// SourceOf returns the source from which a machine loads a model, given the models whose weights it has cached
+// in memory and on disk.
 func SourceOf(inMemory, onDisk []string, model string) Source {
 	if slices.Contains(inMemory, model) {
 		return FromMemory
@@ -245,7 +245,7 @@
 	return slices.ContainsFunc(e.Residents, func(r backend.Resident) bool { return r.Model == model })
 }
 
-// apply counts a move as made.
+// apply updates the working state as if the move had been completed. Its engine is no longer idle.
 func (p *plan) apply(m Move) {
 	for _, e := range p.engines {
 		if e.ID == m.Engine {
--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -13,7 +13,7 @@
 	"rockcleat/table"
 )
 
-// spec returns engines of 200 GB and models of the given sizes in GB.
+// spec returns the specification of engines with 200 GB for models of the given sizes in GB, named m0 and so on.
 func spec(sizes ...float64) *table.EngineSpec {
 	s := &table.EngineSpec{WeightsMB: 200_000, AdapterSlots: 4, LoadsPerSecond: 1}
 	for i, gb := range sizes {
@@ -25,7 +25,7 @@
 	return s
 }
 
-// engines returns idle engines that hold the named models.
+// engines returns one idle engine for each list of models that it holds.
 func engines(held ...[]string) []EngineView {
 	var list []EngineView
 	for i, models := range held {
@@ -38,6 +38,7 @@
 	return list
 }
 
+// demands returns the demand of the models m0 and so on, in tokens per second.
 func demands(weights ...float64) map[string]Demand {
 	w := make(map[string]Demand)
 	for i, weight := range weights {
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestPlanKeepsPromises checks on drawn fleets that no plan removes a last copy,
-// overfills an engine, orders twice from one engine or exceeds the store.
+// TestPlanKeepsPromises checks with random engines that no plan evicts a last replica, exceeds an engine's memory,
+// has two moves for one engine or exceeds the loads that the weight store accepts.
 func TestPlanKeepsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfN(rapid.Float64Range(30, 120), 1, 10).Draw(t, "sizes")
@@ -141,7 +142,7 @@
 		seen := make(map[string]bool)
 		for _, m := range moves {
 			if seen[m.Engine] {
-				t.Fatalf("two moves at %s", m.Engine)
+				t.Fatalf("two moves for engine %s", m.Engine)
 			}
 			seen[m.Engine] = true
 			if m.Source == FromStore {
@@ -150,14 +151,14 @@
 			for _, v := range m.Evictions {
 				before[v]--
 				if before[v] < 1 {
-					t.Fatalf("the last copy of %s goes", v)
+					t.Fatalf("last replica of %s evicted", v)
 				}
 			}
 			before[m.Model]++
 			checkFits(t, s, list, m)
 		}
 		if stores < 0 {
-			t.Fatal("more loads than the store bears")
+			t.Fatal("more loads from the weight store than allowed")
 		}
 	})
 }
@@ -199,18 +200,18 @@
 			continue
 		}
 		if !e.Idle {
-			t.Fatalf("%s has an order under way", e.ID)
+			t.Fatalf("move for engine %s, which has an order in progress", e.ID)
 		}
 		left := slices.DeleteFunc(slices.Clone(e.Residents), func(r backend.Resident) bool {
 			return slices.Contains(m.Evictions, r.Model)
 		})
 		if free := Free(s, append(left, backend.Resident{Model: m.Model})); free < 0 {
-			t.Fatalf("%s is overfilled by %.0f MB", e.ID, -free)
+			t.Fatalf("engine %s exceeds its memory by %.0f MB", e.ID, -free)
 		}
 	}
 }
 
-// inNeed makes one engine take few requests.
+// inNeed sets InNeed on engine i and returns the list.
 func inNeed(list []EngineView, i int) []EngineView {
 	list[i].InNeed = true
 	return list
@@ -290,7 +291,7 @@
 	}
 }
 
-// BenchmarkPlan plans for 300 engines and 160 models while demand moves.
+// BenchmarkPlan plans for 300 engines and 160 models whose replicas do not match the demand.
 func BenchmarkPlan(b *testing.B) {
 	var sizes, weights []float64
 	for i := range 160 {
--- a/residency/replicas.go
+++ b/residency/replicas.go
@@ -7,20 +7,18 @@
 	"rockcleat/table"
 )
 
-// replicaOffset is added to a model's number of replicas when its demand is divided by
-// them: below 1, so that a model's second replica counts for more than in proportion.
+// replicaOffset is added to the number of replicas by which a model's demand is divided. A value below 1 raises
+// the priority of a second replica.
 const replicaOffset = 0.5
 
-// demandExponent is the power of demand by which the spare memory is divided: less than in
-// proportion, so that models with little demand have replicas when theirs rises, which takes longer
-// to follow than to serve what there is. With many engines, where the busiest model needs some 30
-// replicas, the root leaves it with ten.
+// demandExponent is the power of demand in proportion to which the spare memory is divided. A value below 1
+// leaves more replicas to models with little demand, since replicas follow a rise in demand only with a delay.
 const demandExponent = 0.75
 
-// replicaTargets divides the memory of a number of engines among the models: one replica
-// each, but for those that need none and that nobody waits for, and the rest to whichever
-// model has the largest share of demand on each replica, until nothing fits any more. At
-// most one replica of a model fits on an engine.
+// replicaTargets divides the memory of a number of engines among the models and returns the number of replicas
+// of each. Every model gets one replica, except models that may be unloaded and have no waiting request. The
+// remaining memory goes, one replica at a time, to the model with the highest priority, until no replica fits.
+// An engine holds at most one replica of a model.
 func replicaTargets(spec *table.EngineSpec, demands map[string]Demand, residences map[string]residence, engines int) map[string]int {
 	room := spec.WeightsMB * float64(engines)
 	var candidates replicaHeap
@@ -43,7 +41,7 @@
 		c := &candidates[0]
 		m := &spec.Models[c.index]
 		if c.replicas >= engines || m.WeightsMB > room {
-			// Room only shrinks, so the model gets no further replica.
+			// The remaining memory only shrinks, so the model gets no further replica.
 			heap.Pop(&candidates)
 			continue
 		}
@@ -55,7 +53,7 @@
 	return targets
 }
 
-// A replicaCandidate is a model that may get a further replica.
+// A replicaCandidate is a model that may get another replica.
 type replicaCandidate struct {
 	index    int
 	replicas int
@@ -63,7 +61,7 @@
 	share float64
 }
 
-// priority is the share on each replica.
+// priority returns the share per replica.
 func (c replicaCandidate) priority() float64 {
 	return c.share / (float64(c.replicas) + replicaOffset)
 }
--- a/residency/replicas_test.go
+++ b/residency/replicas_test.go
@@ -44,8 +44,7 @@
 	}
 }
 
-// plainTargets divides memory as targets are defined: each next replica goes to the model
-// with the greatest power of demand for its replicas among those that still fit.
+// plainTargets is a straightforward implementation of replicaTargets without a heap, for comparison.
 func plainTargets(s *table.EngineSpec, asked map[string]Demand, engines int) map[string]int {
 	targets := make(map[string]int)
 	room := s.WeightsMB * float64(engines)
--- a/residency/residence.go
+++ b/residency/residence.go
@@ -2,39 +2,39 @@
 
 import "rockcleat/table"
 
-// A residence says when a model needs a replica.
+// A residence says when a model needs at least one replica.
 type residence int
 
 const (
-	// always: its requests cannot wait for a load.
+	// always requires a replica at all times, since requests cannot wait for a load.
 	always residence = iota
-	// whileCached: its demand is not expected to rise; the last replica may leave an engine
-	// whose machine keeps the weights cached, from where it is back in a second or two.
+	// whileCached allows the last replica to be evicted from an engine whose machine has the weights cached
+	// and can load them again quickly. It applies to models whose demand is not expected to rise.
 	whileCached
-	// onRequest: its requests can wait until it is loaded.
+	// onRequest allows the last replica to be evicted, since requests can wait for a load.
 	onRequest
 )
 
-// When the last replica of a model may go: one of each would take most of the engines' memory for
-// models that few ask for.
+// Conditions under which the last replica of a model may be evicted. Without eviction, models with little
+// demand would take most of the engines' memory.
 const (
-	// onRequestLoads is how many times a model must be loadable from a disk within the
-	// objective of its requests: once for the unload before it and once for itself.
+	// onRequestLoads is the number of loads from disk that must fit into the objective of a model's requests:
+	// one for the unload that makes room and one for the load.
 	onRequestLoads = 2
-	// lastReplicaFactor is how many times the demand of a last replica's model the demand on
-	// each replica of the model in its place must be: a load on
-	// request takes its objective from each request that waits for it.
+	// lastReplicaFactor is the least ratio between the demand per replica of the model to load and the demand
+	// of the model whose last replica is evicted. It is high because every request that waits for the evicted
+	// model to be loaded again uses up its objective.
 	lastReplicaFactor = 40
-	// leastShare is the part of all demand, measured or expected, from which on a model
-	// always has a replica, since it would be loaded again at once.
+	// leastShare is the fraction of the total demand, measured or expected, at or above which a model always
+	// has a replica, since it would be loaded again at once.
 	leastShare = 0.02
-	// leastConfidence is how sure the order of rises must be for a model that is not next to
-	// count as not expected to rise.
+	// leastConfidence is the confidence in the order of rises above which a model that is not next in that
+	// order is not expected to rise.
 	leastConfidence = 0.5
 )
 
-// residences returns when each model needs a replica, by name. Demands are those expected;
-// of a model that was never asked for nobody knows how long its requests can wait.
+// residences returns the residence of each model, by name. The demands are those of Forecast. For a model that
+// was never requested it is unknown how long its requests can wait, so it is never onRequest.
 func residences(spec *table.EngineSpec, demands map[string]Demand, confidence float64) map[string]residence {
 	total := 0.0
 	for _, d := range demands {
--- a/residency/residence_test.go
+++ b/residency/residence_test.go
@@ -9,7 +9,8 @@
 	"rockcleat/backend"
 )
 
-// TestLastReplica plans a second replica of a model in the place of the last of another one.
+// TestLastReplica checks under which conditions the last replica of a model is evicted for a second replica of
+// another one.
 func TestLastReplica(t *testing.T) {
 	patient := Demand{TokensPerSecond: 1, Asked: true, Objective: 5 * time.Second}
 	tests := map[string]struct {
@@ -56,8 +57,8 @@
 	}
 }
 
-// TestModelOnRequestReturns asks for a model that has no replica: it comes back in the place
-// of one that others hold too, first where its weights are cached.
+// TestModelOnRequestReturns checks that a requested model without a replica is loaded in the place of a model with
+// two, on the engine whose machine has its weights cached.
 func TestModelOnRequestReturns(t *testing.T) {
 	list := []EngineView{
 		{ID: "e0", Idle: true, Residents: []backend.Resident{{Model: "m1"}}},
--- a/residency/succession.go
+++ b/residency/succession.go
@@ -2,38 +2,33 @@
 
 import "rockcleat/table"
 
-// How the order in which demand rises is learned.
+// Parameters of the estimate of whether demand rises in the order of the list.
 const (
-	// busyShare is the part of all demand from which on a model is busy; it is no longer
-	// below idleShare.
+	// A model becomes busy at a fraction busyShare of the total demand and stays busy down to idleShare.
 	busyShare = 0.04
 	idleShare = 0.02
-	// successionReach is how many places behind a busy model the next one to rise is
-	// looked for.
+	// successionReach is the number of places behind a busy model where the next model is expected to rise.
 	successionReach = 2
-	// successionPrior is how many rises count against an order before any was seen.
+	// successionPrior is the weight of the prior assumption that the list has no order, in rises.
 	successionPrior = 0.5
-	// successionMemory is the part of what was learned that stays with each rise, so that
-	// some ten rises count.
+	// successionMemory is the factor by which the counts decay with each rise. About the last ten rises count.
 	successionMemory = 0.9
 )
 
-// A Succession learns from demand whether models rise in the order of the operators' list:
-// whether those whose demand rises stand right behind busy ones, more often than chance
-// would have it. Nothing says that a list has such an order; without one the confidence
-// stays near 0.
+// A Succession estimates from observed demand whether models become busy in the order of the operators' list:
+// how much more often than by chance a model that becomes busy stands right behind a busy one. If the list has
+// no such order, the confidence stays near 0.
 //
-// Its zero value has seen nothing. It is not safe for concurrent use.
+// The zero value has no observations. It is not safe for concurrent use.
 type Succession struct {
 	busy map[string]bool
-	// rises counts models that became busy, hits those that stood behind a busy one, and
-	// chance those that would have by chance; all fade with successionMemory.
+	// rises counts the models that became busy, hits those among them that stood right behind a busy one, and
+	// chance the hits expected by chance. All decay with successionMemory.
 	rises, hits, chance float64
 }
 
-// Observe takes note of the demand at one time. Before anything has been asked for, the replicas show
-// which models are busy and nothing is learned: they rise in the order in which they are loaded, and
-// what was learned from that kept a model that nobody had asked for yet without its replica.
+// Observe records the demand at one time. While no model has demand, the replicas determine which models are
+// busy and no rise is counted: the models would seem to rise in the order in which they are loaded.
 func (s *Succession) Observe(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView) {
 	measured := measuredDemand(spec, demands, engines)
 	total := 0.0
@@ -56,7 +51,7 @@
 	s.busy = busy
 }
 
-// isAnyAsked reports whether anything has been asked for.
+// isAnyAsked reports whether any model has demand.
 func isAnyAsked(demands map[string]Demand) bool {
 	for _, d := range demands {
 		if d.TokensPerSecond > 0 {
@@ -66,7 +61,8 @@
 	return false
 }
 
-// count counts the models that have become busy.
+// count updates the counts with the models that have become busy. The first model of the list is left out,
+// since no model is before it.
 func (s *Succession) count(spec *table.EngineSpec, busy map[string]bool) {
 	idle, expected := 0, 0
 	var rising []bool
@@ -93,7 +89,7 @@
 	}
 }
 
-// isBehindBusy reports whether a model stands right behind a busy one in the list.
+// isBehindBusy reports whether a busy model is at most successionReach places before model i in the list.
 func isBehindBusy(spec *table.EngineSpec, busy map[string]bool, i int) bool {
 	for j := max(i-successionReach, 0); j < i; j++ {
 		if busy[spec.Models[j].Name] {
@@ -103,8 +99,8 @@
 	return false
 }
 
-// Confidence returns how far rises follow the list, from 0, no more than by chance, to 1,
-// always; without unit.
+// Confidence returns how consistently rises follow the list, from 0 (no more often than by chance) to 1
+// (always). It returns 0 for a nil Succession.
 func (s *Succession) Confidence() float64 {
 	if s == nil || s.hits <= s.chance {
 		return 0
--- a/residency/succession_test.go
+++ b/residency/succession_test.go
@@ -11,7 +11,7 @@
 	"rockcleat/table"
 )
 
-// listed returns the specification of a number of models of equal size.
+// listed returns the specification of n models of equal size.
 func listed(n int) *table.EngineSpec {
 	sizes := make([]float64, n)
 	for i := range sizes {
@@ -20,7 +20,7 @@
 	return spec(sizes...)
 }
 
-// inOrder returns the numbers below n.
+// inOrder returns the numbers from 0 to n-1.
 func inOrder(n int) []int {
 	list := make([]int, n)
 	for i := range list {
@@ -29,7 +29,7 @@
 	return list
 }
 
-// learned returns what a succession has learned after demand has moved along the list.
+// learned returns a Succession that has observed demand move along the list.
 func learned() *Succession {
 	var s Succession
 	for i := range 4 {
@@ -38,8 +38,8 @@
 	return &s
 }
 
-// demandAt returns the demand of four busy models whose list begins at a place, among a
-// trickle for the others.
+// demandAt returns high demand for four consecutive models of an order, from a place on, and low demand for the
+// others.
 func demandAt(order []int, place int) map[string]Demand {
 	out := make(map[string]Demand)
 	for _, m := range order {
@@ -51,8 +51,8 @@
 	return out
 }
 
-// TestSuccession moves demand of four of 26 models on by two places at a time, along the
-// list and in another order.
+// TestSuccession checks the confidence after demand has moved through 26 models, two places at a time, in the order
+// of the list and in another order.
 func TestSuccession(t *testing.T) {
 	along := inOrder(26)
 	shuffled := rand.New(rand.NewPCG(1, 1)).Perm(26)
@@ -98,15 +98,15 @@
 	}
 }
 
-// TestReplicasStandForDemand forecasts before anything has been asked for.
+// TestReplicasStandForDemand checks that a forecast is based on replicas while no model has demand.
 func TestReplicasStandForDemand(t *testing.T) {
 	held := engines([]string{"m0"}, []string{"m0"}, []string{"m0", "m1"})
 	got := Forecast(listed(4), nil, held, learned())
 	assert.Assert(t, got["m0"].TokensPerSecond > got["m1"].TokensPerSecond && got["m1"].TokensPerSecond > 0, "%v", got)
 }
 
-// TestNothingIsLearnedFromLoads loads one model after the other, in the order of the list, before
-// anything is asked for.
+// TestNothingIsLearnedFromLoads checks that models that are loaded in the order of the list, without any demand, do
+// not raise the confidence.
 func TestNothingIsLearnedFromLoads(t *testing.T) {
 	var s Succession
 	engines := make([]EngineView, 12)
