--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,15 +1,15 @@
-// Package placement decides which models and adapters sit on which accelerators behind agents.
+// Package placement plans which models and adapters are loaded on which accelerators, for backend servers that
+// each have an agent.
 //
-// Plan is a pure function, but for the memory of hysteresis, from what a cell's planner knows
-// to the orders that it should issue next: first what has no copy, then copies for demand, and
-// room for either by evicting copies that demand no longer justifies. The last copy of a name
-// is never evicted. Copies are added as soon as demand rises and kept for a while after it has
-// fallen, so that nothing moves back and forth.
+// A Planner computes the next orders for one cell from the records of all cells. Names without a replica come
+// first, then additional replicas for demand. To free memory for either, it evicts replicas that demand no longer
+// justifies, but never the last ready replica of a name in the table. A replica is added as soon as demand rises
+// and kept for Options.Hold after demand has fallen, so that replicas are not loaded and unloaded repeatedly.
 //
-// A Planner owns only that memory: since when each name has had more copies than wanted. It
-// relies on the caller for the records of all cells and issues no order itself. Cells agree
-// without messages, by rendezvous hashing over the same records. On the users' platform, where
-// one leader orders all engines and rows have no tiers, package residency decides instead.
+// The only state that a Planner owns is the time since which each name has had more replicas than its target;
+// apart from that, Plan is a pure function. The caller supplies the records of all cells and issues the orders.
+// Cells that see the same records divide the replicas among themselves without messages, by rendezvous hashing.
+// Where one leader issues the orders to all engines and rows have no tiers, package residency plans instead.
 //
 // Memory is in MiB, demand in busy slots.
 package placement
--- a/placement/fit.go
+++ b/placement/fit.go
@@ -9,10 +9,9 @@
 	"rockcleat/table"
 )
 
-// CheckFit reports, by first-fit decreasing, whether one copy of every model
-// and adapter fits the accelerators; the errors give the arithmetic.
-//
-// Rows without a size are an error too: the weight store does not have them.
+// CheckFit checks by first-fit decreasing bin packing whether one replica of every model with its adapters fits
+// on the accelerators. It returns an error for each model that does not fit, with the memory needed and left, and
+// for each row without a size, since the weight store does not hold it.
 func CheckFit(rows []table.Row, sizes map[string]Size, servers []fleet.Server) []table.CheckError {
 	var errs []table.CheckError
 	var free []int
@@ -44,12 +43,13 @@
 	return errs
 }
 
-// A group is a model with the adapters that must sit beside it.
+// A group is a model with all its adapters, which need the same accelerator.
 type group struct {
 	name string
 	mib  int
 }
 
+// groupSizes returns the groups in the order of their names, and an error for each row without a size.
 func groupSizes(rows []table.Row, sizes map[string]Size) ([]group, []table.CheckError) {
 	var errs []table.CheckError
 	mib := make(map[string]int)
@@ -77,6 +77,7 @@
 	return groups, errs
 }
 
+// largest returns the largest value, or 0 if there is none.
 func largest(free []int) int {
 	if len(free) == 0 {
 		return 0
--- a/placement/moves.go
+++ b/placement/moves.go
@@ -12,7 +12,7 @@
 	"rockcleat/table"
 )
 
-// dropUnlisted unloads what the table no longer names.
+// dropUnlisted unloads the models and adapters that are no longer in the table.
 func (s *plan) dropUnlisted() {
 	listed := make(map[string]bool, len(s.in.Rows))
 	for _, r := range s.in.Rows {
@@ -27,8 +27,8 @@
 	}
 }
 
-// byUrgency returns the rows with fewer copies than wanted, models before
-// adapters, higher tiers and greater demand first.
+// byUrgency returns the models and adapters for which want returns true, the most urgent first: models before
+// adapters, then by decreasing tier, demand and size.
 func (s *plan) byUrgency(want func(r table.Row) bool) []table.Row {
 	var rows []table.Row
 	for _, r := range s.in.Rows {
@@ -55,7 +55,8 @@
 	return 1
 }
 
-// placeFirst gives every name its first copy.
+// placeFirst plans the first replica of each name that has none in the cell and a target above 0. If no accelerator
+// has room, it evicts or relocates other replicas.
 func (s *plan) placeFirst() {
 	rows := s.byUrgency(func(r table.Row) bool { return s.copies[r.Name] == 0 && s.wanted[r.Name] > 0 })
 	for _, r := range rows {
@@ -73,7 +74,7 @@
 	}
 }
 
-// placeExtra adds copies that demand justifies.
+// placeExtra plans additional replicas for names with fewer than their target.
 func (s *plan) placeExtra() {
 	rows := s.byUrgency(func(r table.Row) bool { return s.copies[r.Name] > 0 && s.copies[r.Name] < s.wanted[r.Name] })
 	for _, r := range rows {
@@ -89,12 +90,12 @@
 	}
 }
 
-// full reports whether the plan has as many orders or loads as it may.
+// full reports whether the plan has reached the limit on orders or loads.
 func (s *plan) full() bool {
 	return len(s.orders) >= s.opts.MaxOrders || s.loads >= s.opts.MaxLoads
 }
 
-// roomFor returns the least busy accelerator that can take the row, or nil.
+// roomFor returns the least busy accelerator with enough free memory for the row, or nil if there is none.
 func (s *plan) roomFor(r table.Row) *acc {
 	need := s.in.Sizes[r.Name].TotalMiB()
 	var best *acc
@@ -109,7 +110,8 @@
 	return best
 }
 
-// better prefers the less busy accelerator and, between equals, the emptier one.
+// better reports whether a is preferred to b: it is less busy or, if both are about equally busy, has more free
+// memory.
 func (s *plan) better(a, b *acc) bool {
 	if math.Abs(a.demand-b.demand) > levelUnit {
 		return a.demand < b.demand
@@ -117,8 +119,8 @@
 	return a.free > b.free
 }
 
-// suits reports whether the accelerator lacks the row and, for an adapter, has
-// its base.
+// suits reports whether the row may be loaded on the accelerator: it is not there yet and, for an adapter, its base
+// model is ready there.
 func (s *plan) suits(x *acc, r table.Row) bool {
 	if _, has := x.members[r.Name]; has {
 		return false
@@ -126,9 +128,9 @@
 	return r.Kind != table.KindAdapter || x.members[r.Base] == fleet.StateReady
 }
 
-// makeRoom unloads copies that are not needed from one accelerator until the
-// row would fit there, keeps the room for it and reports whether there is such an
-// accelerator; held says how long a copy must have been surplus.
+// makeRoom evicts replicas from the accelerator that needs the fewest evictions until the row fits there, and
+// reserves the memory for the row. It reports whether there is such an accelerator. held is how long a name must
+// have had surplus replicas; see evictable.
 func (s *plan) makeRoom(r table.Row, reason string, held time.Duration) bool {
 	need := s.in.Sizes[r.Name].TotalMiB()
 	var best *acc
@@ -152,8 +154,8 @@
 	return true
 }
 
-// evictions returns copies whose unloading frees the memory, and whether there are
-// enough; none are needed for memory that is being freed already.
+// evictions returns the names to evict from an accelerator to free an amount of memory, those with the least demand
+// first; ok is false if the memory cannot be freed. No evictions are needed if need is not positive.
 func (s *plan) evictions(x *acc, need int, held time.Duration) ([]string, bool) {
 	if need <= 0 {
 		return nil, true
@@ -174,9 +176,9 @@
 	return nil, false
 }
 
-// evictable reports whether a copy of the name may be evicted: never the last one that
-// serves, whatever is being loaded. A first copy of another name (held 0) may evict any copy
-// but the last; demand may evict surplus ones only.
+// evictable reports whether a replica of the name may be evicted. The last ready replica never is, even if another
+// one is being loaded. With held 0, for the first replica of another name, any other replica may be evicted.
+// Otherwise the name must have had more replicas than its target for at least held.
 func (s *plan) evictable(name string, held time.Duration) bool {
 	if s.ready[name] <= 1 {
 		return false
@@ -188,7 +190,7 @@
 	return ok && s.copies[name] > s.wanted[name] && s.in.Now.Sub(since) >= held
 }
 
-// carries reports whether an adapter on the accelerator needs the model there.
+// carries reports whether the accelerator holds an adapter of the model.
 func (s *plan) carries(x *acc, name string) bool {
 	return slices.ContainsFunc(s.adapters[name], func(adapter string) bool {
 		_, has := x.members[adapter]
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -11,14 +11,14 @@
 // A Size is the memory that a model or adapter takes, in MiB.
 type Size struct {
 	WeightMiB int `json:"weight_mib"`
-	// CacheMiB is the room for its KV cache.
+	// CacheMiB is the memory of its KV cache.
 	CacheMiB int `json:"cache_mib"`
 }
 
-// TotalMiB returns the memory to reserve.
+// TotalMiB returns the memory to reserve, in MiB.
 func (s Size) TotalMiB() int { return s.WeightMiB + s.CacheMiB }
 
-// An Order is a load or an unload for a backend server's agent.
+// An Order tells a backend server's agent to load or unload a model or adapter.
 type Order struct {
 	Op          ledger.Op `json:"op"`
 	Server      string    `json:"server"`
@@ -31,32 +31,28 @@
 
 // Options configure a Planner.
 type Options struct {
-	// Headroom is the part of an accelerator's slots that a copy is planned to fill.
+	// Headroom is the fraction of an accelerator's slots that the demand on one replica is planned to use,
+	// from 0 to 1.
 	Headroom float64
-	// Hold is how long a copy stays after demand no longer justifies it; a longer
-	// hold makes fewer moves and slower changes.
+	// Hold is how long a replica is kept after demand no longer justifies it.
 	Hold time.Duration
-	// MaxLoads bounds the loads that may run at once.
+	// MaxLoads is the maximum number of loads that run at the same time in the cell.
 	MaxLoads int
-	// MaxOrders bounds the orders of one plan.
+	// MaxOrders is the maximum number of orders in one plan.
 	MaxOrders int
 }
 
 // Defaults of Options.
 const (
-	// defaultHeadroom is a part, 0 to 1.
-	defaultHeadroom = 0.7
-	// defaultHold is one minute: demand moves tenfold within an hour (the letter).
-	defaultHold = 60 * time.Second
-	// defaultMaxLoads is in loads at once.
-	defaultMaxLoads = 4
-	// defaultMaxOrders is in orders a plan.
+	defaultHeadroom  = 0.7
+	defaultHold      = 60 * time.Second
+	defaultMaxLoads  = 4
 	defaultMaxOrders = 8
 )
 
 // An Input is the input of Plan.
 type Input struct {
-	// Cell is the cell whose planner asks; Cells are all there are, it included.
+	// Cell is the ID of the cell to plan for; Cells are all cells, including that one.
 	Cell  string
 	Cells []Cell
 	Rows  []table.Row
@@ -64,22 +60,22 @@
 	Now   time.Time
 }
 
-// A Cell describes one cell.
+// A Cell is the state of one cell.
 type Cell struct {
 	ID      string
 	Servers []fleet.Server
-	// Demand is the cell's demand by row, in busy slots.
+	// Demand is the demand that the cell reports for each row, in busy slots.
 	Demand map[string]float64
 }
 
-// A Planner makes plans for one cell; it is not safe for concurrent use.
+// A Planner plans for one cell. It is not safe for concurrent use.
 type Planner struct {
 	opts Options
-	// surplus is since when each name has had more copies than wanted.
+	// surplus is the time since which each name has had more replicas than its target.
 	surplus map[string]time.Time
 }
 
-// NewPlanner returns a Planner with no memory.
+// NewPlanner returns a Planner. Options that are not positive are replaced by defaults.
 func NewPlanner(o Options) *Planner {
 	if o.Headroom <= 0 {
 		o.Headroom = defaultHeadroom
@@ -96,34 +92,39 @@
 	return &Planner{opts: o, surplus: make(map[string]time.Time)}
 }
 
-// An acc is a plan's account of one accelerator.
+// An acc is the state of one accelerator during a plan.
 type acc struct {
 	server *fleet.Server
 	index  int
-	// free is the memory that nothing takes or is to take, in MiB; less than 0 where
-	// more is promised than is free yet.
+	// free is the memory that is neither in use nor reserved, in MiB. It is negative if memory is reserved
+	// that is yet to be freed.
 	free int
-	// freeing is the memory of copies that are being unloaded, in MiB.
+	// freeing is the memory of replicas that are being unloaded, in MiB.
 	freeing int
-	demand  float64
-	slots   int
+	// demand is the estimated demand on the replicas here, in busy slots.
+	demand float64
+	slots  int
+	// members holds the state of each model and adapter here, by name.
 	members map[string]fleet.State
 }
 
 // plan is the working state of one call of Plan.
 type plan struct {
 	*Planner
-	in     Input
-	accs   []*acc
+	in   Input
+	accs []*acc
+	// demand is the demand of all cells by name, in busy slots.
 	demand map[string]float64
+	// copies counts the replicas of each name in the cell that are ready or being loaded, ready those that
+	// are ready.
 	copies map[string]int
-	// ready counts those of the copies that serve.
-	ready map[string]int
-	// adapters lists the adapters of each model.
+	ready  map[string]int
+	// adapters holds the names of the adapters of each model.
 	adapters map[string][]string
 	census   []census
-	loads    int
-	// wanted is how many copies of each name the cell should hold.
+	// loads is the number of loads in progress or planned.
+	loads int
+	// wanted is the target number of replicas of each name in the cell.
 	wanted map[string]int
 	orders []Order
 }
@@ -143,7 +144,7 @@
 	return s.orders
 }
 
-// trackSurplus remembers since when each name has had more copies than wanted.
+// trackSurplus updates the time since which each name has had more replicas than its target.
 func (s *plan) trackSurplus() {
 	for _, r := range s.in.Rows {
 		if s.copies[r.Name] <= s.wanted[r.Name] {
@@ -156,7 +157,7 @@
 	}
 }
 
-// load plans the load of a row on an accelerator.
+// load adds an order to load a row on an accelerator.
 func (s *plan) load(x *acc, r table.Row, reason string) {
 	size := s.in.Sizes[r.Name]
 	x.free -= size.TotalMiB()
@@ -166,7 +167,7 @@
 	s.add(ledger.OpLoad, x, r.Name, r.Base, reason)
 }
 
-// unload plans the unload of a name from an accelerator.
+// unload adds an order to unload a name from an accelerator.
 func (s *plan) unload(x *acc, name, reason string) {
 	x.members[name] = fleet.StateUnloading
 	x.freeing += s.in.Sizes[name].TotalMiB()
@@ -175,7 +176,6 @@
 	s.add(ledger.OpUnload, x, name, "", reason)
 }
 
-// add appends an order.
 func (s *plan) add(op ledger.Op, x *acc, name, base, reason string) {
 	s.orders = append(s.orders, Order{
 		Op: op, Server: x.server.ID, Accelerator: x.index, Name: name, Base: base,
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -39,7 +39,7 @@
 	return fleet.Resident{Name: name, Accelerator: acc, State: fleet.StateUnloading, MemoryMiB: mib}
 }
 
-// server returns a server with accelerators of 100 MiB that hold the residents.
+// server returns a server with a number of accelerators of 100 MiB each and the given residents.
 func server(id string, accelerators int, residents ...fleet.Resident) fleet.Server {
 	s := fleet.Server{ID: id, Slots: 10, Residents: residents}
 	for range accelerators {
@@ -51,6 +51,7 @@
 	return s
 }
 
+// demand returns the server with demand for a name added.
 func demand(s fleet.Server, name string, slots float64) fleet.Server {
 	s.Demand = append(s.Demand, fleet.Demand{Name: name, Level: placement.LevelOf(slots)})
 	return s
@@ -70,6 +71,7 @@
 
 func size(mib int) placement.Size { return placement.Size{WeightMiB: mib} }
 
+// brief formats orders as "operation name server/accelerator".
 func brief(orders []placement.Order) []string {
 	var out []string
 	for _, o := range orders {
@@ -148,8 +150,7 @@
 	}
 }
 
-// TestHold checks that a surplus copy makes room for demand only after it has
-// been surplus for the hold.
+// TestHold checks that a surplus replica is evicted for demand only after Options.Hold.
 func TestHold(t *testing.T) {
 	sizes := map[string]placement.Size{"a": size(60), "b": size(60)}
 	rows := []table.Row{model("a"), model("b")}
@@ -166,8 +167,8 @@
 	assert.DeepEqual(t, brief(p.Plan(in)), []string{"unload a s/0"})
 }
 
-// TestFreedRoomIsKept frees room for a model without a copy while demand asks for
-// more copies of others: the room goes to the model that it was freed for.
+// TestFreedRoomIsKept checks that memory freed for a model without a replica is not used for an additional replica
+// of another model.
 func TestFreedRoomIsKept(t *testing.T) {
 	w := &world{
 		rows:  []table.Row{model("hint"), model("summary"), model("busy")},
@@ -182,8 +183,8 @@
 	assert.DeepEqual(t, got, []string{"unload hint a/0", "load summary a/0"})
 }
 
-// TestPlanKeepsPromises plans for random systems and carries the orders out: no
-// accelerator is overcommitted, no last copy is dropped, and the plans end.
+// TestPlanKeepsPromises plans for random cells and executes the orders. It checks that no accelerator is
+// overcommitted, that no last replica is evicted and that a state without further orders is reached.
 func TestPlanKeepsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawWorld(t)
@@ -202,7 +203,7 @@
 	})
 }
 
-// A world is a cell whose servers carry orders out at once.
+// A world is a cell whose servers execute orders immediately.
 type world struct {
 	rows    []table.Row
 	sizes   map[string]placement.Size
@@ -257,8 +258,7 @@
 	assert.Assert(t, a.FreeMiB() >= 0, "%s overcommits %s/%d", o.Name, o.Server, o.Accelerator)
 }
 
-// follow plans a number of times, a second apart, carries the orders out and
-// returns them.
+// follow plans a number of times, one second apart, and executes and returns the orders.
 func (w *world) follow(t *testing.T, p *placement.Planner, rounds int) []string {
 	t.Helper()
 	var got []string
@@ -272,8 +272,8 @@
 	return got
 }
 
-// TestFreePieces starts with memory that is free only in pieces: a model that
-// fits none of them gets a place all the same, and no last copy goes.
+// TestFreePieces checks that a model is loaded even if the free memory is fragmented, without the eviction of a last
+// replica.
 func TestFreePieces(t *testing.T) {
 	w := &world{
 		rows:  []table.Row{model("clue"), model("hint"), model("headline"), model("summary")},
@@ -287,8 +287,7 @@
 	assert.DeepEqual(t, got, []string{"load headline a/0", "unload headline c/0", "load summary c/0"})
 }
 
-// TestCellsAgree lets each cell plan from the same records: every model is
-// placed by exactly one of them.
+// TestCellsAgree checks that of several cells that plan from the same records, exactly one loads each model.
 func TestCellsAgree(t *testing.T) {
 	var rows []table.Row
 	sizes := make(map[string]placement.Size)
--- a/placement/relocate.go
+++ b/placement/relocate.go
@@ -8,17 +8,15 @@
 	"rockcleat/table"
 )
 
-// A relocation is a copy to be loaded on another accelerator so that the one it
-// sits on now can go.
+// A relocation is the load of a replica on another accelerator, so that the present replica can be evicted.
 type relocation struct {
 	row table.Row
 	to  *acc
 }
 
-// relocate makes room for a row whose memory is free only in pieces: it loads
-// the copies of one accelerator, those with the least memory, elsewhere as well.
-// When they are ready the copies there are no longer the last, and makeRoom
-// drops them.
+// relocate prepares room for a row when the free memory is fragmented over several accelerators. It chooses the
+// accelerator with the least memory to relocate and loads replicas of that accelerator elsewhere too. When they
+// are ready, the replicas on the chosen accelerator are no longer the last, and makeRoom evicts them.
 func (s *plan) relocate(r table.Row, reason string) {
 	need := s.in.Sizes[r.Name].TotalMiB()
 	var best []relocation
@@ -37,7 +35,7 @@
 	}
 }
 
-// unsettled reports whether memory on the accelerator is about to change anyway.
+// unsettled reports whether a load or unload is in progress on the accelerator.
 func (s *plan) unsettled(x *acc) bool {
 	for _, state := range x.members {
 		if state != fleet.StateReady {
@@ -47,8 +45,8 @@
 	return false
 }
 
-// relocations returns the copies to load elsewhere so that the memory can be
-// freed on x, and their size in MiB; nil if there is no way.
+// relocations returns the replicas to load elsewhere so that an amount of memory can be freed on x, and their total
+// size in MiB. It returns nil if the memory cannot be freed.
 func (s *plan) relocations(x *acc, need int) ([]relocation, int) {
 	taken := make(map[*acc]int)
 	var moves []relocation
@@ -69,8 +67,8 @@
 	return nil, 0
 }
 
-// movable returns the rows of the copies on x that no adapter there needs, the
-// largest first, so that few are moved.
+// movable returns the rows that are on x without an adapter there that depends on them, the largest first, so that
+// few have to be moved.
 func (s *plan) movable(x *acc) []table.Row {
 	var rows []table.Row
 	for _, r := range s.in.Rows {
@@ -85,8 +83,8 @@
 	return rows
 }
 
-// elsewhere returns the accelerator with the least room that still takes the
-// row beside what has been given to it, or nil.
+// elsewhere returns the accelerator other than x with the least free memory in which the row fits (best fit), or
+// nil if there is none. taken is the memory of other relocations to each accelerator, in MiB.
 func (s *plan) elsewhere(x *acc, r table.Row, mib int, taken map[*acc]int) *acc {
 	var best *acc
 	for _, o := range s.accs {
--- a/placement/survey.go
+++ b/placement/survey.go
@@ -11,15 +11,16 @@
 	"rockcleat/table"
 )
 
-// A census counts one cell, once for all rows of a plan.
+// A census is a summary of one cell.
 type census struct {
 	id string
-	// copies holds the copies of each name that are there to stay.
+	// copies counts the replicas of each name that are ready or being loaded.
 	copies map[string]int
-	// largest is the largest memory free on one accelerator, in MiB.
+	// largest is the largest free memory on one accelerator, in MiB.
 	largest int
 }
 
+// census returns the summary of the cell, without servers that are gone or leaving.
 func (c Cell) census() census {
 	n := census{id: c.ID, copies: make(map[string]int)}
 	for _, s := range c.Servers {
@@ -38,7 +39,7 @@
 	return n
 }
 
-// survey counts copies and demand from the servers' records.
+// survey sets the demand, the summaries of all cells and the state of the planner's own cell.
 func (s *plan) survey() {
 	for _, r := range s.in.Rows {
 		if r.Kind == table.KindAdapter {
@@ -56,7 +57,8 @@
 	}
 }
 
-// surveyOwn counts the copies and the room of the planner's own cell.
+// surveyOwn counts the loads in progress in the planner's own cell and adds the accelerators of its servers, except
+// those that are gone or leaving.
 func (s *plan) surveyOwn(c Cell) {
 	for i := range c.Servers {
 		srv := &c.Servers[i]
@@ -97,7 +99,8 @@
 	s.copies[r.Name]++
 }
 
-// decideWanted sets how many copies of each name the cell should hold.
+// decideWanted sets the target number of replicas of each name in the cell, and the demand on each accelerator.
+// The base model of an adapter with a target has a target of at least 1.
 func (s *plan) decideWanted() {
 	s.wanted = make(map[string]int)
 	total := s.totalDemand()
@@ -127,8 +130,7 @@
 	}
 }
 
-// totalDemand returns the demand by name, that of adapters counted for their
-// bases too.
+// totalDemand returns the demand by name. The demand of an adapter counts for its base model too.
 func (s *plan) totalDemand() map[string]float64 {
 	total := maps.Clone(s.demand)
 	for _, r := range s.in.Rows {
@@ -139,10 +141,9 @@
 	return total
 }
 
-// ownPart returns how many of a name's n copies fall to the cell. Copies that
-// cells hold already count where they are; the rest go round the cells with
-// room in the order of their rendezvous weights, so that cells which see the
-// same records agree without asking each other.
+// ownPart returns how many of n replicas of a name the planner's cell should hold. Replicas that exist count for
+// the cell that holds them. The rest are assigned in turn to the cells with room, in the order of their rendezvous
+// weights, so that cells that see the same records agree without messages.
 func (s *plan) ownPart(name string, n int) int {
 	key := rendezvous.Key(name)
 	cells := slices.SortedFunc(slices.Values(s.census), func(a, b census) int {
@@ -165,7 +166,8 @@
 	return own
 }
 
-// takers returns the cells with room for the name, or all if none has.
+// takers returns the cells with an accelerator that has enough free memory for the name, or all cells if there are
+// none.
 func (s *plan) takers(cells []census, name string) []census {
 	mib := s.in.Sizes[name].TotalMiB()
 	roomy := slices.DeleteFunc(slices.Clone(cells), func(c census) bool { return c.largest < mib })
