--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,18 +1,19 @@
-// Package quarantine keeps requests from backend servers under which servers have ended (poison
-// messages): such a request comes again as a new one, with an id of its own, at any process, and ends
-// each server that runs it.
+// Package quarantine stops requests that crash backend servers (poison messages) from being sent again. The
+// caller of such a request repeats it with a new request ID, possibly at another process, and every server that
+// runs it crashes.
 //
-// A Table holds which servers have ended under which requests. A request is known by its Key, computed
-// from the content that makes two requests copies of each other. Once the servers that ended under
-// copies of a request are as many as Options.Ends, the request is in quarantine: no process sends it any
-// more, for a time that doubles with each further end. A copy that runs well voids the ends, since all
-// requests that run at a server when it ends are suspected alike, and all but one are innocent.
+// A Table records which server instances have crashed while they ran which requests. A request is identified by
+// its Key, a hash of its content, so that repeated requests have the same Key. A request is in quarantine once
+// Options.Ends server instances have crashed with it. No process sends it then until a time has passed that
+// doubles with each further crash. All requests that run on a server when it crashes are suspected, although
+// usually only one of them is the cause; a request that completes successfully is cleared.
 //
-// Each process has a Table and tells others of its changes by Messages, with a Link a peer. Records merge
-// in any order and any number of times, so a message that is lost, late or doubled does no harm, and a
-// peer that starts anew gets everything. Ages, not times, go between processes: their clocks differ.
+// Each process has its own Table and exchanges changes with other processes by Messages, with one Link for each
+// peer. Records can be merged in any order and repeatedly, so lost, delayed and duplicate messages are harmless,
+// and a restarted peer receives all records. Processes exchange ages instead of times because their clocks
+// differ.
 //
-// The package owns the tables and their rules. It relies on its caller to say when a server ended and
-// under which requests, to ask Until before each send, to carry the messages and to call Expire. Nothing
-// of a Table outlives its process unless the caller keeps its records.
+// The package owns the tables and the rules of quarantine. The caller reports crashes (Ended) and successful
+// requests (Void), calls Until before each send, transports the messages and calls Expire regularly. A Table is
+// kept in memory only; a caller that needs its records after a restart has to store them.
 package quarantine
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -2,28 +2,29 @@
 
 import "rockcleat/exchange"
 
-// A Message tells a peer what has changed here and asks for what has changed there.
+// A Message sends changed records to a peer and requests the records that have changed there.
 type Message = exchange.Message[Record]
 
-// A Reply is the answer to a Message.
+// A Reply is the reply to a Message.
 type Reply = exchange.Reply[Record]
 
-// A Cursor is a place in the changes of one process's table.
+// A Cursor is a position in the sequence of changes of one table.
 type Cursor = exchange.Cursor
 
-// A Link is one process's side of the exchange with one peer at a time.
+// A Link is the local end of the exchange with one peer at a time.
 type Link = exchange.Link[Record]
 
-// NewLink returns a Link of a table with no peer, which tells of requests with a number of ends or more.
+// NewLink returns a Link of a table that has no peer yet. It sends the records of requests with at least the given
+// number of crashes.
 func NewLink(t *Table, ends int) *Link { return exchange.NewLink(changes{table: t, ends: ends}) }
 
-// Answer takes in what a peer tells and returns what is new for it of the requests with a number of ends or
-// more; nil if nothing is.
+// Answer merges the records of a message and returns the records that are new for the peer, of requests with at
+// least the given number of crashes. It returns nil if there are none.
 func (t *Table) Answer(m Message, ends int) *Reply {
 	return exchange.Answer(changes{table: t, ends: ends}, m)
 }
 
-// changes are those of a table that concern requests with a number of ends or more; it is an exchange.Log.
+// changes is the exchange.Log of a table for requests with at least a number of crashes.
 type changes struct {
 	table *Table
 	ends  int
@@ -35,7 +36,7 @@
 // Merge implements exchange.Log.
 func (c changes) Merge(records []Record) (before, after uint64) { return c.table.Merge(records) }
 
-// Since implements exchange.Log: it leaves out the requests with fewer ends, unless they were voided.
+// Since implements exchange.Log. It leaves out requests with fewer crashes, unless they were cleared before.
 func (c changes) Since(after uint64) ([]Record, uint64) {
 	t := c.table
 	t.mu.Lock()
--- a/quarantine/exchange_test.go
+++ b/quarantine/exchange_test.go
@@ -12,7 +12,7 @@
 	"rockcleat/quarantine"
 )
 
-// A node is a process with its table and its side of the exchange.
+// A node is a process with its table and its link.
 type node struct {
 	table *quarantine.Table
 	link  *quarantine.Link
@@ -24,7 +24,7 @@
 	return &node{table: table, link: quarantine.NewLink(table, quarantine.AllEnds)}
 }
 
-// ask exchanges once with a peer; lost says that the answer does not arrive.
+// ask sends one message to a peer and, unless lost is set, applies the reply.
 func (n *node) ask(name string, peer *node, lost bool) {
 	reply := peer.table.Answer(n.link.Message(name), quarantine.SharedEnds)
 	if !lost {
@@ -32,13 +32,14 @@
 	}
 }
 
+// holds reports whether the request is in quarantine at the node.
 func (n *node) holds(k quarantine.Key) bool {
 	_, held := n.table.Until(k)
 	return held
 }
 
-// TestEndsOfManyProcesses lets each of three processes see one end: all know of the quarantine after two
-// exchanges with the one that they all ask.
+// TestEndsOfManyProcesses checks that crashes seen by three different processes lead to a quarantine in all processes
+// after two exchanges with a common peer.
 func TestEndsOfManyProcesses(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	hub, nodes := newNode(c), []*node{newNode(c), newNode(c), newNode(c), newNode(c)}
@@ -55,8 +56,7 @@
 	}
 }
 
-// TestPeerStartsAnew restarts the process that all ask: it knows of the quarantine again after one
-// exchange, and a process that knows nothing hears of it then.
+// TestPeerStartsAnew checks that a common peer learns of a quarantine again after it restarts, and passes it on.
 func TestPeerStartsAnew(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	hub, n := newNode(c), newNode(c)
@@ -73,7 +73,7 @@
 	assert.Assert(t, late.holds(key(1)))
 }
 
-// TestNothingNew checks that processes that know the same exchange nothing.
+// TestNothingNew checks that processes with the same records exchange none.
 func TestNothingNew(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	hub, n := newNode(c), newNode(c)
@@ -85,7 +85,7 @@
 	assert.Assert(t, hub.table.Answer(m, quarantine.SharedEnds) == nil)
 }
 
-// TestManyRecords exchanges more records than one message takes.
+// TestManyRecords checks that more records than fit in one message all arrive.
 func TestManyRecords(t *testing.T) {
 	const requests = 1000
 	c := clocktest.New(time.Unix(0, 0))
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestLateRecordDoesNotRevive hands on a record that was made before the ends were voided, and one that
-// is too old.
+// TestLateRecordDoesNotRevive checks that neither a record from before the request was cleared nor one that is too old
+// starts a quarantine.
 func TestLateRecordDoesNotRevive(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	a, b := newNode(c), newNode(c)
@@ -123,17 +123,17 @@
 	assert.Equal(t, old.table.Ends(key(1)), 0)
 }
 
-// TestAnyOrder plays ends, runs that go well, messages that are lost and processes that start anew in
-// random order. A request with three ends that was never voided is in quarantine at every process once
-// each has exchanged twice with the one that they ask, if its ends were told before their process ended;
-// no process ever has more ends of a request than there were.
+// TestAnyOrder checks with random crashes, successful requests, lost replies and process restarts that a request with
+// DefaultEnds crashes that was never cleared is in quarantine at every process after two exchanges with the common
+// peer, and that no process ever counts more crashes of a request than there were. A process exchanges its records
+// before it restarts.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { anyOrder(t, rand.New(rand.NewPCG(seed, 0))) })
 	}
 }
 
-// A history is what has happened to the requests of anyOrder.
+// A history holds the servers that crashed with each request of anyOrder, and the requests that were cleared.
 type history struct {
 	ends   map[int]map[string]bool
 	voided map[int]bool
@@ -171,7 +171,7 @@
 				h.voided[k] = true
 			}
 		case 3:
-			// What the process saw itself has been told before it starts anew.
+			// The records of the process are exchanged before it restarts.
 			exchange(hub, false)
 			nodes[i] = newNode(c)
 		case 4:
@@ -194,7 +194,7 @@
 	}
 }
 
-// checkEnds checks that nobody has made up an end.
+// checkEnds checks that no node counts more crashes of a request than there were.
 func checkEnds(t *testing.T, nodes []*node, h history) {
 	t.Helper()
 	for _, n := range nodes {
--- a/quarantine/key_test.go
+++ b/quarantine/key_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// BenchmarkKeyOf states what a key costs by the length of the body.
+// BenchmarkKeyOf measures the cost of a key for several body lengths.
 func BenchmarkKeyOf(b *testing.B) {
 	for _, size := range []int{0, 3 << 10, 1 << 20} {
 		b.Run(fmt.Sprint(size, " bytes"), func(b *testing.B) {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// A Record is what is known of one request, as processes tell each other.
+// A Record is the state of one request as processes exchange it.
 type Record struct {
 	Key Key `json:"k"`
-	// Round counts how often the ends were voided. Ends of an earlier round count no more.
+	// Round is the number of times that the request was cleared. Crashes of earlier rounds no longer count.
 	Round uint32 `json:"r,omitempty"`
-	// Servers are the ids of the runs that have ended under copies of the request in this round.
+	// Servers are the IDs of the server instances that have crashed with the request in this round.
 	Servers []string `json:"s,omitempty"`
-	// AgeMs is the time since the last end, or since the ends were voided, in milliseconds.
+	// AgeMs is the time since the last crash or since the request was cleared, in milliseconds.
 	AgeMs int64 `json:"a"`
 }
 
-// atResolution is the difference from which on the time of a last end is news. Each process that hands
-// a record on makes it younger by the time that the message takes.
+// atResolution is the least difference by which the time of the last crash must be later to count as a change.
+// Each process that forwards a record makes it appear younger by the transmission time of the message, which is not
+// a change.
 const atResolution = time.Second
 
-// An entry is a record in a table.
+// An entry is the state of one request in a table.
 type entry struct {
 	round uint32
 	// servers is sorted.
 	servers []string
-	// at is when the last server ended, or the ends were voided.
+	// at is the time of the last crash, or the time when the request was cleared.
 	at time.Time
-	// version is that of the table at the entry's last change.
+	// version is the version of the table at the last change of the entry.
 	version uint64
 }
 
-// add adds the end of a server at a time and reports whether that is news.
+// add adds the crash of a server instance at a time and reports whether it was unknown. It keeps at most maxEnds
+// instances.
 func (e *entry) add(server string, at time.Time) bool {
 	i, known := slices.BinarySearch(e.servers, server)
 	if known {
@@ -46,15 +48,15 @@
 	return true
 }
 
-// void makes the ends count no more.
+// void clears the crashes and begins the next round.
 func (e *entry) void(now time.Time) {
 	e.round++
 	e.servers = nil
 	e.at = now
 }
 
-// merge takes in what another process knows, whose last end was at a time, and reports whether that is
-// news: a later round replaces this one, ends of the same round add up.
+// merge merges a record whose last crash was at a time and reports whether the entry has changed. A later round
+// replaces the entry; crashes of the same round are added; an earlier round is ignored.
 func (e *entry) merge(r Record, at time.Time) (news bool) {
 	if r.Round < e.round {
 		return false
@@ -75,7 +77,7 @@
 	return news
 }
 
-// record returns the entry as it is sent to others.
+// record returns the entry in the form that is sent to other processes.
 func (e *entry) record(k Key, now time.Time) Record {
 	return Record{Key: k, Round: e.round, Servers: slices.Clone(e.servers), AgeMs: max(now.Sub(e.at).Milliseconds(), 0)}
 }
--- a/quarantine/rules.go
+++ b/quarantine/rules.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// DefaultEnds is the number of servers after whose ends a request is in quarantine. Two would refuse
-// innocent requests that their callers repeat while servers end for other reasons; the chance is computed
-// in docs/design/0013. Four would cost one server more for each such request.
+// DefaultEnds is the default number of server instances that must crash with a request before it is quarantined. With
+// a lower number, harmless requests that are repeated while servers crash for other reasons would be refused; with a
+// higher number, each poison message would crash more servers.
 const DefaultEnds = 3
 
-// DefaultHold is how long a first quarantine lasts: a caller who repeats the request each second ends
-// three servers in that time instead of some 600.
+// DefaultHold is the default duration of a first quarantine.
 const DefaultHold = 10 * time.Minute
 
-// maxEnds bounds the ends that a record keeps, and with it how often the quarantine doubles: five times,
-// to 32 times the first.
+// maxEnds is the maximum number of crashes that a record keeps. It also limits how often the quarantine time of a
+// request doubles: five times with DefaultEnds.
 const maxEnds = 8
 
-// From how many ends on a process tells a peer of a request.
+// Minimum numbers of crashes of a request for its record to be sent to a peer.
 const (
-	// AllEnds tells all, to a peer that adds up what it hears: the leader, a planner, another entry.
+	// AllEnds selects all records. It is for peers that combine the records of several processes: the leader,
+	// a planner or another entry.
 	AllEnds = 0
-	// SharedEnds tells what matters to everyone. Nobody acts on a request with one end, and a server that
-	// ends takes up to its slots of requests along.
+	// SharedEnds leaves out requests with a single crash, which no process acts on. Each crash of a server
+	// leaves as many of them as requests were running on it.
 	SharedEnds = 2
 )
 
-// maxRecords bounds the requests that a table knows, in 0.54 MB with one end each (BenchmarkFullTable).
-// Those with the fewest and the oldest ends go first. 146 servers of 24 places that end together leave
-// 3,504 requests.
+// maxRecords is the maximum number of requests in a table. Requests with the fewest crashes, and among these the
+// oldest, are removed first.
 const maxRecords = 4096
 
-// keptRecords are left when a table is over maxRecords, so that not each further record costs a look at
-// all.
+// keptRecords is the number of requests that remain when a table that exceeds maxRecords is reduced. It is lower
+// than maxRecords so that a full table is not sorted for every new request.
 const keptRecords = maxRecords * 3 / 4
 
-// maxMessageRecords bounds the records of one message, to some 21 KB; those left out go with the next. A
-// record takes 84 bytes with one end and 142 with three.
+// maxMessageRecords is the maximum number of records in a message. The others follow in the next messages.
 const maxMessageRecords = 256
 
-// holdTime returns how long a quarantine lasts from the last end on.
+// holdTime returns how long a quarantine lasts after the last crash. first is the time for limit crashes; it
+// doubles with each further one.
 func holdTime(first time.Duration, ends, limit int) time.Duration {
 	return first << max(min(ends, maxEnds)-limit, 0)
 }
 
-// memory returns how long a record is kept from its last end on: through the quarantine and as long
-// again, in which one further end is enough for the next.
+// memory returns how long a record is kept after its last crash. The record of a request that was quarantined is kept
+// for twice the quarantine time, in which a single further crash starts the next quarantine. Other records are kept
+// for the duration of a first quarantine.
 func memory(first time.Duration, ends, limit int) time.Duration {
 	if ends < limit {
 		return first
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -14,54 +14,57 @@
 // Options configure a Table.
 type Options struct {
 	Clock clock.Service
-	// Ends is the number of servers after whose ends a request is in quarantine.
+	// Ends is the number of server instances that must crash with a request before it is quarantined.
 	Ends int
-	// Hold is how long a first quarantine lasts.
+	// Hold is the duration of the first quarantine of a request.
 	Hold time.Duration
-	// OnChange, if not nil, is called for each quarantine that begins or ends.
+	// OnChange, if not nil, is called for each quarantine that begins or ends, without a lock held.
 	OnChange func(Change)
 }
 
-// A State is what has become of a request's quarantine.
+// A State is the kind of a Change.
 type State string
 
 // The states.
 const (
-	// Began says that the request is in quarantine from now on.
+	// Began says that a quarantine has begun.
 	Began State = "began"
-	// Voided says that a run that went well, or an operator, has ended the quarantine.
+	// Voided says that a quarantine has ended because the request was cleared, after it completed successfully
+	// or by an operator.
 	Voided State = "voided"
-	// Over says that the quarantine's time is over.
+	// Over says that a quarantine has ended because its time has passed.
 	Over State = "over"
 )
 
-// A Change is the begin or the end of a quarantine.
+// A Change is the beginning or the end of a quarantine.
 type Change struct {
 	Key   Key
 	State State
-	// Servers are those that ended under copies of the request.
+	// Servers are the IDs of the server instances that have crashed with the request. It is set for Began only.
 	Servers []string
-	// Until is when the quarantine ends.
+	// Until is the time at which the quarantine ends. It is set for Began only.
 	Until time.Time
 }
 
-// A Table holds the requests under which servers have ended. It is safe for concurrent use.
+// A Table holds the requests with which servers have crashed. It is safe for concurrent use.
 type Table struct {
-	opts  Options
+	opts Options
+	// epoch identifies this Table to peers; it is never 0.
 	epoch uint32
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// version is the number of changes of entries.
 	version uint64
 	entries map[Key]*entry
-	// held are the requests whose quarantine has begun, as far as OnChange was called.
+	// held are the requests in quarantine as of the last change.
 	held map[Key]struct{}
-	// touched are the requests that the running change concerns.
+	// touched are the requests whose entries the current change has modified.
 	touched []Key
-	// watchers are those of each request.
+	// watchers holds the watchers of each request.
 	watchers map[Key]map[*watcher]struct{}
 }
 
-// A watcher waits for a request to come into quarantine.
+// A watcher holds a callback of Watch. Its address identifies it, since functions are not comparable.
 type watcher struct{ f func() }
 
 // New returns an empty Table.
@@ -72,7 +75,7 @@
 	}
 }
 
-// Ended notes that a run of a server ended under requests.
+// Ended records that a server instance crashed while it ran requests.
 func (t *Table) Ended(server string, keys ...Key) {
 	t.change(func(now time.Time) {
 		for _, k := range keys {
@@ -84,8 +87,8 @@
 	})
 }
 
-// Void makes the ends under a request count no more, for a run of it went well or an operator says so,
-// and reports whether there were any.
+// Void clears the crashes recorded for a request, because it completed successfully or by order of an operator. It
+// reports whether there were any.
 func (t *Table) Void(k Key) (known bool) {
 	t.change(func(now time.Time) {
 		e := t.entries[k]
@@ -97,8 +100,8 @@
 	return known
 }
 
-// Merge takes in records of another process or of an earlier life, and returns the table's version
-// before and after it.
+// Merge merges records of another process, or records that were stored before a restart. It returns the versions of
+// the table before and after it. Records that are too old are ignored.
 func (t *Table) Merge(records []Record) (before, after uint64) {
 	t.change(func(now time.Time) {
 		before = t.version
@@ -116,14 +119,14 @@
 	return before, after
 }
 
-// Until returns until when a request is in quarantine, and whether it is.
+// Until returns the time at which the quarantine of a request ends, and whether the request is in quarantine.
 func (t *Table) Until(k Key) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.until(k, t.opts.Clock.Now())
 }
 
-// Ends returns how many servers have ended under copies of a request.
+// Ends returns the number of server instances that have crashed with a request.
 func (t *Table) Ends(k Key) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,7 +136,8 @@
 	return 0
 }
 
-// Watch calls f once when a request comes into quarantine, unless stop is called before.
+// Watch calls f once when a quarantine of a request begins, unless stop is called before. f is called without a
+// lock held.
 func (t *Table) Watch(k Key, f func()) (stop func()) {
 	w := &watcher{f: f}
 	t.mu.Lock()
@@ -152,17 +156,17 @@
 	}
 }
 
-// Expire forgets what is too old and ends quarantines whose time is over.
+// Expire removes records that are too old and ends quarantines whose time has passed.
 func (t *Table) Expire() { t.change(t.expire) }
 
-// Len returns the number of requests in quarantine and of those that are suspected.
+// Len returns the number of requests in quarantine and the number of the other requests in the table.
 func (t *Table) Len() (held, suspected int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.held), len(t.entries) - len(t.held)
 }
 
-// Held returns the requests in quarantine.
+// Held returns the records of the requests in quarantine, in no particular order.
 func (t *Table) Held() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,14 +180,14 @@
 	return list
 }
 
-// An Item is one request of a Table, for operators.
+// An Item describes one request of a Table for operators.
 type Item struct {
 	Record
-	// HeldMs is how much longer it is in quarantine, in milliseconds; 0 if it is not.
+	// HeldMs is the remaining time in quarantine, in milliseconds; 0 if the request is not in quarantine.
 	HeldMs int64 `json:"held_ms"`
 }
 
-// List returns the requests under which servers have ended, those with the most ends first.
+// List returns the requests with which servers have crashed, those with the most crashes first.
 func (t *Table) List() []Item {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,7 +209,8 @@
 	return list
 }
 
-// change changes the table and then tells of the quarantines that began or ended with it.
+// change calls f with the table locked. Then, without the lock, it calls the watchers and OnChange for the
+// quarantines that have begun or ended.
 func (t *Table) change(f func(now time.Time)) {
 	t.mu.Lock()
 	now := t.opts.Clock.Now()
@@ -232,8 +237,7 @@
 	}
 }
 
-// entry returns the entry of a request, a new one if there is none. The table is locked, here and in
-// all that follows.
+// entry returns the entry of a request and creates it if there is none. t.mu must be held.
 func (t *Table) entry(k Key) *entry {
 	e := t.entries[k]
 	if e == nil {
@@ -243,14 +247,15 @@
 	return e
 }
 
-// touch notes that the entry of a request has changed.
+// touch marks the entry of a request as changed. t.mu must be held.
 func (t *Table) touch(k Key, e *entry) {
 	t.version++
 	e.version = t.version
 	t.touched = append(t.touched, k)
 }
 
-// until returns when the quarantine of a request ends, and whether that is still to come.
+// until returns the time at which the quarantine of a request ends, and whether that is after now. t.mu must be
+// held.
 func (t *Table) until(k Key, now time.Time) (time.Time, bool) {
 	e := t.entries[k]
 	if e == nil || len(e.servers) < t.opts.Ends {
@@ -260,7 +265,7 @@
 	return end, now.Before(end)
 }
 
-// transitions notes which quarantines have begun or ended, and returns them.
+// transitions updates t.held and returns the quarantines that have begun or ended. t.mu must be held.
 func (t *Table) transitions(now time.Time) []Change {
 	var list []Change
 	for _, k := range t.touched {
@@ -284,7 +289,7 @@
 	return list
 }
 
-// expire forgets what is too old.
+// expire removes the entries that are too old. t.mu must be held.
 func (t *Table) expire(now time.Time) {
 	for k, e := range t.entries {
 		if now.Sub(e.at) > memory(t.opts.Hold, len(e.servers), t.opts.Ends) {
@@ -293,7 +298,8 @@
 	}
 }
 
-// limit forgets the requests with the fewest and oldest ends if there are too many.
+// limit reduces a table with more than maxRecords entries to keptRecords. It removes those with the fewest and then
+// the oldest crashes. t.mu must be held.
 func (t *Table) limit() {
 	if len(t.entries) <= maxRecords {
 		return
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -12,10 +12,10 @@
 	"rockcleat/quarantine"
 )
 
-// hold is the time of a first quarantine in these tests.
+// hold is the duration of a first quarantine in these tests.
 const hold = 10 * time.Minute
 
-// key returns the key of one of many requests.
+// key returns the key of request number i.
 func key(i int) quarantine.Key {
 	return quarantine.KeyOf(quarantine.Request{Target: fmt.Sprint("/", i)})
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestChanges checks the calls of OnChange: each begin and each end once.
+// TestChanges checks that OnChange is called once for the beginning and once for the end of each quarantine.
 func TestChanges(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	var changes []quarantine.Change
@@ -141,7 +141,7 @@
 	table.Watch(key(1), func() { woken++ })
 	stop := table.Watch(key(1), func() { stopped++ })
 	stop()
-	table.Watch(key(2), func() { t.Error("another request") })
+	table.Watch(key(2), func() { t.Error("watcher of another request was called") })
 	for i := range 5 {
 		table.Ended(fmt.Sprint("s", i), key(1))
 	}
@@ -149,8 +149,7 @@
 	assert.Equal(t, stopped, 0)
 }
 
-// TestTableIsBounded ends servers under far more requests than a table keeps: those with the most ends
-// stay.
+// TestTableIsBounded checks that a table with too many requests keeps those with the most crashes.
 func TestTableIsBounded(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	var changes []quarantine.Change
@@ -167,8 +166,7 @@
 	assert.Equal(t, table.List()[0].Key, key(0))
 }
 
-// BenchmarkFullTable states what a table takes that is full, and what the end of a server with 64 requests
-// costs it: 0.54 MB with one end each, and 10 µs.
+// BenchmarkFullTable measures the memory of a nearly full table and the time to record a crash with 64 requests.
 func BenchmarkFullTable(b *testing.B) {
 	c := clocktest.New(time.Unix(0, 0))
 	var before, after runtime.MemStats
