--- a/serverlimit/doc.go
+++ b/serverlimit/doc.go
@@ -1,18 +1,19 @@
-// Package serverlimit keeps the limits that backend servers name for themselves: a server in need says
-// in its answers how many requests a second it takes from all processes together, for as long as it says so.
+// Package serverlimit tracks the rate limits that backend servers announce. An overloaded server states in its
+// responses how many requests per second it accepts from all processes together, for as long as the limit applies.
 //
-// A Table holds, for each run of a server, the newest word on its limit. It hears that word from the
-// process's own answers (Observe) and from other processes (Merge): what a server says reaches one process
-// with one answer, and binds all of them. Each word has a sequence number one above that of the word it
-// replaces, so that records merge in any order and any number of times, and a word that is late or doubled
-// does no harm. Ages, not times, go between processes: their clocks differ.
+// A Table holds the latest known limit of each server instance. It learns limits from the responses that its own
+// process receives (Observe) and from other processes (Merge), since a response reaches only one process but its
+// limit applies to all of them. Each update of a limit has a sequence number one above that of the update it
+// replaces, so records can be merged in any order and repeatedly, and delayed and duplicate messages are harmless.
+// Processes exchange ages instead of times because their clocks differ.
 //
-// Answers overtake each other. An answer ends or raises a limit only if its request was sent after the
-// newest word had come, and brings a limit back only if its request was sent after the limit's end was
-// known; what it says would otherwise perhaps be older. A lower limit counts at once.
+// Responses may arrive out of order. A response that removes or raises a limit is accepted only if its request was
+// sent after the latest update was received, and a response that restores a removed limit only if its request was
+// sent after the removal was known; otherwise the response may be older than the update. A lower limit is accepted
+// immediately.
 //
-// The package owns the words and their order. It relies on its caller to pass every answer of a server on,
-// to carry the messages between processes (package exchange) and to call Expire. That all processes
-// together keep a limit is the task of package quota. Nothing of a Table outlives its process: the next
-// answer of the server says it again. Rates are requests a second.
+// The package owns the limits and the order of their updates. The caller passes every response of a server to
+// Observe, transports the messages between processes (package exchange) and calls Expire regularly. Package quota
+// divides a limit among the processes. A Table is kept in memory only; after a restart it is filled again from
+// responses and peers. Rates are in requests per second.
 package serverlimit
--- a/serverlimit/exchange.go
+++ b/serverlimit/exchange.go
@@ -6,20 +6,20 @@
 	"rockcleat/exchange"
 )
 
-// A Record is what is known of the limit of one run of a server, as processes tell each other.
+// A Record is the latest known limit of one server instance as processes exchange it.
 type Record struct {
+	// Server is the ID of the server instance.
 	Server string `json:"s"`
-	// Sequence is the number of the word.
+	// Sequence is the number of the update.
 	Sequence uint64 `json:"q"`
-	// Limited says that the server has a limit, PerSecond which one.
+	// Limited is true if the server has a limit, which is PerSecond.
 	Limited   bool    `json:"l,omitempty"`
 	PerSecond float64 `json:"r,omitempty"`
-	// AgeMs is the time since the server's answer, in milliseconds.
+	// AgeMs is the time since the server's response, in milliseconds.
 	AgeMs int64 `json:"a"`
 }
 
-// isValid reports whether a record may be taken in: others send messages too, and what is too old says
-// nothing any more.
+// isValid reports whether a received record is well-formed and not too old.
 func (r Record) isValid() bool {
 	isRate := r.PerSecond >= 0 && r.PerSecond <= maxPerSecond
 	return r.Server != "" && isRate && r.AgeMs >= 0 && r.age() <= holdTime
@@ -31,29 +31,30 @@
 	return word{sequence: r.Sequence, limited: r.Limited, perSecond: r.PerSecond}
 }
 
-// record returns the entry as other processes are sent it.
+// record returns the entry in the form that is sent to other processes.
 func (e *entry) record(server string, now time.Time) Record {
 	return Record{
 		Server: server, Sequence: e.sequence, Limited: e.limited, PerSecond: e.perSecond, AgeMs: now.Sub(e.namedAt).Milliseconds(),
 	}
 }
 
-// A Message tells a peer what has changed here and asks for what has changed there.
+// A Message sends changed records to a peer and requests the records that have changed there.
 type Message = exchange.Message[Record]
 
-// A Reply is the answer to a Message.
+// A Reply is the reply to a Message.
 type Reply = exchange.Reply[Record]
 
-// A Link is one process's side of the exchange with one peer at a time.
+// A Link is the local end of the exchange with one peer at a time.
 type Link = exchange.Link[Record]
 
-// NewLink returns a Link of a table with no peer.
+// NewLink returns a Link of a table that has no peer yet.
 func NewLink(t *Table) *Link { return exchange.NewLink(exchange.Log[Record](t)) }
 
-// Answer takes in what a peer tells and returns what is new for it; nil if nothing is.
+// Answer merges the records of a message and returns the records that are new for the peer, or nil if there are
+// none.
 func (t *Table) Answer(m Message) *Reply { return exchange.Answer(exchange.Log[Record](t), m) }
 
-// maxMessageRecords bounds the records of a message; the rest goes with the next one.
+// maxMessageRecords is the maximum number of records in a message. The others follow in the next messages.
 const maxMessageRecords = 256
 
 // Epoch implements exchange.Log.
@@ -82,7 +83,7 @@
 	return records, version
 }
 
-// Merge implements exchange.Log: it takes in the words of other processes that are newer than those known.
+// Merge implements exchange.Log. It accepts the updates that are newer than those known and ignores invalid records.
 func (t *Table) Merge(records []Record) (before, after uint64) {
 	t.change(func(now time.Time) {
 		before = t.version
@@ -96,7 +97,7 @@
 	return before, after
 }
 
-// merge takes in one word. The Table is locked.
+// merge accepts a record if it is newer than the entry. t.mu must be held.
 func (t *Table) merge(r Record, now time.Time) {
 	namedAt := now.Add(-r.age())
 	e := t.entries[r.Server]
@@ -108,7 +109,7 @@
 	}
 }
 
-// Record returns what is known of a server's limit; ok is false if nothing is.
+// Record returns the latest known limit of a server, or its removal; ok is false if nothing is known.
 func (t *Table) Record(server string) (r Record, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/serverlimit/exchange_test.go
+++ b/serverlimit/exchange_test.go
@@ -12,7 +12,7 @@
 	"rockcleat/serverlimit"
 )
 
-// A group is processes of which all but the first exchange with the first one.
+// A group is a number of processes. All but the first one exchange with the first one.
 type group struct {
 	clock     *clocktest.Clock
 	processes []*process
@@ -32,7 +32,7 @@
 	return g
 }
 
-// exchange lets a process exchange with the first one; lost says that the reply does not arrive.
+// exchange sends one message from process i to the first one and, unless lost is set, applies the reply.
 func (g *group) exchange(i int, lost bool) {
 	reply := g.processes[0].Answer(g.links[i].Message("first"))
 	if !lost {
@@ -40,7 +40,7 @@
 	}
 }
 
-// exchangeAll lets all exchange twice, so that what one knows comes to all.
+// exchangeAll lets each process exchange twice, so that the updates of each process reach all.
 func (g *group) exchangeAll() {
 	for range 2 {
 		for i := range g.processes[1:] {
@@ -49,7 +49,7 @@
 	}
 }
 
-// all checks the limit that stands in all processes.
+// all checks that all processes have the same limit; -1 means none.
 func (g *group) all(t *testing.T, want float64) {
 	t.Helper()
 	for i, p := range g.processes {
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestWordReachesAll lets one process hear that a server names, changes and ends its limit.
+// TestWordReachesAll checks that a limit that one process sees begin, change and end does so at all processes.
 func TestWordReachesAll(t *testing.T) {
 	g := newGroup(5)
 	for _, step := range []struct {
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestWordsOfTwo lets one process hear that a limit has ended while another one still hears it named: the limit
-// stands until a request that was sent after that is answered without it.
+// TestWordsOfTwo checks that if one process sees a limit removed while another one still sees it stated, the limit
+// applies until the response to a later request removes it.
 func TestWordsOfTwo(t *testing.T) {
 	g := newGroup(3)
 	a, b := g.processes[1], g.processes[2]
@@ -89,7 +89,7 @@
 	g.all(t, -1)
 }
 
-// TestLimitThatIsNamedAgainStands checks that a limit stands everywhere for as long as one process hears it.
+// TestLimitThatIsNamedAgainStands checks that a limit applies at all processes for as long as one process sees it.
 func TestLimitThatIsNamedAgainStands(t *testing.T) {
 	g := newGroup(3)
 	for range 60 {
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestRecordsOfOthers checks that records which no process sends, and those that are too old, change nothing.
+// TestRecordsOfOthers checks that Merge ignores records that are invalid, too old or replaced.
 func TestRecordsOfOthers(t *testing.T) {
 	tests := map[string]serverlimit.Record{
 		"no server":    {Sequence: 9, Limited: true, PerSecond: 1},
@@ -130,7 +130,7 @@
 	}
 }
 
-// TestManyServers checks that the words on more servers than a message holds all arrive.
+// TestManyServers checks that more records than fit in one message all arrive.
 func TestManyServers(t *testing.T) {
 	const servers = 730
 	g := newGroup(2)
@@ -143,8 +143,8 @@
 	assert.Equal(t, len(g.processes[0].List()), servers)
 }
 
-// TestAnyOrderOfExchanges lets any process hear any answer, loses replies and lets time pass as a test draws it: once
-// the server names one limit and all have exchanged, all have that limit.
+// TestAnyOrderOfExchanges checks with random responses, exchanges, lost replies and delays that all processes agree on
+// the limit once the server states only that one and all have exchanged.
 func TestAnyOrderOfExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(4)
@@ -177,7 +177,7 @@
 		}
 		for i, p := range g.processes {
 			if p.limit() != want {
-				t.Fatalf("process %d has %v, the server says %v", i, p.limit(), want)
+				t.Fatalf("process %d has limit %v, want %v", i, p.limit(), want)
 			}
 		}
 	})
--- a/serverlimit/reading.go
+++ b/serverlimit/reading.go
@@ -5,35 +5,35 @@
 	"strings"
 )
 
-// A Kind says what an answer tells of its server's limit.
+// A Kind says whether a response states a limit.
 type Kind int
 
 // The kinds of readings.
 const (
-	// None says that the answer names no limit, so that the server has none.
+	// None means that the response states no limit, so the server has none.
 	None Kind = iota
-	// Named says that the answer names a limit.
+	// Named means that the response states a limit.
 	Named
-	// Unreadable says that what stands in the answer is no rate: it tells nothing.
+	// Unreadable means that the header is invalid. The response says nothing about the limit.
 	Unreadable
 )
 
-// A Reading is what one answer tells of its server's limit.
+// A Reading is the parsed limit header of one response.
 type Reading struct {
 	Kind Kind
-	// PerSecond is the limit, if one is named.
+	// PerSecond is the limit if Kind is Named, in requests per second.
 	PerSecond float64
 }
 
 const (
-	// maxDigits bounds the length of a rate as a server writes it.
+	// maxDigits is the maximum length of a rate in the header, in bytes.
 	maxDigits = 24
-	// maxPerSecond is above what any server takes: a number beyond it is a mistake.
+	// maxPerSecond is the maximum rate, in requests per second. It is above the rate of any server.
 	maxPerSecond = 1e6
 )
 
-// Read returns what the values of an answer's header tell: one decimal number without sign or exponent, or
-// no value at all. A header that stands there twice is unreadable, since nothing says which one counts.
+// Read parses the values of the limit header of a response. Valid are a single decimal number without sign or
+// exponent, or no value. A repeated header is invalid, since the values may contradict each other.
 func Read(values []string) Reading {
 	switch len(values) {
 	case 0:
@@ -55,7 +55,7 @@
 	return Reading{Kind: Named, PerSecond: rate}
 }
 
-// isDecimal reports whether a text is digits, with at most one point between or after them.
+// isDecimal reports whether the text consists of digits with at most one decimal point, which is not first.
 func isDecimal(text string) bool {
 	whole, fraction, _ := strings.Cut(text, ".")
 	return len(text) <= maxDigits && whole != "" && isDigits(whole) && isDigits(fraction)
--- a/serverlimit/reading_test.go
+++ b/serverlimit/reading_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// FuzzRead checks that no value of the header makes a rate that is not one.
+// FuzzRead checks that Read returns only finite rates in the valid range, and never None for a present header.
 func FuzzRead(f *testing.F) {
 	for _, seed := range []string{"1.8", "-0", "1e400", "nan", "0x10", "١", "9999999999999999999999", "1."} {
 		f.Add(seed)
@@ -61,10 +61,10 @@
 		switch r.Kind {
 		case serverlimit.Named:
 			if math.IsNaN(r.PerSecond) || r.PerSecond < 0 || r.PerSecond > 1e6 {
-				t.Fatalf("%q is read as %v", value, r.PerSecond)
+				t.Fatalf("Read(%q) returned rate %v", value, r.PerSecond)
 			}
 		case serverlimit.None:
-			t.Fatalf("%q is read as no limit", value)
+			t.Fatalf("Read(%q) returned no limit", value)
 		}
 	})
 }
--- a/serverlimit/rules.go
+++ b/serverlimit/rules.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// probeRate is the least rate at which servers in need get requests, in requests a second: only an answer
-	// says that a limit has ended, also one of zero.
+	// probeRate is the minimum rate sent to a server with a limit, even if the limit is 0, in requests per second.
+	// Only a response can tell that the limit has been removed.
 	probeRate = 0.25
-	// burstTime is the time of a limit's rate that may be sent at once, beside one request: a server gets its
-	// rate although requests do not come evenly.
+	// burstTime is the time at the limit's rate whose requests may be sent at once, in addition to one request.
+	// Without it, a server would get less than its rate when requests arrive unevenly.
 	burstTime = 250 * time.Millisecond
 )
 
 const (
-	// needTime is how long a limit has stood before adapters are loaded elsewhere for it: one that comes and goes
-	// moves none.
+	// needTime is how long a limit must have applied before adapters are loaded on other servers, so that a short
+	// limit moves none.
 	needTime = 2 * time.Second
-	// slotTime is about how long a request holds a slot of an engine.
+	// slotTime is the approximate time that a request occupies a slot of an engine.
 	slotTime = 4 * time.Second
 )
 
-// IsInNeed reports whether a server with a number of slots takes too few requests for the slots to be taken, and has
-// for needTime.
+// IsInNeed reports whether a server has had a limit for at least needTime and the present limit is too low to keep a
+// number of slots busy.
 func IsInNeed(s Status, slots int) bool {
 	return s.Since >= needTime && s.PerSecond*slotTime.Seconds() < float64(slots)
 }
 
-// Quota returns the limit by which all processes together send to a server that named a rate.
+// Quota returns the limit on what all processes together send to a server that stated a rate.
 func Quota(perSecond float64) quota.Limit {
 	rate := max(perSecond, probeRate)
 	return quota.Limit{Rate: rate, Burst: 1 + rate*burstTime.Seconds()}
 }
 
-// Window is the time in which the users count what a server gets.
+// Window is the length of the time window in which the requests that a server receives are counted against its limit.
 const Window = 4 * time.Second
 
-// Tolerance returns what may reach a server beyond its Quota: with it, in any Window at most one and a half times
-// what the server named and five requests.
+// Tolerance returns by how much the Quota of a server may be exceeded. With it, a server receives in any Window at most
+// one and a half times its limit and five requests.
 func Tolerance() quota.Tolerance { return quota.Tolerance{Window: Window, Over: 0.4, Slack: 2} }
--- a/serverlimit/rules_test.go
+++ b/serverlimit/rules_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestQuotaIsInsideTheUsersBound checks that what a quota and its tolerance allow together is not more than the
-// users allow: one and a half times what the server named in a window, and five requests.
+// TestQuotaIsInsideTheUsersBound checks that a Quota with its Tolerance allows at most one and a half times the limit
+// and five requests in a Window.
 func TestQuotaIsInsideTheUsersBound(t *testing.T) {
 	for _, rate := range []float64{0, 0.1, 0.25, 0.5, 1.8, 2, 10, 100, 1000, 1e6} {
 		q, tolerance := serverlimit.Quota(rate), serverlimit.Tolerance()
--- a/serverlimit/table.go
+++ b/serverlimit/table.go
@@ -11,96 +11,102 @@
 )
 
 const (
-	// holdTime is how long a limit stands of which nothing is heard any more. While it stands the server
-	// gets requests, if few, so that there are answers: none for that long says that nobody asks for it.
+	// holdTime is how long a limit applies after the last response that states it. A server with a limit still
+	// gets requests (probeRate), so without responses for that long there is no demand for the server.
 	holdTime = 30 * time.Second
-	// refreshTime is after which time a limit that a server names again goes to other processes again:
-	// several times in holdTime, and seldom enough for a fleet whose servers are all in need.
+	// refreshTime is the minimum time between two updates for a limit that a server states repeatedly without a
+	// change. It is well below holdTime, but limits the messages when many servers have a limit.
 	refreshTime = 5 * time.Second
 )
 
 // Options configure a Table.
 type Options struct {
 	Clock clock.Service
-	// OnChange, if not nil, is called for each limit that begins, changes or ends here.
+	// OnChange, if not nil, is called for each limit that begins, changes or ends in this Table, without a lock
+	// held.
 	OnChange func(Change)
 }
 
-// A State is what has become of a server's limit.
+// A State is the kind of a Change.
 type State string
 
 // The states.
 const (
-	// Began says that the server has named a limit and had none.
+	// Began says that the server has stated a limit and had none.
 	Began State = "began"
-	// Changed says that it has named another limit than before.
+	// Changed says that the server has stated a different limit.
 	Changed State = "changed"
-	// Ended says that it has answered without a limit.
+	// Ended says that the server has sent a response without a limit.
 	Ended State = "ended"
-	// Unheard says that nothing has been heard of the limit for long.
+	// Unheard says that the limit has expired, since no response has stated it for holdTime.
 	Unheard State = "unheard"
 )
 
-// An Origin says where a word comes from.
+// An Origin is the source of an update.
 type Origin string
 
 // The origins.
 const (
-	// Own is an answer of the server to this process.
+	// Own is this process: a response that it received, or the expiry of a limit.
 	Own Origin = "own"
-	// Told is the word of another process.
+	// Told is another process.
 	Told Origin = "told"
 )
 
-// A Change is the begin, change or end of a server's limit.
+// A Change is the beginning, change or end of a server's limit.
 type Change struct {
-	// Server names the run of the server.
+	// Server is the ID of the server instance.
 	Server string
 	State  State
 	Origin Origin
-	// PerSecond is the limit as of now, or as it was if it has ended.
+	// PerSecond is the new limit, or the last one if the limit has ended, in requests per second.
 	PerSecond float64
-	// Age is the time since the server's answer.
+	// Age is the time since the server's response.
 	Age time.Duration
 }
 
-// A Status is a limit as it stands.
+// A Status is the present limit of a server.
 type Status struct {
-	Server    string
+	// Server is the ID of the server instance.
+	Server string
+	// PerSecond is the limit, in requests per second.
 	PerSecond float64
-	// Since is how long the limit has stood here, Age the time since an answer named it.
+	// Since is how long this Table has held a limit of the server without interruption, Age the time since a
+	// response stated it.
 	Since, Age time.Duration
 }
 
-// A Table holds the limits that servers name. It is safe for concurrent use.
+// A Table holds the limits of servers. It is safe for concurrent use.
 type Table struct {
-	opts  Options
+	opts Options
+	// epoch identifies this Table to peers; it is never 0.
 	epoch uint32
-	// limits is the number of limits that stand.
+	// limits is the number of servers with a limit.
 	limits atomic.Int64
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// version is the number of updates.
 	version uint64
 	entries map[string]*entry
-	// changes are to be passed on when the Table is unlocked.
+	// changes are passed to OnChange after the Table is unlocked.
 	changes []Change
 }
 
-// An entry is the newest word on one run of a server.
+// An entry is the latest update for one server instance.
 type entry struct {
 	word
-	// version is that of the Table when the word came.
+	// version is the version of the Table after the update.
 	version uint64
-	// heardAt is when this process heard the word last, from the server or another process. What was sent
-	// after that is answered with a newer word.
+	// heardAt is the time when the update was stored or when a response to this process last repeated it. The
+	// response to a request that is sent later is newer than the update.
 	heardAt time.Time
-	// namedAt is when the server answered so last, as far as known; toldAt when the word got its number.
+	// namedAt is the time of the latest known response with this content, toldAt the time of the update.
 	namedAt, toldAt time.Time
-	// beganAt is since when a limit has stood.
+	// beganAt is the time since which the server has had a limit.
 	beganAt time.Time
 }
 
-// status returns the entry of a limit as it stands.
+// status returns the Status of an entry with a limit.
 func (e *entry) status(server string, now time.Time) Status {
 	return Status{Server: server, PerSecond: e.perSecond, Since: now.Sub(e.beganAt), Age: now.Sub(e.namedAt)}
 }
@@ -110,10 +116,10 @@
 	return &Table{opts: o, epoch: rand.Uint32() | 1, entries: make(map[string]*entry)}
 }
 
-// Observe takes in what an answer of a server says; sent is when its request was sent.
+// Observe processes the parsed limit header of a response of a server. sent is the time when the request was sent.
 func (t *Table) Observe(server string, r Reading, sent time.Time) {
 	if r.Kind == Unreadable || r.Kind == None && !t.Any() {
-		// Most answers name no limit while none stands.
+		// The usual case, without a lock: the response states no limit and no server has one.
 		return
 	}
 	t.change(func(now time.Time) {
@@ -126,7 +132,7 @@
 	})
 }
 
-// observeNone ends a limit, unless the answer may be older than the word that named it.
+// observeNone removes a limit, unless the response may be older than the update that set it. t.mu must be held.
 func (t *Table) observeNone(server string, e *entry, sent, now time.Time) {
 	if e == nil || !e.limited || sent.Before(e.heardAt) {
 		return
@@ -134,7 +140,8 @@
 	t.set(server, word{sequence: e.sequence + 1}, now, now, Own)
 }
 
-// observeNamed takes in a limit, unless the answer may be older than the word that ended or lowered it.
+// observeNamed sets a limit, unless the response may be older than the update that removed or lowered it. t.mu must
+// be held.
 func (t *Table) observeNamed(server string, e *entry, perSecond float64, sent, now time.Time) {
 	named := word{limited: true, perSecond: perSecond, sequence: 1}
 	if e == nil {
@@ -153,17 +160,17 @@
 	t.set(server, named, now, now, Own)
 }
 
-// Any reports whether any limit stands.
+// Any reports whether any server has a limit. It takes no lock.
 func (t *Table) Any() bool { return t.limits.Load() > 0 }
 
-// Knows reports whether anything is known of a server's limit.
+// Knows reports whether a limit of a server, or its removal, is known.
 func (t *Table) Knows(server string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.entries[server] != nil
 }
 
-// Limit returns the rate that a server named; ok is false if it has no limit.
+// Limit returns the limit of a server, in requests per second; ok is false if it has none.
 func (t *Table) Limit(server string) (perSecond float64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,7 +181,7 @@
 	return e.perSecond, true
 }
 
-// Status returns a server's limit as it stands; ok is false if it has none.
+// Status returns the Status of a server's limit; ok is false if it has none.
 func (t *Table) Status(server string) (s Status, ok bool) {
 	if !t.Any() {
 		return Status{}, false
@@ -188,7 +195,7 @@
 	return e.status(server, t.opts.Clock.Now()), true
 }
 
-// List returns the limits as they stand, in no order.
+// List returns the Status of all limits, in no particular order.
 func (t *Table) List() []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -202,7 +209,7 @@
 	return list
 }
 
-// Expire ends limits of which nothing has been heard for holdTime, and forgets ends as old.
+// Expire ends the limits that no response has stated for holdTime, and forgets removals that are older than that.
 func (t *Table) Expire() {
 	t.change(func(now time.Time) {
 		maps.DeleteFunc(t.entries, func(_ string, e *entry) bool { return !e.limited && now.Sub(e.heardAt) > holdTime })
@@ -215,7 +222,8 @@
 	})
 }
 
-// set replaces the word on a server, which was answered at a time. The Table is locked.
+// set stores an update for a server and notes the change of its limit, if any. namedAt is the time of the server's
+// response. t.mu must be held.
 func (t *Table) set(server string, w word, namedAt, now time.Time, origin Origin) {
 	e := t.entries[server]
 	if e == nil {
@@ -232,7 +240,7 @@
 	t.store(server, e, w, namedAt, now)
 }
 
-// store stores a word. The Table is locked.
+// store stores an update for a server. t.mu must be held.
 func (t *Table) store(server string, e *entry, w word, namedAt, now time.Time) {
 	switch {
 	case w.limited && !e.limited:
@@ -245,10 +253,10 @@
 	e.word, e.version, e.heardAt, e.namedAt, e.toldAt = w, t.version, now, namedAt, now
 }
 
-// note keeps a change until the Table is unlocked.
+// note keeps a change until the Table is unlocked. t.mu must be held.
 func (t *Table) note(c Change) { t.changes = append(t.changes, c) }
 
-// change runs f with the Table locked, and then passes on what has changed.
+// change calls f with the Table locked. Then, without the lock, it calls OnChange for the changes noted.
 func (t *Table) change(f func(now time.Time)) {
 	t.mu.Lock()
 	f(t.opts.Clock.Now())
--- a/serverlimit/table_test.go
+++ b/serverlimit/table_test.go
@@ -10,17 +10,16 @@
 	"rockcleat/serverlimit"
 )
 
-// Readings of answers.
+// Readings used by the tests.
 var (
 	none = serverlimit.Reading{Kind: serverlimit.None}
 	two  = serverlimit.Reading{Kind: serverlimit.Named, PerSecond: 2}
 	five = serverlimit.Reading{Kind: serverlimit.Named, PerSecond: 5}
 )
 
-// testServer is the server of all tests.
 const testServer = "s1"
 
-// A process is one process's table with its clock.
+// A process is the table of one process with its clock and the changes reported.
 type process struct {
 	*serverlimit.Table
 	clock   *clocktest.Clock
@@ -35,12 +34,12 @@
 	return p
 }
 
-// ago returns the time that a number of milliseconds before now was.
+// ago returns the time a number of milliseconds before now.
 func (p *process) ago(ms int) time.Time {
 	return p.clock.Now().Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// limit returns the limit that stands, or -1.
+// limit returns the limit of testServer, or -1 if it has none.
 func (p *process) limit() float64 {
 	if l, ok := p.Limit(testServer); ok {
 		return l
@@ -48,10 +47,11 @@
 	return -1
 }
 
-// An answerStep is an answer of the server that comes some time after the one before.
+// An answerStep is one response of the server.
 type answerStep struct {
+	// afterMs is the time since the previous response.
 	afterMs int
-	// tookMs is the time since its request was sent.
+	// tookMs is the time since the request was sent.
 	tookMs  int
 	reading serverlimit.Reading
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestUnheardLimitEnds checks that a limit ends of which nothing is heard any more, and not before.
+// TestUnheardLimitEnds checks that a limit expires after holdTime without a response that states it, and not before.
 func TestUnheardLimitEnds(t *testing.T) {
 	p := newProcess()
 	p.Observe(testServer, two, p.ago(10))
--- a/serverlimit/word.go
+++ b/serverlimit/word.go
@@ -1,16 +1,17 @@
 package serverlimit
 
-// A word is what is known of a server's limit.
+// A word is an update of a server's limit.
 type word struct {
-	// sequence is one above that of the word that this one replaces.
+	// sequence is one above the sequence of the update that this one replaces.
 	sequence uint64
 	limited  bool
-	// perSecond is the limit, if there is one.
+	// perSecond is the limit if limited is true, in requests per second.
 	perSecond float64
 }
 
-// isNewerThan reports whether a word replaces another one. Of two that replaced the same word the one that
-// allows less counts: both may be true of the same moment, and the server's next answer decides.
+// isNewerThan reports whether w replaces o. Of two updates with the same sequence, made by different processes, the
+// one with the lower limit replaces the other, and one with a limit replaces one without. The next response of the
+// server corrects the result if necessary.
 func (w word) isNewerThan(o word) bool {
 	if w.sequence != o.sequence {
 		return w.sequence > o.sequence
@@ -21,8 +22,7 @@
 	return w.limited && w.perSecond < o.perSecond
 }
 
-// stateAfter returns what has become of the limit when another word follows; changed is false if it stands
-// as before.
+// stateAfter returns how the next update changes the limit; changed is false if the limit remains the same.
 func (w word) stateAfter(next word) (s State, changed bool) {
 	switch {
 	case next.limited && !w.limited:
