--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -37,13 +37,13 @@
 // PlanAdapters returns the moves to start now, at most one for each engine.
 func PlanAdapters(in AdapterInput) []AdapterMove {
 	var moves []AdapterMove
-	taken := make(map[string]bool)
+	usedEngines := make(map[string]bool)
 	for _, a := range in.Missing {
-		m, ok := in.cheapestMove(a, taken)
+		m, ok := in.cheapestMove(a, usedEngines)
 		if !ok {
 			continue
 		}
-		taken[m.Engine] = true
+		usedEngines[m.Engine] = true
 		moves = append(moves, m)
 	}
 	return moves
@@ -51,13 +51,13 @@
 
 // cheapestMove returns the move to the least loaded engine that holds the adapter's model, and prefers
 // engines with a free slot. The load of an engine is its number of requests plus its number of adapters.
-func (in *AdapterInput) cheapestMove(a backend.Adapter, taken map[string]bool) (AdapterMove, bool) {
+func (in *AdapterInput) cheapestMove(a backend.Adapter, usedEngines map[string]bool) (AdapterMove, bool) {
 	var best AdapterMove
 	found := false
 	bestCost := 0
 	for i := range in.Engines {
 		e := &in.Engines[i]
-		if e.Leaving || e.InNeed || taken[e.ID] || !holds(e, a.Model) {
+		if e.Leaving || e.InNeed || usedEngines[e.ID] || !holds(e, a.Model) {
 			continue
 		}
 		move := AdapterMove{Engine: e.ID, Adapter: a}
@@ -97,29 +97,29 @@
 // request uses or waits for. If requests have waited for the other adapter for longer than minAdapterResidence,
 // an adapter that another engine holds too is preferred, even one in use.
 func (in *AdapterInput) evictionFor(e *EngineView, wanted backend.Adapter) (backend.Adapter, bool) {
-	var unused, doubled []backend.Adapter
+	var unused, redundant []backend.Adapter
 	overdue := in.Now.Sub(in.WaitingSince[wanted]) > minAdapterResidence && !in.WaitingSince[wanted].IsZero()
 	for _, r := range e.Residents {
 		for _, name := range r.Adapters {
 			a := backend.Adapter{Model: r.Model, Name: name}
-			rested := overdue || in.Now.Sub(in.LastUsed[a]) > minAdapterResidence
+			pastMinResidence := overdue || in.Now.Sub(in.LastUsed[a]) > minAdapterResidence
 			switch {
 			case slices.Contains(in.Missing, a):
 			case in.replicas(a) > 1 && overdue:
-				doubled = append(doubled, a)
-			case in.RequestsByAdapter[a] == 0 && rested:
+				redundant = append(redundant, a)
+			case in.RequestsByAdapter[a] == 0 && pastMinResidence:
 				unused = append(unused, a)
 			}
 		}
 	}
-	list := unused
-	if len(doubled) > 0 {
-		list = doubled
+	candidates := unused
+	if len(redundant) > 0 {
+		candidates = redundant
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return backend.Adapter{}, false
 	}
-	return slices.MinFunc(list, func(a, b backend.Adapter) int { return in.LastUsed[a].Compare(in.LastUsed[b]) }), true
+	return slices.MinFunc(candidates, func(a, b backend.Adapter) int { return in.LastUsed[a].Compare(in.LastUsed[b]) }), true
 }
 
 // replicas returns the number of engines that hold the adapter, without the engines that are leaving.
--- a/residency/evict.go
+++ b/residency/evict.go
@@ -11,7 +11,7 @@
 // evictions returns the models to unload so that a model fits on an engine, in increasing order of demand
 // per replica; ok is false if the model doesn't fit even then.
 func (p *plan) evictions(e *EngineView, m table.ModelSpec) (evictions []string, ok bool) {
-	need := p.missingMemory(e, m)
+	need := p.memoryShortfall(e, m)
 	if need <= 0 {
 		return nil, true
 	}
@@ -24,7 +24,7 @@
 			continue
 		}
 		evictions = append(evictions, r.Model)
-		need -= weightsOf(p.in.Spec, backend.Resident{Model: r.Model})
+		need -= residentMB(p.in.Spec, backend.Resident{Model: r.Model})
 		if need <= 0 {
 			return evictions, true
 		}
@@ -34,14 +34,14 @@
 
 // evictable reports whether a replica of model may be evicted from an engine to load the model named other.
 //
-// The last replica may be evicted if the model is no longer configured, or if mayReturn allows it and other
+// The last replica may be evicted if the model is no longer configured, or if lastReplicaEvictable allows it and other
 // already has a replica and far more demand. Of several replicas, any may be evicted if other has none;
 // otherwise only one above the model's target that was not loaded recently.
 func (p *plan) evictable(e *EngineView, model, other string) bool {
 	forFirstReplica := p.replicas[other] == 0
 	if p.replicas[model] <= 1 {
 		_, configured := p.in.Spec.Model(model)
-		return !configured || !forFirstReplica && p.outweighs(other, model) && p.mayReturn(e, model)
+		return !configured || !forFirstReplica && p.justifiesLastReplica(other, model) && p.lastReplicaEvictable(e, model)
 	}
 	if forFirstReplica {
 		return true
@@ -49,21 +49,21 @@
 	return !e.RecentlyLoaded[model] && p.replicas[model] > p.targets[model]
 }
 
-// outweighs reports whether the demand per replica of a model justifies evicting the last replica of another.
-func (p *plan) outweighs(model, last string) bool {
-	return p.demandPerReplica(model) > lastReplicaFactor*p.in.Demands[last].TokensPerSecond
+// justifiesLastReplica reports whether the demand per replica of a model justifies evicting the last replica of another.
+func (p *plan) justifiesLastReplica(model, last string) bool {
+	return p.demandPerReplica(model) > lastReplicaDemandRatio*p.in.Demands[last].TokensPerSecond
 }
 
-// mayReturn reports whether the last replica of a model may be evicted from an engine, to be loaded again on
+// lastReplicaEvictable reports whether the last replica of a model may be evicted from an engine, to be loaded again on
 // the next request for it.
-func (p *plan) mayReturn(e *EngineView, model string) bool {
+func (p *plan) lastReplicaEvictable(e *EngineView, model string) bool {
 	if p.in.Demands[model].Waiting > 0 || e.RecentlyLoaded[model] {
 		return false
 	}
-	switch p.residences[model] {
-	case onRequest:
+	switch p.policies[model] {
+	case loadOnRequest:
 		return true
-	case whileCached:
+	case unloadIfCached:
 		return SourceOf(e.CachedInMemory, e.CachedOnDisk, model) != FromStore
 	}
 	return false
@@ -86,27 +86,27 @@
 	return p.in.Demands[model].TokensPerSecond / float64(max(p.replicas[model], 1))
 }
 
-// missingMemory returns how much memory an engine lacks for a model, in MB; it is negative if memory remains.
+// memoryShortfall returns how much memory an engine lacks for a model, in MB; it is negative if memory remains.
 // The memory of all adapter slots stays reserved, or that of the loaded adapters if they take more.
-func (p *plan) missingMemory(e *EngineView, m table.ModelSpec) float64 {
+func (p *plan) memoryShortfall(e *EngineView, m table.ModelSpec) float64 {
 	spec := p.in.Spec
-	bare := Free(spec, withoutAdapters(e.Residents))
-	adapters := max(adapterReserve(spec), bare-Free(spec, e.Residents))
-	return m.WeightsMB + adapters - bare
+	freeWithoutAdapters := Free(spec, withoutAdapters(e.Residents))
+	reserved := max(adapterReserveMB(spec), freeWithoutAdapters-Free(spec, e.Residents))
+	return m.WeightsMB + reserved - freeWithoutAdapters
 }
 
 // Free returns the memory of an engine that its residents leave free, in MB.
 func Free(spec *table.EngineSpec, residents []backend.Resident) float64 {
 	free := spec.WeightsMB
 	for _, r := range residents {
-		free -= weightsOf(spec, r)
+		free -= residentMB(spec, r)
 	}
 	return free
 }
 
-// weightsOf returns the memory of a model and its adapters, in MB; 0 for a model that is not configured,
+// residentMB returns the memory of a model and its adapters, in MB; 0 for a model that is not configured,
 // since its size is unknown.
-func weightsOf(spec *table.EngineSpec, r backend.Resident) float64 {
+func residentMB(spec *table.EngineSpec, r backend.Resident) float64 {
 	m, ok := spec.Model(r.Model)
 	if !ok {
 		return 0
@@ -114,8 +114,8 @@
 	return m.WeightsMB + float64(len(r.Adapters))*m.AdapterMB
 }
 
-// adapterReserve returns the memory of an engine's adapter slots if all hold the largest adapter, in MB.
-func adapterReserve(spec *table.EngineSpec) float64 {
+// adapterReserveMB returns the memory of an engine's adapter slots if all hold the largest adapter, in MB.
+func adapterReserveMB(spec *table.EngineSpec) float64 {
 	largest := 0.0
 	for _, m := range spec.Models {
 		if m.Adapters > 0 {
--- a/residency/forecast.go
+++ b/residency/forecast.go
@@ -2,9 +2,9 @@
 
 import "rockcleat/table"
 
-// successorShare is the fraction of a model's demand that each of the models right behind it in the list is
+// forecastShare is the fraction of a model's demand that each of the models right behind it in the list is
 // expected to get, at a confidence of 1.
-const successorShare = 0.9
+const forecastShare = 0.9
 
 // Forecast returns the demand expected of each model. The models right behind another one in the operators'
 // list are expected to get at least a fraction of its demand, weighted with the confidence of s that demand
@@ -13,11 +13,11 @@
 // While no model has demand, the replicas of each model beyond its first are used as its demand.
 func Forecast(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView, s *Succession) map[string]Demand {
 	measured := measuredDemand(spec, demands, engines)
-	share := successorShare * s.Confidence()
+	share := forecastShare * s.Confidence()
 	out := make(map[string]Demand, len(spec.Models))
 	for i, m := range spec.Models {
 		expected := 0.0
-		for j := max(i-successionReach, 0); j < i; j++ {
+		for j := max(i-sequenceWindow, 0); j < i; j++ {
 			expected += share * measured[j]
 		}
 		d := demands[m.Name]
@@ -34,7 +34,7 @@
 	for i, m := range spec.Models {
 		measured[i] = demands[m.Name].TokensPerSecond
 	}
-	if isAnyAsked(demands) {
+	if hasDemand(demands) {
 		return measured
 	}
 	for i, m := range spec.Models {
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -84,8 +84,8 @@
 
 // plan is the working state of one call of Plan.
 type plan struct {
-	in         Input
-	residences map[string]residence
+	in       Input
+	policies map[string]loadPolicy
 	// replicas and targets hold the present and the planned number of replicas, by model.
 	replicas map[string]int
 	targets  map[string]int
@@ -97,7 +97,7 @@
 func Plan(in Input) []Move {
 	p := &plan{in: in, replicas: make(map[string]int)}
 	p.in.Demands = Forecast(in.Spec, in.Demands, in.Engines, in.Succession)
-	p.residences = residences(in.Spec, p.in.Demands, in.Succession.Confidence())
+	p.policies = loadPolicies(in.Spec, p.in.Demands, in.Succession.Confidence())
 	for i := range in.Engines {
 		e := &in.Engines[i]
 		if e.Leaving {
@@ -108,7 +108,7 @@
 			p.replicas[r.Model]++
 		}
 	}
-	p.targets = replicaTargets(in.Spec, p.in.Demands, p.residences, len(p.engines))
+	p.targets = replicaTargets(in.Spec, p.in.Demands, p.policies, len(p.engines))
 	return p.moves()
 }
 
--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -128,16 +128,16 @@
 	}
 }
 
-// TestPlanKeepsPromises checks with random engines that no plan evicts a last replica, exceeds an engine's memory,
+// TestPlanInvariants checks with random engines that no plan evicts a last replica, exceeds an engine's memory,
 // has two moves for one engine or exceeds the loads that the weight store accepts.
-func TestPlanKeepsPromises(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfN(rapid.Float64Range(30, 120), 1, 10).Draw(t, "sizes")
 		s := spec(sizes...)
 		list := drawEngines(t, s)
 		weights := rapid.SliceOfN(rapid.Float64Range(0, 100), len(sizes), len(sizes)).Draw(t, "weights")
 		stores := rapid.IntRange(0, 4).Draw(t, "stores")
-		before := copies(list)
+		before := replicaCounts(list)
 		moves := Plan(Input{Spec: s, Engines: slices.Clone(list), Demands: demands(weights...), StoreLoadsAllowed: stores})
 		seen := make(map[string]bool)
 		for _, m := range moves {
@@ -184,7 +184,7 @@
 	return list
 }
 
-func copies(list []EngineView) map[string]int {
+func replicaCounts(list []EngineView) map[string]int {
 	n := make(map[string]int)
 	for _, e := range list {
 		for _, r := range e.Residents {
@@ -211,8 +211,8 @@
 	}
 }
 
-// inNeed sets InNeed on engine i and returns the list.
-func inNeed(list []EngineView, i int) []EngineView {
+// withThrottled sets InNeed on engine i and returns the list.
+func withThrottled(list []EngineView, i int) []EngineView {
 	list[i].InNeed = true
 	return list
 }
@@ -238,7 +238,7 @@
 				Slots: 2, Engines: engines([]string{"m0"}, []string{"m0"}), RequestsByEngine: map[string]int{"e0": 9},
 			}, engine: "e1",
 		},
-		"not to one in need":       {in: AdapterInput{Slots: 2, Engines: inNeed(engines([]string{"m0"}, []string{"m0"}), 0)}, engine: "e1"},
+		"not to one in need":       {in: AdapterInput{Slots: 2, Engines: withThrottled(engines([]string{"m0"}, []string{"m0"}), 0)}, engine: "e1"},
 		"nowhere without its base": {in: AdapterInput{Slots: 2, Engines: engines([]string{"m1"})}},
 		"in the place of one not asked for": {
 			in: AdapterInput{
--- a/residency/replicas.go
+++ b/residency/replicas.go
@@ -19,20 +19,20 @@
 // of each. Every model gets one replica, except models that may be unloaded and have no waiting request. The
 // remaining memory goes, one replica at a time, to the model with the highest priority, until no replica fits.
 // An engine holds at most one replica of a model.
-func replicaTargets(spec *table.EngineSpec, demands map[string]Demand, residences map[string]residence, engines int) map[string]int {
-	room := spec.WeightsMB * float64(engines)
+func replicaTargets(spec *table.EngineSpec, demands map[string]Demand, policies map[string]loadPolicy, engines int) map[string]int {
+	freeMB := spec.WeightsMB * float64(engines)
 	var candidates replicaHeap
 	targets := make(map[string]int, len(spec.Models))
 	for i, m := range spec.Models {
 		d := demands[m.Name]
-		if residences[m.Name] != always && d.Waiting == 0 {
+		if policies[m.Name] != alwaysLoaded && d.Waiting == 0 {
 			continue
 		}
 		targets[m.Name] = 1
-		room -= m.WeightsMB
+		freeMB -= m.WeightsMB
 		if d.TokensPerSecond > 0 {
 			candidates = append(candidates, replicaCandidate{
-				index: i, replicas: 1, share: math.Pow(d.TokensPerSecond, demandExponent),
+				index: i, replicas: 1, scaledDemand: math.Pow(d.TokensPerSecond, demandExponent),
 			})
 		}
 	}
@@ -40,12 +40,12 @@
 	for len(candidates) > 0 {
 		c := &candidates[0]
 		m := &spec.Models[c.index]
-		if c.replicas >= engines || m.WeightsMB > room {
+		if c.replicas >= engines || m.WeightsMB > freeMB {
 			// The remaining memory only shrinks, so the model gets no further replica.
 			heap.Pop(&candidates)
 			continue
 		}
-		room -= m.WeightsMB
+		freeMB -= m.WeightsMB
 		c.replicas++
 		targets[m.Name] = c.replicas
 		heap.Fix(&candidates, 0)
@@ -57,13 +57,13 @@
 type replicaCandidate struct {
 	index    int
 	replicas int
-	// share is the model's demand to the power of demandExponent.
-	share float64
+	// scaledDemand is the model's demand to the power of demandExponent.
+	scaledDemand float64
 }
 
 // priority returns the share per replica.
 func (c replicaCandidate) priority() float64 {
-	return c.share / (float64(c.replicas) + replicaOffset)
+	return c.scaledDemand / (float64(c.replicas) + replicaOffset)
 }
 
 // replicaHeap is a heap of candidates, the one with the highest priority first.
--- a/residency/replicas_test.go
+++ b/residency/replicas_test.go
@@ -15,7 +15,7 @@
 	tests := map[string]struct {
 		sizes      []float64
 		demands    map[string]Demand
-		residences map[string]residence
+		residences map[string]loadPolicy
 		engines    int
 		want       []int
 	}{
@@ -27,11 +27,11 @@
 		"no room for more":              {sizes: []float64{100, 100, 100}, demands: demands(30, 10, 0), engines: 2, want: []int{2, 1, 1}},
 		"one that needs none": {
 			sizes: []float64{100, 100, 100}, demands: demands(30, 10, 0), engines: 2,
-			residences: map[string]residence{"m2": onRequest}, want: []int{2, 2, 0},
+			residences: map[string]loadPolicy{"m2": loadOnRequest}, want: []int{2, 2, 0},
 		},
 		"one that needs none, but is waited for": {
 			sizes: []float64{100, 100, 100}, demands: map[string]Demand{"m0": {TokensPerSecond: 30}, "m2": {Waiting: 1}}, engines: 2,
-			residences: map[string]residence{"m2": whileCached}, want: []int{2, 1, 1},
+			residences: map[string]loadPolicy{"m2": unloadIfCached}, want: []int{2, 1, 1},
 		},
 	}
 	for name, test := range tests {
@@ -44,20 +44,20 @@
 	}
 }
 
-// plainTargets is a straightforward implementation of replicaTargets without a heap, for comparison.
-func plainTargets(s *table.EngineSpec, asked map[string]Demand, engines int) map[string]int {
+// referenceTargets is a straightforward implementation of replicaTargets without a heap, for comparison.
+func referenceTargets(s *table.EngineSpec, asked map[string]Demand, engines int) map[string]int {
 	targets := make(map[string]int)
-	room := s.WeightsMB * float64(engines)
+	freeMB := s.WeightsMB * float64(engines)
 	for _, m := range s.Models {
 		targets[m.Name] = 1
-		room -= m.WeightsMB
+		freeMB -= m.WeightsMB
 	}
 	for {
 		best, bestShare := -1, 0.0
 		for i, m := range s.Models {
 			n := targets[m.Name]
 			share := math.Pow(asked[m.Name].TokensPerSecond, 0.75) / (float64(n) + 0.5)
-			if n < engines && m.WeightsMB <= room && share > bestShare {
+			if n < engines && m.WeightsMB <= freeMB && share > bestShare {
 				best, bestShare = i, share
 			}
 		}
@@ -65,7 +65,7 @@
 			return targets
 		}
 		targets[s.Models[best].Name]++
-		room -= s.Models[best].WeightsMB
+		freeMB -= s.Models[best].WeightsMB
 	}
 }
 
@@ -78,7 +78,7 @@
 		}
 		engines := rapid.IntRange(1, 20).Draw(t, "engines")
 		s, w := spec(sizes...), demands(weights...)
-		assert.DeepEqual(t, replicaTargets(s, w, nil, engines), plainTargets(s, w, engines))
+		assert.DeepEqual(t, replicaTargets(s, w, nil, engines), referenceTargets(s, w, engines))
 	})
 }
 
--- a/residency/succession.go
+++ b/residency/succession.go
@@ -7,12 +7,12 @@
 	// A model becomes busy at a fraction busyShare of the total demand and stays busy down to idleShare.
 	busyShare = 0.04
 	idleShare = 0.02
-	// successionReach is the number of places behind a busy model where the next model is expected to rise.
-	successionReach = 2
-	// successionPrior is the weight of the prior assumption that the list has no order, in rises.
-	successionPrior = 0.5
-	// successionMemory is the factor by which the counts decay with each rise. About the last ten rises count.
-	successionMemory = 0.9
+	// sequenceWindow is the number of places behind a busy model where the next model is expected to rise.
+	sequenceWindow = 2
+	// priorRises is the weight of the prior assumption that the list has no order, in rises.
+	priorRises = 0.5
+	// riseDecay is the factor by which the counts decay with each rise. About the last ten rises count.
+	riseDecay = 0.9
 )
 
 // A Succession estimates from observed demand whether models become busy in the order of the operators' list:
@@ -23,8 +23,8 @@
 type Succession struct {
 	busy map[string]bool
 	// rises counts the models that became busy, hits those among them that stood right behind a busy one, and
-	// chance the hits expected by chance. All decay with successionMemory.
-	rises, hits, chance float64
+	// expectedHits the hits expected by chance. All decay with riseDecay.
+	rises, hits, expectedHits float64
 }
 
 // Observe records the demand at one time. While no model has demand, the replicas determine which models are
@@ -45,14 +45,14 @@
 			busy[m.Name] = true
 		}
 	}
-	if isAnyAsked(demands) {
-		s.count(spec, busy)
+	if hasDemand(demands) {
+		s.countRises(spec, busy)
 	}
 	s.busy = busy
 }
 
-// isAnyAsked reports whether any model has demand.
-func isAnyAsked(demands map[string]Demand) bool {
+// hasDemand reports whether any model has demand.
+func hasDemand(demands map[string]Demand) bool {
 	for _, d := range demands {
 		if d.TokensPerSecond > 0 {
 			return true
@@ -61,37 +61,37 @@
 	return false
 }
 
-// count updates the counts with the models that have become busy. The first model of the list is left out,
+// countRises updates the counts with the models that have become busy. The first model of the list is left out,
 // since no model is before it.
-func (s *Succession) count(spec *table.EngineSpec, busy map[string]bool) {
-	idle, expected := 0, 0
+func (s *Succession) countRises(spec *table.EngineSpec, busy map[string]bool) {
+	idle, following := 0, 0
 	var rising []bool
 	for i, m := range spec.Models {
 		if i == 0 || s.busy[m.Name] {
 			continue
 		}
 		idle++
-		behind := isBehindBusy(spec, busy, i)
-		if behind {
-			expected++
+		follows := followsBusy(spec, busy, i)
+		if follows {
+			following++
 		}
 		if busy[m.Name] {
-			rising = append(rising, behind)
+			rising = append(rising, follows)
 		}
 	}
-	for _, behind := range rising {
-		s.rises = s.rises*successionMemory + 1
-		s.hits *= successionMemory
-		if behind {
+	for _, follows := range rising {
+		s.rises = s.rises*riseDecay + 1
+		s.hits *= riseDecay
+		if follows {
 			s.hits++
 		}
-		s.chance = s.chance*successionMemory + float64(expected)/float64(idle)
+		s.expectedHits = s.expectedHits*riseDecay + float64(following)/float64(idle)
 	}
 }
 
-// isBehindBusy reports whether a busy model is at most successionReach places before model i in the list.
-func isBehindBusy(spec *table.EngineSpec, busy map[string]bool, i int) bool {
-	for j := max(i-successionReach, 0); j < i; j++ {
+// followsBusy reports whether a busy model is at most sequenceWindow places before model i in the list.
+func followsBusy(spec *table.EngineSpec, busy map[string]bool, i int) bool {
+	for j := max(i-sequenceWindow, 0); j < i; j++ {
 		if busy[spec.Models[j].Name] {
 			return true
 		}
@@ -102,8 +102,8 @@
 // Confidence returns how consistently rises follow the list, from 0 (no more often than by chance) to 1
 // (always). It returns 0 for a nil Succession.
 func (s *Succession) Confidence() float64 {
-	if s == nil || s.hits <= s.chance {
+	if s == nil || s.hits <= s.expectedHits {
 		return 0
 	}
-	return (s.hits - s.chance) / (s.rises - s.chance + successionPrior)
+	return (s.hits - s.expectedHits) / (s.rises - s.expectedHits + priorRises)
 }
--- a/residency/succession_test.go
+++ b/residency/succession_test.go
@@ -11,8 +11,8 @@
 	"rockcleat/table"
 )
 
-// listed returns the specification of n models of equal size.
-func listed(n int) *table.EngineSpec {
+// uniformSpec returns the specification of n models of equal size.
+func uniformSpec(n int) *table.EngineSpec {
 	sizes := make([]float64, n)
 	for i := range sizes {
 		sizes[i] = 60
@@ -20,8 +20,8 @@
 	return spec(sizes...)
 }
 
-// inOrder returns the numbers from 0 to n-1.
-func inOrder(n int) []int {
+// listOrder returns the numbers from 0 to n-1.
+func listOrder(n int) []int {
 	list := make([]int, n)
 	for i := range list {
 		list[i] = i
@@ -29,11 +29,11 @@
 	return list
 }
 
-// learned returns a Succession that has observed demand move along the list.
-func learned() *Succession {
+// trainedSuccession returns a Succession that has observed demand move along the list.
+func trainedSuccession() *Succession {
 	var s Succession
 	for i := range 4 {
-		s.Observe(listed(26), demandAt(inOrder(26), 2*i), nil)
+		s.Observe(uniformSpec(26), demandAt(listOrder(26), 2*i), nil)
 	}
 	return &s
 }
@@ -54,7 +54,7 @@
 // TestSuccession checks the confidence after demand has moved through 26 models, two places at a time, in the order
 // of the list and in another order.
 func TestSuccession(t *testing.T) {
-	along := inOrder(26)
+	along := listOrder(26)
 	shuffled := rand.New(rand.NewPCG(1, 1)).Perm(26)
 	tests := map[string]struct {
 		order         []int
@@ -72,7 +72,7 @@
 		t.Run(name, func(t *testing.T) {
 			var s Succession
 			for i := range test.shifts {
-				s.Observe(listed(26), demandAt(test.order, 2*i), nil)
+				s.Observe(uniformSpec(26), demandAt(test.order, 2*i), nil)
 			}
 			got := s.Confidence()
 			assert.Assert(t, got >= test.least && got <= test.utmost, "%v", got)
@@ -86,11 +86,11 @@
 		rise       []bool
 	}{
 		"no order known": {rise: []bool{false, true, false, false, false}},
-		"a known order":  {succession: learned(), rise: []bool{false, true, true, true, false}},
+		"a known order":  {succession: trainedSuccession(), rise: []bool{false, true, true, true, false}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := Forecast(listed(5), demands(0, 100, 0, 0, 0), nil, test.succession)
+			got := Forecast(uniformSpec(5), demands(0, 100, 0, 0, 0), nil, test.succession)
 			for i, rise := range test.rise {
 				assert.Equal(t, got[fmt.Sprint("m", i)].TokensPerSecond > 0, rise, "m%d", i)
 			}
@@ -98,16 +98,16 @@
 	}
 }
 
-// TestReplicasStandForDemand checks that a forecast is based on replicas while no model has demand.
-func TestReplicasStandForDemand(t *testing.T) {
+// TestForecastWithoutDemand checks that a forecast is based on replicas while no model has demand.
+func TestForecastWithoutDemand(t *testing.T) {
 	held := engines([]string{"m0"}, []string{"m0"}, []string{"m0", "m1"})
-	got := Forecast(listed(4), nil, held, learned())
+	got := Forecast(uniformSpec(4), nil, held, trainedSuccession())
 	assert.Assert(t, got["m0"].TokensPerSecond > got["m1"].TokensPerSecond && got["m1"].TokensPerSecond > 0, "%v", got)
 }
 
-// TestNothingIsLearnedFromLoads checks that models that are loaded in the order of the list, without any demand, do
+// TestObserveWithoutDemand checks that models that are loaded in the order of the list, without any demand, do
 // not raise the confidence.
-func TestNothingIsLearnedFromLoads(t *testing.T) {
+func TestObserveWithoutDemand(t *testing.T) {
 	var s Succession
 	engines := make([]EngineView, 12)
 	for m := range 26 {
@@ -115,7 +115,7 @@
 			e := &engines[(m+i)%len(engines)]
 			e.Residents = append(e.Residents, backend.Resident{Model: fmt.Sprint("m", m)})
 		}
-		s.Observe(listed(26), nil, engines)
+		s.Observe(uniformSpec(26), nil, engines)
 	}
 	assert.Equal(t, s.Confidence(), 0.0)
 }
