--- a/placement/moves.go
+++ b/placement/moves.go
@@ -12,15 +12,15 @@
 	"rockcleat/table"
 )
 
-// dropUnlisted unloads the models and adapters that are no longer in the table.
-func (s *plan) dropUnlisted() {
+// unloadUnlisted unloads the models and adapters that are no longer in the table.
+func (s *plan) unloadUnlisted() {
 	listed := make(map[string]bool, len(s.in.Rows))
 	for _, r := range s.in.Rows {
 		listed[r.Name] = true
 	}
-	for _, x := range s.accs {
-		for _, name := range slices.Sorted(maps.Keys(x.members)) {
-			if !listed[name] && x.members[name] == fleet.StateReady {
+	for _, x := range s.accelerators {
+		for _, name := range slices.Sorted(maps.Keys(x.residents)) {
+			if !listed[name] && x.residents[name] == fleet.StateReady {
 				s.unload(x, name, "not in the table")
 			}
 		}
@@ -55,91 +55,91 @@
 	return 1
 }
 
-// placeFirst plans the first replica of each name that has none in the cell and a target above 0. If no accelerator
+// placeMissing plans the first replica of each name that has none in the cell and a target above 0. If no accelerator
 // has room, it evicts or relocates other replicas.
-func (s *plan) placeFirst() {
-	rows := s.byUrgency(func(r table.Row) bool { return s.copies[r.Name] == 0 && s.wanted[r.Name] > 0 })
+func (s *plan) placeMissing() {
+	rows := s.byUrgency(func(r table.Row) bool { return s.replicas[r.Name] == 0 && s.targets[r.Name] > 0 })
 	for _, r := range rows {
-		if s.full() {
+		if s.limitReached() {
 			return
 		}
-		if x := s.roomFor(r); x != nil {
+		if x := s.leastBusyFit(r); x != nil {
 			s.load(x, r, "no copy")
 			continue
 		}
 		reason := "room for " + r.Name + ", which has no copy"
-		if !s.makeRoom(r, reason, 0) {
+		if !s.evictFor(r, reason, 0) {
 			s.relocate(r, reason)
 		}
 	}
 }
 
-// placeExtra plans additional replicas for names with fewer than their target.
-func (s *plan) placeExtra() {
-	rows := s.byUrgency(func(r table.Row) bool { return s.copies[r.Name] > 0 && s.copies[r.Name] < s.wanted[r.Name] })
+// placeAdditional plans additional replicas for names with fewer than their target.
+func (s *plan) placeAdditional() {
+	rows := s.byUrgency(func(r table.Row) bool { return s.replicas[r.Name] > 0 && s.replicas[r.Name] < s.targets[r.Name] })
 	for _, r := range rows {
-		if s.full() {
+		if s.limitReached() {
 			return
 		}
-		reason := fmt.Sprintf("demand %.1f slots, %d of %d copies", s.demand[r.Name], s.copies[r.Name], s.wanted[r.Name])
-		if x := s.roomFor(r); x != nil {
+		reason := fmt.Sprintf("demand %.1f slots, %d of %d copies", s.demand[r.Name], s.replicas[r.Name], s.targets[r.Name])
+		if x := s.leastBusyFit(r); x != nil {
 			s.load(x, r, reason)
 			continue
 		}
-		s.makeRoom(r, "room for "+r.Name+": "+reason, s.opts.Hold)
+		s.evictFor(r, "room for "+r.Name+": "+reason, s.opts.Hold)
 	}
 }
 
-// full reports whether the plan has reached the limit on orders or loads.
-func (s *plan) full() bool {
+// limitReached reports whether the plan has reached the limit on orders or loads.
+func (s *plan) limitReached() bool {
 	return len(s.orders) >= s.opts.MaxOrders || s.loads >= s.opts.MaxLoads
 }
 
-// roomFor returns the least busy accelerator with enough free memory for the row, or nil if there is none.
-func (s *plan) roomFor(r table.Row) *acc {
+// leastBusyFit returns the least busy accelerator with enough free memory for the row, or nil if there is none.
+func (s *plan) leastBusyFit(r table.Row) *accelerator {
 	need := s.in.Sizes[r.Name].TotalMiB()
-	var best *acc
-	for _, x := range s.accs {
-		if !s.suits(x, r) || x.free < need {
+	var best *accelerator
+	for _, x := range s.accelerators {
+		if !s.eligible(x, r) || x.free < need {
 			continue
 		}
-		if best == nil || s.better(x, best) {
+		if best == nil || s.preferred(x, best) {
 			best = x
 		}
 	}
 	return best
 }
 
-// better reports whether a is preferred to b: it is less busy or, if both are about equally busy, has more free
+// preferred reports whether a is preferred to b: it is less busy or, if both are about equally busy, has more free
 // memory.
-func (s *plan) better(a, b *acc) bool {
+func (s *plan) preferred(a, b *accelerator) bool {
 	if math.Abs(a.demand-b.demand) > levelUnit {
 		return a.demand < b.demand
 	}
 	return a.free > b.free
 }
 
-// suits reports whether the row may be loaded on the accelerator: it is not there yet and, for an adapter, its base
+// eligible reports whether the row may be loaded on the accelerator: it is not there yet and, for an adapter, its base
 // model is ready there.
-func (s *plan) suits(x *acc, r table.Row) bool {
-	if _, has := x.members[r.Name]; has {
+func (s *plan) eligible(x *accelerator, r table.Row) bool {
+	if _, has := x.residents[r.Name]; has {
 		return false
 	}
-	return r.Kind != table.KindAdapter || x.members[r.Base] == fleet.StateReady
+	return r.Kind != table.KindAdapter || x.residents[r.Base] == fleet.StateReady
 }
 
-// makeRoom evicts replicas from the accelerator that needs the fewest evictions until the row fits there, and
+// evictFor evicts replicas from the accelerator that needs the fewest evictions until the row fits there, and
 // reserves the memory for the row. It reports whether there is such an accelerator. held is how long a name must
 // have had surplus replicas; see evictable.
-func (s *plan) makeRoom(r table.Row, reason string, held time.Duration) bool {
+func (s *plan) evictFor(r table.Row, reason string, minSurplusTime time.Duration) bool {
 	need := s.in.Sizes[r.Name].TotalMiB()
-	var best *acc
+	var best *accelerator
 	var bestEvictions []string
-	for _, x := range s.accs {
-		if !s.suits(x, r) {
+	for _, x := range s.accelerators {
+		if !s.eligible(x, r) {
 			continue
 		}
-		evictions, ok := s.evictions(x, need-x.free-x.freeing, held)
+		evictions, ok := s.evictions(x, need-x.free-x.freeing, minSurplusTime)
 		if ok && (best == nil || len(evictions) < len(bestEvictions)) {
 			best, bestEvictions = x, evictions
 		}
@@ -156,13 +156,13 @@
 
 // evictions returns the names to evict from an accelerator to free an amount of memory, those with the least demand
 // first; ok is false if the memory cannot be freed. No evictions are needed if need is not positive.
-func (s *plan) evictions(x *acc, need int, held time.Duration) ([]string, bool) {
+func (s *plan) evictions(x *accelerator, need int, minSurplusTime time.Duration) ([]string, bool) {
 	if need <= 0 {
 		return nil, true
 	}
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(x.members)) {
-		if x.members[name] == fleet.StateReady && s.evictable(name, held) && !s.carries(x, name) {
+	for _, name := range slices.Sorted(maps.Keys(x.residents)) {
+		if x.residents[name] == fleet.StateReady && s.evictable(name, minSurplusTime) && !s.hasAdapterOf(x, name) {
 			names = append(names, name)
 		}
 	}
@@ -179,21 +179,21 @@
 // evictable reports whether a replica of the name may be evicted. The last ready replica never is, even if another
 // one is being loaded. With held 0, for the first replica of another name, any other replica may be evicted.
 // Otherwise the name must have had more replicas than its target for at least held.
-func (s *plan) evictable(name string, held time.Duration) bool {
+func (s *plan) evictable(name string, minSurplusTime time.Duration) bool {
 	if s.ready[name] <= 1 {
 		return false
 	}
-	if held == 0 {
+	if minSurplusTime == 0 {
 		return true
 	}
-	since, ok := s.surplus[name]
-	return ok && s.copies[name] > s.wanted[name] && s.in.Now.Sub(since) >= held
+	since, ok := s.surplusSince[name]
+	return ok && s.replicas[name] > s.targets[name] && s.in.Now.Sub(since) >= minSurplusTime
 }
 
-// carries reports whether the accelerator holds an adapter of the model.
-func (s *plan) carries(x *acc, name string) bool {
+// hasAdapterOf reports whether the accelerator holds an adapter of the model.
+func (s *plan) hasAdapterOf(x *accelerator, name string) bool {
 	return slices.ContainsFunc(s.adapters[name], func(adapter string) bool {
-		_, has := x.members[adapter]
+		_, has := x.residents[adapter]
 		return has
 	})
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -71,8 +71,8 @@
 // A Planner plans for one cell. It is not safe for concurrent use.
 type Planner struct {
 	opts Options
-	// surplus is the time since which each name has had more replicas than its target.
-	surplus map[string]time.Time
+	// surplusSince is the time since which each name has had more replicas than its target.
+	surplusSince map[string]time.Time
 }
 
 // NewPlanner returns a Planner. Options that are not positive are replaced by defaults.
@@ -89,11 +89,11 @@
 	if o.MaxOrders <= 0 {
 		o.MaxOrders = defaultMaxOrders
 	}
-	return &Planner{opts: o, surplus: make(map[string]time.Time)}
+	return &Planner{opts: o, surplusSince: make(map[string]time.Time)}
 }
 
 // An acc is the state of one accelerator during a plan.
-type acc struct {
+type accelerator struct {
 	server *fleet.Server
 	index  int
 	// free is the memory that is neither in use nor reserved, in MiB. It is negative if memory is reserved
@@ -104,42 +104,42 @@
 	// demand is the estimated demand on the replicas here, in busy slots.
 	demand float64
 	slots  int
-	// members holds the state of each model and adapter here, by name.
-	members map[string]fleet.State
+	// residents holds the state of each model and adapter here, by name.
+	residents map[string]fleet.State
 }
 
 // plan is the working state of one call of Plan.
 type plan struct {
 	*Planner
-	in   Input
-	accs []*acc
+	in           Input
+	accelerators []*accelerator
 	// demand is the demand of all cells by name, in busy slots.
 	demand map[string]float64
 	// copies counts the replicas of each name in the cell that are ready or being loaded, ready those that
 	// are ready.
-	copies map[string]int
-	ready  map[string]int
+	replicas map[string]int
+	ready    map[string]int
 	// adapters holds the names of the adapters of each model.
 	adapters map[string][]string
-	census   []census
+	cells    []cellSummary
 	// loads is the number of loads in progress or planned.
 	loads int
-	// wanted is the target number of replicas of each name in the cell.
-	wanted map[string]int
-	orders []Order
+	// targets is the target number of replicas of each name in the cell.
+	targets map[string]int
+	orders  []Order
 }
 
 // Plan returns the orders to issue now, the most urgent first.
 func (p *Planner) Plan(in Input) []Order {
 	s := &plan{
-		Planner: p, in: in, demand: make(map[string]float64), copies: make(map[string]int),
+		Planner: p, in: in, demand: make(map[string]float64), replicas: make(map[string]int),
 		ready: make(map[string]int), adapters: make(map[string][]string),
 	}
-	s.survey()
-	s.decideWanted()
-	s.dropUnlisted()
-	s.placeFirst()
-	s.placeExtra()
+	s.readCells()
+	s.setTargets()
+	s.unloadUnlisted()
+	s.placeMissing()
+	s.placeAdditional()
 	s.trackSurplus()
 	return s.orders
 }
@@ -147,36 +147,36 @@
 // trackSurplus updates the time since which each name has had more replicas than its target.
 func (s *plan) trackSurplus() {
 	for _, r := range s.in.Rows {
-		if s.copies[r.Name] <= s.wanted[r.Name] {
-			delete(s.surplus, r.Name)
+		if s.replicas[r.Name] <= s.targets[r.Name] {
+			delete(s.surplusSince, r.Name)
 			continue
 		}
-		if _, ok := s.surplus[r.Name]; !ok {
-			s.surplus[r.Name] = s.in.Now
+		if _, ok := s.surplusSince[r.Name]; !ok {
+			s.surplusSince[r.Name] = s.in.Now
 		}
 	}
 }
 
 // load adds an order to load a row on an accelerator.
-func (s *plan) load(x *acc, r table.Row, reason string) {
+func (s *plan) load(x *accelerator, r table.Row, reason string) {
 	size := s.in.Sizes[r.Name]
 	x.free -= size.TotalMiB()
-	x.members[r.Name] = fleet.StateLoading
-	s.copies[r.Name]++
+	x.residents[r.Name] = fleet.StateLoading
+	s.replicas[r.Name]++
 	s.loads++
-	s.add(ledger.OpLoad, x, r.Name, r.Base, reason)
+	s.addOrder(ledger.OpLoad, x, r.Name, r.Base, reason)
 }
 
 // unload adds an order to unload a name from an accelerator.
-func (s *plan) unload(x *acc, name, reason string) {
-	x.members[name] = fleet.StateUnloading
+func (s *plan) unload(x *accelerator, name, reason string) {
+	x.residents[name] = fleet.StateUnloading
 	x.freeing += s.in.Sizes[name].TotalMiB()
-	s.copies[name]--
+	s.replicas[name]--
 	s.ready[name]--
-	s.add(ledger.OpUnload, x, name, "", reason)
+	s.addOrder(ledger.OpUnload, x, name, "", reason)
 }
 
-func (s *plan) add(op ledger.Op, x *acc, name, base, reason string) {
+func (s *plan) addOrder(op ledger.Op, x *accelerator, name, base, reason string) {
 	s.orders = append(s.orders, Order{
 		Op: op, Server: x.server.ID, Accelerator: x.index, Name: name, Base: base,
 		Size: s.in.Sizes[name], Reason: reason,
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -31,11 +31,11 @@
 	return fleet.Resident{Name: name, Accelerator: acc, State: fleet.StateReady, MemoryMiB: mib}
 }
 
-func coming(name string, acc, mib int) fleet.Resident {
+func loading(name string, acc, mib int) fleet.Resident {
 	return fleet.Resident{Name: name, Accelerator: acc, State: fleet.StateLoading, MemoryMiB: mib}
 }
 
-func going(name string, acc, mib int) fleet.Resident {
+func unloading(name string, acc, mib int) fleet.Resident {
 	return fleet.Resident{Name: name, Accelerator: acc, State: fleet.StateUnloading, MemoryMiB: mib}
 }
 
@@ -71,8 +71,8 @@
 
 func size(mib int) placement.Size { return placement.Size{WeightMiB: mib} }
 
-// brief formats orders as "operation name server/accelerator".
-func brief(orders []placement.Order) []string {
+// formatOrders formats orders as "operation name server/accelerator".
+func formatOrders(orders []placement.Order) []string {
 	var out []string
 	for _, o := range orders {
 		out = append(out, fmt.Sprintf("%s %s %s/%d", o.Op, o.Name, o.Server, o.Accelerator))
@@ -111,12 +111,12 @@
 		},
 		"copy on its way is not yet one that another may go for": {
 			[]table.Row{model("a"), model("b")},
-			[]fleet.Server{server("s", 1, ready("a", 0, 60)), server("t", 1, coming("a", 0, 60))}, nil,
+			[]fleet.Server{server("s", 1, ready("a", 0, 60)), server("t", 1, loading("a", 0, 60))}, nil,
 		},
 		"room that is being freed is waited for": {
 			[]table.Row{model("a"), model("b")},
 			[]fleet.Server{
-				server("s", 1, ready("a", 0, 60)), server("t", 1, ready("a", 0, 60)), server("u", 1, going("a", 0, 60)),
+				server("s", 1, ready("a", 0, 60)), server("t", 1, ready("a", 0, 60)), server("u", 1, unloading("a", 0, 60)),
 			}, nil,
 		},
 		"last copy stays though another has none": {
@@ -144,7 +144,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			p := placement.NewPlanner(placement.Options{})
-			got := brief(p.Plan(input(tc.rows, sizes, tc.servers...)))
+			got := formatOrders(p.Plan(input(tc.rows, sizes, tc.servers...)))
 			assert.DeepEqual(t, got, tc.want)
 		})
 	}
@@ -164,13 +164,13 @@
 	in.Now = start.Add(59 * time.Second)
 	assert.Equal(t, len(p.Plan(in)), 0)
 	in.Now = start.Add(61 * time.Second)
-	assert.DeepEqual(t, brief(p.Plan(in)), []string{"unload a s/0"})
+	assert.DeepEqual(t, formatOrders(p.Plan(in)), []string{"unload a s/0"})
 }
 
-// TestFreedRoomIsKept checks that memory freed for a model without a replica is not used for an additional replica
+// TestFreedMemoryIsReserved checks that memory freed for a model without a replica is not used for an additional replica
 // of another model.
-func TestFreedRoomIsKept(t *testing.T) {
-	w := &world{
+func TestFreedMemoryIsReserved(t *testing.T) {
+	w := &testCell{
 		rows:  []table.Row{model("hint"), model("summary"), model("busy")},
 		sizes: map[string]placement.Size{"hint": size(40), "summary": size(90), "busy": size(20)},
 		servers: []fleet.Server{
@@ -179,24 +179,24 @@
 	}
 	w.servers[1] = demand(w.servers[1], "busy", 20)
 	p := placement.NewPlanner(placement.Options{})
-	got := w.follow(t, p, 6)
+	got := w.planRounds(t, p, 6)
 	assert.DeepEqual(t, got, []string{"unload hint a/0", "load summary a/0"})
 }
 
-// TestPlanKeepsPromises plans for random cells and executes the orders. It checks that no accelerator is
+// TestPlanInvariants plans for random cells and executes the orders. It checks that no accelerator is
 // overcommitted, that no last replica is evicted and that a state without further orders is reached.
-func TestPlanKeepsPromises(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawWorld(t)
+		w := drawCell(t)
 		p := placement.NewPlanner(placement.Options{Hold: time.Second, MaxLoads: 100, MaxOrders: 100})
 		for round := range 30 {
 			in := w.input(start.Add(time.Duration(round) * 10 * time.Second))
-			had := w.copies()
+			had := w.replicaCounts()
 			for _, o := range p.Plan(in) {
-				w.carryOut(t, o)
+				w.execute(t, o)
 			}
 			for name, n := range had {
-				assert.Assert(t, n == 0 || w.copies()[name] > 0, "the last copy of %s was dropped", name)
+				assert.Assert(t, n == 0 || w.replicaCounts()[name] > 0, "the last copy of %s was dropped", name)
 			}
 		}
 		assert.Equal(t, len(p.Plan(w.input(start.Add(time.Hour)))), 0, "plans do not end")
@@ -204,14 +204,14 @@
 }
 
 // A world is a cell whose servers execute orders immediately.
-type world struct {
+type testCell struct {
 	rows    []table.Row
 	sizes   map[string]placement.Size
 	servers []fleet.Server
 }
 
-func drawWorld(t *rapid.T) *world {
-	w := &world{sizes: make(map[string]placement.Size)}
+func drawCell(t *rapid.T) *testCell {
+	w := &testCell{sizes: make(map[string]placement.Size)}
 	for i := range rapid.IntRange(1, 5).Draw(t, "servers") {
 		w.servers = append(w.servers, server(fmt.Sprint("s", i), rapid.IntRange(1, 2).Draw(t, "accelerators")))
 	}
@@ -225,13 +225,13 @@
 	return w
 }
 
-func (w *world) input(now time.Time) placement.Input {
+func (w *testCell) input(now time.Time) placement.Input {
 	in := input(w.rows, w.sizes, w.servers...)
 	in.Now = now
 	return in
 }
 
-func (w *world) copies() map[string]int {
+func (w *testCell) replicaCounts() map[string]int {
 	n := make(map[string]int)
 	for _, s := range w.servers {
 		for _, r := range s.Residents {
@@ -241,7 +241,7 @@
 	return n
 }
 
-func (w *world) carryOut(t assert.TestingT, o placement.Order) {
+func (w *testCell) execute(t assert.TestingT, o placement.Order) {
 	i := slices.IndexFunc(w.servers, func(s fleet.Server) bool { return s.ID == o.Server })
 	s := &w.servers[i]
 	a := &s.Accelerators[o.Accelerator]
@@ -258,24 +258,24 @@
 	assert.Assert(t, a.FreeMiB() >= 0, "%s overcommits %s/%d", o.Name, o.Server, o.Accelerator)
 }
 
-// follow plans a number of times, one second apart, and executes and returns the orders.
-func (w *world) follow(t *testing.T, p *placement.Planner, rounds int) []string {
+// planRounds plans a number of times, one second apart, and executes and returns the orders.
+func (w *testCell) planRounds(t *testing.T, p *placement.Planner, rounds int) []string {
 	t.Helper()
 	var got []string
 	for round := range rounds {
 		orders := p.Plan(w.input(start.Add(time.Duration(round) * time.Second)))
-		got = append(got, brief(orders)...)
+		got = append(got, formatOrders(orders)...)
 		for _, o := range orders {
-			w.carryOut(t, o)
+			w.execute(t, o)
 		}
 	}
 	return got
 }
 
-// TestFreePieces checks that a model is loaded even if the free memory is fragmented, without the eviction of a last
+// TestFragmentedMemory checks that a model is loaded even if the free memory is fragmented, without the eviction of a last
 // replica.
-func TestFreePieces(t *testing.T) {
-	w := &world{
+func TestFragmentedMemory(t *testing.T) {
+	w := &testCell{
 		rows:  []table.Row{model("clue"), model("hint"), model("headline"), model("summary")},
 		sizes: map[string]placement.Size{"clue": size(62), "hint": size(42), "headline": size(31), "summary": size(83)},
 		servers: []fleet.Server{
@@ -283,7 +283,7 @@
 		},
 	}
 	p := placement.NewPlanner(placement.Options{})
-	got := w.follow(t, p, 5)
+	got := w.planRounds(t, p, 5)
 	assert.DeepEqual(t, got, []string{"load headline a/0", "unload headline c/0", "load summary c/0"})
 }
 
--- a/placement/relocate.go
+++ b/placement/relocate.go
@@ -11,18 +11,18 @@
 // A relocation is the load of a replica on another accelerator, so that the present replica can be evicted.
 type relocation struct {
 	row table.Row
-	to  *acc
+	to  *accelerator
 }
 
 // relocate prepares room for a row when the free memory is fragmented over several accelerators. It chooses the
 // accelerator with the least memory to relocate and loads replicas of that accelerator elsewhere too. When they
-// are ready, the replicas on the chosen accelerator are no longer the last, and makeRoom evicts them.
+// are ready, the replicas on the chosen accelerator are no longer the last, and evictFor evicts them.
 func (s *plan) relocate(r table.Row, reason string) {
 	need := s.in.Sizes[r.Name].TotalMiB()
 	var best []relocation
 	bestMiB := 0
-	for _, x := range s.accs {
-		if !s.suits(x, r) || s.unsettled(x) {
+	for _, x := range s.accelerators {
+		if !s.eligible(x, r) || s.hasOrderInProgress(x) {
 			continue
 		}
 		moves, mib := s.relocations(x, need-x.free)
@@ -35,9 +35,9 @@
 	}
 }
 
-// unsettled reports whether a load or unload is in progress on the accelerator.
-func (s *plan) unsettled(x *acc) bool {
-	for _, state := range x.members {
+// hasOrderInProgress reports whether a load or unload is in progress on the accelerator.
+func (s *plan) hasOrderInProgress(x *accelerator) bool {
+	for _, state := range x.residents {
 		if state != fleet.StateReady {
 			return true
 		}
@@ -47,17 +47,17 @@
 
 // relocations returns the replicas to load elsewhere so that an amount of memory can be freed on x, and their total
 // size in MiB. It returns nil if the memory cannot be freed.
-func (s *plan) relocations(x *acc, need int) ([]relocation, int) {
-	taken := make(map[*acc]int)
+func (s *plan) relocations(x *accelerator, need int) ([]relocation, int) {
+	reserved := make(map[*accelerator]int)
 	var moves []relocation
 	total := 0
 	for _, row := range s.movable(x) {
 		mib := s.in.Sizes[row.Name].TotalMiB()
-		to := s.elsewhere(x, row, mib, taken)
+		to := s.bestFit(x, row, mib, reserved)
 		if to == nil {
 			continue
 		}
-		taken[to] += mib
+		reserved[to] += mib
 		moves = append(moves, relocation{row: row, to: to})
 		total += mib
 		if total >= need {
@@ -69,11 +69,11 @@
 
 // movable returns the rows that are on x without an adapter there that depends on them, the largest first, so that
 // few have to be moved.
-func (s *plan) movable(x *acc) []table.Row {
+func (s *plan) movable(x *accelerator) []table.Row {
 	var rows []table.Row
 	for _, r := range s.in.Rows {
-		_, has := x.members[r.Name]
-		if has && !s.carries(x, r.Name) {
+		_, has := x.residents[r.Name]
+		if has && !s.hasAdapterOf(x, r.Name) {
 			rows = append(rows, r)
 		}
 	}
@@ -83,16 +83,16 @@
 	return rows
 }
 
-// elsewhere returns the accelerator other than x with the least free memory in which the row fits (best fit), or
+// bestFit returns the accelerator other than x with the least free memory in which the row fits (best fit), or
 // nil if there is none. taken is the memory of other relocations to each accelerator, in MiB.
-func (s *plan) elsewhere(x *acc, r table.Row, mib int, taken map[*acc]int) *acc {
-	var best *acc
-	for _, o := range s.accs {
-		room := o.free - taken[o]
-		if o == x || !s.suits(o, r) || room < mib {
+func (s *plan) bestFit(x *accelerator, r table.Row, mib int, reserved map[*accelerator]int) *accelerator {
+	var best *accelerator
+	for _, o := range s.accelerators {
+		free := o.free - reserved[o]
+		if o == x || !s.eligible(o, r) || free < mib {
 			continue
 		}
-		if best == nil || room < best.free-taken[best] {
+		if best == nil || free < best.free-reserved[best] {
 			best = o
 		}
 	}
--- a/placement/survey.go
+++ b/placement/survey.go
@@ -12,35 +12,35 @@
 )
 
 // A census is a summary of one cell.
-type census struct {
+type cellSummary struct {
 	id string
 	// copies counts the replicas of each name that are ready or being loaded.
-	copies map[string]int
-	// largest is the largest free memory on one accelerator, in MiB.
-	largest int
+	replicas map[string]int
+	// largestFreeMiB is the largest free memory on one accelerator, in MiB.
+	largestFreeMiB int
 }
 
-// census returns the summary of the cell, without servers that are gone or leaving.
-func (c Cell) census() census {
-	n := census{id: c.ID, copies: make(map[string]int)}
+// summary returns the summary of the cell, without servers that are gone or leaving.
+func (c Cell) summary() cellSummary {
+	n := cellSummary{id: c.ID, replicas: make(map[string]int)}
 	for _, s := range c.Servers {
 		if s.Gone || s.Leaving {
 			continue
 		}
 		for _, r := range s.Residents {
 			if r.State != fleet.StateUnloading {
-				n.copies[r.Name]++
+				n.replicas[r.Name]++
 			}
 		}
 		for _, a := range s.Accelerators {
-			n.largest = max(n.largest, a.FreeMiB())
+			n.largestFreeMiB = max(n.largestFreeMiB, a.FreeMiB())
 		}
 	}
 	return n
 }
 
-// survey sets the demand, the summaries of all cells and the state of the planner's own cell.
-func (s *plan) survey() {
+// readCells sets the demand, the summaries of all cells and the state of the planner's own cell.
+func (s *plan) readCells() {
 	for _, r := range s.in.Rows {
 		if r.Kind == table.KindAdapter {
 			s.adapters[r.Base] = append(s.adapters[r.Base], r.Name)
@@ -50,16 +50,16 @@
 		for name, slots := range c.Demand {
 			s.demand[name] += slots
 		}
-		s.census = append(s.census, c.census())
+		s.cells = append(s.cells, c.summary())
 		if c.ID == s.in.Cell {
-			s.surveyOwn(c)
+			s.readOwnCell(c)
 		}
 	}
 }
 
-// surveyOwn counts the loads in progress in the planner's own cell and adds the accelerators of its servers, except
+// readOwnCell counts the loads in progress in the planner's own cell and adds the accelerators of its servers, except
 // those that are gone or leaving.
-func (s *plan) surveyOwn(c Cell) {
+func (s *plan) readOwnCell(c Cell) {
 	for i := range c.Servers {
 		srv := &c.Servers[i]
 		for _, r := range srv.Residents {
@@ -76,19 +76,19 @@
 
 func (s *plan) addAccelerators(srv *fleet.Server) {
 	for i, a := range srv.Accelerators {
-		x := &acc{server: srv, index: i, free: a.FreeMiB(), slots: srv.Slots, members: make(map[string]fleet.State)}
+		x := &accelerator{server: srv, index: i, free: a.FreeMiB(), slots: srv.Slots, residents: make(map[string]fleet.State)}
 		for _, r := range srv.Residents {
 			if r.Accelerator != i {
 				continue
 			}
-			x.members[r.Name] = r.State
-			s.countCopy(x, r)
+			x.residents[r.Name] = r.State
+			s.countReplica(x, r)
 		}
-		s.accs = append(s.accs, x)
+		s.accelerators = append(s.accelerators, x)
 	}
 }
 
-func (s *plan) countCopy(x *acc, r fleet.Resident) {
+func (s *plan) countReplica(x *accelerator, r fleet.Resident) {
 	switch r.State {
 	case fleet.StateUnloading:
 		x.freeing += r.MemoryMiB
@@ -96,37 +96,37 @@
 	case fleet.StateReady:
 		s.ready[r.Name]++
 	}
-	s.copies[r.Name]++
+	s.replicas[r.Name]++
 }
 
-// decideWanted sets the target number of replicas of each name in the cell, and the demand on each accelerator.
+// setTargets sets the target number of replicas of each name in the cell, and the demand on each accelerator.
 // The base model of an adapter with a target has a target of at least 1.
-func (s *plan) decideWanted() {
-	s.wanted = make(map[string]int)
+func (s *plan) setTargets() {
+	s.targets = make(map[string]int)
 	total := s.totalDemand()
 	slots := 1
-	for _, a := range s.accs {
+	for _, a := range s.accelerators {
 		slots = max(slots, a.slots)
 	}
 	for _, r := range s.in.Rows {
 		if r.Kind == table.KindService {
 			continue
 		}
-		perCopy := s.opts.Headroom * float64(slots)
-		n := max(1, int(math.Ceil(total[r.Name]/perCopy)))
-		s.wanted[r.Name] = s.ownPart(r.Name, n)
+		perReplica := s.opts.Headroom * float64(slots)
+		n := max(1, int(math.Ceil(total[r.Name]/perReplica)))
+		s.targets[r.Name] = s.ownShare(r.Name, n)
 	}
 	for _, r := range s.in.Rows {
-		if r.Kind == table.KindAdapter && s.wanted[r.Name] > 0 {
-			s.wanted[r.Base] = max(s.wanted[r.Base], 1)
+		if r.Kind == table.KindAdapter && s.targets[r.Name] > 0 {
+			s.targets[r.Base] = max(s.targets[r.Base], 1)
 		}
 	}
-	for _, x := range s.accs {
-		share := 0.0
-		for name := range x.members {
-			share += s.demand[name] / float64(max(s.copies[name], 1))
+	for _, x := range s.accelerators {
+		demand := 0.0
+		for name := range x.residents {
+			demand += s.demand[name] / float64(max(s.replicas[name], 1))
 		}
-		x.demand = share
+		x.demand = demand
 	}
 }
 
@@ -141,38 +141,38 @@
 	return total
 }
 
-// ownPart returns how many of n replicas of a name the planner's cell should hold. Replicas that exist count for
+// ownShare returns how many of n replicas of a name the planner's cell should hold. Replicas that exist count for
 // the cell that holds them. The rest are assigned in turn to the cells with room, in the order of their rendezvous
 // weights, so that cells that see the same records agree without messages.
-func (s *plan) ownPart(name string, n int) int {
+func (s *plan) ownShare(name string, n int) int {
 	key := rendezvous.Key(name)
-	cells := slices.SortedFunc(slices.Values(s.census), func(a, b census) int {
+	cells := slices.SortedFunc(slices.Values(s.cells), func(a, b cellSummary) int {
 		return cmp.Compare(rendezvous.Weight(b.id, key), rendezvous.Weight(a.id, key))
 	})
 	own := 0
 	for _, c := range cells {
-		part := min(c.copies[name], n)
-		n -= part
+		held := min(c.replicas[name], n)
+		n -= held
 		if c.id == s.in.Cell {
-			own += part
+			own += held
 		}
 	}
-	takers := s.takers(cells, name)
+	receivers := s.cellsWithRoom(cells, name)
 	for i := range n {
-		if takers[i%len(takers)].id == s.in.Cell {
+		if receivers[i%len(receivers)].id == s.in.Cell {
 			own++
 		}
 	}
 	return own
 }
 
-// takers returns the cells with an accelerator that has enough free memory for the name, or all cells if there are
+// cellsWithRoom returns the cells with an accelerator that has enough free memory for the name, or all cells if there are
 // none.
-func (s *plan) takers(cells []census, name string) []census {
+func (s *plan) cellsWithRoom(cells []cellSummary, name string) []cellSummary {
 	mib := s.in.Sizes[name].TotalMiB()
-	roomy := slices.DeleteFunc(slices.Clone(cells), func(c census) bool { return c.largest < mib })
-	if len(roomy) == 0 {
+	withRoom := slices.DeleteFunc(slices.Clone(cells), func(c cellSummary) bool { return c.largestFreeMiB < mib })
+	if len(withRoom) == 0 {
 		return cells
 	}
-	return roomy
+	return withRoom
 }
