--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -16,28 +16,30 @@
 
 // NewLink returns a Link of a table that has no peer yet. It sends the records of requests with at least the given
 // number of crashes.
-func NewLink(t *Table, ends int) *Link { return exchange.NewLink(changes{table: t, ends: ends}) }
+func NewLink(t *Table, minCrashes int) *Link {
+	return exchange.NewLink(changeLog{table: t, minCrashes: minCrashes})
+}
 
 // Answer merges the records of a message and returns the records that are new for the peer, of requests with at
 // least the given number of crashes. It returns nil if there are none.
-func (t *Table) Answer(m Message, ends int) *Reply {
-	return exchange.Answer(changes{table: t, ends: ends}, m)
+func (t *Table) Answer(m Message, minCrashes int) *Reply {
+	return exchange.Answer(changeLog{table: t, minCrashes: minCrashes}, m)
 }
 
-// changes is the exchange.Log of a table for requests with at least a number of crashes.
-type changes struct {
-	table *Table
-	ends  int
+// changeLog is the exchange.Log of a table for requests with at least a number of crashes.
+type changeLog struct {
+	table      *Table
+	minCrashes int
 }
 
 // Epoch implements exchange.Log.
-func (c changes) Epoch() uint32 { return c.table.epoch }
+func (c changeLog) Epoch() uint32 { return c.table.epoch }
 
 // Merge implements exchange.Log.
-func (c changes) Merge(records []Record) (before, after uint64) { return c.table.Merge(records) }
+func (c changeLog) Merge(records []Record) (before, after uint64) { return c.table.Merge(records) }
 
 // Since implements exchange.Log. It leaves out requests with fewer crashes, unless they were cleared before.
-func (c changes) Since(after uint64) ([]Record, uint64) {
+func (c changeLog) Since(after uint64) ([]Record, uint64) {
 	t := c.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,7 +48,7 @@
 	}
 	var changed []Key
 	for k, e := range t.entries {
-		if e.version > after && (len(e.servers) >= c.ends || e.round > 0) {
+		if e.version > after && (len(e.servers) >= c.minCrashes || e.round > 0) {
 			changed = append(changed, k)
 		}
 	}
--- a/quarantine/exchange_test.go
+++ b/quarantine/exchange_test.go
@@ -24,23 +24,23 @@
 	return &node{table: table, link: quarantine.NewLink(table, quarantine.AllEnds)}
 }
 
-// ask sends one message to a peer and, unless lost is set, applies the reply.
-func (n *node) ask(name string, peer *node, lost bool) {
+// exchange sends one message to a peer and, unless lost is set, applies the reply.
+func (n *node) exchange(name string, peer *node, lost bool) {
 	reply := peer.table.Answer(n.link.Message(name), quarantine.SharedEnds)
 	if !lost {
 		n.link.Apply(reply)
 	}
 }
 
-// holds reports whether the request is in quarantine at the node.
-func (n *node) holds(k quarantine.Key) bool {
+// isQuarantined reports whether the request is in quarantine at the node.
+func (n *node) isQuarantined(k quarantine.Key) bool {
 	_, held := n.table.Until(k)
 	return held
 }
 
-// TestEndsOfManyProcesses checks that crashes seen by three different processes lead to a quarantine in all processes
+// TestCrashesAtSeveralProcesses checks that crashes seen by three different processes lead to a quarantine in all processes
 // after two exchanges with a common peer.
-func TestEndsOfManyProcesses(t *testing.T) {
+func TestCrashesAtSeveralProcesses(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	hub, nodes := newNode(c), []*node{newNode(c), newNode(c), newNode(c), newNode(c)}
 	for i, n := range nodes[:3] {
@@ -48,29 +48,29 @@
 	}
 	for range 2 {
 		for _, n := range nodes {
-			n.ask("hub", hub, false)
+			n.exchange("hub", hub, false)
 		}
 	}
 	for i, n := range append(nodes, hub) {
-		assert.Assert(t, n.holds(key(1)), "process %d", i)
+		assert.Assert(t, n.isQuarantined(key(1)), "process %d", i)
 	}
 }
 
-// TestPeerStartsAnew checks that a common peer learns of a quarantine again after it restarts, and passes it on.
-func TestPeerStartsAnew(t *testing.T) {
+// TestPeerRestart checks that a common peer learns of a quarantine again after it restarts, and passes it on.
+func TestPeerRestart(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	hub, n := newNode(c), newNode(c)
 	for _, server := range []string{"a", "b", "c"} {
 		n.table.Ended(server, key(1))
 	}
-	n.ask("hub", hub, false)
+	n.exchange("hub", hub, false)
 	hub = newNode(c)
-	n.ask("hub", hub, false)
-	n.ask("hub", hub, false)
-	assert.Assert(t, hub.holds(key(1)))
+	n.exchange("hub", hub, false)
+	n.exchange("hub", hub, false)
+	assert.Assert(t, hub.isQuarantined(key(1)))
 	late := newNode(c)
-	late.ask("hub", hub, false)
-	assert.Assert(t, late.holds(key(1)))
+	late.exchange("hub", hub, false)
+	assert.Assert(t, late.isQuarantined(key(1)))
 }
 
 // TestNothingNew checks that processes with the same records exchange none.
@@ -78,8 +78,8 @@
 	c := clocktest.New(time.Unix(0, 0))
 	hub, n := newNode(c), newNode(c)
 	n.table.Ended("a", key(1))
-	n.ask("hub", hub, false)
-	n.ask("hub", hub, false)
+	n.exchange("hub", hub, false)
+	n.exchange("hub", hub, false)
 	m := n.link.Message("hub")
 	assert.Equal(t, len(m.Records), 0)
 	assert.Assert(t, hub.table.Answer(m, quarantine.SharedEnds) == nil)
@@ -95,8 +95,8 @@
 		n.table.Ended("b", key(i))
 	}
 	for range 6 {
-		n.ask("hub", hub, false)
-		other.ask("hub", hub, false)
+		n.exchange("hub", hub, false)
+		other.exchange("hub", hub, false)
 	}
 	for i, x := range []*node{hub, other} {
 		_, suspected := x.table.Len()
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestLateRecordDoesNotRevive checks that neither a record from before the request was cleared nor one that is too old
+// TestStaleRecordIsIgnored checks that neither a record from before the request was cleared nor one that is too old
 // starts a quarantine.
-func TestLateRecordDoesNotRevive(t *testing.T) {
+func TestStaleRecordIsIgnored(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	a, b := newNode(c), newNode(c)
 	for _, server := range []string{"a", "b", "c"} {
@@ -114,9 +114,9 @@
 	}
 	late := a.link.Message("b")
 	a.table.Void(key(1))
-	a.ask("b", b, false)
+	a.exchange("b", b, false)
 	b.table.Merge(late.Records)
-	assert.Assert(t, !b.holds(key(1)))
+	assert.Assert(t, !b.isQuarantined(key(1)))
 	old := newNode(c)
 	late.Records[0].AgeMs = (3 * hold).Milliseconds()
 	old.table.Merge(late.Records)
@@ -135,8 +135,8 @@
 
 // A history holds the servers that crashed with each request of anyOrder, and the requests that were cleared.
 type history struct {
-	ends   map[int]map[string]bool
-	voided map[int]bool
+	crashed map[int]map[string]bool
+	cleared map[int]bool
 }
 
 func anyOrder(t *testing.T, r *rand.Rand) {
@@ -146,14 +146,14 @@
 	for i := range nodes {
 		nodes[i] = newNode(c)
 	}
-	h := history{ends: make(map[int]map[string]bool), voided: make(map[int]bool)}
+	h := history{crashed: make(map[int]map[string]bool), cleared: make(map[int]bool)}
 	for i := range requests {
-		h.ends[i] = make(map[string]bool)
+		h.crashed[i] = make(map[string]bool)
 	}
 	exchange := func(hub int, lose bool) {
 		for i, n := range nodes {
 			if i != hub {
-				n.ask(fmt.Sprint(hub), nodes[hub], lose && r.IntN(3) == 0)
+				n.exchange(fmt.Sprint(hub), nodes[hub], lose && r.IntN(3) == 0)
 			}
 		}
 	}
@@ -165,10 +165,10 @@
 		case 0, 1:
 			server := fmt.Sprint("s", step)
 			nodes[i].table.Ended(server, key(k))
-			h.ends[k][server] = true
+			h.crashed[k][server] = true
 		case 2:
 			if k == 0 && nodes[i].table.Void(key(k)) {
-				h.voided[k] = true
+				h.cleared[k] = true
 			}
 		case 3:
 			// The records of the process are exchanged before it restarts.
@@ -181,25 +181,25 @@
 		default:
 			exchange(hub, true)
 		}
-		checkEnds(t, nodes, h)
+		checkCrashCounts(t, nodes, h)
 	}
 	exchange(hub, false)
 	exchange(hub, false)
-	for k, ends := range h.ends {
+	for k, servers := range h.crashed {
 		for i, n := range nodes {
-			if !h.voided[k] && len(ends) >= quarantine.DefaultEnds {
-				assert.Assert(t, n.holds(key(k)), "process %d does not hold request %d with %d ends", i, k, len(ends))
+			if !h.cleared[k] && len(servers) >= quarantine.DefaultEnds {
+				assert.Assert(t, n.isQuarantined(key(k)), "process %d does not hold request %d with %d ends", i, k, len(servers))
 			}
 		}
 	}
 }
 
-// checkEnds checks that no node counts more crashes of a request than there were.
-func checkEnds(t *testing.T, nodes []*node, h history) {
+// checkCrashCounts checks that no node counts more crashes of a request than there were.
+func checkCrashCounts(t *testing.T, nodes []*node, h history) {
 	t.Helper()
 	for _, n := range nodes {
-		for k, ends := range h.ends {
-			assert.Assert(t, n.table.Ends(key(k)) <= len(ends))
+		for k, servers := range h.crashed {
+			assert.Assert(t, n.table.Ends(key(k)) <= len(servers))
 		}
 	}
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -16,68 +16,68 @@
 	AgeMs int64 `json:"a"`
 }
 
-// atResolution is the least difference by which the time of the last crash must be later to count as a change.
+// minTimeChange is the least difference by which the time of the last crash must be later to count as a change.
 // Each process that forwards a record makes it appear younger by the transmission time of the message, which is not
 // a change.
-const atResolution = time.Second
+const minTimeChange = time.Second
 
 // An entry is the state of one request in a table.
 type entry struct {
 	round uint32
 	// servers is sorted.
 	servers []string
-	// at is the time of the last crash, or the time when the request was cleared.
-	at time.Time
+	// lastEvent is the time of the last crash, or the time when the request was cleared.
+	lastEvent time.Time
 	// version is the version of the table at the last change of the entry.
 	version uint64
 }
 
-// add adds the crash of a server instance at a time and reports whether it was unknown. It keeps at most maxEnds
+// add adds the crash of a server instance at a time and reports whether it was unknown. It keeps at most maxCrashes
 // instances.
 func (e *entry) add(server string, at time.Time) bool {
 	i, known := slices.BinarySearch(e.servers, server)
 	if known {
 		return false
 	}
-	if len(e.servers) < maxEnds {
+	if len(e.servers) < maxCrashes {
 		e.servers = slices.Insert(e.servers, i, server)
 	}
-	if at.After(e.at) {
-		e.at = at
+	if at.After(e.lastEvent) {
+		e.lastEvent = at
 	}
 	return true
 }
 
-// void clears the crashes and begins the next round.
-func (e *entry) void(now time.Time) {
+// clear clears the crashes and begins the next round.
+func (e *entry) clear(now time.Time) {
 	e.round++
 	e.servers = nil
-	e.at = now
+	e.lastEvent = now
 }
 
 // merge merges a record whose last crash was at a time and reports whether the entry has changed. A later round
 // replaces the entry; crashes of the same round are added; an earlier round is ignored.
-func (e *entry) merge(r Record, at time.Time) (news bool) {
+func (e *entry) merge(r Record, at time.Time) (changed bool) {
 	if r.Round < e.round {
 		return false
 	}
 	if r.Round > e.round {
-		e.round, e.servers, e.at = r.Round, nil, at
-		news = true
+		e.round, e.servers, e.lastEvent = r.Round, nil, at
+		changed = true
 	}
-	if at.Sub(e.at) > atResolution {
-		e.at = at
-		news = true
+	if at.Sub(e.lastEvent) > minTimeChange {
+		e.lastEvent = at
+		changed = true
 	}
 	for _, server := range r.Servers {
-		if len(e.servers) < maxEnds && e.add(server, at) {
-			news = true
+		if len(e.servers) < maxCrashes && e.add(server, at) {
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
 // record returns the entry in the form that is sent to other processes.
 func (e *entry) record(k Key, now time.Time) Record {
-	return Record{Key: k, Round: e.round, Servers: slices.Clone(e.servers), AgeMs: max(now.Sub(e.at).Milliseconds(), 0)}
+	return Record{Key: k, Round: e.round, Servers: slices.Clone(e.servers), AgeMs: max(now.Sub(e.lastEvent).Milliseconds(), 0)}
 }
--- a/quarantine/rules.go
+++ b/quarantine/rules.go
@@ -10,9 +10,9 @@
 // DefaultHold is the default duration of a first quarantine.
 const DefaultHold = 10 * time.Minute
 
-// maxEnds is the maximum number of crashes that a record keeps. It also limits how often the quarantine time of a
+// maxCrashes is the maximum number of crashes that a record keeps. It also limits how often the quarantine time of a
 // request doubles: five times with DefaultEnds.
-const maxEnds = 8
+const maxCrashes = 8
 
 // Minimum numbers of crashes of a request for its record to be sent to a peer.
 const (
@@ -28,25 +28,25 @@
 // oldest, are removed first.
 const maxRecords = 4096
 
-// keptRecords is the number of requests that remain when a table that exceeds maxRecords is reduced. It is lower
+// recordsAfterEviction is the number of requests that remain when a table that exceeds maxRecords is reduced. It is lower
 // than maxRecords so that a full table is not sorted for every new request.
-const keptRecords = maxRecords * 3 / 4
+const recordsAfterEviction = maxRecords * 3 / 4
 
 // maxMessageRecords is the maximum number of records in a message. The others follow in the next messages.
 const maxMessageRecords = 256
 
-// holdTime returns how long a quarantine lasts after the last crash. first is the time for limit crashes; it
+// quarantineTime returns how long a quarantine lasts after the last crash. first is the time for limit crashes; it
 // doubles with each further one.
-func holdTime(first time.Duration, ends, limit int) time.Duration {
-	return first << max(min(ends, maxEnds)-limit, 0)
+func quarantineTime(first time.Duration, crashes, threshold int) time.Duration {
+	return first << max(min(crashes, maxCrashes)-threshold, 0)
 }
 
-// memory returns how long a record is kept after its last crash. The record of a request that was quarantined is kept
+// retentionTime returns how long a record is kept after its last crash. The record of a request that was quarantined is kept
 // for twice the quarantine time, in which a single further crash starts the next quarantine. Other records are kept
 // for the duration of a first quarantine.
-func memory(first time.Duration, ends, limit int) time.Duration {
-	if ends < limit {
+func retentionTime(first time.Duration, crashes, threshold int) time.Duration {
+	if crashes < threshold {
 		return first
 	}
-	return 2 * holdTime(first, ends, limit)
+	return 2 * quarantineTime(first, crashes, threshold)
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -56,10 +56,10 @@
 	// version is the number of changes of entries.
 	version uint64
 	entries map[Key]*entry
-	// held are the requests in quarantine as of the last change.
-	held map[Key]struct{}
-	// touched are the requests whose entries the current change has modified.
-	touched []Key
+	// quarantined are the requests in quarantine as of the last change.
+	quarantined map[Key]struct{}
+	// changed are the requests whose entries the current change has modified.
+	changed []Key
 	// watchers holds the watchers of each request.
 	watchers map[Key]map[*watcher]struct{}
 }
@@ -70,7 +70,7 @@
 // New returns an empty Table.
 func New(o Options) *Table {
 	return &Table{
-		opts: o, epoch: rand.Uint32() | 1, entries: make(map[Key]*entry), held: make(map[Key]struct{}),
+		opts: o, epoch: rand.Uint32() | 1, entries: make(map[Key]*entry), quarantined: make(map[Key]struct{}),
 		watchers: make(map[Key]map[*watcher]struct{}),
 	}
 }
@@ -81,7 +81,7 @@
 		for _, k := range keys {
 			e := t.entry(k)
 			if e.add(server, now) {
-				t.touch(k, e)
+				t.markChanged(k, e)
 			}
 		}
 	})
@@ -93,8 +93,8 @@
 	t.change(func(now time.Time) {
 		e := t.entries[k]
 		if known = e != nil && len(e.servers) > 0; known {
-			e.void(now)
-			t.touch(k, e)
+			e.clear(now)
+			t.markChanged(k, e)
 		}
 	})
 	return known
@@ -107,11 +107,11 @@
 		before = t.version
 		for _, r := range records {
 			at := now.Add(-time.Duration(r.AgeMs) * time.Millisecond)
-			if now.Sub(at) > memory(t.opts.Hold, len(r.Servers), t.opts.Ends) {
+			if now.Sub(at) > retentionTime(t.opts.Hold, len(r.Servers), t.opts.Ends) {
 				continue
 			}
 			if e := t.entry(r.Key); e.merge(r, at) {
-				t.touch(r.Key, e)
+				t.markChanged(r.Key, e)
 			}
 		}
 		after = t.version
@@ -163,7 +163,7 @@
 func (t *Table) Len() (held, suspected int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.held), len(t.entries) - len(t.held)
+	return len(t.quarantined), len(t.entries) - len(t.quarantined)
 }
 
 // Held returns the records of the requests in quarantine, in no particular order.
@@ -172,7 +172,7 @@
 	defer t.mu.Unlock()
 	now := t.opts.Clock.Now()
 	var list []Record
-	for k := range t.held {
+	for k := range t.quarantined {
 		if e := t.entries[k]; e != nil {
 			list = append(list, e.record(k, now))
 		}
@@ -214,19 +214,19 @@
 func (t *Table) change(f func(now time.Time)) {
 	t.mu.Lock()
 	now := t.opts.Clock.Now()
-	t.touched = t.touched[:0]
+	t.changed = t.changed[:0]
 	f(now)
-	t.limit()
+	t.evictExcess()
 	changes := t.transitions(now)
-	var woken []*watcher
+	var watchers []*watcher
 	for _, c := range changes {
 		if c.State == Began {
-			woken = append(woken, slices.Collect(maps.Keys(t.watchers[c.Key]))...)
+			watchers = append(watchers, slices.Collect(maps.Keys(t.watchers[c.Key]))...)
 			delete(t.watchers, c.Key)
 		}
 	}
 	t.mu.Unlock()
-	for _, w := range woken {
+	for _, w := range watchers {
 		w.f()
 	}
 	if t.opts.OnChange == nil {
@@ -247,11 +247,11 @@
 	return e
 }
 
-// touch marks the entry of a request as changed. t.mu must be held.
-func (t *Table) touch(k Key, e *entry) {
+// markChanged marks the entry of a request as changed. t.mu must be held.
+func (t *Table) markChanged(k Key, e *entry) {
 	t.version++
 	e.version = t.version
-	t.touched = append(t.touched, k)
+	t.changed = append(t.changed, k)
 }
 
 // until returns the time at which the quarantine of a request ends, and whether that is after now. t.mu must be
@@ -261,25 +261,25 @@
 	if e == nil || len(e.servers) < t.opts.Ends {
 		return time.Time{}, false
 	}
-	end := e.at.Add(holdTime(t.opts.Hold, len(e.servers), t.opts.Ends))
+	end := e.lastEvent.Add(quarantineTime(t.opts.Hold, len(e.servers), t.opts.Ends))
 	return end, now.Before(end)
 }
 
 // transitions updates t.held and returns the quarantines that have begun or ended. t.mu must be held.
 func (t *Table) transitions(now time.Time) []Change {
 	var list []Change
-	for _, k := range t.touched {
+	for _, k := range t.changed {
 		until, held := t.until(k, now)
-		if _, known := t.held[k]; held && !known {
+		if _, known := t.quarantined[k]; held && !known {
 			list = append(list, Change{Key: k, State: Began, Servers: slices.Clone(t.entries[k].servers), Until: until})
-			t.held[k] = struct{}{}
+			t.quarantined[k] = struct{}{}
 		}
 	}
-	for k := range t.held {
+	for k := range t.quarantined {
 		if _, held := t.until(k, now); held {
 			continue
 		}
-		delete(t.held, k)
+		delete(t.quarantined, k)
 		c := Change{Key: k, State: Voided}
 		if e := t.entries[k]; e == nil || len(e.servers) > 0 {
 			c.State = Over
@@ -292,23 +292,23 @@
 // expire removes the entries that are too old. t.mu must be held.
 func (t *Table) expire(now time.Time) {
 	for k, e := range t.entries {
-		if now.Sub(e.at) > memory(t.opts.Hold, len(e.servers), t.opts.Ends) {
+		if now.Sub(e.lastEvent) > retentionTime(t.opts.Hold, len(e.servers), t.opts.Ends) {
 			delete(t.entries, k)
 		}
 	}
 }
 
-// limit reduces a table with more than maxRecords entries to keptRecords. It removes those with the fewest and then
+// evictExcess reduces a table with more than maxRecords entries to recordsAfterEviction. It removes those with the fewest and then
 // the oldest crashes. t.mu must be held.
-func (t *Table) limit() {
+func (t *Table) evictExcess() {
 	if len(t.entries) <= maxRecords {
 		return
 	}
 	keys := slices.SortedFunc(maps.Keys(t.entries), func(a, b Key) int {
 		x, y := t.entries[a], t.entries[b]
-		return cmp.Or(cmp.Compare(len(x.servers), len(y.servers)), x.at.Compare(y.at))
+		return cmp.Or(cmp.Compare(len(x.servers), len(y.servers)), x.lastEvent.Compare(y.lastEvent))
 	})
-	for _, k := range keys[:len(keys)-keptRecords] {
+	for _, k := range keys[:len(keys)-recordsAfterEviction] {
 		delete(t.entries, k)
 	}
 }
