--- a/serverlimit/exchange.go
+++ b/serverlimit/exchange.go
@@ -22,19 +22,19 @@
 // isValid reports whether a received record is well-formed and not too old.
 func (r Record) isValid() bool {
 	isRate := r.PerSecond >= 0 && r.PerSecond <= maxPerSecond
-	return r.Server != "" && isRate && r.AgeMs >= 0 && r.age() <= holdTime
+	return r.Server != "" && isRate && r.AgeMs >= 0 && r.age() <= limitTTL
 }
 
 func (r Record) age() time.Duration { return time.Duration(r.AgeMs) * time.Millisecond }
 
-func (r Record) word() word {
-	return word{sequence: r.Sequence, limited: r.Limited, perSecond: r.PerSecond}
+func (r Record) update() update {
+	return update{sequence: r.Sequence, limited: r.Limited, perSecond: r.PerSecond}
 }
 
 // record returns the entry in the form that is sent to other processes.
 func (e *entry) record(server string, now time.Time) Record {
 	return Record{
-		Server: server, Sequence: e.sequence, Limited: e.limited, PerSecond: e.perSecond, AgeMs: now.Sub(e.namedAt).Milliseconds(),
+		Server: server, Sequence: e.sequence, Limited: e.limited, PerSecond: e.perSecond, AgeMs: now.Sub(e.reportedAt).Milliseconds(),
 	}
 }
 
@@ -99,13 +99,13 @@
 
 // merge accepts a record if it is newer than the entry. t.mu must be held.
 func (t *Table) merge(r Record, now time.Time) {
-	namedAt := now.Add(-r.age())
+	reportedAt := now.Add(-r.age())
 	e := t.entries[r.Server]
 	switch {
-	case e == nil || r.word().isNewerThan(e.word):
-		t.set(r.Server, r.word(), namedAt, now, Told)
-	case r.word() == e.word && namedAt.After(e.namedAt):
-		e.namedAt = namedAt
+	case e == nil || r.update().isNewerThan(e.update):
+		t.set(r.Server, r.update(), reportedAt, now, Told)
+	case r.update() == e.update && reportedAt.After(e.reportedAt):
+		e.reportedAt = reportedAt
 	}
 }
 
--- a/serverlimit/exchange_test.go
+++ b/serverlimit/exchange_test.go
@@ -49,16 +49,16 @@
 	}
 }
 
-// all checks that all processes have the same limit; -1 means none.
-func (g *group) all(t *testing.T, want float64) {
+// checkAll checks that all processes have the same limit; -1 means none.
+func (g *group) checkAll(t *testing.T, want float64) {
 	t.Helper()
 	for i, p := range g.processes {
 		assert.Equal(t, p.limit(), want, "process %d", i)
 	}
 }
 
-// TestWordReachesAll checks that a limit that one process sees begin, change and end does so at all processes.
-func TestWordReachesAll(t *testing.T) {
+// TestUpdateReachesAll checks that a limit that one process sees begin, change and end does so at all processes.
+func TestUpdateReachesAll(t *testing.T) {
 	g := newGroup(5)
 	for _, step := range []struct {
 		reading serverlimit.Reading
@@ -67,13 +67,13 @@
 		g.clock.Advance(time.Second)
 		g.processes[3].Observe(testServer, step.reading, g.processes[3].ago(10))
 		g.exchangeAll()
-		g.all(t, step.want)
+		g.checkAll(t, step.want)
 	}
 }
 
-// TestWordsOfTwo checks that if one process sees a limit removed while another one still sees it stated, the limit
+// TestConflictingUpdates checks that if one process sees a limit removed while another one still sees it stated, the limit
 // applies until the response to a later request removes it.
-func TestWordsOfTwo(t *testing.T) {
+func TestConflictingUpdates(t *testing.T) {
 	g := newGroup(3)
 	a, b := g.processes[1], g.processes[2]
 	a.Observe(testServer, two, a.ago(10))
@@ -82,15 +82,15 @@
 	a.Observe(testServer, none, a.ago(10))
 	b.Observe(testServer, two, b.ago(100))
 	g.exchangeAll()
-	g.all(t, 2)
+	g.checkAll(t, 2)
 	g.clock.Advance(50 * time.Millisecond)
 	a.Observe(testServer, none, a.ago(10))
 	g.exchangeAll()
-	g.all(t, -1)
+	g.checkAll(t, -1)
 }
 
-// TestLimitThatIsNamedAgainStands checks that a limit applies at all processes for as long as one process sees it.
-func TestLimitThatIsNamedAgainStands(t *testing.T) {
+// TestRepeatedLimitApplies checks that a limit applies at all processes for as long as one process sees it.
+func TestRepeatedLimitApplies(t *testing.T) {
 	g := newGroup(3)
 	for range 60 {
 		g.processes[1].Observe(testServer, two, g.processes[1].ago(10))
@@ -99,15 +99,15 @@
 		for _, p := range g.processes {
 			p.Expire()
 		}
-		g.all(t, 2)
+		g.checkAll(t, 2)
 	}
 	for _, p := range g.processes {
 		assert.Equal(t, len(p.changes), 1, "it began once")
 	}
 }
 
-// TestRecordsOfOthers checks that Merge ignores records that are invalid, too old or replaced.
-func TestRecordsOfOthers(t *testing.T) {
+// TestMergeIgnoresRecords checks that Merge ignores records that are invalid, too old or replaced.
+func TestMergeIgnoresRecords(t *testing.T) {
 	tests := map[string]serverlimit.Record{
 		"no server":    {Sequence: 9, Limited: true, PerSecond: 1},
 		"negative":     {Server: testServer, Sequence: 9, Limited: true, PerSecond: -1},
--- a/serverlimit/reading.go
+++ b/serverlimit/reading.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	// maxDigits is the maximum length of a rate in the header, in bytes.
-	maxDigits = 24
+	// maxRateLength is the maximum length of a rate in the header, in bytes.
+	maxRateLength = 24
 	// maxPerSecond is the maximum rate, in requests per second. It is above the rate of any server.
 	maxPerSecond = 1e6
 )
@@ -58,7 +58,7 @@
 // isDecimal reports whether the text consists of digits with at most one decimal point, which is not first.
 func isDecimal(text string) bool {
 	whole, fraction, _ := strings.Cut(text, ".")
-	return len(text) <= maxDigits && whole != "" && isDigits(whole) && isDigits(fraction)
+	return len(text) <= maxRateLength && whole != "" && isDigits(whole) && isDigits(fraction)
 }
 
 func isDigits(text string) bool {
--- a/serverlimit/rules.go
+++ b/serverlimit/rules.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// needTime is how long a limit must have applied before adapters are loaded on other servers, so that a short
+	// minThrottledTime is how long a limit must have applied before adapters are loaded on other servers, so that a short
 	// limit moves none.
-	needTime = 2 * time.Second
-	// slotTime is the approximate time that a request occupies a slot of an engine.
-	slotTime = 4 * time.Second
+	minThrottledTime = 2 * time.Second
+	// requestDuration is the approximate time that a request occupies a slot of an engine.
+	requestDuration = 4 * time.Second
 )
 
-// IsInNeed reports whether a server has had a limit for at least needTime and the present limit is too low to keep a
+// IsInNeed reports whether a server has had a limit for at least minThrottledTime and the present limit is too low to keep a
 // number of slots busy.
 func IsInNeed(s Status, slots int) bool {
-	return s.Since >= needTime && s.PerSecond*slotTime.Seconds() < float64(slots)
+	return s.Since >= minThrottledTime && s.PerSecond*requestDuration.Seconds() < float64(slots)
 }
 
 // Quota returns the limit on what all processes together send to a server that stated a rate.
--- a/serverlimit/rules_test.go
+++ b/serverlimit/rules_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestQuotaIsInsideTheUsersBound checks that a Quota with its Tolerance allows at most one and a half times the limit
+// TestQuotaWithinBound checks that a Quota with its Tolerance allows at most one and a half times the limit
 // and five requests in a Window.
-func TestQuotaIsInsideTheUsersBound(t *testing.T) {
+func TestQuotaWithinBound(t *testing.T) {
 	for _, rate := range []float64{0, 0.1, 0.25, 0.5, 1.8, 2, 10, 100, 1000, 1e6} {
 		q, tolerance := serverlimit.Quota(rate), serverlimit.Tolerance()
 		most := (q.Rate*tolerance.Window.Seconds()+q.Burst)*(1+tolerance.Over) + tolerance.Slack
--- a/serverlimit/table.go
+++ b/serverlimit/table.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// holdTime is how long a limit applies after the last response that states it. A server with a limit still
+	// limitTTL is how long a limit applies after the last response that states it. A server with a limit still
 	// gets requests (probeRate), so without responses for that long there is no demand for the server.
-	holdTime = 30 * time.Second
-	// refreshTime is the minimum time between two updates for a limit that a server states repeatedly without a
-	// change. It is well below holdTime, but limits the messages when many servers have a limit.
-	refreshTime = 5 * time.Second
+	limitTTL = 30 * time.Second
+	// refreshInterval is the minimum time between two updates for a limit that a server states repeatedly without a
+	// change. It is well below limitTTL, but limits the messages when many servers have a limit.
+	refreshInterval = 5 * time.Second
 )
 
 // Options configure a Table.
@@ -38,7 +38,7 @@
 	Changed State = "changed"
 	// Ended says that the server has sent a response without a limit.
 	Ended State = "ended"
-	// Unheard says that the limit has expired, since no response has stated it for holdTime.
+	// Unheard says that the limit has expired, since no response has stated it for limitTTL.
 	Unheard State = "unheard"
 )
 
@@ -81,8 +81,8 @@
 	opts Options
 	// epoch identifies this Table to peers; it is never 0.
 	epoch uint32
-	// limits is the number of servers with a limit.
-	limits atomic.Int64
+	// limitCount is the number of servers with a limit.
+	limitCount atomic.Int64
 
 	mu sync.Mutex
 	// version is the number of updates.
@@ -94,21 +94,21 @@
 
 // An entry is the latest update for one server instance.
 type entry struct {
-	word
+	update
 	// version is the version of the Table after the update.
 	version uint64
-	// heardAt is the time when the update was stored or when a response to this process last repeated it. The
+	// receivedAt is the time when the update was stored or when a response to this process last repeated it. The
 	// response to a request that is sent later is newer than the update.
-	heardAt time.Time
-	// namedAt is the time of the latest known response with this content, toldAt the time of the update.
-	namedAt, toldAt time.Time
-	// beganAt is the time since which the server has had a limit.
-	beganAt time.Time
+	receivedAt time.Time
+	// reportedAt is the time of the latest known response with this content, updatedAt the time of the update.
+	reportedAt, updatedAt time.Time
+	// limitedSince is the time since which the server has had a limit.
+	limitedSince time.Time
 }
 
 // status returns the Status of an entry with a limit.
 func (e *entry) status(server string, now time.Time) Status {
-	return Status{Server: server, PerSecond: e.perSecond, Since: now.Sub(e.beganAt), Age: now.Sub(e.namedAt)}
+	return Status{Server: server, PerSecond: e.perSecond, Since: now.Sub(e.limitedSince), Age: now.Sub(e.reportedAt)}
 }
 
 // New returns an empty Table.
@@ -125,43 +125,43 @@
 	t.change(func(now time.Time) {
 		e := t.entries[server]
 		if r.Kind == None {
-			t.observeNone(server, e, sent, now)
+			t.observeNoLimit(server, e, sent, now)
 			return
 		}
-		t.observeNamed(server, e, r.PerSecond, sent, now)
+		t.observeLimit(server, e, r.PerSecond, sent, now)
 	})
 }
 
-// observeNone removes a limit, unless the response may be older than the update that set it. t.mu must be held.
-func (t *Table) observeNone(server string, e *entry, sent, now time.Time) {
-	if e == nil || !e.limited || sent.Before(e.heardAt) {
+// observeNoLimit removes a limit, unless the response may be older than the update that set it. t.mu must be held.
+func (t *Table) observeNoLimit(server string, e *entry, sent, now time.Time) {
+	if e == nil || !e.limited || sent.Before(e.receivedAt) {
 		return
 	}
-	t.set(server, word{sequence: e.sequence + 1}, now, now, Own)
+	t.set(server, update{sequence: e.sequence + 1}, now, now, Own)
 }
 
-// observeNamed sets a limit, unless the response may be older than the update that removed or lowered it. t.mu must
+// observeLimit sets a limit, unless the response may be older than the update that removed or lowered it. t.mu must
 // be held.
-func (t *Table) observeNamed(server string, e *entry, perSecond float64, sent, now time.Time) {
-	named := word{limited: true, perSecond: perSecond, sequence: 1}
+func (t *Table) observeLimit(server string, e *entry, perSecond float64, sent, now time.Time) {
+	next := update{limited: true, perSecond: perSecond, sequence: 1}
 	if e == nil {
-		t.set(server, named, now, now, Own)
+		t.set(server, next, now, now, Own)
 		return
 	}
-	named.sequence = e.sequence + 1
-	mayBeOlder := sent.Before(e.heardAt)
+	next.sequence = e.sequence + 1
+	mayBeOlder := sent.Before(e.receivedAt)
 	switch {
 	case !e.limited && mayBeOlder, e.limited && mayBeOlder && perSecond > e.perSecond:
 		return
-	case e.limited && perSecond == e.perSecond && now.Sub(e.toldAt) < refreshTime:
-		e.heardAt, e.namedAt = now, now
+	case e.limited && perSecond == e.perSecond && now.Sub(e.updatedAt) < refreshInterval:
+		e.receivedAt, e.reportedAt = now, now
 		return
 	}
-	t.set(server, named, now, now, Own)
+	t.set(server, next, now, now, Own)
 }
 
 // Any reports whether any server has a limit. It takes no lock.
-func (t *Table) Any() bool { return t.limits.Load() > 0 }
+func (t *Table) Any() bool { return t.limitCount.Load() > 0 }
 
 // Knows reports whether a limit of a server, or its removal, is known.
 func (t *Table) Knows(server string) bool {
@@ -209,52 +209,52 @@
 	return list
 }
 
-// Expire ends the limits that no response has stated for holdTime, and forgets removals that are older than that.
+// Expire ends the limits that no response has stated for limitTTL, and forgets removals that are older than that.
 func (t *Table) Expire() {
 	t.change(func(now time.Time) {
-		maps.DeleteFunc(t.entries, func(_ string, e *entry) bool { return !e.limited && now.Sub(e.heardAt) > holdTime })
+		maps.DeleteFunc(t.entries, func(_ string, e *entry) bool { return !e.limited && now.Sub(e.receivedAt) > limitTTL })
 		for server, e := range t.entries {
-			if e.limited && now.Sub(e.namedAt) > holdTime {
-				t.note(Change{Server: server, State: Unheard, Origin: Own, PerSecond: e.perSecond, Age: now.Sub(e.namedAt)})
-				t.store(server, e, word{sequence: e.sequence + 1}, now, now)
+			if e.limited && now.Sub(e.reportedAt) > limitTTL {
+				t.addChange(Change{Server: server, State: Unheard, Origin: Own, PerSecond: e.perSecond, Age: now.Sub(e.reportedAt)})
+				t.store(server, e, update{sequence: e.sequence + 1}, now, now)
 			}
 		}
 	})
 }
 
-// set stores an update for a server and notes the change of its limit, if any. namedAt is the time of the server's
+// set stores an update for a server and notes the change of its limit, if any. reportedAt is the time of the server's
 // response. t.mu must be held.
-func (t *Table) set(server string, w word, namedAt, now time.Time, origin Origin) {
+func (t *Table) set(server string, w update, reportedAt, now time.Time, origin Origin) {
 	e := t.entries[server]
 	if e == nil {
 		e = &entry{}
 		t.entries[server] = e
 	}
-	if state, changed := e.stateAfter(w); changed {
+	if state, changed := e.transition(w); changed {
 		rate := w.perSecond
 		if state == Ended {
 			rate = e.perSecond
 		}
-		t.note(Change{Server: server, State: state, Origin: origin, PerSecond: rate, Age: now.Sub(namedAt)})
+		t.addChange(Change{Server: server, State: state, Origin: origin, PerSecond: rate, Age: now.Sub(reportedAt)})
 	}
-	t.store(server, e, w, namedAt, now)
+	t.store(server, e, w, reportedAt, now)
 }
 
 // store stores an update for a server. t.mu must be held.
-func (t *Table) store(server string, e *entry, w word, namedAt, now time.Time) {
+func (t *Table) store(server string, e *entry, w update, reportedAt, now time.Time) {
 	switch {
 	case w.limited && !e.limited:
-		e.beganAt = now
-		t.limits.Add(1)
+		e.limitedSince = now
+		t.limitCount.Add(1)
 	case !w.limited && e.limited:
-		t.limits.Add(-1)
+		t.limitCount.Add(-1)
 	}
 	t.version++
-	e.word, e.version, e.heardAt, e.namedAt, e.toldAt = w, t.version, now, namedAt, now
+	e.update, e.version, e.receivedAt, e.reportedAt, e.updatedAt = w, t.version, now, reportedAt, now
 }
 
-// note keeps a change until the Table is unlocked. t.mu must be held.
-func (t *Table) note(c Change) { t.changes = append(t.changes, c) }
+// addChange keeps a change until the Table is unlocked. t.mu must be held.
+func (t *Table) addChange(c Change) { t.changes = append(t.changes, c) }
 
 // change calls f with the Table locked. Then, without the lock, it calls OnChange for the changes noted.
 func (t *Table) change(f func(now time.Time)) {
--- a/serverlimit/table_test.go
+++ b/serverlimit/table_test.go
@@ -47,8 +47,8 @@
 	return -1
 }
 
-// An answerStep is one response of the server.
-type answerStep struct {
+// An responseStep is one response of the server.
+type responseStep struct {
 	// afterMs is the time since the previous response.
 	afterMs int
 	// tookMs is the time since the request was sent.
@@ -59,24 +59,24 @@
 func TestOrderOfAnswers(t *testing.T) {
 	unreadable := serverlimit.Reading{Kind: serverlimit.Unreadable}
 	tests := map[string]struct {
-		steps []answerStep
+		steps []responseStep
 		want  float64
 	}{
-		"named":                                 {steps: []answerStep{{0, 10, two}}, want: 2},
-		"never named":                           {steps: []answerStep{{0, 10, none}}, want: -1},
-		"named after none, though sent before":  {steps: []answerStep{{0, 10, none}, {1, 500, two}}, want: 2},
-		"ended by what was sent after":          {steps: []answerStep{{0, 10, two}, {20, 10, none}}, want: -1},
-		"not ended by what was sent before":     {steps: []answerStep{{0, 10, two}, {20, 30, none}}, want: 2},
-		"raised by what was sent after":         {steps: []answerStep{{0, 10, two}, {20, 10, five}}, want: 5},
-		"not raised by what was sent before":    {steps: []answerStep{{0, 10, two}, {20, 30, five}}, want: 2},
-		"lowered at once":                       {steps: []answerStep{{0, 10, five}, {20, 30, two}}, want: 2},
-		"not brought back by a late answer":     {steps: []answerStep{{0, 10, two}, {20, 10, none}, {5, 100, two}}, want: -1},
-		"brought back by what was sent after":   {steps: []answerStep{{0, 10, two}, {20, 10, none}, {50, 10, two}}, want: 2},
-		"neither set nor ended by what is none": {steps: []answerStep{{0, 10, two}, {20, 10, unreadable}}, want: 2},
-		"unreadable alone":                      {steps: []answerStep{{0, 10, unreadable}}, want: -1},
-		"zero":                                  {steps: []answerStep{{0, 10, serverlimit.Reading{Kind: serverlimit.Named}}}, want: 0},
+		"named":                                 {steps: []responseStep{{0, 10, two}}, want: 2},
+		"never named":                           {steps: []responseStep{{0, 10, none}}, want: -1},
+		"named after none, though sent before":  {steps: []responseStep{{0, 10, none}, {1, 500, two}}, want: 2},
+		"ended by what was sent after":          {steps: []responseStep{{0, 10, two}, {20, 10, none}}, want: -1},
+		"not ended by what was sent before":     {steps: []responseStep{{0, 10, two}, {20, 30, none}}, want: 2},
+		"raised by what was sent after":         {steps: []responseStep{{0, 10, two}, {20, 10, five}}, want: 5},
+		"not raised by what was sent before":    {steps: []responseStep{{0, 10, two}, {20, 30, five}}, want: 2},
+		"lowered at once":                       {steps: []responseStep{{0, 10, five}, {20, 30, two}}, want: 2},
+		"not brought back by a late answer":     {steps: []responseStep{{0, 10, two}, {20, 10, none}, {5, 100, two}}, want: -1},
+		"brought back by what was sent after":   {steps: []responseStep{{0, 10, two}, {20, 10, none}, {50, 10, two}}, want: 2},
+		"neither set nor ended by what is none": {steps: []responseStep{{0, 10, two}, {20, 10, unreadable}}, want: 2},
+		"unreadable alone":                      {steps: []responseStep{{0, 10, unreadable}}, want: -1},
+		"zero":                                  {steps: []responseStep{{0, 10, serverlimit.Reading{Kind: serverlimit.Named}}}, want: 0},
 		"not ended by an answer sent before it was named again": {
-			steps: []answerStep{{0, 10, two}, {1000, 10, two}, {10, 20, none}}, want: 2,
+			steps: []responseStep{{0, 10, two}, {1000, 10, two}, {10, 20, none}}, want: 2,
 		},
 	}
 	for name, test := range tests {
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestUnheardLimitEnds checks that a limit expires after holdTime without a response that states it, and not before.
-func TestUnheardLimitEnds(t *testing.T) {
+// TestLimitExpires checks that a limit expires after limitTTL without a response that states it, and not before.
+func TestLimitExpires(t *testing.T) {
 	p := newProcess()
 	p.Observe(testServer, two, p.ago(10))
 	p.clock.Advance(20 * time.Second)
--- a/serverlimit/word.go
+++ b/serverlimit/word.go
@@ -1,7 +1,7 @@
 package serverlimit
 
 // A word is an update of a server's limit.
-type word struct {
+type update struct {
 	// sequence is one above the sequence of the update that this one replaces.
 	sequence uint64
 	limited  bool
@@ -12,7 +12,7 @@
 // isNewerThan reports whether w replaces o. Of two updates with the same sequence, made by different processes, the
 // one with the lower limit replaces the other, and one with a limit replaces one without. The next response of the
 // server corrects the result if necessary.
-func (w word) isNewerThan(o word) bool {
+func (w update) isNewerThan(o update) bool {
 	if w.sequence != o.sequence {
 		return w.sequence > o.sequence
 	}
@@ -22,8 +22,8 @@
 	return w.limited && w.perSecond < o.perSecond
 }
 
-// stateAfter returns how the next update changes the limit; changed is false if the limit remains the same.
-func (w word) stateAfter(next word) (s State, changed bool) {
+// transition returns how the next update changes the limit; changed is false if the limit remains the same.
+func (w update) transition(next update) (s State, changed bool) {
 	switch {
 	case next.limited && !w.limited:
 		return Began, true
