--- a/placement/moves.go
+++ b/placement/moves.go
@@ -129,8 +129,8 @@
 }
 
 // evictFor evicts replicas from the accelerator that needs the fewest evictions until the row fits there, and
-// reserves the memory for the row. It reports whether there is such an accelerator. held is how long a name must
-// have had surplus replicas; see evictable.
+// reserves the memory for the row. It reports whether there is such an accelerator. See evictable for
+// minSurplusTime.
 func (s *plan) evictFor(r table.Row, reason string, minSurplusTime time.Duration) bool {
 	need := s.in.Sizes[r.Name].TotalMiB()
 	var best *accelerator
@@ -177,8 +177,8 @@
 }
 
 // evictable reports whether a replica of the name may be evicted. The last ready replica never is, even if another
-// one is being loaded. With held 0, for the first replica of another name, any other replica may be evicted.
-// Otherwise the name must have had more replicas than its target for at least held.
+// one is being loaded. With a minSurplusTime of 0, for the first replica of another name, any other replica may be
+// evicted. Otherwise the name must have had more replicas than its target for at least minSurplusTime.
 func (s *plan) evictable(name string, minSurplusTime time.Duration) bool {
 	if s.ready[name] <= 1 {
 		return false
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -20,13 +20,15 @@
 
 // An Order tells a backend server's agent to load or unload a model or adapter.
 type Order struct {
-	Op          ledger.Op `json:"op"`
-	Server      string    `json:"server"`
-	Accelerator int       `json:"acc"`
-	Name        string    `json:"name"`
-	Base        string    `json:"base,omitempty"`
-	Size        Size      `json:"size"`
-	Reason      string    `json:"reason"`
+	Op     ledger.Op `json:"op"`
+	Server string    `json:"server"`
+	// Accelerator is the index of the accelerator in the server's record.
+	Accelerator int    `json:"acc"`
+	Name        string `json:"name"`
+	// Base is the base model of an adapter.
+	Base   string `json:"base,omitempty"`
+	Size   Size   `json:"size"`
+	Reason string `json:"reason"`
 }
 
 // Options configure a Planner.
@@ -34,7 +36,8 @@
 	// Headroom is the fraction of an accelerator's slots that the demand on one replica is planned to use,
 	// from 0 to 1.
 	Headroom float64
-	// Hold is how long a replica is kept after demand no longer justifies it.
+	// Hold is how long a replica is kept after demand no longer justifies it, unless a name without a replica
+	// needs the memory.
 	Hold time.Duration
 	// MaxLoads is the maximum number of loads that run at the same time in the cell.
 	MaxLoads int
@@ -92,7 +95,7 @@
 	return &Planner{opts: o, surplusSince: make(map[string]time.Time)}
 }
 
-// An acc is the state of one accelerator during a plan.
+// An accelerator is the working state of one accelerator during a plan.
 type accelerator struct {
 	server *fleet.Server
 	index  int
@@ -115,8 +118,8 @@
 	accelerators []*accelerator
 	// demand is the demand of all cells by name, in busy slots.
 	demand map[string]float64
-	// copies counts the replicas of each name in the cell that are ready or being loaded, ready those that
-	// are ready.
+	// replicas counts the replicas of each name in the cell that are ready or being loaded, ready only those
+	// that are ready.
 	replicas map[string]int
 	ready    map[string]int
 	// adapters holds the names of the adapters of each model.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -167,19 +167,19 @@
 	assert.DeepEqual(t, formatOrders(p.Plan(in)), []string{"unload a s/0"})
 }
 
-// TestFreedMemoryIsReserved checks that memory freed for a model without a replica is not used for an additional replica
-// of another model.
+// TestFreedMemoryIsReserved checks that memory freed for a model without a replica is not used for an additional
+// replica of another model.
 func TestFreedMemoryIsReserved(t *testing.T) {
-	w := &testCell{
+	c := &testCell{
 		rows:  []table.Row{model("hint"), model("summary"), model("busy")},
 		sizes: map[string]placement.Size{"hint": size(40), "summary": size(90), "busy": size(20)},
 		servers: []fleet.Server{
 			server("a", 1, ready("hint", 0, 40)), server("b", 1, ready("hint", 0, 40), ready("busy", 0, 20)),
 		},
 	}
-	w.servers[1] = demand(w.servers[1], "busy", 20)
+	c.servers[1] = demand(c.servers[1], "busy", 20)
 	p := placement.NewPlanner(placement.Options{})
-	got := w.planRounds(t, p, 6)
+	got := c.planRounds(t, p, 6)
 	assert.DeepEqual(t, got, []string{"unload hint a/0", "load summary a/0"})
 }
 
@@ -187,23 +187,23 @@
 // overcommitted, that no last replica is evicted and that a state without further orders is reached.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawCell(t)
+		c := drawCell(t)
 		p := placement.NewPlanner(placement.Options{Hold: time.Second, MaxLoads: 100, MaxOrders: 100})
 		for round := range 30 {
-			in := w.input(start.Add(time.Duration(round) * 10 * time.Second))
-			had := w.replicaCounts()
+			in := c.input(start.Add(time.Duration(round) * 10 * time.Second))
+			had := c.replicaCounts()
 			for _, o := range p.Plan(in) {
-				w.execute(t, o)
+				c.execute(t, o)
 			}
 			for name, n := range had {
-				assert.Assert(t, n == 0 || w.replicaCounts()[name] > 0, "the last copy of %s was dropped", name)
+				assert.Assert(t, n == 0 || c.replicaCounts()[name] > 0, "the last copy of %s was dropped", name)
 			}
 		}
-		assert.Equal(t, len(p.Plan(w.input(start.Add(time.Hour)))), 0, "plans do not end")
+		assert.Equal(t, len(p.Plan(c.input(start.Add(time.Hour)))), 0, "plans do not end")
 	})
 }
 
-// A world is a cell whose servers execute orders immediately.
+// A testCell is a cell whose servers execute orders immediately.
 type testCell struct {
 	rows    []table.Row
 	sizes   map[string]placement.Size
@@ -211,29 +211,29 @@
 }
 
 func drawCell(t *rapid.T) *testCell {
-	w := &testCell{sizes: make(map[string]placement.Size)}
+	c := &testCell{sizes: make(map[string]placement.Size)}
 	for i := range rapid.IntRange(1, 5).Draw(t, "servers") {
-		w.servers = append(w.servers, server(fmt.Sprint("s", i), rapid.IntRange(1, 2).Draw(t, "accelerators")))
+		c.servers = append(c.servers, server(fmt.Sprint("s", i), rapid.IntRange(1, 2).Draw(t, "accelerators")))
 	}
 	for i := range rapid.IntRange(1, 8).Draw(t, "models") {
 		name := fmt.Sprint("m", i)
-		w.rows = append(w.rows, model(name))
-		w.sizes[name] = size(rapid.IntRange(10, 70).Draw(t, "size"))
-		s := &w.servers[rapid.IntRange(0, len(w.servers)-1).Draw(t, "asks")]
+		c.rows = append(c.rows, model(name))
+		c.sizes[name] = size(rapid.IntRange(10, 70).Draw(t, "size"))
+		s := &c.servers[rapid.IntRange(0, len(c.servers)-1).Draw(t, "asks")]
 		*s = demand(*s, name, rapid.Float64Range(0, 40).Draw(t, "demand"))
 	}
-	return w
+	return c
 }
 
-func (w *testCell) input(now time.Time) placement.Input {
-	in := input(w.rows, w.sizes, w.servers...)
+func (c *testCell) input(now time.Time) placement.Input {
+	in := input(c.rows, c.sizes, c.servers...)
 	in.Now = now
 	return in
 }
 
-func (w *testCell) replicaCounts() map[string]int {
+func (c *testCell) replicaCounts() map[string]int {
 	n := make(map[string]int)
-	for _, s := range w.servers {
+	for _, s := range c.servers {
 		for _, r := range s.Residents {
 			n[r.Name]++
 		}
@@ -241,11 +241,11 @@
 	return n
 }
 
-func (w *testCell) execute(t assert.TestingT, o placement.Order) {
-	i := slices.IndexFunc(w.servers, func(s fleet.Server) bool { return s.ID == o.Server })
-	s := &w.servers[i]
+func (c *testCell) execute(t assert.TestingT, o placement.Order) {
+	i := slices.IndexFunc(c.servers, func(s fleet.Server) bool { return s.ID == o.Server })
+	s := &c.servers[i]
 	a := &s.Accelerators[o.Accelerator]
-	mib := w.sizes[o.Name].TotalMiB()
+	mib := c.sizes[o.Name].TotalMiB()
 	if o.Op == ledger.OpLoad {
 		a.ReservedMiB += mib
 		s.Residents = append(s.Residents, ready(o.Name, o.Accelerator, mib))
@@ -259,23 +259,23 @@
 }
 
 // planRounds plans a number of times, one second apart, and executes and returns the orders.
-func (w *testCell) planRounds(t *testing.T, p *placement.Planner, rounds int) []string {
+func (c *testCell) planRounds(t *testing.T, p *placement.Planner, rounds int) []string {
 	t.Helper()
 	var got []string
 	for round := range rounds {
-		orders := p.Plan(w.input(start.Add(time.Duration(round) * time.Second)))
+		orders := p.Plan(c.input(start.Add(time.Duration(round) * time.Second)))
 		got = append(got, formatOrders(orders)...)
 		for _, o := range orders {
-			w.execute(t, o)
+			c.execute(t, o)
 		}
 	}
 	return got
 }
 
-// TestFragmentedMemory checks that a model is loaded even if the free memory is fragmented, without the eviction of a last
-// replica.
+// TestFragmentedMemory checks that a model is loaded even if the free memory is fragmented, without the eviction of a
+// last replica.
 func TestFragmentedMemory(t *testing.T) {
-	w := &testCell{
+	c := &testCell{
 		rows:  []table.Row{model("clue"), model("hint"), model("headline"), model("summary")},
 		sizes: map[string]placement.Size{"clue": size(62), "hint": size(42), "headline": size(31), "summary": size(83)},
 		servers: []fleet.Server{
@@ -283,7 +283,7 @@
 		},
 	}
 	p := placement.NewPlanner(placement.Options{})
-	got := w.planRounds(t, p, 5)
+	got := c.planRounds(t, p, 5)
 	assert.DeepEqual(t, got, []string{"load headline a/0", "unload headline c/0", "load summary c/0"})
 }
 
--- a/placement/relocate.go
+++ b/placement/relocate.go
@@ -15,8 +15,8 @@
 }
 
 // relocate prepares room for a row when the free memory is fragmented over several accelerators. It chooses the
-// accelerator with the least memory to relocate and loads replicas of that accelerator elsewhere too. When they
-// are ready, the replicas on the chosen accelerator are no longer the last, and evictFor evicts them.
+// accelerator with the least memory to relocate and plans loads of its replicas on other accelerators. When they are
+// ready, the replicas on the chosen accelerator are no longer the last, and a later plan evicts them (evictFor).
 func (s *plan) relocate(r table.Row, reason string) {
 	need := s.in.Sizes[r.Name].TotalMiB()
 	var best []relocation
@@ -84,7 +84,7 @@
 }
 
 // bestFit returns the accelerator other than x with the least free memory in which the row fits (best fit), or
-// nil if there is none. taken is the memory of other relocations to each accelerator, in MiB.
+// nil if there is none. reserved is the memory of other relocations to each accelerator, in MiB.
 func (s *plan) bestFit(x *accelerator, r table.Row, mib int, reserved map[*accelerator]int) *accelerator {
 	var best *accelerator
 	for _, o := range s.accelerators {
--- a/placement/survey.go
+++ b/placement/survey.go
@@ -11,10 +11,10 @@
 	"rockcleat/table"
 )
 
-// A census is a summary of one cell.
+// A cellSummary holds what ownShare needs of one cell.
 type cellSummary struct {
 	id string
-	// copies counts the replicas of each name that are ready or being loaded.
+	// replicas counts the replicas of each name that are ready or being loaded.
 	replicas map[string]int
 	// largestFreeMiB is the largest free memory on one accelerator, in MiB.
 	largestFreeMiB int
@@ -166,8 +166,8 @@
 	return own
 }
 
-// cellsWithRoom returns the cells with an accelerator that has enough free memory for the name, or all cells if there are
-// none.
+// cellsWithRoom returns the cells with an accelerator that has enough free memory for the name, or all cells if there
+// are none.
 func (s *plan) cellsWithRoom(cells []cellSummary, name string) []cellSummary {
 	mib := s.in.Sizes[name].TotalMiB()
 	withRoom := slices.DeleteFunc(slices.Clone(cells), func(c cellSummary) bool { return c.largestFreeMiB < mib })
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -38,7 +38,8 @@
 // Merge implements exchange.Log.
 func (c changeLog) Merge(records []Record) (before, after uint64) { return c.table.Merge(records) }
 
-// Since implements exchange.Log. It leaves out requests with fewer crashes, unless they were cleared before.
+// Since implements exchange.Log. It leaves out requests with fewer than minCrashes crashes, unless they were cleared
+// before.
 func (c changeLog) Since(after uint64) ([]Record, uint64) {
 	t := c.table
 	t.mu.Lock()
--- a/quarantine/exchange_test.go
+++ b/quarantine/exchange_test.go
@@ -38,8 +38,8 @@
 	return held
 }
 
-// TestCrashesAtSeveralProcesses checks that crashes seen by three different processes lead to a quarantine in all processes
-// after two exchanges with a common peer.
+// TestCrashesAtSeveralProcesses checks that crashes seen by three different processes lead to a quarantine in all
+// processes after two exchanges with a common peer.
 func TestCrashesAtSeveralProcesses(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	hub, nodes := newNode(c), []*node{newNode(c), newNode(c), newNode(c), newNode(c)}
--- a/quarantine/rules.go
+++ b/quarantine/rules.go
@@ -28,22 +28,22 @@
 // oldest, are removed first.
 const maxRecords = 4096
 
-// recordsAfterEviction is the number of requests that remain when a table that exceeds maxRecords is reduced. It is lower
-// than maxRecords so that a full table is not sorted for every new request.
+// recordsAfterEviction is the number of requests that remain when a table that exceeds maxRecords is reduced. It is
+// lower than maxRecords so that a full table is not sorted for every new request.
 const recordsAfterEviction = maxRecords * 3 / 4
 
 // maxMessageRecords is the maximum number of records in a message. The others follow in the next messages.
 const maxMessageRecords = 256
 
-// quarantineTime returns how long a quarantine lasts after the last crash. first is the time for limit crashes; it
-// doubles with each further one.
+// quarantineTime returns how long a quarantine lasts after the last crash: the time first for threshold crashes,
+// doubled for each further one up to maxCrashes.
 func quarantineTime(first time.Duration, crashes, threshold int) time.Duration {
 	return first << max(min(crashes, maxCrashes)-threshold, 0)
 }
 
-// retentionTime returns how long a record is kept after its last crash. The record of a request that was quarantined is kept
-// for twice the quarantine time, in which a single further crash starts the next quarantine. Other records are kept
-// for the duration of a first quarantine.
+// retentionTime returns how long a record is kept after its last crash. The record of a quarantined request is kept
+// for twice the quarantine time, so that a single further crash in the second half starts the next quarantine. Other
+// records are kept for the duration of a first quarantine.
 func retentionTime(first time.Duration, crashes, threshold int) time.Duration {
 	if crashes < threshold {
 		return first
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -29,10 +29,10 @@
 const (
 	// Began says that a quarantine has begun.
 	Began State = "began"
-	// Voided says that a quarantine has ended because the request was cleared, after it completed successfully
-	// or by an operator.
+	// Voided says that a quarantine has ended because the request was cleared; see Table.Void.
 	Voided State = "voided"
-	// Over says that a quarantine has ended because its time has passed.
+	// Over says that a quarantine has ended because its time has passed or its record was evicted from a full
+	// Table.
 	Over State = "over"
 )
 
@@ -87,8 +87,8 @@
 	})
 }
 
-// Void clears the crashes recorded for a request, because it completed successfully or by order of an operator. It
-// reports whether there were any.
+// Void clears the crashes recorded for a request and reports whether there were any. It is called when the request
+// has completed successfully or when an operator ends its quarantine.
 func (t *Table) Void(k Key) (known bool) {
 	t.change(func(now time.Time) {
 		e := t.entries[k]
@@ -265,7 +265,7 @@
 	return end, now.Before(end)
 }
 
-// transitions updates t.held and returns the quarantines that have begun or ended. t.mu must be held.
+// transitions updates t.quarantined and returns the quarantines that have begun or ended. t.mu must be held.
 func (t *Table) transitions(now time.Time) []Change {
 	var list []Change
 	for _, k := range t.changed {
@@ -298,8 +298,8 @@
 	}
 }
 
-// evictExcess reduces a table with more than maxRecords entries to recordsAfterEviction. It removes those with the fewest and then
-// the oldest crashes. t.mu must be held.
+// evictExcess reduces a table with more than maxRecords entries to recordsAfterEviction. Entries with the fewest
+// crashes, and among these the oldest, are removed first. t.mu must be held.
 func (t *Table) evictExcess() {
 	if len(t.entries) <= maxRecords {
 		return
--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -21,7 +21,8 @@
 	Slots int
 	// Engines are the engines without an order in progress.
 	Engines []EngineView
-	// Missing are the adapters that requests wait for and that no usable engine holds.
+	// Missing are the adapters that requests wait for and that no engine holds, without counting engines that
+	// are leaving or accept few requests.
 	Missing []backend.Adapter
 	// LastUsed is the time of the last request for each adapter, RequestsByAdapter the number of
 	// requests that use it now.
@@ -49,8 +50,8 @@
 	return moves
 }
 
-// cheapestMove returns the move to the least loaded engine that holds the adapter's model, and prefers
-// engines with a free slot. The load of an engine is its number of requests plus its number of adapters.
+// cheapestMove returns the move to the least busy engine that holds the adapter's model. Engines with a free slot
+// are preferred. An engine is as busy as its number of requests plus its number of adapters.
 func (in *AdapterInput) cheapestMove(a backend.Adapter, usedEngines map[string]bool) (AdapterMove, bool) {
 	var best AdapterMove
 	found := false
@@ -93,9 +94,10 @@
 	return n
 }
 
-// evictionFor returns the adapter to unload for another one: the least recently requested adapter that no
-// request uses or waits for. If requests have waited for the other adapter for longer than minAdapterResidence,
-// an adapter that another engine holds too is preferred, even one in use.
+// evictionFor returns the adapter to unload for the wanted one: the least recently requested adapter that no
+// request uses or waits for and whose minAdapterResidence has passed. If requests have waited for the wanted
+// adapter for longer than minAdapterResidence, adapters may be unloaded before that, and an adapter that another
+// engine holds too is preferred, even if it is in use.
 func (in *AdapterInput) evictionFor(e *EngineView, wanted backend.Adapter) (backend.Adapter, bool) {
 	var unused, redundant []backend.Adapter
 	overdue := in.Now.Sub(in.WaitingSince[wanted]) > minAdapterResidence && !in.WaitingSince[wanted].IsZero()
--- a/residency/doc.go
+++ b/residency/doc.go
@@ -1,8 +1,8 @@
 // Package residency plans which models and adapters are loaded on which engines, for deployments in which
 // one leader issues all orders to engines.
 //
-// Plan and PlanAdapters are pure functions. They compute the next moves from the models and adapters that
-// each engine holds and from their demand. Every model keeps one replica, with two exceptions: models that
+// Plan and PlanAdapters compute the next moves from the models and adapters that each engine holds and from their
+// demand. They keep no state between calls. Every model keeps one replica, with two exceptions: models that
 // can be loaded within the latency objective of their requests, and models whose weights are cached on the
 // engine's machine while their demand is not expected to rise. The remaining memory is divided among the
 // models in proportion to a power of their demand. Forecast raises the demand of the models that are
--- a/residency/evict.go
+++ b/residency/evict.go
@@ -9,7 +9,7 @@
 )
 
 // evictions returns the models to unload so that a model fits on an engine, in increasing order of demand
-// per replica; ok is false if the model doesn't fit even then.
+// per replica; ok is false if the model does not fit even then.
 func (p *plan) evictions(e *EngineView, m table.ModelSpec) (evictions []string, ok bool) {
 	need := p.memoryShortfall(e, m)
 	if need <= 0 {
@@ -34,9 +34,10 @@
 
 // evictable reports whether a replica of model may be evicted from an engine to load the model named other.
 //
-// The last replica may be evicted if the model is no longer configured, or if lastReplicaEvictable allows it and other
-// already has a replica and far more demand. Of several replicas, any may be evicted if other has none;
-// otherwise only one above the model's target that was not loaded recently.
+// The last replica may be evicted if the model is no longer configured, or if all of the following hold: other
+// already has a replica, justifiesLastReplica and lastReplicaEvictable. One of several replicas may be evicted if
+// other has none; otherwise only if the model has more replicas than its target and the replica was not loaded
+// recently.
 func (p *plan) evictable(e *EngineView, model, other string) bool {
 	forFirstReplica := p.replicas[other] == 0
 	if p.replicas[model] <= 1 {
@@ -49,13 +50,14 @@
 	return !e.RecentlyLoaded[model] && p.replicas[model] > p.targets[model]
 }
 
-// justifiesLastReplica reports whether the demand per replica of a model justifies evicting the last replica of another.
+// justifiesLastReplica reports whether the demand per replica of a model justifies evicting the last replica of
+// another one.
 func (p *plan) justifiesLastReplica(model, last string) bool {
 	return p.demandPerReplica(model) > lastReplicaDemandRatio*p.in.Demands[last].TokensPerSecond
 }
 
-// lastReplicaEvictable reports whether the last replica of a model may be evicted from an engine, to be loaded again on
-// the next request for it.
+// lastReplicaEvictable reports whether the last replica of a model may be evicted from an engine, to be loaded
+// again on the next request for the model.
 func (p *plan) lastReplicaEvictable(e *EngineView, model string) bool {
 	if p.in.Demands[model].Waiting > 0 || e.RecentlyLoaded[model] {
 		return false
--- a/residency/forecast.go
+++ b/residency/forecast.go
@@ -6,11 +6,11 @@
 // expected to get, at a confidence of 1.
 const forecastShare = 0.9
 
-// Forecast returns the demand expected of each model. The models right behind another one in the operators'
-// list are expected to get at least a fraction of its demand, weighted with the confidence of s that demand
-// moves along the list. A nil s has confidence 0.
+// Forecast returns the expected demand of each model, by name. It is the measured demand or, if that is higher, the
+// demand of the models right before it in the operators' list, multiplied by forecastShare and by the confidence of s
+// that demand moves along the list. A nil s has confidence 0.
 //
-// While no model has demand, the replicas of each model beyond its first are used as its demand.
+// While no model has demand, the number of replicas of each model beyond its first is used as its demand.
 func Forecast(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView, s *Succession) map[string]Demand {
 	measured := measuredDemand(spec, demands, engines)
 	share := forecastShare * s.Confidence()
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -93,7 +93,8 @@
 	engines []*EngineView
 }
 
-// Plan returns the moves to start now, the most urgent first, at most one for each engine.
+// Plan returns the moves to start now, the most urgent first, at most one for each engine. It sets Idle to false in
+// in.Engines for the engines that get a move.
 func Plan(in Input) []Move {
 	p := &plan{in: in, replicas: make(map[string]int)}
 	p.in.Demands = Forecast(in.Spec, in.Demands, in.Engines, in.Succession)
--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -194,6 +194,7 @@
 	return n
 }
 
+// checkFits checks that the engine of a move is idle and has enough memory for it.
 func checkFits(t *rapid.T, s *table.EngineSpec, list []EngineView, m Move) {
 	for _, e := range list {
 		if e.ID != m.Engine {
--- a/residency/replicas.go
+++ b/residency/replicas.go
@@ -61,7 +61,7 @@
 	scaledDemand float64
 }
 
-// priority returns the share per replica.
+// priority returns the scaled demand per replica.
 func (c replicaCandidate) priority() float64 {
 	return c.scaledDemand / (float64(c.replicas) + replicaOffset)
 }
--- a/residency/replicas_test.go
+++ b/residency/replicas_test.go
@@ -45,7 +45,7 @@
 }
 
 // referenceTargets is a straightforward implementation of replicaTargets without a heap, for comparison.
-func referenceTargets(s *table.EngineSpec, asked map[string]Demand, engines int) map[string]int {
+func referenceTargets(s *table.EngineSpec, demand map[string]Demand, engines int) map[string]int {
 	targets := make(map[string]int)
 	freeMB := s.WeightsMB * float64(engines)
 	for _, m := range s.Models {
@@ -56,7 +56,7 @@
 		best, bestShare := -1, 0.0
 		for i, m := range s.Models {
 			n := targets[m.Name]
-			share := math.Pow(asked[m.Name].TokensPerSecond, 0.75) / (float64(n) + 0.5)
+			share := math.Pow(demand[m.Name].TokensPerSecond, 0.75) / (float64(n) + 0.5)
 			if n < engines && m.WeightsMB <= freeMB && share > bestShare {
 				best, bestShare = i, share
 			}
--- a/residency/residence.go
+++ b/residency/residence.go
@@ -2,7 +2,7 @@
 
 import "rockcleat/table"
 
-// A residence says when a model needs at least one replica.
+// A loadPolicy says when a model needs a replica.
 type loadPolicy int
 
 const (
@@ -18,23 +18,24 @@
 // Conditions under which the last replica of a model may be evicted. Without eviction, models with little
 // demand would take most of the engines' memory.
 const (
-	// loadsWithinObjective is the number of loads from disk that must fit into the objective of a model's requests:
-	// one for the unload that makes room and one for the load.
+	// loadsWithinObjective is the number of load times from disk that must fit into the objective of a model's
+	// requests: one for the unload that makes room and one for the load.
 	loadsWithinObjective = 2
-	// lastReplicaDemandRatio is the least ratio between the demand per replica of the model to load and the demand
-	// of the model whose last replica is evicted. It is high because every request that waits for the evicted
-	// model to be loaded again uses up its objective.
+	// lastReplicaDemandRatio is the ratio that must be exceeded between the demand per replica of the model to load
+	// and the demand of the model whose last replica is evicted. It is high because requests that wait for the
+	// evicted model to be loaded again use up their objective.
 	lastReplicaDemandRatio = 40
 	// alwaysLoadedShare is the fraction of the total demand, measured or expected, at or above which a model always
 	// has a replica, since it would be loaded again at once.
 	alwaysLoadedShare = 0.02
-	// minConfidence is the confidence in the order of rises above which a model that is not next in that
-	// order is not expected to rise.
+	// minConfidence is the Confidence above which the demand of a model that is not next in the order of the list
+	// is not expected to rise.
 	minConfidence = 0.5
 )
 
-// loadPolicys returns the residence of each model, by name. The demands are those of Forecast. For a model that
-// was never requested it is unknown how long its requests can wait, so it is never loadOnRequest.
+// loadPolicies returns the policy of each model, by name; a model without one is alwaysLoaded. The demands are those
+// of Forecast. A model that was never requested is never loadOnRequest, since it is unknown how long its requests can
+// wait.
 func loadPolicies(spec *table.EngineSpec, demands map[string]Demand, confidence float64) map[string]loadPolicy {
 	total := 0.0
 	for _, d := range demands {
--- a/residency/succession.go
+++ b/residency/succession.go
@@ -9,15 +9,15 @@
 	idleShare = 0.02
 	// sequenceWindow is the number of places behind a busy model where the next model is expected to rise.
 	sequenceWindow = 2
-	// priorRises is the weight of the prior assumption that the list has no order, in rises.
+	// priorRises is the weight of the prior assumption that demand does not follow the list, in rises.
 	priorRises = 0.5
 	// riseDecay is the factor by which the counts decay with each rise. About the last ten rises count.
 	riseDecay = 0.9
 )
 
-// A Succession estimates from observed demand whether models become busy in the order of the operators' list:
-// how much more often than by chance a model that becomes busy stands right behind a busy one. If the list has
-// no such order, the confidence stays near 0.
+// A Succession estimates whether models become busy in the order of the operators' list. It counts how often a model
+// that becomes busy stands right behind a busy one, and compares that with the expectation for a random order. If
+// models become busy in another order, the confidence stays near 0.
 //
 // The zero value has no observations. It is not safe for concurrent use.
 type Succession struct {
@@ -28,7 +28,7 @@
 }
 
 // Observe records the demand at one time. While no model has demand, the replicas determine which models are
-// busy and no rise is counted: the models would seem to rise in the order in which they are loaded.
+// busy and no rise is counted, since models would appear to rise in the order in which they are loaded.
 func (s *Succession) Observe(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView) {
 	measured := measuredDemand(spec, demands, engines)
 	total := 0.0
--- a/serverlimit/exchange_test.go
+++ b/serverlimit/exchange_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestUpdateReachesAll checks that a limit that one process sees begin, change and end does so at all processes.
+// TestUpdateReachesAll checks that a limit begins, changes and ends at all processes if one of them receives the
+// responses that say so.
 func TestUpdateReachesAll(t *testing.T) {
 	g := newGroup(5)
 	for _, step := range []struct {
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestConflictingUpdates checks that if one process sees a limit removed while another one still sees it stated, the limit
-// applies until the response to a later request removes it.
+// TestConflictingUpdates checks that a limit that one process sees removed and another one still sees stated applies
+// until the response to a later request removes it.
 func TestConflictingUpdates(t *testing.T) {
 	g := newGroup(3)
 	a, b := g.processes[1], g.processes[2]
@@ -89,7 +90,7 @@
 	g.checkAll(t, -1)
 }
 
-// TestRepeatedLimitApplies checks that a limit applies at all processes for as long as one process sees it.
+// TestRepeatedLimitApplies checks that a limit applies at all processes for as long as one process sees it stated.
 func TestRepeatedLimitApplies(t *testing.T) {
 	g := newGroup(3)
 	for range 60 {
--- a/serverlimit/reading.go
+++ b/serverlimit/reading.go
@@ -8,7 +8,7 @@
 // A Kind says whether a response states a limit.
 type Kind int
 
-// The kinds of readings.
+// The kinds of limit headers.
 const (
 	// None means that the response states no limit, so the server has none.
 	None Kind = iota
--- a/serverlimit/rules.go
+++ b/serverlimit/rules.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// probeRate is the minimum rate sent to a server with a limit, even if the limit is 0, in requests per second.
-	// Only a response can tell that the limit has been removed.
+	// probeRate is the minimum rate of requests to a server with a limit, even if the limit is 0, in requests per
+	// second. Without requests there would be no response that removes the limit.
 	probeRate = 0.25
-	// burstTime is the time at the limit's rate whose requests may be sent at once, in addition to one request.
-	// Without it, a server would get less than its rate when requests arrive unevenly.
+	// burstTime sets the burst size: one request plus the requests of burstTime at the rate of the limit. Without
+	// a burst, a server would get less than its rate when requests arrive unevenly.
 	burstTime = 250 * time.Millisecond
 )
 
 const (
-	// minThrottledTime is how long a limit must have applied before adapters are loaded on other servers, so that a short
-	// limit moves none.
+	// minThrottledTime is how long a server must have had a limit before its adapters are loaded on other servers,
+	// so that short limits cause no loads.
 	minThrottledTime = 2 * time.Second
 	// requestDuration is the approximate time that a request occupies a slot of an engine.
 	requestDuration = 4 * time.Second
 )
 
-// IsInNeed reports whether a server has had a limit for at least minThrottledTime and the present limit is too low to keep a
-// number of slots busy.
+// IsInNeed reports whether a server has had a limit for at least minThrottledTime and the present limit is too low to
+// keep a number of slots busy.
 func IsInNeed(s Status, slots int) bool {
 	return s.Since >= minThrottledTime && s.PerSecond*requestDuration.Seconds() < float64(slots)
 }
--- a/serverlimit/table.go
+++ b/serverlimit/table.go
@@ -14,8 +14,9 @@
 	// limitTTL is how long a limit applies after the last response that states it. A server with a limit still
 	// gets requests (probeRate), so without responses for that long there is no demand for the server.
 	limitTTL = 30 * time.Second
-	// refreshInterval is the minimum time between two updates for a limit that a server states repeatedly without a
-	// change. It is well below limitTTL, but limits the messages when many servers have a limit.
+	// refreshInterval is the time after which a limit that a server states again without a change is sent to
+	// peers again. It is well below limitTTL, so that the limit does not expire at peers, and long enough to
+	// bound the number of messages when many servers have a limit.
 	refreshInterval = 5 * time.Second
 )
 
@@ -119,7 +120,7 @@
 // Observe processes the parsed limit header of a response of a server. sent is the time when the request was sent.
 func (t *Table) Observe(server string, r Reading, sent time.Time) {
 	if r.Kind == Unreadable || r.Kind == None && !t.Any() {
-		// The usual case, without a lock: the response states no limit and no server has one.
+		// An invalid header is ignored. Most responses state no limit while no server has one, and need no lock.
 		return
 	}
 	t.change(func(now time.Time) {
@@ -222,41 +223,41 @@
 	})
 }
 
-// set stores an update for a server and notes the change of its limit, if any. reportedAt is the time of the server's
+// set stores an update for a server and adds the change of its limit, if any. reportedAt is the time of the server's
 // response. t.mu must be held.
-func (t *Table) set(server string, w update, reportedAt, now time.Time, origin Origin) {
+func (t *Table) set(server string, u update, reportedAt, now time.Time, origin Origin) {
 	e := t.entries[server]
 	if e == nil {
 		e = &entry{}
 		t.entries[server] = e
 	}
-	if state, changed := e.transition(w); changed {
-		rate := w.perSecond
+	if state, changed := e.transition(u); changed {
+		rate := u.perSecond
 		if state == Ended {
 			rate = e.perSecond
 		}
 		t.addChange(Change{Server: server, State: state, Origin: origin, PerSecond: rate, Age: now.Sub(reportedAt)})
 	}
-	t.store(server, e, w, reportedAt, now)
+	t.store(server, e, u, reportedAt, now)
 }
 
 // store stores an update for a server. t.mu must be held.
-func (t *Table) store(server string, e *entry, w update, reportedAt, now time.Time) {
+func (t *Table) store(server string, e *entry, u update, reportedAt, now time.Time) {
 	switch {
-	case w.limited && !e.limited:
+	case u.limited && !e.limited:
 		e.limitedSince = now
 		t.limitCount.Add(1)
-	case !w.limited && e.limited:
+	case !u.limited && e.limited:
 		t.limitCount.Add(-1)
 	}
 	t.version++
-	e.update, e.version, e.receivedAt, e.reportedAt, e.updatedAt = w, t.version, now, reportedAt, now
+	e.update, e.version, e.receivedAt, e.reportedAt, e.updatedAt = u, t.version, now, reportedAt, now
 }
 
 // addChange keeps a change until the Table is unlocked. t.mu must be held.
 func (t *Table) addChange(c Change) { t.changes = append(t.changes, c) }
 
-// change calls f with the Table locked. Then, without the lock, it calls OnChange for the changes noted.
+// change calls f with the Table locked. Then, without the lock, it calls OnChange for the changes that f has added.
 func (t *Table) change(f func(now time.Time)) {
 	t.mu.Lock()
 	f(t.opts.Clock.Now())
--- a/serverlimit/table_test.go
+++ b/serverlimit/table_test.go
@@ -10,7 +10,7 @@
 	"rockcleat/serverlimit"
 )
 
-// Readings used by the tests.
+// Limit headers used by the tests.
 var (
 	none = serverlimit.Reading{Kind: serverlimit.None}
 	two  = serverlimit.Reading{Kind: serverlimit.Named, PerSecond: 2}
@@ -47,7 +47,7 @@
 	return -1
 }
 
-// An responseStep is one response of the server.
+// A responseStep is one response of the server.
 type responseStep struct {
 	// afterMs is the time since the previous response.
 	afterMs int
--- a/serverlimit/word.go
+++ b/serverlimit/word.go
@@ -1,6 +1,6 @@
 package serverlimit
 
-// A word is an update of a server's limit.
+// An update is one state of a server's limit, with its place in the sequence of states.
 type update struct {
 	// sequence is one above the sequence of the update that this one replaces.
 	sequence uint64
@@ -9,27 +9,27 @@
 	perSecond float64
 }
 
-// isNewerThan reports whether w replaces o. Of two updates with the same sequence, made by different processes, the
+// isNewerThan reports whether u replaces other. Of two updates with the same sequence, made by different processes, the
 // one with the lower limit replaces the other, and one with a limit replaces one without. The next response of the
 // server corrects the result if necessary.
-func (w update) isNewerThan(o update) bool {
-	if w.sequence != o.sequence {
-		return w.sequence > o.sequence
+func (u update) isNewerThan(other update) bool {
+	if u.sequence != other.sequence {
+		return u.sequence > other.sequence
 	}
-	if w.limited != o.limited {
-		return w.limited
+	if u.limited != other.limited {
+		return u.limited
 	}
-	return w.limited && w.perSecond < o.perSecond
+	return u.limited && u.perSecond < other.perSecond
 }
 
 // transition returns how the next update changes the limit; changed is false if the limit remains the same.
-func (w update) transition(next update) (s State, changed bool) {
+func (u update) transition(next update) (s State, changed bool) {
 	switch {
-	case next.limited && !w.limited:
+	case next.limited && !u.limited:
 		return Began, true
-	case !next.limited && w.limited:
+	case !next.limited && u.limited:
 		return Ended, true
-	case next.limited && next.perSecond != w.perSecond:
+	case next.limited && next.perSecond != u.perSecond:
 		return Changed, true
 	}
 	return "", false
