--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -14,101 +14,104 @@
 // Options configure a Table.
 type Options struct {
 	Clock clock.Service
-	// Ends is the number of servers after whose ends a request is in quarantine.
+	// Ends is the number of server instances that must crash with a request before it is quarantined.
 	Ends int
-	// Hold is how long a first quarantine lasts.
+	// Hold is the duration of the first quarantine of a request.
 	Hold time.Duration
-	// OnChange, if not nil, is called for each quarantine that begins or ends.
+	// OnChange, if not nil, is called for each quarantine that begins or ends, without a lock held.
 	OnChange func(Change)
 }
 
-// A State is what has become of a request's quarantine.
+// A State is the kind of a Change.
 type State string
 
 // The states.
 const (
-	// Began says that the request is in quarantine from now on.
+	// Began says that a quarantine has begun.
 	Began State = "began"
-	// Voided says that a run that went well, or an operator, has ended the quarantine.
+	// Voided says that a quarantine has ended because the request was cleared; see Table.Void.
 	Voided State = "voided"
-	// Over says that the quarantine's time is over.
+	// Over says that a quarantine has ended because its time has passed or its record was evicted from a full
+	// Table.
 	Over State = "over"
 )
 
-// A Change is the begin or the end of a quarantine.
+// A Change is the beginning or the end of a quarantine.
 type Change struct {
 	Key   Key
 	State State
-	// Servers are those that ended under copies of the request.
+	// Servers are the IDs of the server instances that have crashed with the request. It is set for Began only.
 	Servers []string
-	// Until is when the quarantine ends.
+	// Until is the time at which the quarantine ends. It is set for Began only.
 	Until time.Time
 }
 
-// A Table holds the requests under which servers have ended. It is safe for concurrent use.
+// A Table holds the requests with which servers have crashed. It is safe for concurrent use.
 type Table struct {
-	opts  Options
+	opts Options
+	// epoch identifies this Table to peers; it is never 0.
 	epoch uint32
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// version is the number of changes of entries.
 	version uint64
 	entries map[Key]*entry
-	// held are the requests whose quarantine has begun, as far as OnChange was called.
-	held map[Key]struct{}
-	// touched are the requests that the running change concerns.
-	touched []Key
-	// watchers are those of each request.
+	// quarantined are the requests in quarantine as of the last change.
+	quarantined map[Key]struct{}
+	// changed are the requests whose entries the current change has modified.
+	changed []Key
+	// watchers holds the watchers of each request.
 	watchers map[Key]map[*watcher]struct{}
 }
 
-// A watcher waits for a request to come into quarantine.
+// A watcher holds a callback of Watch. Its address identifies it, since functions are not comparable.
 type watcher struct{ f func() }
 
 // New returns an empty Table.
 func New(o Options) *Table {
 	return &Table{
-		opts: o, epoch: rand.Uint32() | 1, entries: make(map[Key]*entry), held: make(map[Key]struct{}),
+		opts: o, epoch: rand.Uint32() | 1, entries: make(map[Key]*entry), quarantined: make(map[Key]struct{}),
 		watchers: make(map[Key]map[*watcher]struct{}),
 	}
 }
 
-// Ended notes that a run of a server ended under requests.
+// Ended records that a server instance crashed while it ran requests.
 func (t *Table) Ended(server string, keys ...Key) {
 	t.change(func(now time.Time) {
 		for _, k := range keys {
 			e := t.entry(k)
 			if e.add(server, now) {
-				t.touch(k, e)
+				t.markChanged(k, e)
 			}
 		}
 	})
 }
 
-// Void makes the ends under a request count no more, for a run of it went well or an operator says so,
-// and reports whether there were any.
+// Void clears the crashes recorded for a request and reports whether there were any. It is called when the request
+// has completed successfully or when an operator ends its quarantine.
 func (t *Table) Void(k Key) (known bool) {
 	t.change(func(now time.Time) {
 		e := t.entries[k]
 		if known = e != nil && len(e.servers) > 0; known {
-			e.void(now)
-			t.touch(k, e)
+			e.clear(now)
+			t.markChanged(k, e)
 		}
 	})
 	return known
 }
 
-// Merge takes in records of another process or of an earlier life, and returns the table's version
-// before and after it.
+// Merge merges records of another process, or records that were stored before a restart. It returns the versions of
+// the table before and after it. Records that are too old are ignored.
 func (t *Table) Merge(records []Record) (before, after uint64) {
 	t.change(func(now time.Time) {
 		before = t.version
 		for _, r := range records {
 			at := now.Add(-time.Duration(r.AgeMs) * time.Millisecond)
-			if now.Sub(at) > memory(t.opts.Hold, len(r.Servers), t.opts.Ends) {
+			if now.Sub(at) > retentionTime(t.opts.Hold, len(r.Servers), t.opts.Ends) {
 				continue
 			}
 			if e := t.entry(r.Key); e.merge(r, at) {
-				t.touch(r.Key, e)
+				t.markChanged(r.Key, e)
 			}
 		}
 		after = t.version
@@ -116,14 +119,14 @@
 	return before, after
 }
 
-// Until returns until when a request is in quarantine, and whether it is.
+// Until returns the time at which the quarantine of a request ends, and whether the request is in quarantine.
 func (t *Table) Until(k Key) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.until(k, t.opts.Clock.Now())
 }
 
-// Ends returns how many servers have ended under copies of a request.
+// Ends returns the number of server instances that have crashed with a request.
 func (t *Table) Ends(k Key) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,7 +136,8 @@
 	return 0
 }
 
-// Watch calls f once when a request comes into quarantine, unless stop is called before.
+// Watch calls f once when a quarantine of a request begins, unless stop is called before. f is called without a
+// lock held.
 func (t *Table) Watch(k Key, f func()) (stop func()) {
 	w := &watcher{f: f}
 	t.mu.Lock()
@@ -152,23 +156,23 @@
 	}
 }
 
-// Expire forgets what is too old and ends quarantines whose time is over.
+// Expire removes records that are too old and ends quarantines whose time has passed.
 func (t *Table) Expire() { t.change(t.expire) }
 
-// Len returns the number of requests in quarantine and of those that are suspected.
+// Len returns the number of requests in quarantine and the number of the other requests in the table.
 func (t *Table) Len() (held, suspected int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.held), len(t.entries) - len(t.held)
+	return len(t.quarantined), len(t.entries) - len(t.quarantined)
 }
 
-// Held returns the requests in quarantine.
+// Held returns the records of the requests in quarantine, in no particular order.
 func (t *Table) Held() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.opts.Clock.Now()
 	var list []Record
-	for k := range t.held {
+	for k := range t.quarantined {
 		if e := t.entries[k]; e != nil {
 			list = append(list, e.record(k, now))
 		}
@@ -176,14 +180,14 @@
 	return list
 }
 
-// An Item is one request of a Table, for operators.
+// An Item describes one request of a Table for operators.
 type Item struct {
 	Record
-	// HeldMs is how much longer it is in quarantine, in milliseconds; 0 if it is not.
+	// HeldMs is the remaining time in quarantine, in milliseconds; 0 if the request is not in quarantine.
 	HeldMs int64 `json:"held_ms"`
 }
 
-// List returns the requests under which servers have ended, those with the most ends first.
+// List returns the requests with which servers have crashed, those with the most crashes first.
 func (t *Table) List() []Item {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,23 +209,24 @@
 	return list
 }
 
-// change changes the table and then tells of the quarantines that began or ended with it.
+// change calls f with the table locked. Then, without the lock, it calls the watchers and OnChange for the
+// quarantines that have begun or ended.
 func (t *Table) change(f func(now time.Time)) {
 	t.mu.Lock()
 	now := t.opts.Clock.Now()
-	t.touched = t.touched[:0]
+	t.changed = t.changed[:0]
 	f(now)
-	t.limit()
+	t.evictExcess()
 	changes := t.transitions(now)
-	var woken []*watcher
+	var watchers []*watcher
 	for _, c := range changes {
 		if c.State == Began {
-			woken = append(woken, slices.Collect(maps.Keys(t.watchers[c.Key]))...)
+			watchers = append(watchers, slices.Collect(maps.Keys(t.watchers[c.Key]))...)
 			delete(t.watchers, c.Key)
 		}
 	}
 	t.mu.Unlock()
-	for _, w := range woken {
+	for _, w := range watchers {
 		w.f()
 	}
 	if t.opts.OnChange == nil {
@@ -232,8 +237,7 @@
 	}
 }
 
-// entry returns the entry of a request, a new one if there is none. The table is locked, here and in
-// all that follows.
+// entry returns the entry of a request and creates it if there is none. t.mu must be held.
 func (t *Table) entry(k Key) *entry {
 	e := t.entries[k]
 	if e == nil {
@@ -243,38 +247,39 @@
 	return e
 }
 
-// touch notes that the entry of a request has changed.
-func (t *Table) touch(k Key, e *entry) {
+// markChanged marks the entry of a request as changed. t.mu must be held.
+func (t *Table) markChanged(k Key, e *entry) {
 	t.version++
 	e.version = t.version
-	t.touched = append(t.touched, k)
+	t.changed = append(t.changed, k)
 }
 
-// until returns when the quarantine of a request ends, and whether that is still to come.
+// until returns the time at which the quarantine of a request ends, and whether that is after now. t.mu must be
+// held.
 func (t *Table) until(k Key, now time.Time) (time.Time, bool) {
 	e := t.entries[k]
 	if e == nil || len(e.servers) < t.opts.Ends {
 		return time.Time{}, false
 	}
-	end := e.at.Add(holdTime(t.opts.Hold, len(e.servers), t.opts.Ends))
+	end := e.lastEvent.Add(quarantineTime(t.opts.Hold, len(e.servers), t.opts.Ends))
 	return end, now.Before(end)
 }
 
-// transitions notes which quarantines have begun or ended, and returns them.
+// transitions updates t.quarantined and returns the quarantines that have begun or ended. t.mu must be held.
 func (t *Table) transitions(now time.Time) []Change {
 	var list []Change
-	for _, k := range t.touched {
+	for _, k := range t.changed {
 		until, held := t.until(k, now)
-		if _, known := t.held[k]; held && !known {
+		if _, known := t.quarantined[k]; held && !known {
 			list = append(list, Change{Key: k, State: Began, Servers: slices.Clone(t.entries[k].servers), Until: until})
-			t.held[k] = struct{}{}
+			t.quarantined[k] = struct{}{}
 		}
 	}
-	for k := range t.held {
+	for k := range t.quarantined {
 		if _, held := t.until(k, now); held {
 			continue
 		}
-		delete(t.held, k)
+		delete(t.quarantined, k)
 		c := Change{Key: k, State: Voided}
 		if e := t.entries[k]; e == nil || len(e.servers) > 0 {
 			c.State = Over
@@ -284,25 +289,26 @@
 	return list
 }
 
-// expire forgets what is too old.
+// expire removes the entries that are too old. t.mu must be held.
 func (t *Table) expire(now time.Time) {
 	for k, e := range t.entries {
-		if now.Sub(e.at) > memory(t.opts.Hold, len(e.servers), t.opts.Ends) {
+		if now.Sub(e.lastEvent) > retentionTime(t.opts.Hold, len(e.servers), t.opts.Ends) {
 			delete(t.entries, k)
 		}
 	}
 }
 
-// limit forgets the requests with the fewest and oldest ends if there are too many.
-func (t *Table) limit() {
+// evictExcess reduces a table with more than maxRecords entries to recordsAfterEviction. Entries with the fewest
+// crashes, and among these the oldest, are removed first. t.mu must be held.
+func (t *Table) evictExcess() {
 	if len(t.entries) <= maxRecords {
 		return
 	}
 	keys := slices.SortedFunc(maps.Keys(t.entries), func(a, b Key) int {
 		x, y := t.entries[a], t.entries[b]
-		return cmp.Or(cmp.Compare(len(x.servers), len(y.servers)), x.at.Compare(y.at))
+		return cmp.Or(cmp.Compare(len(x.servers), len(y.servers)), x.lastEvent.Compare(y.lastEvent))
 	})
-	for _, k := range keys[:len(keys)-keptRecords] {
+	for _, k := range keys[:len(keys)-recordsAfterEviction] {
 		delete(t.entries, k)
 	}
 }
--- a/residency/forecast.go
+++ b/residency/forecast.go
@@ -2,22 +2,22 @@
 
 import "rockcleat/table"
 
-// successorShare is the part of a model's demand that the models right behind it in the list
-// are expected to get, if rises are known to follow the list.
-const successorShare = 0.9
+// forecastShare is the fraction of a model's demand that each of the models right behind it in the list is
+// expected to get, at a confidence of 1.
+const forecastShare = 0.9
 
-// Forecast returns the demands with what is expected to rise next: as far as the succession
-// shows that demand moves along the operators' list, the models behind a busy one get a part
-// of its demand in advance.
+// Forecast returns the expected demand of each model, by name. It is the measured demand or, if that is higher, the
+// demand of the models right before it in the operators' list, multiplied by forecastShare and by the confidence of s
+// that demand moves along the list. A nil s has confidence 0.
 //
-// While nothing has been asked for, the replicas that are there stand for demand.
+// While no model has demand, the number of replicas of each model beyond its first is used as its demand.
 func Forecast(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView, s *Succession) map[string]Demand {
 	measured := measuredDemand(spec, demands, engines)
-	share := successorShare * s.Confidence()
+	share := forecastShare * s.Confidence()
 	out := make(map[string]Demand, len(spec.Models))
 	for i, m := range spec.Models {
 		expected := 0.0
-		for j := max(i-successionReach, 0); j < i; j++ {
+		for j := max(i-sequenceWindow, 0); j < i; j++ {
 			expected += share * measured[j]
 		}
 		d := demands[m.Name]
@@ -27,14 +27,14 @@
 	return out
 }
 
-// measuredDemand returns the demand of each model in the order of the list, in tokens a
-// second, or the number of its spare replicas while nothing has been asked for.
+// measuredDemand returns the demand of each model in the order of the list, in tokens per second. While no
+// model has demand, it returns the number of replicas beyond the first of each.
 func measuredDemand(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView) []float64 {
 	measured := make([]float64, len(spec.Models))
 	for i, m := range spec.Models {
 		measured[i] = demands[m.Name].TokensPerSecond
 	}
-	if isAnyAsked(demands) {
+	if hasDemand(demands) {
 		return measured
 	}
 	for i, m := range spec.Models {
