--- a/backend/doc.go
+++ b/backend/doc.go
@@ -1,9 +1,10 @@
-// Package backend keeps what a process knows of the backend servers that it speaks to
-// directly: where they are, what engines hold and whether they are leaving. It also
-// declares the orders and reports of engines (EngineClient).
+// Package backend holds what a process knows about the backend servers that it calls directly:
+// their addresses, the models that their engines hold, and whether they are leaving. It also
+// declares the reports and orders of engines (EngineClient).
 //
-// A Registry owns that knowledge. It is filled from two sources: the platform's list, and,
-// for what engines hold, the leader, which knows it first; it relies on the caller to pass
-// both on with the time. Without the leader the list counts again after residencyMaxAge;
-// without the list the last one stands. Readers take immutable Snapshots.
+// A Registry owns that state and publishes it as immutable Snapshots. It has two sources: the
+// platform's list of servers, and the residency that the leader publishes, which is more current
+// than the list for the models that engines hold. The package relies on the caller to pass on both,
+// with the current time, and to call Expire. If the leader publishes nothing for residencyMaxAge,
+// the residents in the list are used again. If the list is unavailable, its last state is kept.
 package backend
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -10,61 +10,63 @@
 	Model, Name string
 }
 
-// ParseAdapter reads the form MODEL/NAME; without a slash the name is empty, which is the model
+// ParseAdapter parses the form MODEL/NAME. Without a slash the name is empty, which means the model
 // itself.
 func ParseAdapter(text string) Adapter {
 	model, name, _ := strings.Cut(text, "/")
 	return Adapter{Model: model, Name: name}
 }
 
-// A Report is an engine's report on itself; it may be some hundred milliseconds old.
+// A Report is an engine's report of its state. It may be some hundred milliseconds old.
 type Report struct {
-	// ServerID names the run that reports, as Server.ID does; empty if it does not say.
+	// ServerID identifies the run that the report is from, as Server.ID does; empty if not
+	// reported.
 	ServerID  string
 	Residents []Resident
 	// LoadingAdapters lists the adapters that are being loaded.
 	LoadingAdapters []Adapter
-	// OrderInProgress says that an order is being carried out.
+	// OrderInProgress reports whether an order is being carried out.
 	OrderInProgress bool
-	// Sequence is the number of orders that the engine has taken.
+	// Sequence is the number of orders that the engine has accepted.
 	Sequence int
-	// CachedInMemory and CachedOnDisk name the models whose weights its machine has cached.
+	// CachedInMemory and CachedOnDisk name the models whose weights the server's machine has
+	// cached.
 	CachedInMemory, CachedOnDisk []string
 }
 
-// An Order commands an engine to load or unload a model or, with Adapter, one of its
+// An Order commands an engine to load or unload a model or, if Adapter is set, one of the model's
 // adapters.
 type Order struct {
 	Unload         bool
 	Model, Adapter string
-	// Sequence is the number of orders that the engine is expected to have taken.
+	// Sequence is the number of orders that the engine is expected to have accepted.
 	Sequence int
 	// Fence is the fencing token of the leader that issues the order.
 	Fence int64
 }
 
-// An OrderOutcome is an engine's answer to an order.
+// An OrderOutcome is the outcome of sending an order to an engine.
 type OrderOutcome int
 
 // The outcomes of an order.
 const (
-	// OrderUnanswered says that no answer came: the order may be carried out later.
+	// OrderUnanswered means that no answer arrived: the order may be carried out later.
 	OrderUnanswered OrderOutcome = iota
-	// OrderAccepted says that the order is being carried out.
+	// OrderAccepted means that the order is being carried out.
 	OrderAccepted
-	// OrderAlreadyDone says that nothing is left to do.
+	// OrderAlreadyDone means that the engine is already in the ordered state.
 	OrderAlreadyDone
-	// OrderConflict says that another order is under way or the sequence differs.
+	// OrderConflict means that another order is in progress or the sequence does not match.
 	OrderConflict
-	// OrderFenced says that the engine has seen a higher fencing token.
+	// OrderFenced means that the engine has seen a higher fencing token.
 	OrderFenced
-	// OrderWrongServer says that another server has the address.
+	// OrderWrongServer means that another server now has the address.
 	OrderWrongServer
-	// OrderRejected says that the engine does not take such an order.
+	// OrderRejected means that the engine does not accept such an order.
 	OrderRejected
 )
 
-// String returns the outcome's name in logs.
+// String returns the name of the outcome in logs and metrics.
 func (o OrderOutcome) String() string {
 	names := map[OrderOutcome]string{
 		OrderUnanswered: "unknown", OrderAccepted: "taken", OrderAlreadyDone: "done", OrderConflict: "conflict",
@@ -75,8 +77,8 @@
 
 // An EngineClient calls engines.
 type EngineClient interface {
-	// Report reads an engine's report on itself.
+	// Report reads an engine's report.
 	Report(ctx context.Context, s *Server) (Report, error)
-	// Order sends one order, once; an error goes with OrderUnanswered and OrderRejected.
+	// Order sends an order once. The error is not nil only for OrderUnanswered and OrderRejected.
 	Order(ctx context.Context, s *Server, o Order) (OrderOutcome, error)
 }
--- a/backend/example_test.go
+++ b/backend/example_test.go
@@ -7,7 +7,7 @@
 	"rockcleat/backend"
 )
 
-// The registry keeps the servers of the platform's list; what it hands out does not change.
+// A Registry holds the servers of the platform's list. Its snapshots do not change.
 func ExampleRegistry() {
 	now := time.Unix(1000, 0)
 	var r backend.Registry
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -9,40 +9,41 @@
 	"time"
 )
 
-// residencyMaxAge is how long the leader's residency takes precedence over the platform's
-// list when no further one comes: a leader's lease lasts as long.
+// residencyMaxAge is how long the leader's residency takes precedence over the platform's list
+// after the last update. It equals the duration of the leader's lease.
 const residencyMaxAge = 3 * time.Second
 
-// vanishedTime is how long servers that vanished from the list together are kept: long
-// enough for a heartbeat (1.2 s) of those that live, and with the time in which changes are
-// noticed short enough for those that left.
+// vanishedTime is how long servers that vanished from the list together are kept. It is longer than
+// the interval of heartbeats (1.2 s), so that running servers are listed again, and short enough to
+// drop stopped servers in time.
 const vanishedTime = 1300 * time.Millisecond
 
-// A vanishedServer is no longer listed and never said that it leaves.
+// A vanishedServer was removed from the list without having announced that it leaves.
 type vanishedServer struct {
 	Server
 	since time.Time
 }
 
-// A Registry holds the known servers; its zero value is empty and ready to use. It is safe
-// for concurrent use.
+// A Registry holds the known servers. It is safe for concurrent use, and its zero value is empty
+// and ready to use.
 //
-// When more than half of a service's servers vanish from the list at about the same time,
-// the platform has lost its list, not the servers: they are kept for vanishedTime, in which
-// those that live are listed again.
+// If more than half of the servers of a service vanish from the list within vanishedTime, the
+// Registry assumes that the platform has lost its list and keeps them for that time. Servers that
+// still run are listed again meanwhile.
 type Registry struct {
 	mu sync.Mutex
-	// listed and vanished hold servers by their names.
+	// listed and vanished are keyed by Server.Name.
 	listed   map[string]Server
 	vanished map[string]vanishedServer
 	former   formerRuns
-	// residency was published by the leader and last came at residencyAt; nil without one.
+	// residency is the leader's residency by Server.ID, last updated at residencyAt; nil if
+	// unknown.
 	residency   map[string]Residency
 	residencyAt time.Time
 	snapshot    atomic.Pointer[Snapshot]
 }
 
-// Snapshot returns the servers as they are known now.
+// Snapshot returns the current state of the known servers. It does not lock.
 func (r *Registry) Snapshot() *Snapshot {
 	if s := r.snapshot.Load(); s != nil {
 		return s
@@ -50,7 +51,7 @@
 	return &Snapshot{}
 }
 
-// Replace sets the whole list as it is at a time and returns the servers that have restarted.
+// Replace sets the whole list as of now and returns the servers that have restarted.
 func (r *Registry) Replace(list []Server, now time.Time) []Restart {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +80,7 @@
 	return restarts
 }
 
-// previous returns the record of a name in a list, or the one that vanished from it lately.
+// previous returns the record of a server in listed or, if it vanished lately, the vanished record.
 func (r *Registry) previous(listed map[string]Server, name string) (Server, bool) {
 	if s, ok := listed[name]; ok {
 		return s, true
@@ -88,13 +89,13 @@
 	return v.Server, ok
 }
 
-// list sets the record of one server.
+// list sets the record of a server.
 func (r *Registry) list(s Server) {
 	r.listed[s.Name()] = s
 	delete(r.vanished, s.Name())
 }
 
-// noteVanished remembers a server that is no longer listed, unless it said that it leaves.
+// noteVanished records a server that is no longer listed, unless it announced that it leaves.
 func (r *Registry) noteVanished(s Server, now time.Time) {
 	if s.Leaving {
 		return
@@ -105,19 +106,18 @@
 	r.vanished[s.Name()] = vanishedServer{Server: s, since: now}
 }
 
-// A Change is a server that came or changed, or one that is no longer listed.
+// A Change is a new or changed record of a server, or its removal from the list.
 type Change struct {
 	Server
-	// Gone says that the server is no longer listed, Unusable that its record does not describe
-	// a server; only the server's name counts then.
+	// Gone reports that the server is no longer listed, Unusable that its record does not describe
+	// a server. If either is set, only the server's name is used.
 	Gone, Unusable bool
 }
 
-// removes reports whether no server is listed under the name any more.
+// removes reports whether the change removes the server.
 func (c *Change) removes() bool { return c.Gone || c.Unusable }
 
-// Apply applies changes of the list at a time, in their order, and returns the servers that have
-// restarted.
+// Apply applies changes of the list in order and returns the servers that have restarted.
 func (r *Registry) Apply(changes []Change, now time.Time) []Restart {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,8 +148,8 @@
 	return restarts
 }
 
-// remove takes a server off the list. One whose record became unusable is not kept for
-// vanishedTime: the platform has not lost it.
+// remove removes a server from the list. A server with an unusable record is not kept for
+// vanishedTime, since the platform still lists it.
 func (r *Registry) remove(c Change, now time.Time) {
 	old, known := r.listed[c.Name()]
 	if known && c.Gone {
@@ -161,22 +161,22 @@
 	delete(r.listed, c.Name())
 }
 
-// isVisible reports whether a server's new record shows in a snapshot: what it holds does
-// not while the leader's residency of it is known.
+// isVisible reports whether a new record of a server changes the snapshot. While the leader's
+// residency is known for the server, only its Listing does.
 func (r *Registry) isVisible(old, s Server) bool {
 	_, known := r.residency[s.ID]
 	return !known || old.Listing() != s.Listing()
 }
 
-// Update sets one server at a time.
+// Update sets the record of one server.
 func (r *Registry) Update(s Server, now time.Time) { r.Apply([]Change{{Server: s}}, now) }
 
-// Remove notes that a server is no longer listed at a time.
+// Remove records that the server is no longer listed under the name id.
 func (r *Registry) Remove(id string, now time.Time) {
 	r.Apply([]Change{{Server: Server{ID: id}, Gone: true}}, now)
 }
 
-// SetResidency sets the residency of all engines, as the leader published it, at a time.
+// SetResidency replaces the leader's residency of all engines.
 func (r *Registry) SetResidency(all map[string]Residency, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,7 +184,8 @@
 	r.rebuild(now)
 }
 
-// MergeResidency applies what has changed in the leader's residency at a time.
+// MergeResidency updates the leader's residency of the given engines. An empty update confirms that
+// the rest is current.
 func (r *Registry) MergeResidency(changed map[string]Residency, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,7 +200,7 @@
 	r.rebuild(now)
 }
 
-// IsPublished reports whether the leader publishes what a server's engine holds.
+// IsPublished reports whether the leader's residency is known for a server.
 func (r *Registry) IsPublished(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -207,16 +208,16 @@
 	return known
 }
 
-// HasResidency reports whether a leader's residency is known; after it was forgotten all of
-// it must be asked for again.
+// HasResidency reports whether the leader's residency is known. If it is not, the caller must
+// request all of it.
 func (r *Registry) HasResidency() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.residency != nil
 }
 
-// Expire forgets what is too old: the residency of a leader that has not published for long,
-// and vanished servers. It reports whether anything has changed.
+// Expire drops the leader's residency after residencyMaxAge without an update, and vanished servers
+// after vanishedTime. It reports whether anything has changed.
 func (r *Registry) Expire(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -237,8 +238,7 @@
 	return changed
 }
 
-// retained returns the vanished servers of services that have lost more than half of their
-// servers.
+// retained returns the vanished servers of services that have lost more than half of their servers.
 func (r *Registry) retained(now time.Time) []Server {
 	if len(r.vanished) == 0 {
 		return nil
@@ -259,7 +259,7 @@
 	return list
 }
 
-// rebuild makes a new snapshot.
+// rebuild publishes a new snapshot. r.mu must be held.
 func (r *Registry) rebuild(now time.Time) {
 	all := r.retained(now)
 	for _, s := range r.listed {
--- a/backend/restart.go
+++ b/backend/restart.go
@@ -1,25 +1,25 @@
 package backend
 
-// A Restart is a server of which the platform lists another run than before.
+// A Restart reports that the platform lists another run of a server than before.
 type Restart struct {
-	// Former is the run that is over, Now the one that is listed.
+	// Former is the run that has ended, Now the one that is listed.
 	Former, Now Server
 }
 
-// formerRuns holds the runs that are known to be over. Runs have no order that could be trusted: a
-// server that restarts while its clock is set back has an earlier start than before. So a run that
-// has been followed by another one never counts again, whoever still names it: a list that was read
-// before, a late report or another gateway.
+// formerRuns holds the runs of servers that have ended. Runs cannot be ordered by their start
+// times, since a server may restart while its clock is set back. A run that was followed by another
+// one is therefore ignored for good, whatever the source: a list read earlier, a late report or
+// another gateway.
 //
-// Its zero value is empty.
+// The zero value is empty.
 type formerRuns struct {
 	byName map[string]map[string]bool
 }
 
-// isOver reports whether the run that a record names is over.
+// isOver reports whether the run in a record has ended.
 func (f *formerRuns) isOver(s Server) bool { return f.byName[s.Name()][s.ID] }
 
-// end notes that a run is over since another one is listed.
+// end records that the former run has ended.
 func (f *formerRuns) end(former, now Server) Restart {
 	if f.byName == nil {
 		f.byName = make(map[string]map[string]bool)
@@ -33,9 +33,9 @@
 	return Restart{Former: former, Now: now}
 }
 
-// withoutUnstarted leaves out the servers that do not name their start, if most servers do: such a
-// record was not written by a server. Where most do not, the platform does not tell it. It returns
-// the names of those that it leaves out.
+// withoutUnstarted removes servers without an Instance if fewer than half of the servers lack one:
+// such a record was not written by a server. Otherwise the platform does not report it, and all are
+// kept. It returns the names of the servers that it removed.
 func withoutUnstarted(list []Server) (started []Server, unstarted []string) {
 	n := 0
 	for i := range list {
--- a/backend/restart_test.go
+++ b/backend/restart_test.go
@@ -9,13 +9,13 @@
 	"rockcleat/backend"
 )
 
-// run returns the record of a run of the server "s".
+// run returns the record of a run of the server s.
 func run(id string) backend.Server {
 	return backend.Server{ID: id, Instance: "s", Service: "llm", Residents: []backend.Resident{{Model: "of " + id}}}
 }
 
-// TestRestart checks that another run of a server takes the place of the former one, and that
-// nothing brings that one back, whichever started later by its clock.
+// TestRestart checks that a new run of a server replaces the former one, which then never returns,
+// whatever the order of their start times.
 func TestRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	update := func(id string) func(r *backend.Registry) []backend.Restart {
@@ -69,8 +69,8 @@
 	return list
 }
 
-// TestUnusableRecord checks that a record which describes no server takes only that server away, at
-// once and also when most records become so together, and that it is back when its record is mended.
+// TestUnusableRecord checks that an unusable record removes only its server, at once even if most
+// records become unusable together, and that a valid record brings the server back.
 func TestUnusableRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r backend.Registry
@@ -87,8 +87,8 @@
 	assert.Equal(t, r.Snapshot().Len(), 2)
 }
 
-// TestServersWithoutAStart checks that records which do not name their start are not used where
-// most do, and are where most do not.
+// TestServersWithoutAStart checks that servers without an Instance are removed if most servers have
+// one, and kept otherwise.
 func TestServersWithoutAStart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	started := func(name string) backend.Server {
--- a/backend/server.go
+++ b/backend/server.go
@@ -2,45 +2,46 @@
 
 import "slices"
 
-// A Resident is a model that an engine holds, with its adapters.
+// A Resident is a model that an engine holds, with the adapters that it holds for the model.
 type Resident struct {
 	Model    string   `json:"m"`
 	Version  int      `json:"v,omitempty"`
 	Adapters []string `json:"a,omitempty"`
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (r Resident) Clone() Resident {
 	r.Adapters = slices.Clone(r.Adapters)
 	return r
 }
 
-// Has reports whether the adapter is there; the empty name is the model itself.
+// Has reports whether the adapter is loaded. The empty name means the model itself.
 func (r Resident) Has(adapter string) bool {
 	return adapter == "" || slices.Contains(r.Adapters, adapter)
 }
 
 // A Server describes one run of a backend server.
 type Server struct {
-	// ID names this run; a restarted server has another.
+	// ID identifies the run. A restarted server has a new ID.
 	ID string
-	// Instance is the name that the platform lists the server under, which a restarted server may
-	// keep; empty if that is ID.
+	// Instance is the name that the platform lists the server under, which stays the same after a
+	// restart; empty if the name is ID.
 	Instance string
 	Service  string
 	Addr     string
 	Hall     string
-	// Slots is the number of requests it works on at once.
+	// Slots is the number of requests that the server processes concurrently.
 	Slots int
-	// Leaving says that it takes no new requests.
+	// Leaving reports that the server accepts no new requests.
 	Leaving   bool
 	Residents []Resident
-	// CachedInMemory and CachedOnDisk name the models whose weights its machine has cached.
+	// CachedInMemory and CachedOnDisk name the models whose weights the server's machine has
+	// cached.
 	CachedInMemory, CachedOnDisk []string
 }
 
-// Name returns the name that the platform lists the server under. Requests and orders are
-// addressed to it; what is known of a server is kept by its ID.
+// Name returns the name that the platform lists the server under. Requests and orders are addressed
+// by it; state about a server is kept by its ID.
 func (s *Server) Name() string {
 	if s.Instance == "" {
 		return s.ID
@@ -48,20 +49,20 @@
 	return s.Instance
 }
 
-// A Listing is what the platform's list says of a server, but for what its engine holds: the
-// leader knows that better and publishes it.
+// A Listing is the part of a server's record that only the platform's list provides. It omits the
+// residents, for which the leader's residency is more current.
 type Listing struct {
 	ID, Service, Addr, Hall string
 	Slots                   int
 	Leaving                 bool
 }
 
-// Listing returns the server's part that only the platform's list says.
+// Listing returns the part of the server's record that only the platform's list provides.
 func (s *Server) Listing() Listing {
 	return Listing{ID: s.ID, Service: s.Service, Addr: s.Addr, Hall: s.Hall, Slots: s.Slots, Leaving: s.Leaving}
 }
 
-// Holds reports whether the server has a model and adapter ready.
+// Holds reports whether the server has a model loaded and, unless it is empty, the adapter.
 func (s *Server) Holds(model, adapter string) bool {
 	for _, r := range s.Residents {
 		if r.Model == model {
@@ -71,12 +72,12 @@
 	return false
 }
 
-// A Residency lists what an engine holds, as the leader publishes it.
+// A Residency lists the models that an engine holds, as published by the leader.
 type Residency struct {
 	Residents []Resident `json:"r"`
 }
 
-// A Snapshot is the state of a Registry at one moment; it is not to be changed.
+// A Snapshot is the state of a Registry at one time. It must not be modified.
 type Snapshot struct {
 	servers   map[string]*Server
 	byService map[string][]*Server
@@ -84,14 +85,14 @@
 	unstarted []string
 }
 
-// Unstarted returns the names of the servers that are left out since their records do not name
-// their start, while those of most servers do.
+// Unstarted returns the names of the servers that are left out because their records have no
+// Instance while those of most servers have one.
 func (s *Snapshot) Unstarted() []string { return s.unstarted }
 
-// A modelKey names a model of one service.
+// A modelKey identifies a model of a service.
 type modelKey struct{ service, model string }
 
-// newSnapshot returns a snapshot of servers that are in the order of their ids.
+// newSnapshot returns a snapshot of servers that are sorted by ID.
 func newSnapshot(list []Server) *Snapshot {
 	s := &Snapshot{
 		servers: make(map[string]*Server, len(list)), byService: make(map[string][]*Server),
@@ -109,17 +110,17 @@
 	return s
 }
 
-// Server returns a server by its id.
+// Server returns the server with an ID.
 func (s *Snapshot) Server(id string) (*Server, bool) {
 	srv, ok := s.servers[id]
 	return srv, ok
 }
 
-// Service returns the servers of a service in the order of their ids.
+// Service returns the servers of a service, sorted by ID.
 func (s *Snapshot) Service(name string) []*Server { return s.byService[name] }
 
-// Holding returns the servers of a service that hold a model, in the order of their ids;
-// all of them for the empty name.
+// Holding returns the servers of a service that hold a model, sorted by ID. The empty model matches
+// all servers.
 func (s *Snapshot) Holding(service, model string) []*Server {
 	if model == "" {
 		return s.byService[service]
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// A Service tells the time and makes calls at their times.
+// A Service tells the time and calls functions at later times.
 type Service interface {
 	// Now returns the current time.
 	Now() time.Time
-	// Subscribe calls f every interval until the returned stop function is called.
-	// Calls of one subscription never overlap; a tick that would is dropped.
+	// Subscribe calls f every interval until the returned stop function is called. Calls of one
+	// subscription never overlap; a tick during a call is delayed or dropped.
 	Subscribe(interval time.Duration, f func(now time.Time)) (stop func())
-	// AfterFunc calls f once, after d, unless the timer is stopped before.
+	// AfterFunc calls f once after d, unless the timer is stopped first.
 	AfterFunc(d time.Duration, f func()) Timer
 }
 
-// A Timer is one call that AfterFunc has scheduled.
+// A Timer is a call scheduled by AfterFunc.
 type Timer interface {
-	// Stop cancels the call and reports whether it was still to come.
+	// Stop cancels the call and reports whether it was pending.
 	Stop() bool
-	// Reset schedules the call anew, after d from now, and reports whether it was still to come.
+	// Reset schedules the call for d from now and reports whether it was pending.
 	Reset(d time.Duration) bool
 }
 
-// Sleep waits for d, or until ctx ends; it returns at once if d is not above 0.
+// Sleep waits for d or until ctx ends. It returns at once if d is not positive.
 func Sleep(ctx context.Context, s Service, d time.Duration) { Await(ctx, s, nil, d) }
 
-// Await waits until a channel can be received from or is closed, for at most d and
-// until ctx ends; it returns at once if d is not above 0.
+// Await waits until c can be received from, for at most d and until ctx ends. It returns at once if
+// d is not positive.
 func Await(ctx context.Context, s Service, c <-chan struct{}, d time.Duration) {
 	if d <= 0 {
 		return
@@ -44,8 +44,8 @@
 	}
 }
 
-// WithDeadline returns a context that ends at a time of a Service, with context.DeadlineExceeded as its
-// cause, or when cancel is called.
+// WithDeadline returns a context that ends at time t of s, with context.DeadlineExceeded as its
+// cause, or when the returned function is called with a cause.
 func WithDeadline(ctx context.Context, s Service, t time.Time) (context.Context, context.CancelCauseFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := s.AfterFunc(t.Sub(s.Now()), func() { cancel(context.DeadlineExceeded) })
@@ -55,12 +55,13 @@
 	}
 }
 
-// SystemDeadline returns the time that is d from now, as package net and contexts measure: for deadlines
-// that they keep themselves. They do not count the time in which the machine is suspended, in which
-// nothing can be read or written either.
+// SystemDeadline returns the time d from now on the monotonic clock of the kernel, for deadlines
+// that package net and contexts keep themselves. It does not count suspension of the machine,
+// during which no data is transferred either.
 func SystemDeadline(d time.Duration) time.Time { return time.Now().Add(d) }
 
-// EachInterval calls f on each tick of the steady clock in one goroutine until stop returns.
+// EachInterval calls f on each tick of the monotonic clock, in one goroutine. The returned function
+// stops it and waits for a call in progress.
 func EachInterval(interval time.Duration, f func()) (stop func()) {
 	ticker := time.NewTicker(interval)
 	done := make(chan struct{})
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -17,7 +17,7 @@
 	cancel()
 	tests := map[string]struct {
 		ctx context.Context
-		// ready and silent say that a channel is waited for as well, closed or not.
+		// ready adds a closed channel, silent an open one; otherwise the channel is nil.
 		ready, silent bool
 		d, want       time.Duration
 	}{
--- a/clock/clocktest/clock.go
+++ b/clock/clocktest/clock.go
@@ -1,5 +1,4 @@
-// Package clocktest provides a clock.Service for tests, whose time moves only when a
-// test says so.
+// Package clocktest provides implementations of clock.Service and clock.Source for tests.
 package clocktest
 
 import (
@@ -9,15 +8,15 @@
 	"rockcleat/clock"
 )
 
-// A Clock is a clock.Service whose time moves only when Advance is called.
+// A Clock is a clock.Service whose time changes only when Advance is called. It is safe for
+// concurrent use.
 type Clock struct {
 	mu    sync.Mutex
 	now   time.Time
 	calls map[*call]struct{}
 }
 
-// A call is a function to be called at a time, and again after each interval if that
-// is not 0.
+// A call is a function scheduled at a time, and again after each interval if that is not 0.
 type call struct {
 	clock    *Clock
 	next     time.Time
@@ -37,14 +36,14 @@
 	return c.now
 }
 
-// Subscribe registers f to be called by Advance.
+// Subscribe implements clock.Service. Advance calls f.
 func (c *Clock) Subscribe(interval time.Duration, f func(now time.Time)) (stop func()) {
 	s := &call{clock: c, interval: interval, f: f}
 	s.Reset(interval)
 	return func() { s.Stop() }
 }
 
-// AfterFunc registers f to be called once by Advance.
+// AfterFunc implements clock.Service. Advance calls f.
 func (c *Clock) AfterFunc(d time.Duration, f func()) clock.Timer {
 	s := &call{clock: c, f: func(time.Time) { f() }}
 	s.Reset(d)
@@ -70,8 +69,8 @@
 	return pending
 }
 
-// Advance moves the time by d and makes, in the caller's goroutine, every call whose
-// time has come, those of a subscription once for each tick passed.
+// Advance moves the time forward by d and makes every call that is due, in the caller's goroutine
+// and in order of time. A subscription is called once for each tick.
 func (c *Clock) Advance(d time.Duration) {
 	c.mu.Lock()
 	end := c.now.Add(d)
@@ -88,8 +87,8 @@
 	c.mu.Unlock()
 }
 
-// dueBefore returns the earliest call up to end, moves the clock to its time and
-// schedules the next call of its subscription.
+// dueBefore returns the earliest call due at end or before, and its time. It sets the clock to that
+// time and schedules the next tick of a subscription.
 func (c *Clock) dueBefore(end time.Time) (*call, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/clock/clocktest/machine.go
+++ b/clock/clocktest/machine.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A Machine is a clock.Source on the real clocks of a machine that a test suspends. It is safe for
-// concurrent use.
+// A Machine is a clock.Source on the machine's own clocks with simulated suspensions. It is safe
+// for concurrent use.
 type Machine struct {
 	start time.Time
 
@@ -14,10 +14,10 @@
 	suspended time.Duration
 }
 
-// NewMachine returns a Machine that was never suspended.
+// NewMachine returns a Machine without suspensions.
 func NewMachine() *Machine { return &Machine{start: time.Now()} }
 
-// Suspend makes it as if the machine had been suspended for d up to now: the boot clock has gone on.
+// Suspend simulates a suspension of length d that ends now, by advancing the boot clock.
 func (m *Machine) Suspend(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/clock/clocktest/real.go
+++ b/clock/clocktest/real.go
@@ -6,10 +6,8 @@
 	"rockcleat/clock"
 )
 
-// Real is a clock.Service on the machine's steady clock, which stands still while the machine is
-// suspended; programs use a clock.System.
-//
-// Its zero value is ready to use.
+// Real is a clock.Service on the kernel's monotonic clock, which stops while the machine is
+// suspended. Programs use a clock.System. The zero value is ready to use.
 type Real struct{}
 
 // Now implements clock.Service.
--- a/clock/system.go
+++ b/clock/system.go
@@ -8,51 +8,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// Noticing that the machine was suspended.
+// Detection of suspensions.
 const (
-	// lookInterval is the time between two looks at the boot clock.
+	// lookInterval is the maximum age of a reading of the boot clock when Now is called.
 	lookInterval = 250 * time.Millisecond
-	// clockStep is the change between the time of day and the steady clock at which the boot clock is
-	// looked at at once: the time of day counts a suspension, or it was set.
+	// clockStep is the change of the wall clock relative to the monotonic clock beyond which the
+	// boot clock is read immediately: the machine was suspended, or the wall clock was set.
 	clockStep = 5 * time.Millisecond
-	// minSuspension is the least suspension that counts: less cannot be told from the time that the look
-	// takes.
+	// minSuspension is the shortest suspension that is counted. A shorter one cannot be
+	// distinguished from the time between two clock readings.
 	minSuspension = 5 * time.Millisecond
 )
 
-// A System is a Service on the machine's clock whose time goes on while the machine is suspended.
+// A System is a Service on the machine's clocks whose time continues while the machine is
+// suspended.
 //
-// The steady clock of the kernel, by which package time measures and on which its timers run, stands
-// still then: a lease, a view of the store or a caller's deadline would be older than they look by the
-// whole suspension. To the parts of a process a suspension looks like a pause of the process, for which
-// they are made: at the first call of Now after it, time has gone on and the calls that are overdue are
-// made. Deadlines that package net or a context keeps by itself do not count it; SystemDeadline gives
-// times for those.
-//
-// Now takes 79 ns where time.Now takes 64, the look at the boot clock 0.32 µs four times a second
-// (BenchmarkNow).
+// The monotonic clock of the kernel, which package time and its timers use, stops during a
+// suspension. The age of a lease or of cached data would then be too low by the length of the
+// suspension, and a deadline would come too late. To the rest of the program, a suspension looks
+// like a pause of the process: at the first call of Now after it, the time has advanced and overdue
+// timers fire. Deadlines that package net or a context keeps itself do not count suspensions; see
+// SystemDeadline.
 type System struct {
 	source Source
 	start  time.Time
-	// bootStart is the boot clock at start.
+	// bootStart is the reading of the boot clock at start.
 	bootStart time.Duration
-	// skipped is the time in suspension since start, drift that by which the time of day was ahead of
-	// the steady clock at the last look, looked when that was on the steady clock, all in nanoseconds.
+	// skipped is the time suspended since start, and drift is the advance of the wall clock over
+	// the monotonic clock since start, as of the last reading of the boot clock. looked is the
+	// monotonic time of that reading since start. All are in nanoseconds.
 	skipped, drift, looked atomic.Int64
 
 	mu     sync.Mutex
 	timers map[*systemTimer]struct{}
 }
 
-// A Source is where a System reads the machine's clocks.
+// A Source reads the clocks of a machine.
 type Source interface {
-	// Now returns the time of day with the reading of the steady clock.
+	// Now returns the wall clock with a monotonic reading.
 	Now() time.Time
-	// Boot returns the time since the machine's start, with suspensions.
+	// Boot returns the time since the machine was started, including suspensions.
 	Boot() (time.Duration, error)
 }
 
-// machine reads the machine's own clocks.
+// machine is the Source of the machine's own clocks.
 type machine struct{}
 
 // Now implements Source.
@@ -65,23 +64,23 @@
 	return time.Duration(t.Nano()), err
 }
 
-// NewSystem returns a System that begins to count suspensions now.
+// NewSystem returns a System on the machine's clocks that counts suspensions from now on.
 func NewSystem() *System { return NewSystemFrom(machine{}) }
 
-// NewSystemFrom returns a System on other clocks than the machine's own.
+// NewSystemFrom returns a System on the clocks of s.
 func NewSystemFrom(s Source) *System {
 	c := &System{source: s, timers: make(map[*systemTimer]struct{})}
 	boot, err := s.Boot()
 	if err != nil {
-		// Without a boot clock there is nothing to count suspensions with.
+		// Without a boot clock no suspension is counted.
 		boot = 0
 	}
 	c.start, c.bootStart = s.Now(), boot
 	return c
 }
 
-// Now returns the machine's time with a monotonic reading that counts suspensions. Its time of day is
-// that of the start and what has passed since: setting the machine's clock does not move it.
+// Now returns a time with a monotonic reading that counts suspensions. Its time of day is the start
+// time plus the time passed since, so that setting the machine's clock does not change it.
 func (s *System) Now() time.Time {
 	now := s.source.Now()
 	steady := now.Sub(s.start)
@@ -91,19 +90,20 @@
 	return s.start.Add(steady + time.Duration(s.skipped.Load()))
 }
 
-// isLookDue reports whether the boot clock should be looked at.
+// isLookDue reports whether the boot clock should be read.
 func (s *System) isLookDue(now time.Time, steady time.Duration) bool {
 	moved := s.driftOf(now, steady) - time.Duration(s.drift.Load())
 	return moved.Abs() > clockStep || steady-time.Duration(s.looked.Load()) > lookInterval
 }
 
-// driftOf returns by how much the time of day is ahead of the steady clock, since the start.
+// driftOf returns the advance of the wall clock over the monotonic clock since start.
 func (s *System) driftOf(now time.Time, steady time.Duration) time.Duration {
 	return time.Duration(now.UnixNano()-s.start.UnixNano()) - steady
 }
 
-// look compares the boot clock with the steady one. The steady clock is read last, so that a pause
-// between the two readings makes a suspension look shorter, never longer; the next look corrects that.
+// look reads the boot clock and updates the time suspended. It reads the monotonic clock last: a
+// pause between the two readings makes a suspension look shorter, never longer, and the next
+// reading corrects that.
 func (s *System) look() {
 	boot, err := s.source.Boot()
 	now := s.source.Now()
@@ -126,7 +126,7 @@
 	}
 }
 
-// Subscribe implements Service. A tick is not made up for after a suspension.
+// Subscribe implements Service. Ticks missed during a suspension are not made up for.
 func (s *System) Subscribe(interval time.Duration, f func(now time.Time)) (stop func()) {
 	return EachInterval(interval, func() { f(s.Now()) })
 }
@@ -141,7 +141,7 @@
 	return t
 }
 
-// A systemTimer is one call that a System makes later. It is guarded by the System's lock.
+// A systemTimer is a Timer of a System. It is guarded by the mu of its System.
 type systemTimer struct {
 	clock *System
 	f     func()
@@ -149,7 +149,7 @@
 	timer *time.Timer
 }
 
-// fire makes the call.
+// fire removes the timer from its System and calls f.
 func (t *systemTimer) fire() {
 	t.clock.mu.Lock()
 	delete(t.clock.timers, t)
@@ -175,7 +175,7 @@
 	return t.timer.Reset(d)
 }
 
-// rearm schedules a call anew that is still to come, as seen after a suspension.
+// rearm reschedules a pending call after a suspension. The System's mu must be held.
 func (t *systemTimer) rearm(now time.Time) {
 	if t.timer.Stop() {
 		t.timer.Reset(max(t.at.Sub(now), 0))
--- a/clock/system_test.go
+++ b/clock/system_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// A sleepyMachine is a source whose clocks a test moves.
+// A sleepyMachine is a Source whose clocks a test advances.
 type sleepyMachine struct {
 	mu   sync.Mutex
 	now  time.Time
 	boot time.Duration
-	// looks counts the readings of the boot clock.
+	// looks is the number of readings of the boot clock.
 	looks int
 	err   error
 }
@@ -37,7 +37,7 @@
 	return m.boot, m.err
 }
 
-// run lets time pass on all clocks.
+// run advances all clocks.
 func (m *sleepyMachine) run(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,8 +45,8 @@
 	m.boot += d
 }
 
-// suspend lets time pass on all clocks but the steady one: both readings of a time.Time move together,
-// so that the test leaves the time of day to set.
+// suspend advances the boot clock only. The wall clock should advance too, but a time.Time cannot
+// be moved without its monotonic reading.
 func (m *sleepyMachine) suspend(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestSystemAddsUpSuspensions suspends a machine again and again: no time is counted twice or lost.
+// TestSystemAddsUpSuspensions checks that repeated suspensions are each counted exactly once.
 func TestSystemAddsUpSuspensions(t *testing.T) {
 	m := newSleepyMachine()
 	c := NewSystemFrom(m)
@@ -94,7 +94,7 @@
 	assert.Equal(t, c.Now().Sub(start), 21*time.Second)
 }
 
-// TestSystemLooksSeldom checks how often the boot clock is read while nothing happens.
+// TestSystemLooksSeldom bounds the readings of the boot clock without suspensions.
 func TestSystemLooksSeldom(t *testing.T) {
 	m := newSleepyMachine()
 	c := NewSystemFrom(m)
@@ -106,8 +106,8 @@
 	assert.Assert(t, m.looks <= 4, "%d readings in a second", m.looks)
 }
 
-// TestSystemNoticesBySetTime sets the time of day, as a suspension moves it: the boot clock is looked at
-// at once, and the time that the System tells does not move.
+// TestSystemNoticesBySetTime changes the wall clock relative to the monotonic one: the boot clock
+// must be read immediately, and the System's time must not change.
 func TestSystemNoticesBySetTime(t *testing.T) {
 	c := NewSystem()
 	start := c.Now()
@@ -120,16 +120,17 @@
 	assert.Assert(t, !c.isLookDue(time.Now(), time.Since(c.start)))
 }
 
-// TestSystemCallsWhatIsOverdue suspends a machine beyond the time of one call and not of another.
+// TestSystemCallsWhatIsOverdue checks that a suspension fires the timers that it made overdue, and
+// no others.
 func TestSystemCallsWhatIsOverdue(t *testing.T) {
 	m := newSleepyMachine()
 	c := NewSystemFrom(m)
 	due := make(chan struct{})
 	c.AfterFunc(time.Minute, func() { close(due) })
-	later := c.AfterFunc(time.Hour, func() { t.Error("not due yet") })
-	stopped := c.AfterFunc(time.Minute, func() { t.Error("it was stopped") })
+	later := c.AfterFunc(time.Hour, func() { t.Error("timer fired before it was due") })
+	stopped := c.AfterFunc(time.Minute, func() { t.Error("stopped timer fired") })
 	assert.Assert(t, stopped.Stop())
-	moved := c.AfterFunc(time.Minute, func() { t.Error("it was moved") })
+	moved := c.AfterFunc(time.Minute, func() { t.Error("reset timer fired at its former time") })
 	assert.Assert(t, moved.Reset(time.Hour))
 	ctx, cancel := WithDeadline(t.Context(), c, c.Now().Add(30*time.Second))
 	defer cancel(nil)
@@ -144,8 +145,7 @@
 	assert.Equal(t, len(c.timers), 0)
 }
 
-// BenchmarkNow states what the time costs: 64 ns before, of the steady clock alone, 79 ns with
-// suspensions counted; the look at the boot clock takes 0.32 µs.
+// BenchmarkNow compares System.Now with time.Now and measures a reading of the boot clock.
 func BenchmarkNow(b *testing.B) {
 	b.Run("steady", func(b *testing.B) {
 		for b.Loop() {
--- a/kv/fanout.go
+++ b/kv/fanout.go
@@ -43,7 +43,7 @@
 
 	mu   sync.Mutex
 	logs map[string]*changeLog
-	// changed is closed and replaced when any log changes.
+	// changed is the channel that Changed returns.
 	changed chan struct{}
 }
 
@@ -144,7 +144,8 @@
 	return false
 }
 
-// Changed returns a channel that is closed when any log changes or is confirmed as current.
+// Changed returns a channel that is closed when a list, a watch or a forwarded batch updates a log
+// or confirms it as current, and by Recheck. MarkCurrent does not close it.
 func (f *Fanout) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -10,20 +10,21 @@
 	"rockcleat/kv"
 )
 
-// Pace of a campaign.
+// Timing of Campaign.
 const (
-	// renewalsPerTTL is how often a held lease is renewed in its ttl, so that one or two
-	// renewals may fail.
+	// renewalsPerTTL is the number of renewals of a held lease per TTL, so that one or two of them
+	// may fail.
 	renewalsPerTTL = 3
-	// watchRound is how long one watch of another's lease waits: the cost of waiting is
-	// one call to the service in that time.
+	// watchRound is the maximum duration of one watch of the lease's key. A process that waits for
+	// the lease makes one call to the service per round.
 	watchRound = 5 * time.Second
-	// callRetryPause is the mean pause after a call that failed, with jitter of half of it.
+	// callRetryPause is the mean pause after a failed call, with jitter of ±50 %.
 	callRetryPause = 400 * time.Millisecond
 )
 
-// Campaign renews the lease while it is held and otherwise waits for it to come
-// free, until ctx ends. While another holds it, it costs one watch each few seconds.
+// Campaign renews the lease while it is held and otherwise waits until it is free and acquires it.
+// It returns when ctx ends. While another process holds the lease, it makes one watch call every
+// few seconds.
 func (h *Holder) Campaign(ctx context.Context, s kv.PrefixStore) {
 	w := &watcher{holder: h, free: make(chan struct{}, 1)}
 	go kv.Follow(ctx, kv.FollowOptions{
@@ -46,21 +47,22 @@
 			clock.Sleep(ctx, h.clock, h.opts.TTL/renewalsPerTTL)
 			w.signal()
 		case !w.isTaken():
-			// The service refused although no record of another has been seen: no event may ever come.
+			// The service refused the write, but no other holder's record is known, so that no
+			// event may follow.
 			w.tryAgainLater(ctx)
 		}
 	}
 }
 
-// A watcher follows a lease's key and signals when it is free.
+// A watcher follows a lease's key and signals when the lease is free.
 type watcher struct {
 	holder *Holder
 	free   chan struct{}
-	// taken says that another process has the lease, as the key was seen last.
+	// taken reports whether the last known state of the key is a record.
 	taken atomic.Bool
 }
 
-// leaveToOthers waits for the time for which this process leaves a free lease to others.
+// leaveToOthers waits for Options.Delay unless the lease is held.
 func (w *watcher) leaveToOthers(ctx context.Context) {
 	if _, held := w.holder.Held(); held || w.holder.opts.Delay == nil {
 		return
@@ -68,26 +70,26 @@
 	clock.Sleep(ctx, w.holder.clock, w.holder.opts.Delay())
 }
 
-// isTaken reports whether another process has the lease.
+// isTaken reports whether another process holds the lease, by the last known state of its key.
 func (w *watcher) isTaken() bool {
 	_, held := w.holder.Held()
 	return !held && w.taken.Load()
 }
 
-// note notes whose record stands under the key. The record of a holder that does not hold the lease
-// any more is that of its own former life: it ends with its ttl.
+// note records the entry of the lease's key. A record of this Holder that appears while it does not
+// hold the lease is from an earlier run of the process and expires with its TTL.
 func (w *watcher) note(e kv.Entry) {
 	w.holder.noteOther(e)
 	w.taken.Store(true)
 }
 
-// noteFree notes that there is no record.
+// noteFree records that the key does not exist and signals it.
 func (w *watcher) noteFree() {
 	w.taken.Store(false)
 	w.signal()
 }
 
-// await waits until the lease may be free and reports whether ctx still goes on.
+// await waits until the lease may be free. It reports false if ctx ends first.
 func (w *watcher) await(ctx context.Context) bool {
 	select {
 	case <-w.free:
@@ -97,7 +99,7 @@
 	}
 }
 
-// signal makes the next await return at once.
+// signal wakes the current or next await.
 func (w *watcher) signal() {
 	select {
 	case w.free <- struct{}{}:
@@ -105,7 +107,7 @@
 	}
 }
 
-// tryAgainLater makes the next await return after a pause.
+// tryAgainLater pauses and then calls signal.
 func (w *watcher) tryAgainLater(ctx context.Context) {
 	clock.Sleep(ctx, w.holder.clock, callRetryPause/2+rand.N(callRetryPause))
 	w.signal()
--- a/lease/campaign_test.go
+++ b/lease/campaign_test.go
@@ -17,7 +17,7 @@
 	"rockcleat/lease"
 )
 
-// shortTTL keeps takeovers in a test short.
+// shortTTL keeps takeovers short.
 const shortTTL = 300 * time.Millisecond
 
 func contender(s kv.Store, name string) *lease.Holder {
@@ -51,7 +51,7 @@
 	})
 	endFirst()
 	poll.WaitOn(t, holds(a, false))
-	// The store drops a lease that has run out with the next call of anybody.
+	// The store expires leases only during calls.
 	_, _ = store.Get(ctx, "x")
 	poll.WaitOn(t, holds(b, true))
 	assert.Assert(t, b.HasSeenOther())
@@ -80,8 +80,8 @@
 	poll.WaitOn(t, holds(a, false))
 }
 
-// TestCampaignGoesOnAfterARefusal lets the service refuse the record of a free lease for a while, with no event that
-// another one has it: nobody held the lease for good after that.
+// TestCampaignGoesOnAfterARefusal guards against a campaign that stops for good: the service
+// refuses the record of a free lease, and no event follows.
 func TestCampaignGoesOnAfterARefusal(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -129,11 +129,11 @@
 		}
 		return poll.Continue("%d renewals", store.Calls("keep"))
 	})
-	// Each forgetting costs each of the two a list and a watch, and no more.
+	// Each compaction costs each campaign at most one list and one watch.
 	assert.Assert(t, store.Calls("watch")-watches <= 8, "%d watches", store.Calls("watch")-watches)
 }
 
-// countingGrants counts the leases that are asked for.
+// countingGrants counts the leases that are requested.
 type countingGrants struct {
 	kv.Store
 	grants atomic.Int64
@@ -145,8 +145,8 @@
 	return s.Store.Grant(ctx, ttl)
 }
 
-// TestOthersLeaveAFreeLease checks that processes which leave a free lease to others do not contend
-// once one of those has taken it, and that they do when nobody takes it.
+// TestOthersLeaveAFreeLease checks that processes with a Delay request no lease if another process
+// has acquired it in that time, and acquire it otherwise.
 func TestOthersLeaveAFreeLease(t *testing.T) {
 	const patience = 500 * time.Millisecond
 	patient := func(s kv.Store, name string) *lease.Holder {
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -10,8 +10,8 @@
 	"rockcleat/lease"
 )
 
-// Two processes contend for one lease; the second gets it when the first gives it back,
-// with a higher token.
+// Two processes contend for one lease. The second acquires it, with a higher token, after the first
+// has released it.
 func Example() {
 	ctx := context.Background()
 	c := clocktest.New(time.Unix(1000, 0))
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -11,14 +11,14 @@
 	"rockcleat/kv"
 )
 
-// keyPrefix is the prefix of lease records in the service.
+// keyPrefix is the prefix of the keys of leases in the service.
 const keyPrefix = "lease/"
 
-// driftDivisor sets the part of the ttl, a fifth, by which a holder stops acting before the
-// service ends its lease, for drift between the two clocks.
+// driftDivisor sets the fraction of the TTL by which a holder stops before the service ends its
+// lease, to allow for clock drift.
 const driftDivisor = 5
 
-// A Store is the part of the service that a Holder needs; kv.Store describes each call.
+// A Store is the part of kv.Store that a Holder uses.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Entry, error)
 	Put(ctx context.Context, w kv.Write) (kv.Revision, error)
@@ -27,11 +27,11 @@
 	Revoke(ctx context.Context, id kv.LeaseID) error
 }
 
-// A Token is a fencing token: a later holder's token is always higher, also across eras of the service, for it is
-// the revision of the lease's record.
+// A Token is a fencing token: the revision of the lease's record. A later holder's token is always
+// higher, also across eras of the service.
 type Token int64
 
-// A Record is the value of a lease's key.
+// A Record is the JSON value of a lease's key.
 type Record struct {
 	Holder string `json:"holder"`
 	Addr   string `json:"addr"`
@@ -39,19 +39,19 @@
 
 // Options configure a Holder.
 type Options struct {
-	// Name is the lease to contend for.
+	// Name is the name of the lease.
 	Name string
-	// Holder and Addr are written into the record for others to read.
+	// Holder and Addr are written into the record; Holder identifies this process.
 	Holder string
 	Addr   string
 	// TTL is the time after which the service ends a lease that is not renewed.
 	TTL time.Duration
-	// Delay, if not nil, returns how long this process leaves a free lease to others, so that not
-	// all of many contend at once.
+	// Delay, if not nil, returns how long to wait before acquiring a free lease, so that many
+	// processes do not contend at once.
 	Delay func() time.Duration
 }
 
-// A Holder contends for one lease; it is safe for concurrent use.
+// A Holder acquires and renews one lease for this process. It is safe for concurrent use.
 type Holder struct {
 	store Store
 	clock clock.Service
@@ -62,11 +62,11 @@
 	token   Token
 	expiry  time.Time
 	other   Record
-	// seenOther says that another holder's record has been seen.
+	// seenOther reports whether another holder's record was ever read.
 	seenOther bool
 }
 
-// New returns a Holder that holds nothing until Step succeeds.
+// New returns a Holder that does not hold the lease yet.
 func New(store Store, c clock.Service, o Options) *Holder {
 	return &Holder{store: store, clock: c, opts: o}
 }
@@ -77,30 +77,32 @@
 // Key returns the key of the lease's record in the service.
 func (h *Holder) Key() string { return keyPrefix + h.opts.Name }
 
-// Held returns the fencing token and whether the lease is surely still held.
+// Held returns the fencing token and reports whether the lease is certain to be held still.
 func (h *Holder) Held() (Token, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.token, h.token != 0 && h.clock.Now().Before(h.expiry)
 }
 
-// OtherHolder returns the record of the holder seen last while the lease was not free.
+// OtherHolder returns the record last seen under the lease's key; it may be this Holder's own. It
+// is zero if none was seen.
 func (h *Holder) OtherHolder() Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.other
 }
 
-// HasSeenOther reports whether another holder's record was ever seen.
+// HasSeenOther reports whether the record of another holder was ever read.
 func (h *Holder) HasSeenOther() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.seenOther
 }
 
-// Step renews the lease if it is held and tries to acquire it otherwise.
+// Step renews the lease if it is held and tries to acquire it otherwise. It does not wait for a
+// lease held by another process and returns no error then.
 //
-// It is to be called about three times per TTL. A lease held by another is no error.
+// Call it about three times per TTL.
 func (h *Holder) Step(ctx context.Context) error {
 	if _, held := h.Held(); held {
 		return h.renew(ctx)
@@ -108,7 +110,7 @@
 	return h.acquire(ctx)
 }
 
-// Release gives the lease back, so that another can take it at once.
+// Release ends the lease, so that another process can acquire it at once.
 func (h *Holder) Release(ctx context.Context) error {
 	h.mu.Lock()
 	id := h.leaseID
@@ -120,8 +122,8 @@
 	return h.store.Revoke(ctx, id)
 }
 
-// EndEra gives up a lease of an earlier era of the service than the given one, without asking: the service has
-// forgotten it.
+// EndEra gives up a lease of an era before the given one without a call to the service, which no
+// longer has that lease.
 func (h *Holder) EndEra(era int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -149,7 +151,8 @@
 	return nil
 }
 
-// extend counts the ttl from when the call was sent, never from its answer.
+// extend sets the expiry. It counts from the time the call was sent, since the service may have
+// started the TTL at any time after that.
 func (h *Holder) extend(sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -180,8 +183,8 @@
 		return h.store.Revoke(ctx, id)
 	}
 	if err != nil {
-		// The write may have taken effect: ending the lease undoes it, and if
-		// that fails too the ttl does.
+		// The write may have taken effect. Revoking the lease undoes it; if that fails too, the
+		// lease expires after its TTL.
 		return errors.Join(err, h.store.Revoke(ctx, id))
 	}
 	h.mu.Lock()
@@ -191,8 +194,8 @@
 	return nil
 }
 
-// noteOther keeps the record of whoever holds the lease. One that cannot be decoded is
-// left out: the lease is not free either way, only its holder's address stays unknown.
+// noteOther records the holder of a lease that is not free. A record that cannot be decoded is
+// ignored: only the holder's address remains unknown.
 func (h *Holder) noteOther(e kv.Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -43,8 +43,8 @@
 	assert.Assert(t, ok && second > first)
 }
 
-// TestPausedHolder lets a holder's clock pass its ttl: it must not believe to
-// hold the lease any more, whatever the service says.
+// TestPausedHolder checks that a holder whose clock has passed the TTL no longer counts as holding
+// the lease, whatever the service says.
 func TestPausedHolder(t *testing.T) {
 	_, store := standintest.KV(t)
 	c := clocktest.New(time.Now())
@@ -54,8 +54,8 @@
 	assert.Assert(t, !held(a))
 }
 
-// TestLostAnswers loses the answers of the grant, the write or the renewal: at
-// no time do two hold the lease, and someone gets it in the end.
+// TestLostAnswers drops the first responses of the service: two holders must never hold the lease
+// together, and one must acquire it in the end.
 func TestLostAnswers(t *testing.T) {
 	for lost := 1; lost <= 3; lost++ {
 		ctx := context.Background()
@@ -82,8 +82,8 @@
 	assert.Assert(t, held(a))
 }
 
-// TestLeaseOfAnEarlierEra checks that a holder gives up at once when the service comes back from a copy, and that
-// the next token is higher although the service counts from before.
+// TestLeaseOfAnEarlierEra checks that a holder gives up its lease when the service is restored from
+// a backup, and that the next token is higher although the count of writes has gone down.
 func TestLeaseOfAnEarlierEra(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	store := kvtest.New(c)
