--- a/backend/engine.go
+++ b/backend/engine.go
@@ -66,7 +66,7 @@
 	OrderRejected
 )
 
-// String returns the name of the outcome in logs and metrics.
+// String returns the name of the outcome in logs.
 func (o OrderOutcome) String() string {
 	names := map[OrderOutcome]string{
 		OrderUnanswered: "unknown", OrderAccepted: "taken", OrderAlreadyDone: "done", OrderConflict: "conflict",
@@ -79,6 +79,7 @@
 type EngineClient interface {
 	// Report reads an engine's report.
 	Report(ctx context.Context, s *Server) (Report, error)
-	// Order sends an order once. The error is not nil only for OrderUnanswered and OrderRejected.
+	// Order sends an order once. The error is non-nil for OrderUnanswered and OrderRejected
+	// only.
 	Order(ctx context.Context, s *Server, o Order) (OrderOutcome, error)
 }
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -14,8 +14,8 @@
 const residencyMaxAge = 3 * time.Second
 
 // vanishedRetention is how long servers that vanished from the list together are kept. It is longer
-// than the interval of heartbeats (1.2 s), so that running servers are listed again, and short
-// enough to drop stopped servers in time.
+// than the interval of heartbeats (1.2 s), so that running servers are listed again. Together with
+// the time until a change of the list is noticed, it is short enough for servers that have stopped.
 const vanishedRetention = 1300 * time.Millisecond
 
 // A vanishedServer was removed from the list without having announced that it leaves.
--- a/backend/server.go
+++ b/backend/server.go
@@ -24,8 +24,8 @@
 type Server struct {
 	// ID identifies the run. A restarted server has a new ID.
 	ID string
-	// Instance is the name that the platform lists the server under, which stays the same after a
-	// restart; empty if the name is ID.
+	// Instance is the name that the platform lists the server under, which a restarted server
+	// may keep; empty if the name is ID.
 	Instance string
 	Service  string
 	Addr     string
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -56,8 +56,8 @@
 }
 
 // SystemDeadline returns the time d from now on the monotonic clock of the kernel, for deadlines
-// that package net and contexts keep themselves. It does not count suspension of the machine,
-// during which no data is transferred either.
+// that package net and contexts keep themselves. It does not count the time during which the
+// machine is suspended, when no data is transferred either.
 func SystemDeadline(d time.Duration) time.Time { return time.Now().Add(d) }
 
 // EachInterval calls f on each tick of the monotonic clock, in one goroutine. The returned function
--- a/clock/system.go
+++ b/clock/system.go
@@ -23,7 +23,7 @@
 // A System is a Service on the machine's clocks whose time continues while the machine is
 // suspended.
 //
-// The monotonic clock of the kernel, which package time and its timers use, stops during a
+// The monotonic clock of the kernel, which package time uses, timers included, stops during a
 // suspension. The age of a lease or of cached data would then be too low by the length of the
 // suspension, and a deadline would come too late. To the rest of the program, a suspension looks
 // like a pause of the process: at the first call of Now after it, the time has advanced and overdue
--- a/kv/fanout.go
+++ b/kv/fanout.go
@@ -152,8 +152,8 @@
 	return f.changed
 }
 
-// Apply applies forwarded batches. currentAsOf is the latest time by which the batches are known to
-// have been made.
+// Apply applies forwarded batches. currentAsOf is a time not after the one at which the batches
+// were made.
 func (f *Fanout) Apply(batches map[string]Batch, currentAsOf time.Time) {
 	for prefix, b := range batches {
 		currentAt := currentAsOf.Add(-time.Duration(b.AgeMs) * time.Millisecond)
--- a/kv/follow_test.go
+++ b/kv/follow_test.go
@@ -75,49 +75,49 @@
 }
 
 func TestFollow(t *testing.T) {
-	type world struct {
+	type fixture struct {
 		store *kvtest.Store
 		m     *mirror
 	}
 	tests := map[string]struct {
-		trouble func(t *testing.T, w world)
+		trouble func(t *testing.T, f fixture)
 		want    map[string]string
 	}{
 		"changes": {
-			trouble: func(_ *testing.T, w world) { w.store.Set("a/1", []byte("new")); w.store.Remove("a/2") },
+			trouble: func(_ *testing.T, f fixture) { f.store.Set("a/1", []byte("new")); f.store.Remove("a/2") },
 			want:    map[string]string{"a/1": "new"},
 		},
 		"other prefixes": {
-			trouble: func(_ *testing.T, w world) { w.store.Set("b/1", []byte("x")) },
+			trouble: func(_ *testing.T, f fixture) { f.store.Set("b/1", []byte("x")) },
 			want:    map[string]string{"a/1": "1", "a/2": "2"},
 		},
 		"changes in a history that is forgotten": {
-			trouble: func(t *testing.T, w world) {
-				w.store.Fail(func(string) error { return kv.ErrUnavailable })
+			trouble: func(t *testing.T, f fixture) {
+				f.store.Fail(func(string) error { return kv.ErrUnavailable })
 				poll.WaitOn(t, func(poll.LogT) poll.Result {
-					if w.m.unreachableCalls() > 0 {
+					if f.m.unreachableCalls() > 0 {
 						return poll.Success()
 					}
 					return poll.Continue("not lost yet")
 				})
-				w.store.Set("a/1", []byte("new"))
-				w.store.Remove("a/2")
-				w.store.Compact()
-				w.store.Fail(nil)
+				f.store.Set("a/1", []byte("new"))
+				f.store.Remove("a/2")
+				f.store.Compact()
+				f.store.Fail(nil)
 			},
 			want: map[string]string{"a/1": "new"},
 		},
 		"a refusal of each call for a while": {
-			trouble: func(t *testing.T, w world) {
-				w.store.Fail(func(string) error { return kv.ErrRateLimited })
-				w.store.Set("a/3", []byte("3"))
+			trouble: func(t *testing.T, f fixture) {
+				f.store.Fail(func(string) error { return kv.ErrRateLimited })
+				f.store.Set("a/3", []byte("3"))
 				poll.WaitOn(t, func(poll.LogT) poll.Result {
-					if w.m.unreachableCalls() > 1 {
+					if f.m.unreachableCalls() > 1 {
 						return poll.Success()
 					}
-					return poll.Continue("%d losses", w.m.unreachableCalls())
+					return poll.Continue("%d losses", f.m.unreachableCalls())
 				})
-				w.store.Fail(nil)
+				f.store.Fail(nil)
 			},
 			want: map[string]string{"a/1": "1", "a/2": "2", "a/3": "3"},
 		},
@@ -126,15 +126,15 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			w := world{store: kvtest.New(clocktest.Real{}), m: &mirror{}}
-			w.store.Set("a/1", []byte("1"))
-			w.store.Set("a/2", []byte("2"))
+			f := fixture{store: kvtest.New(clocktest.Real{}), m: &mirror{}}
+			f.store.Set("a/1", []byte("1"))
+			f.store.Set("a/2", []byte("2"))
 			go kv.Follow(ctx, kv.FollowOptions{
-				Store: w.store, Prefix: "a/", Round: time.Minute, Clock: clocktest.Real{}, Follower: w.m,
+				Store: f.store, Prefix: "a/", Round: time.Minute, Clock: clocktest.Real{}, Follower: f.m,
 			})
-			poll.WaitOn(t, w.m.shows(map[string]string{"a/1": "1", "a/2": "2"}))
-			test.trouble(t, w)
-			poll.WaitOn(t, w.m.shows(test.want))
+			poll.WaitOn(t, f.m.shows(map[string]string{"a/1": "1", "a/2": "2"}))
+			test.trouble(t, f)
+			poll.WaitOn(t, f.m.shows(test.want))
 		})
 	}
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -99,8 +99,8 @@
 	return h.seenOther
 }
 
-// Step renews the lease if it is held and tries to acquire it otherwise. It does not wait for a
-// lease held by another process and returns no error then.
+// Step renews the lease if it is held and tries to acquire it otherwise. A lease held by another
+// process is not an error; Step does not wait for it.
 //
 // Call it about three times per TTL.
 func (h *Holder) Step(ctx context.Context) error {
