--- a/backend/restart_test.go
+++ b/backend/restart_test.go
@@ -9,13 +9,13 @@
 	"rockcleat/backend"
 )
 
-// run returns the record of a run of the server "s".
+// run returns the record of a run of the server s.
 func run(id string) backend.Server {
 	return backend.Server{ID: id, Instance: "s", Service: "llm", Residents: []backend.Resident{{Model: "of " + id}}}
 }
 
-// TestRestart checks that another run of a server takes the place of the former one, and that
-// nothing brings that one back, whichever started later by its clock.
+// TestRestart checks that a new run of a server replaces the former one, which then never returns,
+// whatever the order of their start times.
 func TestRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	update := func(id string) func(r *backend.Registry) []backend.Restart {
@@ -69,17 +69,17 @@
 	return list
 }
 
-// TestUnusableRecord checks that a record which describes no server takes only that server away, at
-// once and also when most records become so together, and that it is back when its record is mended.
+// TestUnusableRecord checks that an unusable record removes only its server, at once even if most
+// records become unusable together, and that a valid record brings the server back.
 func TestUnusableRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r backend.Registry
 	r.Replace(servers(3), now)
-	var spoiled []backend.Change
+	var unusable []backend.Change
 	for _, name := range []string{"s0", "s1"} {
-		spoiled = append(spoiled, backend.Change{Server: backend.Server{ID: name}, Unusable: true})
+		unusable = append(unusable, backend.Change{Server: backend.Server{ID: name}, Unusable: true})
 	}
-	r.Apply(spoiled, now)
+	r.Apply(unusable, now)
 	assert.Equal(t, r.Snapshot().Len(), 1)
 	_, ok := r.Snapshot().Server("s2")
 	assert.Assert(t, ok)
@@ -87,11 +87,11 @@
 	assert.Equal(t, r.Snapshot().Len(), 2)
 }
 
-// TestServersWithoutAStart checks that records which do not name their start are not used where
-// most do, and are where most do not.
-func TestServersWithoutAStart(t *testing.T) {
+// TestServersWithoutInstance checks that servers without an Instance are removed if most servers
+// have one, and kept otherwise.
+func TestServersWithoutInstance(t *testing.T) {
 	now := time.Unix(1000, 0)
-	started := func(name string) backend.Server {
+	withInstance := func(name string) backend.Server {
 		return backend.Server{ID: name + "@1", Instance: name, Service: "app"}
 	}
 	tests := map[string]struct {
@@ -99,8 +99,8 @@
 		want int
 	}{
 		"no platform tells it": {list: servers(3), want: 3},
-		"one record lacks it":  {list: append(servers(1), started("a"), started("b")), want: 2},
-		"one record has it":    {list: append(servers(2), started("a")), want: 3},
+		"one record lacks it":  {list: append(servers(1), withInstance("a"), withInstance("b")), want: 2},
+		"one record has it":    {list: append(servers(2), withInstance("a")), want: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/kv/copy_test.go
+++ b/kv/copy_test.go
@@ -16,39 +16,39 @@
 	"rockcleat/kv/kvtest"
 )
 
-// writeTime is within what time the writers of these tests write again.
+// writeTime is the WriteTime of counterWriters.
 const writeTime = 3 * time.Second
 
-// countingWriters write a count that rises.
-type countingWriters struct{}
+// counterWriters write increasing digits.
+type counterWriters struct{}
 
-// IsOlder compares counts; a value that begins with another letter is of another life.
-func (countingWriters) IsOlder(e, than kv.Entry) (older, known bool) {
+// IsOlder compares the values; a value that begins with a letter belongs to another incarnation.
+func (counterWriters) IsOlder(e, than kv.Entry) (older, known bool) {
 	return bytes.Compare(e.Value, than.Value) < 0, e.Value[0] <= '9' && than.Value[0] <= '9'
 }
 
-func (countingWriters) WriteTime() time.Duration { return writeTime }
+func (counterWriters) WriteTime() time.Duration { return writeTime }
 
-// copiedService is a service with writers under s/ as a watching process sees it.
-type copiedService struct {
+// A restorableService is a service with counterWriters under s/, seen by a watcher.
+type restorableService struct {
 	t     *testing.T
 	store *kvtest.Store
 	view  kv.PrefixStore
 	at    kv.Revision
 }
 
-func newCopiedService(t *testing.T) *copiedService {
-	s := &copiedService{t: t, store: kvtest.New(clocktest.Real{})}
+func newRestorableService(t *testing.T) *restorableService {
+	s := &restorableService{t: t, store: kvtest.New(clocktest.Real{})}
 	f := kv.NewFanout(kv.FanoutOptions{
 		Clock: clocktest.Real{}, MaxAge: time.Second, IsWatcher: func() bool { return true },
-		Writers: func(string) kv.Writers { return countingWriters{} },
+		Writers: func(string) kv.Writers { return counterWriters{} },
 	})
 	s.view = f.View(s.store, false)
 	return s
 }
 
-// list returns the keys and values that are listed.
-func (s *copiedService) list() map[string]string {
+// list returns the listed keys and values.
+func (s *restorableService) list() map[string]string {
 	s.t.Helper()
 	entries, at, err := s.view.ListPrefix(s.t.Context(), "s/")
 	assert.NilError(s.t, err)
@@ -60,8 +60,8 @@
 	return got
 }
 
-// watch watches until there is a change, or the service has to be listed anew.
-func (s *copiedService) watch() ([]kv.Event, error) {
+// watch watches until there is a change or an error.
+func (s *restorableService) watch() ([]kv.Event, error) {
 	s.t.Helper()
 	for {
 		events, at, err := s.view.WatchPrefix(s.t.Context(), "s/", s.at, time.Second)
@@ -72,16 +72,16 @@
 	}
 }
 
-// TestServiceFromACopy lets a service come back from a copy that shows an older word of one writer, lacks another
-// and has one that had gone: a process that watched before lists what it knew, until each has written again or has
-// had its time.
-func TestServiceFromACopy(t *testing.T) {
+// TestRestoreFromBackup restores the service from a backup with an outdated entry, a missing entry
+// and an entry that was deleted since. The watcher must keep listing what it knew until each entry
+// is written again or its time passes.
+func TestRestoreFromBackup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newCopiedService(t)
+		s := newRestorableService(t)
 		s.store.Set("s/gone", []byte("5"))
 		s.store.Set("s/leaving", []byte("5"))
 		s.store.Set("s/ended", []byte("5"))
-		copied := s.store.Copy()
+		backup := s.store.Copy()
 		s.store.Remove("s/gone")
 		s.store.Set("s/leaving", []byte("6"))
 		s.store.Set("s/new", []byte("1"))
@@ -89,7 +89,7 @@
 		known := map[string]string{"s/leaving": "6", "s/ended": "5", "s/new": "1", "s/newer": "1"}
 		assert.DeepEqual(t, s.list(), known)
 		before := s.at
-		s.store.Restore(copied)
+		s.store.Restore(backup)
 		_, err := s.watch()
 		assert.ErrorIs(t, err, kv.ErrCompacted, "the position is of another era")
 		assert.DeepEqual(t, s.list(), known)
@@ -103,7 +103,7 @@
 		_, err = s.watch()
 		assert.ErrorIs(t, err, kv.ErrCompacted, "one has not written again in its time")
 		assert.Assert(t, time.Since(began) <= writeTime)
-		// What had gone does not come back by itself, and an older word does not count later either.
+		// A deleted entry does not return by itself, and an outdated value stays ignored.
 		assert.DeepEqual(t, s.list(), map[string]string{"s/leaving": "6", "s/ended": "5", "s/new": "2"})
 
 		s.store.Set("s/gone", []byte("6"))
@@ -114,17 +114,17 @@
 	})
 }
 
-// TestFormerLifeInACopy lets a service come back twice from a copy that has an entry of a writer's former life: the
-// life that was known stands, until the writer writes again.
-func TestFormerLifeInACopy(t *testing.T) {
+// TestRestoreEarlierIncarnation restores the service twice from a backup with an entry of an
+// earlier incarnation of a writer. The later incarnation must stay until the writer writes again.
+func TestRestoreEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newCopiedService(t)
+		s := newRestorableService(t)
 		s.store.Set("s/a", []byte("a1"))
-		copied := s.store.Copy()
+		backup := s.store.Copy()
 		s.store.Set("s/a", []byte("b1"))
 		s.list()
 		for range 2 {
-			s.store.Restore(copied)
+			s.store.Restore(backup)
 			_, err := s.watch()
 			assert.ErrorIs(t, err, kv.ErrCompacted)
 			assert.DeepEqual(t, s.list(), map[string]string{"s/a": "b1"})
@@ -137,15 +137,16 @@
 	})
 }
 
-// TestTwoCopiesInASecond lets a service come back twice: what was known before the first stands.
-func TestTwoCopiesInASecond(t *testing.T) {
+// TestRestoreTwice restores the service twice in a row. The entries known before the first
+// restore must stay.
+func TestRestoreTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newCopiedService(t)
-		copied := s.store.Copy()
+		s := newRestorableService(t)
+		backup := s.store.Copy()
 		s.store.Set("s/a", []byte("1"))
 		s.list()
 		for range 2 {
-			s.store.Restore(copied)
+			s.store.Restore(backup)
 			_, err := s.watch()
 			assert.ErrorIs(t, err, kv.ErrCompacted)
 			assert.DeepEqual(t, s.list(), map[string]string{"s/a": "1"})
@@ -153,39 +154,39 @@
 	})
 }
 
-// stubbornStore answers each call as a test says.
-type stubbornStore struct {
+// A constantStore returns the same errors from every call.
+type constantStore struct {
 	list, watch error
 	calls       int
 }
 
-func (s *stubbornStore) ListPrefix(_ context.Context, _ string) ([]kv.Entry, kv.Revision, error) {
+func (s *constantStore) ListPrefix(_ context.Context, _ string) ([]kv.Entry, kv.Revision, error) {
 	s.calls++
 	return nil, 1, s.list
 }
 
-func (s *stubbornStore) WatchPrefix(_ context.Context, _ string, after kv.Revision, _ time.Duration) ([]kv.Event, kv.Revision, error) {
+func (s *constantStore) WatchPrefix(_ context.Context, _ string, after kv.Revision, _ time.Duration) ([]kv.Event, kv.Revision, error) {
 	s.calls++
 	return nil, after, s.watch
 }
 
-// TestFollowNeverCallsWithoutAPause lets the service answer each list and watch at once in the same way, whatever
-// way: a follower makes some calls a second, not thousands.
-func TestFollowNeverCallsWithoutAPause(t *testing.T) {
+// TestFollowBacksOff guards against a busy loop: Follow must pause between calls
+// whichever error the service returns immediately.
+func TestFollowBacksOff(t *testing.T) {
 	outcomes := map[string]error{
 		"compacted": kv.ErrCompacted, "unavailable": kv.ErrUnavailable, "rate limited": kv.ErrRateLimited,
 		"unknown": kv.ErrUnknown, "not found": kv.ErrNotFound, "conflict": kv.ErrConflict, "lease gone": kv.ErrLeaseGone,
 		"something else": errors.New("else"),
 	}
 	for name, err := range outcomes {
-		for call, s := range map[string]*stubbornStore{
+		for call, s := range map[string]*constantStore{
 			"list": {list: err}, "watch": {watch: err}, "both": {list: err, watch: err},
 		} {
 			t.Run(call+" "+name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
 					go kv.Follow(ctx, kv.FollowOptions{
-						Store: s, Prefix: "s/", Round: time.Second, Clock: clocktest.Real{}, Follower: silentFollower{},
+						Store: s, Prefix: "s/", Round: time.Second, Clock: clocktest.Real{}, Follower: noopFollower{},
 					})
 					const seconds = 10
 					clock.Sleep(ctx, clocktest.Real{}, seconds*time.Second)
@@ -198,10 +199,10 @@
 	}
 }
 
-// silentFollower follows nothing.
-type silentFollower struct{}
+// A noopFollower ignores all updates.
+type noopFollower struct{}
 
-func (silentFollower) Replace([]kv.Entry) {}
-func (silentFollower) Apply([]kv.Event)   {}
-func (silentFollower) Unreachable(error)  {}
-func (silentFollower) Reachable()         {}
+func (noopFollower) Replace([]kv.Entry) {}
+func (noopFollower) Apply([]kv.Event)   {}
+func (noopFollower) Unreachable(error)  {}
+func (noopFollower) Reachable()         {}
--- a/kv/kvtest/store.go
+++ b/kv/kvtest/store.go
@@ -1,5 +1,5 @@
-// Package kvtest provides a store for tests, within the process, whose calls fail and
-// whose history is forgotten on demand.
+// Package kvtest provides an in-memory key-value store for tests. It can make calls fail, drop
+// responses, compact its history and be restored from a backup.
 package kvtest
 
 import (
@@ -13,21 +13,21 @@
 	"rockcleat/kv"
 )
 
-// A Store is a kv.Store and a kv.PrefixStore; it is safe for concurrent use.
+// A Store is an in-memory kv.Store and kv.PrefixStore. It is safe for concurrent use.
 type Store struct {
 	clock clock.Service
 
-	mu      sync.Mutex
-	rev     kv.Revision
-	entries map[string]entry
-	history []kv.Event
-	floor   kv.Revision
-	leases  map[kv.LeaseID]*leaseState
-	fail    func(call string) error
-	lose    func(call string) bool
-	calls   map[string]int
-	changed chan struct{}
-	// era is the store's, onEra are called with each new one.
+	mu           sync.Mutex
+	rev          kv.Revision
+	entries      map[string]entry
+	history      []kv.Event
+	floor        kv.Revision
+	leases       map[kv.LeaseID]*leaseState
+	fail         func(call string) error
+	loseResponse func(call string) bool
+	calls        map[string]int
+	changed      chan struct{}
+	// era is the current era; the functions in onEra are called with each new one.
 	era   int64
 	onEra []func(era int64)
 }
@@ -42,7 +42,7 @@
 	end time.Time
 }
 
-// New returns an empty store whose leases run on the clock.
+// New returns an empty store whose leases expire by c.
 func New(c clock.Service) *Store {
 	return &Store{
 		clock: c, entries: make(map[string]entry), leases: make(map[kv.LeaseID]*leaseState),
@@ -50,38 +50,37 @@
 	}
 }
 
-// Fail makes calls fail with what f returns, if it is not nil, before they are done.
+// Fail makes each call return the error of f, if not nil, without any effect. A nil f removes it.
 func (s *Store) Fail(f func(call string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fail = f
-	s.wake()
+	s.notify()
 }
 
-// Lose makes the answers of calls get lost for which f returns true: they are
-// done and answer kv.ErrUnknown.
+// Lose makes each call for which f returns true take effect and return kv.ErrUnknown.
 func (s *Store) Lose(f func(call string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = f
+	s.loseResponse = f
 }
 
-// Compact forgets the history.
+// Compact discards the history of changes.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
 	s.floor = s.rev
-	s.wake()
+	s.notify()
 }
 
-// A Copy is a store's entries and count of writes as they were once.
+// A Copy is a backup of a Store: its entries and its count of writes.
 type Copy struct {
 	count   int64
 	entries map[string]entry
 }
 
-// Copy returns a copy of the store as it is now. Leases are not in it, nor what stands under one.
+// Copy returns a backup of the store, without leases and the entries attached to them.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +93,8 @@
 	return c
 }
 
-// Restore makes the store come back from a copy, in the next era: what was written since is lost, leases too, and
-// revisions are given out again.
+// Restore replaces the contents with a backup and starts the next era. Later writes and all leases
+// are lost, and counts of writes are used again.
 func (s *Store) Restore(c Copy) {
 	s.mu.Lock()
 	s.era++
@@ -106,36 +105,37 @@
 		s.entries[key] = e
 	}
 	s.history, s.floor, s.leases = nil, s.rev, make(map[kv.LeaseID]*leaseState)
-	era, calls := s.era, slices.Clone(s.onEra)
-	s.wake()
+	era, subscribers := s.era, slices.Clone(s.onEra)
+	s.notify()
 	s.mu.Unlock()
-	for _, f := range calls {
+	for _, f := range subscribers {
 		f(era)
 	}
 }
 
-// OnEra makes f be called with each new era.
+// OnEra registers f to be called with each new era.
 func (s *Store) OnEra(f func(era int64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onEra = append(s.onEra, f)
 }
 
-// Era returns the store's era.
+// Era returns the current era.
 func (s *Store) Era() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// Calls returns the number of calls of a kind so far.
+// Calls returns the number of calls of a kind so far, such as "watch" or "put".
 func (s *Store) Calls(call string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[call]
 }
 
-// begin counts a call and returns the error that it is to fail with.
+// begin counts a call, expires leases and returns the error that the call must return, if any. s.mu
+// must be held, as in all unexported methods.
 func (s *Store) begin(call string) error {
 	s.calls[call]++
 	s.expire()
@@ -146,33 +146,33 @@
 }
 
 func (s *Store) end(call string) error {
-	if s.lose != nil && s.lose(call) {
+	if s.loseResponse != nil && s.loseResponse(call) {
 		return kv.ErrUnknown
 	}
 	return nil
 }
 
-func (s *Store) wake() {
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) note(e kv.Event) {
+func (s *Store) appendEvent(e kv.Event) {
 	s.history = append(s.history, e)
-	s.wake()
+	s.notify()
 }
 
 func (s *Store) expire() {
 	now := s.clock.Now()
 	for id, l := range s.leases {
 		if now.After(l.end) {
-			s.drop(id)
+			s.endLease(id)
 		}
 	}
 }
 
-// drop ends a lease and removes its keys.
-func (s *Store) drop(id kv.LeaseID) {
+// endLease ends a lease and deletes its keys.
+func (s *Store) endLease(id kv.LeaseID) {
 	delete(s.leases, id)
 	for key, e := range s.entries {
 		if e.lease == id {
@@ -184,17 +184,17 @@
 func (s *Store) remove(key string) {
 	s.rev++
 	delete(s.entries, key)
-	s.note(kv.Event{Entry: kv.Entry{Key: key, Revision: s.rev}, Deleted: true})
+	s.appendEvent(kv.Event{Entry: kv.Entry{Key: key, Revision: s.rev}, Deleted: true})
 }
 
-// Set writes a key as somebody else would, with no condition.
+// Set writes a key unconditionally, as another client would. It is not counted as a call.
 func (s *Store) Set(key string, value []byte) kv.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set(key, value, 0)
 }
 
-// Remove removes a key as somebody else would.
+// Remove deletes a key unconditionally, as another client would. It is not counted as a call.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,7 +205,7 @@
 	s.rev++
 	e := kv.Entry{Key: key, Value: value, Revision: s.rev}
 	s.entries[key] = entry{Entry: e, lease: lease}
-	s.note(kv.Event{Entry: e})
+	s.appendEvent(kv.Event{Entry: e})
 	return s.rev
 }
 
@@ -367,6 +367,6 @@
 	if err := s.begin("revoke"); err != nil {
 		return err
 	}
-	s.drop(id)
+	s.endLease(id)
 	return s.end("revoke")
 }
