--- a/apikey/directory.go
+++ b/apikey/directory.go
@@ -2,30 +2,30 @@
 
 import "crypto/sha256"
 
-// A Digest is what is kept of a key: half of its SHA-256.
+// A Digest identifies a key: the first half of its SHA-256 hash.
 type Digest [sha256.Size / 2]byte
 
-// DigestOf returns the digest of a key.
+// DigestOf returns the digest of key.
 func DigestOf(key string) Digest {
 	sum := sha256.Sum256([]byte(key))
 	return Digest(sum[:len(Digest{})])
 }
 
-// A Holder is an organisation and its keys.
+// A Holder is an organisation and its keys in plain text.
 type Holder struct {
 	Organisation string
 	Keys         []string
 }
 
-// A Directory holds the keys of all organisations by digest.
+// A Directory maps key digests to organisations.
 type Directory struct {
 	organisations []string
-	// holders are indexes into organisations.
+	// holders maps each digest to an index into organisations.
 	holders map[Digest]int32
 }
 
-// New returns the directory of all keys of some organisations. A key of two organisations counts as the
-// first one's.
+// New returns a Directory of the given organisations' keys. A key listed for more than one organisation
+// belongs to the first one.
 func New(holders []Holder) *Directory {
 	keys := 0
 	for _, h := range holders {
@@ -41,14 +41,13 @@
 	return d
 }
 
-// add adds a key of the organisation at an index, unless an earlier one holds it.
 func (d *Directory) add(k Digest, organisation int32) {
 	if _, held := d.holders[k]; !held {
 		d.holders[k] = organisation
 	}
 }
 
-// Organisation returns the organisation that holds a key.
+// Organisation returns the name of the organisation that holds a key.
 func (d *Directory) Organisation(k Digest) (name string, ok bool) {
 	i, ok := d.holders[k]
 	if !ok {
@@ -57,5 +56,5 @@
 	return d.organisations[i], true
 }
 
-// Len returns the number of keys.
+// Len returns the number of distinct keys.
 func (d *Directory) Len() int { return len(d.holders) }
--- a/apikey/directory_test.go
+++ b/apikey/directory_test.go
@@ -36,7 +36,7 @@
 	assert.Equal(t, d.Len(), 3)
 }
 
-// manyHolders returns 16 organisations with 100,000 keys of 20 characters.
+// manyHolders returns 16 organisations with 100,000 keys in total, 20 characters each.
 func manyHolders() []apikey.Holder {
 	const organisations, keys = 16, 100_000
 	holders := make([]apikey.Holder, organisations)
--- a/apikey/doc.go
+++ b/apikey/doc.go
@@ -1,10 +1,10 @@
-// Package apikey tells which organisation holds an API key.
+// Package apikey maps API keys to the organisations that hold them.
 //
-// A Directory is made of one version of the configuration and does not change; a newer version has a
-// Directory of its own. FromHeader finds the key in a request's Authorization headers. Neither does any
-// I/O, and both are safe for concurrent use.
+// A Directory is built from one version of the configuration and is immutable; a newer version gets a new
+// Directory. FromHeader extracts the key from a request's Authorization headers. The package does no I/O, and
+// its functions and types are safe for concurrent use.
 //
-// Keys are kept and compared as digests only: a key itself is in memory while a configuration is decoded
-// and while the header of its request is, and nothing of this package prints one. Whether a directory is
-// recent enough to rely on is for the caller to judge.
+// Keys are stored and compared as digests only. A key is in memory in plain text only while a configuration
+// or a request header is decoded. Errors and output of this package never contain a key. The caller decides
+// whether a Directory is recent enough to use.
 package apikey
--- a/apikey/header.go
+++ b/apikey/header.go
@@ -5,25 +5,26 @@
 	"strings"
 )
 
-// Header is the header of a request that carries its key.
+// Header is the name of the request header that carries the key.
 const Header = "Authorization"
 
-// Scheme is the authentication scheme of keys (RFC 6750); its case does not matter.
+// Scheme is the authentication scheme of keys (RFC 6750). It is matched without regard to case.
 const Scheme = "Bearer"
 
-// Outcomes of FromHeader for a request without a usable key.
+// Errors returned by FromHeader for a request without a usable key.
 var (
-	// ErrMissing says that there is no header.
+	// ErrMissing means that the request has no Authorization header.
 	ErrMissing = errors.New("apikey: no key")
-	// ErrRepeated says that there is more than one header: which one counts is open.
+	// ErrRepeated means that the request has more than one Authorization header, so that its key is
+	// ambiguous.
 	ErrRepeated = errors.New("apikey: more than one key")
-	// ErrScheme says that the header is of another scheme.
+	// ErrScheme means that the header has another authentication scheme.
 	ErrScheme = errors.New("apikey: not a bearer key")
-	// ErrMalformed says that what follows the scheme is no key.
+	// ErrMalformed means that the text after the scheme is not a valid key.
 	ErrMalformed = errors.New("apikey: malformed key")
 )
 
-// FromHeader returns the digest of the key in a request's Authorization headers.
+// FromHeader returns the digest of the key, given the values of a request's Authorization headers.
 func FromHeader(values []string) (Digest, error) {
 	switch len(values) {
 	case 0:
@@ -43,7 +44,7 @@
 	return DigestOf(key), nil
 }
 
-// isToken reports whether a text is a token68 (RFC 9110): letters, digits and -._~+/, then any number of =.
+// isToken reports whether s is a token68 (RFC 9110): letters, digits and -._~+/, then any number of =.
 func isToken(s string) bool {
 	s = strings.TrimRight(s, "=")
 	for i := range len(s) {
--- a/apikey/header_test.go
+++ b/apikey/header_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// FuzzFromHeader checks that whatever a caller sends is a key or an error, that the error does not show
-// it, and that a key is found however often the header is read.
+// FuzzFromHeader checks that any header value yields either a key or an error, that the error does not
+// contain the value, and that the key found is the second field of the value.
 func FuzzFromHeader(f *testing.F) {
 	for _, seed := range []string{"Bearer " + key, "bearer  x=", "Basic a:b", "", "Bearer", "Bearer a,b", "Bearer \x00"} {
 		f.Add(seed)
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -5,41 +5,43 @@
 	"slices"
 )
 
-// A Log holds records of a kind and counts its changes.
+// A Log holds records of type R and numbers its changes.
 type Log[R any] interface {
-	// Epoch names the life of the log, above 0: one that starts anew has another.
+	// Epoch identifies the incarnation of the log. It is above 0 and differs after a restart.
 	Epoch() uint32
-	// Since returns what has changed after a version, and up to which version that goes.
+	// Since returns the records changed after a version, and the version up to which they are complete.
 	Since(after uint64) (records []R, version uint64)
-	// Merge takes in what a peer tells; before and after are the versions around it.
+	// Merge merges a peer's records. before and after are the versions of the log before and after the merge.
 	Merge(records []R) (before, after uint64)
 }
 
-// A Cursor is a place in the changes of one process's log.
+// A Cursor is a position in the changes of a log.
 type Cursor struct {
-	// Epoch names the life of the log.
+	// Epoch identifies the incarnation of the log.
 	Epoch uint32 `json:"e,omitempty"`
-	// Version is the number of changes.
+	// Version is the number of changes up to the position.
 	Version uint64 `json:"v,omitempty"`
 }
 
-// A Message tells a peer what has changed here and asks for what has changed there.
+// A Message carries local changes to a peer and requests the peer's changes.
 type Message[R any] struct {
 	Records []R `json:"records,omitempty"`
-	// Seen is up to where the peer's changes are known.
+	// Seen is the position up to which the sender knows the receiver's changes.
 	Seen Cursor `json:"seen,omitzero"`
 }
 
-// IsZero reports whether the message neither tells nor knows anything.
+// IsZero reports whether the message carries no records and no position.
 func (m Message[R]) IsZero() bool { return len(m.Records) == 0 && m.Seen == Cursor{} }
 
-// A Reply is the answer to a Message.
+// A Reply is the answer to a Message. Its Cursor is the position up to which the receiver of the reply knows
+// the replying log's changes once it has merged Records.
 type Reply[R any] struct {
 	Cursor
 	Records []R `json:"records,omitempty"`
 }
 
-// Answer takes in what a peer tells a log and returns what is new for the peer; nil if nothing is.
+// Answer merges the records of a message into the log and returns the reply. The reply is nil if there is
+// nothing new for the peer.
 func Answer[R any](l Log[R], m Message[R]) *Reply[R] {
 	l.Merge(m.Records)
 	after := m.Seen.Version
@@ -50,27 +52,29 @@
 	reply := &Reply[R]{Cursor: Cursor{Epoch: l.Epoch(), Version: version}, Records: records}
 	isFirst := m.Seen == Cursor{} && version == 0
 	if isFirst || reply.Cursor == m.Seen {
-		// Two processes that have never heard of a change exchange no byte.
+		// There is nothing to send between two logs that have no changes.
 		return nil
 	}
 	return reply
 }
 
-// A Link is one process's side of the exchange with one peer at a time. It belongs to one goroutine.
+// A Link is the local side of an exchange with one peer at a time. It is not safe for concurrent use.
 type Link[R any] struct {
 	log  Log[R]
 	peer string
-	// seen is up to where the peer's changes are known, sent up to where the peer knows this log's.
+	// seen is the position up to which the peer's changes are known. sent is the local version up to which
+	// the peer is known to have the changes.
 	seen Cursor
 	sent uint64
-	// telling is up to where the last message tells.
+	// telling is the local version up to which the last message carries the changes.
 	telling uint64
 }
 
-// NewLink returns a Link of a log with no peer.
+// NewLink returns a Link without a peer.
 func NewLink[R any](l Log[R]) *Link[R] { return &Link[R]{log: l} }
 
-// Message returns the next message to a peer. Another peer than the last one is sent everything.
+// Message returns the next message to a peer. If the peer is another one than before, the message carries all
+// records.
 func (l *Link[R]) Message(peer string) Message[R] {
 	if peer != l.peer {
 		*l = Link[R]{log: l.log, peer: peer}
@@ -80,8 +84,8 @@
 	return Message[R]{Records: records, Seen: l.seen}
 }
 
-// Apply takes in the peer's answer to the last message. A peer that has started anew is sent everything
-// next.
+// Apply merges the reply to the last message; nil stands for a reply without changes. If the peer has
+// restarted, the next message carries all records.
 func (l *Link[R]) Apply(r *Reply[R]) {
 	l.sent = l.telling
 	if r == nil {
@@ -92,14 +96,14 @@
 	}
 	before, after := l.log.Merge(r.Records)
 	if l.sent == before {
-		// The peer knows what it has told.
+		// The changes merged just now came from the peer and need not be sent back.
 		l.sent = after
 	}
 	l.seen = r.Cursor
 }
 
-// Oldest returns the keys of a log's oldest changes, at most a number of them and the oldest first, and up to which
-// version they go; that is the log's own, version, if all are among them.
+// Oldest returns the keys of the oldest changes, at most a given number, ordered by version, and the version
+// up to which they are complete. That is version if all keys are returned. Oldest sorts changed in place.
 func Oldest[K any](changed []K, versionOf func(K) uint64, most int, version uint64) ([]K, uint64) {
 	slices.SortFunc(changed, func(a, b K) int { return cmp.Compare(versionOf(a), versionOf(b)) })
 	if len(changed) <= most {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -9,11 +9,11 @@
 	"rockcleat/exchange"
 )
 
-// A wordLog holds words in the order in which they came; it is an exchange.Log.
+// A wordLog is an exchange.Log of words in order of arrival.
 type wordLog struct {
 	epoch uint32
 	words []string
-	// sent counts the records that Since returned.
+	// sent is the number of records returned by Since.
 	sent int
 }
 
@@ -35,11 +35,11 @@
 	return before, uint64(len(l.words))
 }
 
-// A pair is a process and the peer that it exchanges with.
+// A pair is a log, its peer, and the link between them.
 type pair struct {
 	log, peer *wordLog
 	link      *exchange.Link[string]
-	// messages counts those that have a content, or whose reply has.
+	// messages is the number of exchanges in which the message or the reply had content.
 	messages int
 }
 
@@ -49,7 +49,7 @@
 	return p
 }
 
-// exchange sends one message to the peer of a name; lost says that the reply does not arrive.
+// exchange sends a message to the named peer. If lost is set, the reply is dropped.
 func (p *pair) exchange(name string, lost bool) {
 	m := p.link.Message(name)
 	reply := exchange.Answer[string](p.peer, m)
@@ -65,7 +65,7 @@
 	tests := map[string]struct {
 		play func(p *pair)
 		want []string
-		// messages is how many messages or replies had a content.
+		// messages is the expected number of exchanges with content.
 		messages int
 	}{
 		"nothing is known": {play: func(p *pair) { p.exchange("peer", false) }},
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -14,49 +14,47 @@
 	"rockcleat/residency"
 )
 
-// How measured demand follows what is asked: it rises soon and falls slowly, so that
-// replicas stay through a lull. Demand moves within 4 to 6 s on the users' sites.
+// Time constants of measured demand. It rises fast and falls slowly, so that replicas survive a short lull.
 const (
-	// demandRiseTime is the time constant of a rise.
 	demandRiseTime = 1500 * time.Millisecond
-	// demandFallTime is the time constant of a fall.
 	demandFallTime = 8 * time.Second
 )
 
-// A gateway holds the leader's view of one gateway.
+// A gateway is the leader's view of one gateway.
 type gateway struct {
-	// report is its last one without Demands, which demands adds up.
+	// report is the gateway's last report without Demands. demands accumulates those of all its reports.
 	report     Report
 	demands    map[string]dispatch.Demand
 	reportedAt time.Time
 }
 
-// A demandRate follows the work asked of one model, in tokens per second.
+// A demandRate is a moving average of the work requested of one model, in tokens per second.
 type demandRate struct {
-	// risen follows the work within demandRiseTime; held falls no faster than
-	// demandFallTime allows.
+	// risen is the average with time constant demandRiseTime. held follows it upwards, and decays with
+	// demandFallTime at most.
 	risen, held float64
 }
 
-// update counts the work of one step.
+// update adds the work of one step.
 func (r *demandRate) update(tokens float64, step time.Duration) {
 	now := tokens / step.Seconds()
 	r.risen += (now - r.risen) * (1 - math.Exp(-step.Seconds()/demandRiseTime.Seconds()))
 	r.held = max(r.risen, r.held*math.Exp(-step.Seconds()/demandFallTime.Seconds()))
 }
 
-// A demand sums up what gateways report.
+// risen is the average with time constant demandRiseTime. held is its peak, which decays with demandFallTime.
 type demand struct {
 	gateways map[string]*gateway
-	// former are those that this process knew before it led and that have not reported yet, since when.
+	// former holds the gateways known before the term that have not reported in it yet. formerSince is when
+	// they were added.
 	former      map[string]Gateway
 	formerSince time.Time
-	// newTokens is the work asked for since the last step, by model.
+	// newTokens is the work requested since the last step, in tokens by model.
 	newTokens map[string]float64
 	rates     map[string]*demandRate
-	// adapterLastUsed is when each adapter was last asked for.
+	// adapterLastUsed is when each adapter was last requested.
 	adapterLastUsed map[backend.Adapter]time.Time
-	// loads sums up what gateways have at servers.
+	// loads is the total load of all gateways at each server.
 	loads loads
 }
 
@@ -67,8 +65,8 @@
 	}
 }
 
-// apply counts what is new in a report. The first report of a gateway, and a full one, only
-// show where its counts stand.
+// apply adds a gateway's report. The first report of a gateway and a full report only set the baseline of its
+// counters.
 func (d *demand) apply(r Report, now time.Time) {
 	delete(d.former, r.GatewayID)
 	g := d.gateways[r.GatewayID]
@@ -80,7 +78,7 @@
 	for name, x := range r.Demands {
 		before := g.demands[name]
 		if x.Arrived < before.Arrived {
-			// The gateway has started anew.
+			// The counter went back: the gateway has restarted.
 			before = dispatch.Demand{}
 		}
 		if x.Arrived == before.Arrived {
@@ -95,8 +93,7 @@
 	g.apply(r, now)
 }
 
-// reset takes a report as the whole state of its gateway; before is its last state,
-// or nil.
+// reset replaces the state of a gateway by a report. before is its previous state, or nil.
 func (d *demand) reset(before *gateway, r Report, now time.Time) {
 	if before != nil {
 		d.loads.update(before.report.Loads, nil)
@@ -107,16 +104,16 @@
 	g.apply(r, now)
 }
 
-// apply keeps what a report says; demands that it leaves out are as they were.
+// apply stores a report. Demands that it omits are unchanged.
 func (g *gateway) apply(r Report, now time.Time) {
 	maps.Copy(g.demands, r.Demands)
 	g.report, g.reportedAt = r, now
 	g.report.Demands = nil
 }
 
-// remember makes gateways that were known before the term count until they report, or until as much time has
-// passed as without reports: the first reports of a term come within a report's interval, and a list that grew
-// by them passed the engines and limits that gateways own around among those few.
+// remember adds gateways that were known before the term. Each is listed until it reports, or until the
+// timeout of gateways that do not report. Otherwise the list would grow with each first report of the term,
+// and the ownership of engines and limits would move between the few gateways listed so far.
 func (d *demand) remember(gateways []Gateway, now time.Time) {
 	d.formerSince = now
 	for _, g := range gateways {
@@ -126,8 +123,7 @@
 	}
 }
 
-// list returns the gateways in the order of their names, and a version that is the same for
-// the same gateways.
+// list returns the gateways sorted by ID, and a hash of their IDs and addresses as the version of the list.
 func (d *demand) list() ([]Gateway, uint64) {
 	list := make([]Gateway, 0, len(d.gateways))
 	for _, g := range d.gateways {
@@ -139,13 +135,13 @@
 	slices.SortFunc(list, func(x, y Gateway) int { return strings.Compare(x.ID, y.ID) })
 	h := fnv.New64a()
 	for _, g := range list {
-		// Writing to a hash never fails.
+		// Writes to a hash never fail.
 		_, _ = io.WriteString(h, g.ID+"\x00"+g.Addr+"\x00")
 	}
 	return list, h.Sum64()
 }
 
-// step moves the rates on by a time.
+// step updates the rates with the work of the elapsed time.
 func (d *demand) step(elapsed time.Duration) {
 	for model := range d.newTokens {
 		if d.rates[model] == nil {
@@ -158,7 +154,7 @@
 	clear(d.newTokens)
 }
 
-// forget drops gateways that have not reported for a time.
+// forget removes gateways that have not reported within the timeout.
 func (d *demand) forget(now time.Time, timeout time.Duration) {
 	if now.Sub(d.formerSince) > timeout {
 		clear(d.former)
@@ -171,7 +167,7 @@
 	}
 }
 
-// modelDemands returns what is asked of each model.
+// modelDemands returns the demand for each model.
 func (d *demand) modelDemands() map[string]residency.Demand {
 	out := make(map[string]residency.Demand)
 	for model, r := range d.rates {
@@ -186,7 +182,7 @@
 	return out
 }
 
-// addDemand adds to a model's demand what one gateway reports of it or of an adapter.
+// addDemand adds one gateway's demand for a model or one of its adapters to the model's total.
 func addDemand(sum residency.Demand, x dispatch.Demand) residency.Demand {
 	objective := time.Duration(x.ObjectiveMs) * time.Millisecond
 	if !sum.Asked || objective < sum.Objective {
@@ -197,8 +193,8 @@
 	return sum
 }
 
-// adapters returns the adapters of a service that are waited for, and how many requests use
-// each.
+// adapters returns the adapters of a service that requests are waiting for, and the number of running
+// requests by adapter.
 func (d *demand) adapters(service string) (waited []backend.Adapter, running map[backend.Adapter]int) {
 	seen := make(map[backend.Adapter]bool)
 	running = make(map[backend.Adapter]int)
--- a/internal/placer/demand_test.go
+++ b/internal/placer/demand_test.go
@@ -10,7 +10,8 @@
 	"rockcleat/dispatch"
 )
 
-// TestObjectiveOfDemand adds up what gateways report of a model and its adapters.
+// TestObjectiveOfDemand checks that the objective of a model is the shortest among those reported for the
+// model and its adapters.
 func TestObjectiveOfDemand(t *testing.T) {
 	tests := map[string]struct {
 		reports []map[string]dispatch.Demand
@@ -40,8 +41,8 @@
 	}
 }
 
-// TestNewLeaderKnowsTheGateways checks that a leader begins its term with the gateways that it knew before, waits
-// for their reports, and drops those that do not report.
+// TestNewLeaderKnowsTheGateways checks that a leader starts its term with the gateways known before, waits
+// for their reports, and removes those that do not report.
 func TestNewLeaderKnowsTheGateways(t *testing.T) {
 	const timeout = 2 * time.Second
 	start := time.Unix(1000, 0)
--- a/internal/placer/doc.go
+++ b/internal/placer/doc.go
@@ -1,18 +1,20 @@
-// Package placer is the leader's role of a gateway: whichever gateway holds the lease
-// "placer" collects what all gateways report, plans with package residency, issues the
-// orders to engines one at a time under the lease's fencing token, and publishes what the
-// engines hold.
+// Package placer decides which models and adapters the engines hold. Every gateway runs a Placer; only the
+// gateway that holds the lease, the leader, acts.
 //
-// The leader owns, for as long as it holds the lease: what it knows of each engine
-// (engineState), the sums of the gateways' demand and loads, the rate of loads from the
-// weight store, and the published residency with its versions. All of it is in memory, is
-// forgotten with the lease, and is read anew from engines' reports by the next leader.
-// It relies on package lease for the token, on the registry of servers and the routing of
-// its own gateway, and on engines that refuse orders of older tokens and unexpected
-// sequence numbers.
+// The leader collects the reports of all gateways, plans with package residency, issues one order at a time
+// to each engine under the fencing token of its lease, and publishes what the engines hold.
 //
-// Without the store a leader stops before its lease runs out; engines then keep what they
-// hold. An engine that does not answer is asked again and gets no order meanwhile.
-// Sequence numbers count the orders that an engine has taken; a version of the residency
-// is the leader's token and a count of changes.
+// The leader owns the view of each engine (engineState), the totals of the gateways' demand and loads, the
+// limiter of loads from the weight store, and the published residency with its versions. This state is kept
+// in memory. The next leader rebuilds it from the reports of engines and gateways.
+//
+// The package relies on package lease for the token and on the gateway for the registry of servers and the
+// routing configuration. It relies on engines to reject orders with an older token or an unexpected sequence
+// number.
+//
+// A leader that cannot reach the store stops issuing orders before its lease expires; engines then keep what
+// they hold. An engine that does not answer gets no order until it has reported again.
+//
+// A sequence number counts the orders that an engine has accepted. A version of the residency consists of the
+// leader's token and a count of changes. Memory is in megabytes, demand in tokens per second.
 package placer
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -10,65 +10,66 @@
 	"rockcleat/table"
 )
 
-// Times of orders.
+// Timing of orders and reports.
 const (
-	// retireNotice is how long gateways have to learn that a model goes before the
-	// engine is ordered to unload it: some four reports.
+	// retireNotice is the delay between the publication that a model is about to be unloaded and the order to
+	// unload it. Gateways learn of the change with their next report.
 	retireNotice = 350 * time.Millisecond
-	// pollEvery is the time between two reports while an order is carried out.
+	// pollEvery is the interval between two reports of an engine that is carrying out an order.
 	pollEvery = 250 * time.Millisecond
-	// adapterLoadTime is how long an adapter takes to load.
+	// adapterLoadTime is the expected time to load an adapter.
 	adapterLoadTime = 40 * time.Millisecond
-	// adapterCheckDelay is when an adapter's arrival is checked by a report.
+	// adapterCheckDelay is the delay before a report confirms that an adapter was loaded.
 	adapterCheckDelay = 500 * time.Millisecond
-	// minResidence is how long a model that was loaded stays at least, unless a model
-	// without a replica needs its memory.
+	// minResidence is how long a loaded model is protected from eviction, unless a model without a replica
+	// needs its memory.
 	minResidence = 4 * time.Second
-	// reportLag bounds how much older than an order a report may be that comes after it:
-	// engines' reports are some hundred milliseconds old, and a call may take as long.
+	// reportLag is the time after an accepted order in which a report may still predate the order. It covers
+	// the age of an engine's report and the duration of the call.
 	reportLag = 1500 * time.Millisecond
-	// cacheUnknownTime is how long after a load reports may be older than what it pushed
-	// out of the machine's caches.
+	// cacheUnknownTime is the time after a load in which a report may still list cached weights that the load
+	// has evicted.
 	cacheUnknownTime = 700 * time.Millisecond
-	// maxLoadWait is how long a load may wait for the memory that is made for it: longer
-	// than the 12 s that an order without an answer may take to be carried out.
+	// maxLoadWait is how long a load may wait for memory to be freed on its engine. An order that was not
+	// answered may be carried out up to 12 s later, so the wait has to be longer.
 	maxLoadWait = 13 * time.Second
-	// orderRetryDelay is the pause after an order without an answer.
+	// orderRetryDelay is the delay before the report that follows an unanswered order.
 	orderRetryDelay = 300 * time.Millisecond
 )
 
-// An engineState holds the leader's view of one engine.
+// An engineState is the leader's view of one engine.
 type engineState struct {
 	server *backend.Server
-	// known says that the fields below come from the engine's own report; orders are
-	// issued to known engines only.
+	// known is set when the fields below come from the engine's own report. Orders are issued to known
+	// engines only.
 	known bool
-	// sequence is the number of orders that the engine has taken.
+	// sequence is the number of orders that the engine has accepted.
 	sequence  int
 	residents []backend.Resident
-	// cachedInMemory and cachedOnDisk name the models whose weights the machine has
-	// cached. Until cacheUnknownUntil reports may still list what a load has pushed out.
+	// cachedInMemory and cachedOnDisk name the models whose weights the machine has cached. They are empty
+	// from the end of a load until cacheUnknownUntil.
 	cachedInMemory, cachedOnDisk []string
 	cacheUnknownUntil            time.Time
-	// pending are the orders still to be issued or carried out, the first one first.
+	// pending lists the orders still to be issued or completed, in order.
 	pending []backend.Order
-	// accepted says that the engine has accepted the first pending order.
+	// accepted is set when the engine has accepted the first pending order.
 	accepted bool
-	// notBefore is when the first pending order may be issued.
+	// notBefore is the earliest time to issue the first pending order.
 	notBefore time.Time
 	// plannedAt is when the pending orders were planned.
 	plannedAt time.Time
 	// lastAccepted is when the engine last accepted an order.
 	lastAccepted time.Time
-	// calling says that a call to the engine is under way.
+	// calling is set while a call to the engine is in progress.
 	calling bool
-	// otherRun says that another run of the server reports than the one that is listed.
+	// otherRun is set when the last report came from another incarnation of the server than the registered
+	// one.
 	otherRun bool
-	// nextReport is when the next report is due; zero if none is.
+	// nextReport is when the next report is due, or zero if none is.
 	nextReport time.Time
-	// loadedAt is when models were loaded, for minResidence.
+	// loadedAt holds the times at which models were loaded, for minResidence.
 	loadedAt map[string]time.Time
-	// adapterReadyAt is when adapters that were ordered should be loaded.
+	// adapterReadyAt holds the times at which adapters being loaded are expected to be ready.
 	adapterReadyAt map[backend.Adapter]time.Time
 }
 
@@ -82,8 +83,8 @@
 // isIdle reports whether a new move may be planned for the engine.
 func (e *engineState) isIdle() bool { return e.known && !e.calling && len(e.pending) == 0 }
 
-// servable returns the models and adapters that gateways may send requests for: what the
-// engine holds, less models that are about to go and adapters that are still loading.
+// servable returns the models and adapters that gateways may send requests for: those that the engine holds,
+// without models about to be unloaded and adapters still being loaded.
 func (e *engineState) servable(now time.Time) []backend.Resident {
 	if e.otherRun {
 		return nil
@@ -108,7 +109,7 @@
 	})
 }
 
-// afterOrders returns what the engine will hold when its pending orders are carried out.
+// afterOrders returns the models that the engine will hold once its pending orders are completed.
 func (e *engineState) afterOrders() []backend.Resident {
 	list := slices.DeleteFunc(slices.Clone(e.residents), func(r backend.Resident) bool { return e.isRetiring(r.Model) })
 	for _, o := range e.pending {
@@ -119,7 +120,7 @@
 	return list
 }
 
-// view returns the engine as a plan sees it.
+// view returns the engine's state as input to planning.
 func (e *engineState) view(now time.Time) residency.EngineView {
 	maps.DeleteFunc(e.loadedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= minResidence })
 	var recent map[string]bool
@@ -148,8 +149,8 @@
 	}
 }
 
-// loadOverdue reports whether a load has waited for the engine for longer than maxLoadWait:
-// the engine waits for requests to end before it unloads, or it does not answer.
+// loadOverdue reports whether a load has waited for longer than maxLoadWait. Either the engine lets running
+// requests end before it unloads a model, or it does not answer.
 func (e *engineState) loadOverdue(now time.Time) bool {
 	n := len(e.pending)
 	if n == 0 || e.pending[n-1].Unload || now.Sub(e.plannedAt) < maxLoadWait {
@@ -158,8 +159,8 @@
 	return n > 1 || !e.accepted && !e.known && !e.calling
 }
 
-// abandonLoad drops the load of the pending orders and returns its model, so that it can be
-// planned elsewhere. What is to be unloaded still is.
+// abandonLoad removes the pending load and returns its model, so that it can be planned on another engine.
+// Pending unloads remain.
 func (e *engineState) abandonLoad() string {
 	n := len(e.pending)
 	model := e.pending[n-1].Model
@@ -167,14 +168,15 @@
 	return model
 }
 
-// isOther reports whether a report comes from another run than this one: the server has restarted
-// and its new record has not been seen yet. Where records do not name their start, runs cannot be
-// told apart.
+// isOther reports whether a report comes from another incarnation of the server than the registered one. This
+// happens when the server has restarted and its new record has not been seen yet. Incarnations cannot be told
+// apart where the records do not identify them.
 func (e *engineState) isOther(r backend.Report) bool {
 	return r.ServerID != "" && e.server.Instance != "" && r.ServerID != e.server.ID
 }
 
-// apply applies a report and reports whether it is as new as the orders accepted.
+// apply applies a report and reports whether it did. A report that may predate the last accepted order is
+// ignored.
 func (e *engineState) apply(r backend.Report, now time.Time) bool {
 	if e.known && r.Sequence < e.sequence && now.Sub(e.lastAccepted) < reportLag {
 		return false
@@ -193,9 +195,8 @@
 	return true
 }
 
-// completeOrders drops the pending orders that a report of an engine without an order under
-// way shows to be done, also those whose answer was lost, and returns the model that was
-// loaded, if one was.
+// completeOrders removes the pending orders that the last report shows as carried out, including those whose
+// answer was lost. It returns the model that was loaded, if any. The engine must have no order in progress.
 func (e *engineState) completeOrders(now time.Time) (loaded string) {
 	for len(e.pending) > 0 {
 		o := e.pending[0]
@@ -211,15 +212,15 @@
 		}
 	}
 	if e.accepted {
-		// The engine has ended the order and it did not succeed: plan anew.
+		// The engine finished the order without success; plan again.
 		e.pending, e.accepted = nil, false
 	}
 	return loaded
 }
 
-// distrustCache forgets which weights are cached until a report that is surely newer than
-// the load that has just ended: a load from the weight store may have pushed some out, and
-// a load of those would be one from the weight store too.
+// distrustCache discards the cached weights until a report is certain to be newer than the load that has just
+// finished. A load from the weight store may have evicted some of them, so that loading these would also read
+// from the store.
 func (e *engineState) distrustCache(now time.Time) {
 	e.cachedInMemory, e.cachedOnDisk = nil, nil
 	e.cacheUnknownUntil = now.Add(cacheUnknownTime)
@@ -237,7 +238,7 @@
 	return !o.Unload && e.source(o.Model) == residency.FromStore
 }
 
-// expectedTime returns how long the engine's first pending order should take.
+// expectedTime returns the expected duration of the first pending order.
 func (e *engineState) expectedTime(spec *table.EngineSpec) time.Duration {
 	o := e.pending[0]
 	m, ok := spec.Model(o.Model)
@@ -247,7 +248,7 @@
 	return residency.LoadTime(m, e.source(o.Model))
 }
 
-// addAdapter counts an adapter that the engine has accepted an order for.
+// addAdapter adds an adapter whose load the engine has accepted or reported.
 func (e *engineState) addAdapter(a backend.Adapter, now time.Time) {
 	e.residents = slices.Clone(e.residents)
 	for i, r := range e.residents {
@@ -260,7 +261,7 @@
 	e.adapterReadyAt[a] = now.Add(adapterLoadTime)
 }
 
-// dropAdapter counts an adapter as unloaded.
+// dropAdapter removes an adapter that was unloaded.
 func (e *engineState) dropAdapter(a backend.Adapter) {
 	e.residents = slices.Clone(e.residents)
 	for i, r := range e.residents {
--- a/internal/placer/engine_table.go
+++ b/internal/placer/engine_table.go
@@ -5,19 +5,17 @@
 	"rockcleat/table"
 )
 
-// An engineTable holds the engines that the leader knows.
-//
-// Its zero value is empty.
+// An engineTable holds the engines known to the leader. The zero value is an empty table.
 type engineTable struct {
 	byID map[string]*engineState
-	// byService lists the engines of each service in the order of their ids.
+	// byService lists the engines of each service, ordered by ID.
 	byService map[string][]*engineState
-	// servers and version are those of the last sync.
+	// servers and version are the arguments of the last sync.
 	servers *backend.Snapshot
 	version uint64
 }
 
-// sync adds the engines that have come and drops those that have gone.
+// sync adds registered engines and removes those no longer registered.
 func (t *engineTable) sync(s *backend.Snapshot, routing *table.Routing) {
 	if s == t.servers && routing.Version() == t.version {
 		return
--- a/internal/placer/engine_test.go
+++ b/internal/placer/engine_test.go
@@ -9,9 +9,9 @@
 	"rockcleat/backend"
 )
 
-// TestCachedWeightsAreDistrustedAfterALoad lets an engine report weights on its disk
-// which the load that has just ended has pushed out: a load of them must count as one
-// from the weight store until a report is surely newer.
+// TestCachedWeightsAreDistrustedAfterALoad guards against a report that still lists cached weights which the
+// load that has just finished evicted. A load of these weights must count as one from the weight store until
+// a report is certain to be newer.
 func TestCachedWeightsAreDistrustedAfterALoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEngine(&backend.Server{ID: "e"})
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -27,32 +27,32 @@
 	ttl     = 3 * time.Second
 )
 
-// An issuedOrder is an order that an engine got.
+// An issuedOrder is an order that an engine received.
 type issuedOrder struct {
 	server string
 	order  backend.Order
 	at     time.Time
 }
 
-// fakeEngines carries orders out at once, unless a test says otherwise.
+// fakeEngines implements backend.EngineClient. Orders are carried out at once unless answer or runs is set.
 type fakeEngines struct {
 	clock clock.Service
 
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
 	issued  []issuedOrder
-	// answer, if not nil, decides what is answered to an order and whether it is done.
+	// answer, if not nil, returns the answer to the n-th order and whether the order is carried out.
 	answer func(n int, o backend.Order) (out backend.OrderOutcome, done bool, err error)
 }
 
 type fakeEngine struct {
-	// serverID is the run that reports name; empty for none.
+	// serverID is the incarnation named in reports; empty for none.
 	serverID  string
 	sequence  int
 	fence     int64
 	residents []backend.Resident
 	coming    []backend.Adapter
-	// runs keeps the engine from ending an unload.
+	// runs makes an unload of a model stay in progress.
 	runs bool
 	busy bool
 }
@@ -120,7 +120,7 @@
 	return slices.Clone(f.issued)
 }
 
-// A fakeLease is held when a test says so.
+// A fakeLease is a lease that the test controls.
 type fakeLease struct {
 	mu    sync.Mutex
 	token lease.Token
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// A world is a placer with its surroundings.
+// A world is a placer with fake engines, a fake lease and a test clock.
 type world struct {
 	t        *testing.T
 	clock    *clocktest.Clock
@@ -161,12 +161,12 @@
 	placer   *placer.Placer
 	// second adds a second service of engines, which shares the weight store.
 	second bool
-	// inNeed are the servers that take few requests.
+	// inNeed names the servers for which IsInNeed reports true.
 	inNeed map[string]bool
 }
 
-// newWorld returns, in a bubble of synctest, a world of models of 60 GB and engines of 200 GB that hold the
-// named models.
+// newWorld returns a world with models of 60 GB and engines of 200 GB that hold the named models. It must be
+// called in a synctest bubble.
 func newWorld(t *testing.T, models int, held ...[]string) *world {
 	c := clocktest.New(time.Unix(1000, 0))
 	w := &world{t: t, clock: c, lease: &fakeLease{token: 7}}
@@ -209,7 +209,7 @@
 	return p
 }
 
-// run lets time pass until the condition holds.
+// run advances the clock until the condition holds.
 func (w *world) run(what string, cond func() bool) {
 	w.t.Helper()
 	for range maxSteps {
@@ -221,13 +221,13 @@
 	w.t.Fatalf("%s: orders %v", what, w.engines.orders())
 }
 
-// Steps in which a test lets time pass.
+// Steps by which a test advances the clock.
 const (
 	stepTime = 50 * time.Millisecond
 	maxSteps = 2000
 )
 
-// pass lets an amount of time pass; after each step the placer's calls to engines end.
+// pass advances the clock in steps and waits after each one for the placer's calls to engines to end.
 func (w *world) pass(d time.Duration) {
 	for range int(d / stepTime) {
 		w.clock.Advance(stepTime)
@@ -239,14 +239,15 @@
 	return func() bool { return len(w.engines.orders()) >= n }
 }
 
-// ask reports requests that wait for a model or adapter.
+// ask reports the demand for a model or adapter and returns the reply.
 func (w *world) ask(name string, arrived, waiting int) placer.Reply {
 	return w.placer.Report(placer.Report{GatewayID: "g", Demands: map[string]dispatch.Demand{
 		name: {Arrived: arrived, WorkTokens: arrived * 1000, Waiting: waiting, Service: service},
 	}})
 }
 
-// startWaitingFor starts a leader, lets a request wait for an adapter and waits for the first order.
+// startWaitingFor starts the first leader, reports a request that waits for an adapter, and waits for the
+// first order.
 func (w *world) startWaitingFor(adapter string) {
 	p := w.start(true)
 	w.pass(5 * time.Second)
--- a/internal/placer/leadership.go
+++ b/internal/placer/leadership.go
@@ -6,43 +6,42 @@
 	"rockcleat/lease"
 )
 
-// firstLeaderDelay is how long the first leader of the first start waits before its first
-// order, so that servers have listed themselves and their models do not count as missing:
-// three heartbeats.
+// firstLeaderDelay is how long the first leader of a new system waits before its first order. Servers
+// register within three heartbeats; models held by an unregistered server would count as missing.
 const firstLeaderDelay = 4 * time.Second
 
-// nonLeaderReplyMaxAge is how old the last leader's word may be that it no longer leads:
-// some six reports of a gateway.
+// nonLeaderReplyMaxAge is the maximum age of the last reply by which the previous leader counts as no longer
+// leading. Gateways normally report several times within it.
 const nonLeaderReplyMaxAge = 500 * time.Millisecond
 
-// A leadership is a placer's hold of the lease and when it may issue orders under it.
+// A leadership holds the state of the current term and decides whether orders may be issued in it.
 type leadership struct {
-	// token is the fencing token; 0 while this process does not lead.
+	// token is the fencing token, or 0 while this process does not lead.
 	token lease.Token
 	since time.Time
 	// settleTime is how long this leader waits before its first order.
 	settleTime time.Duration
-	// fenced is the token that an engine refused; no order is issued under it any more.
+	// fenced is the last token that an engine rejected. No order is issued under it any more.
 	fenced lease.Token
-	// former is what the last leader has replied since this process does not lead.
+	// former tracks the previous leader's replies.
 	former nonLeaderReplies
 }
 
-// mayOrder reports whether orders may be issued: the leader has settled, so that the last
-// leader's orders are over, and no engine has seen a newer leader.
+// mayOrder reports whether orders may be issued: the settle time has passed, so that no order of the previous
+// leader is in progress, and no engine has seen a newer leader.
 func (l *leadership) mayOrder(now time.Time) bool {
 	return l.token != l.fenced && now.Sub(l.since) >= l.settleTime
 }
 
-// nonLeaderReplies is the time in which a process has replied, without a break, that it
-// does not lead.
+// nonLeaderReplies tracks the unbroken period in which the process at an address has replied that it does not
+// lead.
 type nonLeaderReplies struct {
 	addr        string
 	first, last time.Time
 }
 
-// note notes what the process at an address replied; notLeader is false if it leads or did
-// not reply.
+// note records a reply of the process at an address. notLeader is false if the process leads or did not
+// reply.
 func (n *nonLeaderReplies) note(addr string, notLeader bool, now time.Time) {
 	switch {
 	case !notLeader:
@@ -54,7 +53,7 @@
 	}
 }
 
-// duration returns for how long the process at an address has replied that it does not lead.
+// duration returns how long the process at an address has replied without a break that it does not lead.
 func (n *nonLeaderReplies) duration(addr string, now time.Time) time.Duration {
 	if addr == "" || n.addr != addr || now.Sub(n.last) > nonLeaderReplyMaxAge {
 		return 0
@@ -62,9 +61,9 @@
 	return n.last.Sub(n.first)
 }
 
-// settleTime returns how long a new leader waits before its first order: the lease's
-// length, since orders of the last leader may be under way for so long, less the time in
-// which that one has replied that it does not lead.
+// settleTime returns how long a new leader waits before its first order. Orders of the previous leader can be
+// in progress for as long as a lease lasts. The time in which that process has already replied that it does
+// not lead is deducted.
 func (p *Placer) settleTime(now time.Time) time.Duration {
 	if p.isFirst() {
 		return firstLeaderDelay
@@ -73,11 +72,11 @@
 	return max(p.opts.SettleTime-quiet, 0)
 }
 
-// isFirst reports whether there was no leader before this one.
+// isFirst reports whether there was no earlier leader.
 func (p *Placer) isFirst() bool { return p.opts.FirstStart && !p.opts.Lease.HasSeenOther() }
 
-// NotePeerReply notes whether the process at an address replied that it does not lead;
-// notLeader is false if it leads or did not reply.
+// NotePeerReply records whether the process at an address replied that it does not lead. notLeader is false
+// if the process leads or did not reply.
 func (p *Placer) NotePeerReply(addr string, notLeader bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placer/load_totals.go
+++ b/internal/placer/load_totals.go
@@ -9,26 +9,26 @@
 	"rockcleat/dispatch"
 )
 
-// Bounds of the loads in a reply.
+// Limits of the loads in a reply.
 const (
-	// maxReportedServers bounds the servers whose load a gateway is sent: with more of
-	// them it gets the busiest, and learns of the others when it asks for admission.
+	// maxReportedServers is the maximum number of servers in a reply. If there are more, the reply lists the
+	// busiest; a gateway learns the load of another server when it requests admission there.
 	maxReportedServers = 64
-	// rankEvery is how often the busiest servers are looked for.
+	// rankEvery is the minimum interval between two rankings of the servers.
 	rankEvery = 100 * time.Millisecond
 )
 
-// A loads sums up what gateways have at servers.
+// A loads is the total load of all gateways at each server.
 type loads struct {
 	total map[string]dispatch.Load
-	// busiest are the servers in a reply when there are more than maxReportedServers.
+	// busiest lists the servers in a reply if there are more than maxReportedServers.
 	busiest []string
 	ranked  time.Time
 }
 
 func newLoads() loads { return loads{total: make(map[string]dispatch.Load)} }
 
-// update subtracts what a gateway had and adds what it has now.
+// update replaces a gateway's previous loads by its new ones.
 func (l *loads) update(before, now map[string]dispatch.Load) {
 	for id, x := range before {
 		sum := minus(l.total[id], x)
@@ -47,7 +47,6 @@
 	}
 }
 
-// minus subtracts exactly: what is summed up was added before.
 func minus(l, part dispatch.Load) dispatch.Load {
 	l.Running -= part.Running
 	l.PrefillMs -= part.PrefillMs
@@ -55,8 +54,8 @@
 	return l
 }
 
-// excluding returns what others than the gateway with these loads have at the servers, and
-// whether only the busiest servers are listed.
+// excluding returns the total loads without those of one gateway, and whether only the busiest servers are
+// listed.
 func (l *loads) excluding(own map[string]dispatch.Load, now time.Time) (others map[string]dispatch.Load, busiestOnly bool) {
 	others = make(map[string]dispatch.Load, min(len(l.total), maxReportedServers))
 	if len(l.total) <= maxReportedServers {
@@ -78,7 +77,7 @@
 	}
 }
 
-// rankByRequests finds the servers with the most running requests.
+// rankByRequests updates the list of servers with the most running requests.
 func (l *loads) rankByRequests(now time.Time) {
 	if now.Sub(l.ranked) < rankEvery {
 		return
--- a/internal/placer/loads_test.go
+++ b/internal/placer/loads_test.go
@@ -11,7 +11,7 @@
 	"rockcleat/dispatch"
 )
 
-// TestLoadsAddUp replaces gateways' loads in any order and compares with their sum.
+// TestLoadsAddUp checks the totals after random updates of the gateways' loads.
 func TestLoadsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLoads()
@@ -43,7 +43,8 @@
 	})
 }
 
-// TestOnlyTheBusiestAreSent checks what is sent of more servers than maxReportedServers.
+// TestOnlyTheBusiestAreSent checks that only the busiest servers are listed if there are more than
+// maxReportedServers.
 func TestOnlyTheBusiestAreSent(t *testing.T) {
 	l := newLoads()
 	all := make(map[string]dispatch.Load)
--- a/internal/placer/messages.go
+++ b/internal/placer/messages.go
@@ -5,59 +5,61 @@
 	"rockcleat/dispatch"
 )
 
-// A Report is a gateway's message to the leader.
+// A Report is a gateway's periodic message to the leader.
 type Report struct {
-	// GatewayID names the gateway, Addr is where it takes messages, Hall its data hall.
+	// GatewayID identifies the gateway, Addr is the address at which it accepts messages, and Hall is its
+	// data hall.
 	GatewayID string `json:"from"`
 	Addr      string `json:"addr"`
 	Hall      string `json:"hall"`
-	// Loads is its load at each server.
+	// Loads is the gateway's load at each server.
 	Loads map[string]dispatch.Load `json:"loads,omitempty"`
-	// Demands counts what was asked of it since its start, for the models and adapters for
-	// which that has changed since the last report that had a reply.
+	// Demands holds the counters since the gateway's start, by model or adapter. Those unchanged since the
+	// last report that was answered are omitted.
 	Demands map[string]dispatch.Demand `json:"demands,omitempty"`
-	// Full says that Demands is all that was asked, for a leader that knows nothing yet.
+	// Full is set when Demands omits nothing, for a leader without state.
 	Full bool `json:"full,omitempty"`
-	// GatewaysVersion is that of the list of gateways that it has, ResidencyVersion that
-	// of the residency.
+	// GatewaysVersion and ResidencyVersion are the versions of the list of gateways and of the residency that
+	// the gateway has.
 	GatewaysVersion  uint64 `json:"known,omitempty"`
 	ResidencyVersion int64  `json:"residency"`
-	// Samples are what it has seen of models' prefill speeds since its last report, SpeedsVersion is
-	// the version of the speeds that it has.
+	// Samples are the prefill speeds observed since the last report. SpeedsVersion is the version of the
+	// prefill speeds that the gateway has.
 	Samples       []dispatch.PrefillSample `json:"prefill,omitempty"`
 	SpeedsVersion int64                    `json:"speeds,omitempty"`
 }
 
-// A Gateway is a gateway that reported lately.
+// A Gateway is a gateway that counts as alive.
 type Gateway struct {
 	dispatch.Gateway
-	// Addr is where it takes messages.
+	// Addr is the address at which the gateway accepts messages.
 	Addr string `json:"addr"`
 }
 
-// A Reply is the leader's reply to a report.
+// A Reply is the leader's reply to a Report.
 type Reply struct {
-	// IsLeader says that the replying gateway leads; all else is empty otherwise.
+	// IsLeader reports whether the replying gateway leads. If not, all other fields are empty.
 	IsLeader bool `json:"held"`
 	// Term is the leader's fencing token.
 	Term int64 `json:"term,omitempty"`
-	// Gateways lists those that reported lately, if GatewaysVersion, the list's version,
-	// differs from the one reported.
+	// GatewaysVersion is the version of the list of gateways. Gateways is the list; it is omitted if the
+	// reported version is the same.
 	GatewaysVersion uint64    `json:"known,omitempty"`
 	Gateways        []Gateway `json:"gateways,omitempty"`
-	// Awaited is the number of listed gateways that were there before the leader's term and have not reported.
+	// Awaited is the number of listed gateways that were known before the leader's term and have not reported
+	// in it.
 	Awaited int `json:"awaited,omitempty"`
-	// Loads is the load of the other gateways at each server; BusiestOnly says that there
-	// are so many servers that it lists the busiest only.
+	// Loads is the load of the other gateways at each server. BusiestOnly reports whether the list is limited
+	// to the busiest servers.
 	Loads       map[string]dispatch.Load `json:"loads,omitempty"`
 	BusiestOnly bool                     `json:"partial,omitempty"`
-	// Residency lists the engines whose residency has changed since the version reported,
-	// or, with Full, all of them; ResidencyVersion is the new version.
+	// Residency holds the engines whose residency has changed since the reported version, or all engines if
+	// Full is set. ResidencyVersion is its new version.
 	ResidencyVersion int64                        `json:"version"`
 	Full             bool                         `json:"full,omitempty"`
 	Residency        map[string]backend.Residency `json:"residency,omitempty"`
-	// Speeds are the prefill speeds in milliseconds a token that have changed since the version
-	// reported; SpeedsVersion is the new version.
+	// Speeds holds the prefill speeds that have changed since the reported version, in milliseconds per token
+	// by model. SpeedsVersion is their new version.
 	SpeedsVersion int64              `json:"speeds,omitempty"`
 	Speeds        map[string]float64 `json:"prefill,omitempty"`
 }
--- a/internal/placer/orders.go
+++ b/internal/placer/orders.go
@@ -12,20 +12,20 @@
 	"rockcleat/table"
 )
 
-// Pace of engines' reports (docs/design/0009, many servers).
+// Rate of engine reports; see docs/design/0009.
 const (
-	// refreshEvery is how often an engine without orders is asked for a report, with up
-	// to enginesAtFullPace of them; with more it is done less often.
+	// refreshEvery is the interval between two reports of an engine without orders, if there are at most
+	// enginesAtFullPace engines. It grows with the number of engines.
 	refreshEvery = 6 * time.Second
-	// enginesAtFullPace is the number of engines up to which all are looked at at the
-	// full pace.
+	// enginesAtFullPace is the number of engines up to which intervals are shortest. Above it they grow with
+	// the number of engines.
 	enginesAtFullPace = 100
-	// maxReportsPerStep bounds the reports asked for in one step.
+	// maxReportsPerStep is the maximum number of reports requested in one step.
 	maxReportsPerStep = 30
 )
 
-// callIfDue makes the call to an engine that is due, if there is one: a report, or the first
-// pending order.
+// callIfDue starts the call to an engine that is due, if any: the request for a report, or the first pending
+// order.
 func (p *Placer) callIfDue(e *engineState, spec *table.EngineSpec, now time.Time) {
 	switch {
 	case e.calling:
@@ -39,7 +39,7 @@
 	}
 }
 
-// fetchReport reads an engine's report and applies it.
+// fetchReport requests a report from an engine and applies it.
 func (p *Placer) fetchReport(e *engineState) {
 	e.calling = true
 	server := e.server
@@ -50,7 +50,7 @@
 		now := p.opts.Clock.Now()
 		e.calling = false
 		if err != nil {
-			p.opts.Log.Warn("no report", zap.String("server", server.ID), telemetry.Error(err))
+			p.opts.Log.Warn("engine report failed", zap.String("server", server.ID), telemetry.Error(err))
 			e.nextReport = now.Add(2 * pollEvery)
 			return
 		}
@@ -58,7 +58,7 @@
 	}()
 }
 
-// applyReport applies a report and sets when the next one is due.
+// applyReport applies a report and schedules the next one.
 func (p *Placer) applyReport(e *engineState, r backend.Report, now time.Time) {
 	if e.isOther(r) {
 		p.noteOtherRun(e, r, now)
@@ -73,7 +73,7 @@
 	if r.OrderInProgress {
 		e.nextReport = now.Add(pollEvery)
 		if len(e.pending) == 0 {
-			// An order of the last leader is under way; wait for its end.
+			// The order in progress comes from the previous leader; wait until it ends.
 			e.known = false
 		}
 		return
@@ -84,25 +84,24 @@
 	p.publish(now)
 }
 
-// noteOtherRun notes that a report comes from another run of an engine than the one listed. It tells
-// nothing of the run that is listed, which gets no orders and holds nothing any more; the list will
-// name the other one.
+// noteOtherRun handles a report from another incarnation of an engine than the registered one. The registered
+// incarnation is gone: it gets no orders and holds nothing. The registry will list the new one.
 func (p *Placer) noteOtherRun(e *engineState, r backend.Report, now time.Time) {
 	if !e.otherRun {
-		p.opts.Log.Info("another run reports", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
+		p.opts.Log.Info("report from another incarnation of the server", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
 	}
 	e.known, e.otherRun = false, true
 	e.nextReport = now.Add(pollEvery)
 	p.publish(now)
 }
 
-// refreshInterval returns the time between two reports of an engine without orders.
+// refreshInterval returns the interval between two reports of an engine without orders.
 func (p *Placer) refreshInterval() time.Duration {
 	return refreshEvery * time.Duration(max(1, len(p.engines.byID)/enginesAtFullPace))
 }
 
-// issueModelOrder issues the first pending order, unless the model does not fit or the
-// weight store allows no load now.
+// issueModelOrder issues the first pending order, unless the model does not fit or the limiter of store loads
+// does not permit it yet.
 func (p *Placer) issueModelOrder(e *engineState, spec *table.EngineSpec, now time.Time) {
 	o := e.pending[0]
 	o.Sequence, o.Fence = e.sequence, int64(p.leadership.token)
@@ -124,8 +123,8 @@
 	}()
 }
 
-// modelWeights returns a model's memory in MB; that of a whole engine if it is not
-// configured, so that it does not fit.
+// modelWeights returns the size of a model's weights in MB. For a model that is not configured it returns the
+// memory of a whole engine, so that the model does not fit.
 func modelWeights(spec *table.EngineSpec, model string) float64 {
 	m, ok := spec.Model(model)
 	if !ok {
@@ -134,7 +133,7 @@
 	return m.WeightsMB
 }
 
-// send sends an order if the lease is still surely held.
+// send sends an order if the lease is certainly still held under the order's token.
 func (p *Placer) send(s *backend.Server, o backend.Order) (backend.OrderOutcome, error) {
 	if token, held := p.opts.Lease.Held(); !held || int64(token) != o.Fence {
 		return backend.OrderFenced, nil
@@ -142,15 +141,14 @@
 	return p.opts.Engines.Order(p.ctx, s, o)
 }
 
-// An answer is an engine's answer to an order.
+// An answer is the result of an order.
 type answer struct {
 	order   backend.Order
 	outcome backend.OrderOutcome
 	err     error
 }
 
-// noteAnswer logs an answer and counts what every order counts: the sequence, and a token
-// that was refused for its fence.
+// noteAnswer logs the result of an order, and updates the sequence number and the rejected token.
 func (p *Placer) noteAnswer(e *engineState, a answer, now time.Time) {
 	p.opts.Log.Info("order issued", zap.String("server", e.server.ID), zap.Bool("unload", a.order.Unload),
 		zap.String("model", a.order.Model), zap.String("adapter", a.order.Adapter), zap.Int("sequence", a.order.Sequence),
@@ -164,13 +162,13 @@
 	}
 }
 
-// counts reports whether the engine counts the order as taken. An order for an adapter may
-// be done at once, which counts too.
+// counts reports whether the engine counted the order in its sequence. An order for an adapter that was
+// already in the requested state counts too.
 func (a answer) counts() bool {
 	return a.outcome == backend.OrderAccepted || a.outcome == backend.OrderAlreadyDone && a.order.Adapter != ""
 }
 
-// modelOrderAnswered takes an engine's answer to an order for a model.
+// modelOrderAnswered handles the result of an order for a model.
 func (p *Placer) modelOrderAnswered(e *engineState, a answer, takes time.Duration) {
 	now := p.opts.Clock.Now()
 	p.noteAnswer(e, a, now)
@@ -182,8 +180,8 @@
 	case backend.OrderFenced:
 		e.pending = nil
 	case backend.OrderUnanswered:
-		// It may be carried out late: ask what became of it, and issue it again under
-		// the same sequence, so that it counts once.
+		// The order may still be carried out. Request a report, then repeat the order with the same sequence
+		// number, so that the engine accepts it only once.
 		e.known = false
 		e.nextReport = now.Add(orderRetryDelay)
 	default:
@@ -193,7 +191,7 @@
 	}
 }
 
-// issueAdapterOrders brings an adapter to an engine, after the eviction that makes room.
+// issueAdapterOrders loads an adapter, after unloading the one that it replaces, if any.
 func (p *Placer) issueAdapterOrders(e *engineState, m residency.AdapterMove) {
 	e.calling = true
 	server := e.server
@@ -214,8 +212,8 @@
 	}()
 }
 
-// adapterOrderAnswered takes an engine's answer to an order for an adapter and reports
-// whether it was carried out.
+// adapterOrderAnswered handles the result of an order for an adapter and reports whether the engine counted
+// it.
 func (p *Placer) adapterOrderAnswered(e *engineState, a answer) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -235,7 +233,7 @@
 	e.addAdapter(adapter, now)
 	e.nextReport = now.Add(adapterCheckDelay)
 	if a.outcome == backend.OrderAlreadyDone {
-		// The engine may have held it already: only a report says whether it counted.
+		// The engine may have held the adapter before; only a report shows whether the order was counted.
 		e.known = false
 		e.nextReport = now.Add(pollEvery)
 	}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -16,54 +16,54 @@
 	"rockcleat/table"
 )
 
-// Pace of the placer's steps.
+// Intervals between planning steps.
 const (
-	// tick is the time between two steps.
+	// tick is the regular interval.
 	tick = 100 * time.Millisecond
-	// minStepInterval is the least time between two steps that reports cause.
+	// minStepInterval is the minimum time between a step and the next one that Wake triggers.
 	minStepInterval = 25 * time.Millisecond
 )
 
-// A Lease decides which process leads; lease.Holder is one.
+// A Lease elects the leader. It is implemented by lease.Holder.
 type Lease interface {
-	// Held returns the fencing token and whether the lease is surely still held.
+	// Held returns the fencing token and reports whether the lease is certainly still held.
 	Held() (lease.Token, bool)
-	// OtherHolder returns the record of the holder seen last, HasSeenOther whether there
-	// ever was one.
+	// OtherHolder returns the record of the last other holder that was observed. HasSeenOther reports whether
+	// any was.
 	OtherHolder() lease.Record
 	HasSeenOther() bool
-	// Campaign contends for the lease until ctx ends; Release gives it back.
+	// Campaign tries to acquire and keep the lease until ctx is done. Release gives up the lease.
 	Campaign(ctx context.Context, keys kv.PrefixStore)
 	Release(ctx context.Context) error
 }
 
-// Options are what a Placer is made of.
+// Options configure a Placer.
 type Options struct {
 	Lease Lease
-	// Keys is where the lease's key is watched.
+	// Keys is the store in which the lease's key is watched.
 	Keys     kv.PrefixStore
 	Engines  backend.EngineClient
 	Registry *backend.Registry
-	// Routing returns the configuration in force, or nil.
+	// Routing returns the configuration in force, or nil if there is none yet.
 	Routing func() *table.Routing
-	// SettleTime is how long a new leader waits before its first order, so that the last
-	// one's orders are over.
+	// SettleTime is how long a new leader waits before its first order. By then no order of the previous
+	// leader is in progress any more.
 	SettleTime time.Duration
-	// FirstStart says that the whole system starts for the first time, so that there was
-	// no leader before.
+	// FirstStart is set when the whole system starts for the first time, so that there was no earlier leader.
 	FirstStart bool
-	// Gateways, if not nil, returns the gateways that this process knows, for a new leader to begin with.
+	// Gateways, if not nil, returns the gateways known to this process. A new leader starts with them.
 	Gateways func() []Gateway
-	// PrefillSpeeds, if not nil, returns the prefill speeds that this process reckons with, for a
-	// new leader to begin with.
+	// PrefillSpeeds, if not nil, returns the prefill speeds known to this process, in milliseconds per token
+	// by model. A new leader starts with them.
 	PrefillSpeeds func() map[string]float64
-	// IsInNeed, if not nil, reports whether a backend server takes few requests for now.
+	// IsInNeed, if not nil, reports whether a backend server currently accepts so few requests that no
+	// adapter should be placed on it.
 	IsInNeed func(*backend.Server) bool
 	Clock    clock.Service
 	Log      *zap.Logger
 }
 
-// A Placer issues orders to engines while it holds the lease; it is safe for concurrent use.
+// A Placer issues orders to engines while it holds the lease. It is safe for concurrent use.
 type Placer struct {
 	opts Options
 
@@ -71,16 +71,17 @@
 	leadership leadership
 	engines    engineTable
 	demand     *demand
-	// adapterWaitedSince is since when adapters that no engine holds have been waited for.
+	// adapterWaitedSince is the time since which requests have been waiting for an adapter that no usable
+	// engine holds.
 	adapterWaitedSince map[backend.Adapter]time.Time
-	// plannedAt is when each service's models were last planned.
+	// plannedAt is the time of the last model plan of each service.
 	plannedAt map[string]time.Time
-	// successions holds what each service's demand has shown of its order in this term.
+	// successions holds, by service, the order observed in this term in which demand moves between models.
 	successions map[string]*residency.Succession
 	storeLoads  storeLoads
 	speeds      speedTable
 	residency   publishedResidency
-	// reportsRequested counts the reports that engines were asked for in this step.
+	// reportsRequested is the number of engine reports requested in this step.
 	reportsRequested int
 	stepped          time.Time
 
@@ -89,29 +90,30 @@
 	cancel context.CancelFunc
 }
 
-// New returns a Placer that does nothing until Start.
+// New returns a Placer. It does nothing until Start.
 func New(o Options) *Placer {
 	p := &Placer{opts: o, demand: newDemand()}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
-// Start contends for the lease and begins to tick.
+// Start begins to campaign for the lease and to run the periodic steps.
 func (p *Placer) Start() {
 	go p.opts.Lease.Campaign(p.ctx, p.opts.Keys)
 	p.stop = p.opts.Clock.Subscribe(tick, p.step)
 }
 
-// Stop releases the lease and ends the placer.
+// Stop releases the lease and stops the placer.
 func (p *Placer) Stop(ctx context.Context) {
 	p.cancel()
 	p.stop()
 	if err := p.opts.Lease.Release(ctx); err != nil {
-		p.opts.Log.Warn("lease not released, it ends by its ttl", telemetry.Error(err))
+		p.opts.Log.Warn("lease not released; it expires after its TTL", telemetry.Error(err))
 	}
 }
 
-// Leader returns where the leader takes messages and whether it is this process.
+// Leader returns the address at which the leader accepts messages, and whether the leader is this process. If
+// it is, the address is empty.
 func (p *Placer) Leader() (addr string, own bool) {
 	if _, held := p.opts.Lease.Held(); held {
 		return "", true
@@ -119,7 +121,7 @@
 	return p.opts.Lease.OtherHolder().Addr, false
 }
 
-// Report applies a gateway's report and returns the reply to it.
+// Report applies a gateway's report and returns the reply. The reply is empty if this process does not lead.
 func (p *Placer) Report(r Report) Reply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,8 +153,7 @@
 	return a
 }
 
-// Wake makes the placer act soon on what has been reported; calls that come close together
-// cost one step.
+// Wake runs a step to act on new reports, unless the last step was less than minStepInterval ago.
 func (p *Placer) Wake() {
 	now := p.opts.Clock.Now()
 	if p.steppedLately(now) {
@@ -167,7 +168,7 @@
 	return now.Sub(p.stepped) < minStepInterval
 }
 
-// step does whatever is due: it follows the lease and the demand, plans, and calls engines.
+// step checks the lease, updates the demand, plans, and makes the calls to engines that are due.
 func (p *Placer) step(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,8 +204,8 @@
 	p.publish(now)
 }
 
-// becomeLeader begins a term with nothing known of engines and no loads allowed yet, but
-// for the first leader: nobody has loaded anything before it.
+// becomeLeader starts a term. No engine is known yet. The limiter of store loads starts empty, except for the
+// first leader, before which nothing was loaded.
 func (p *Placer) becomeLeader(token lease.Token, now time.Time) {
 	p.leadership.settleTime = p.settleTime(now)
 	p.opts.Log.Info("leadership gained", zap.Int64("token", int64(token)), zap.Duration("settle", p.leadership.settleTime))
@@ -219,7 +220,7 @@
 	p.successions = make(map[string]*residency.Succession)
 }
 
-// resign forgets what only a leader may act on.
+// resign discards the state that only a leader may act on.
 func (p *Placer) resign() {
 	if p.leadership.token == 0 {
 		return
@@ -231,7 +232,7 @@
 	p.residency.published = nil
 }
 
-// knownSpeeds returns the prefill speeds to begin a term with.
+// knownSpeeds returns the prefill speeds that a new term starts with.
 func (p *Placer) knownSpeeds() map[string]float64 {
 	if p.opts.PrefillSpeeds == nil {
 		return nil
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -70,8 +70,8 @@
 	assert.Assert(t, w.engines.orders()[0].at.Sub(start) >= ttl)
 }
 
-// TestSettlingCountsWhatTheLastLeaderReplied checks from when a new leader may issue
-// orders, by what the last one replied before.
+// TestSettlingCountsWhatTheLastLeaderReplied checks how the replies of the previous leader shorten the settle
+// time.
 func TestSettlingCountsWhatTheLastLeaderReplied(t *testing.T) {
 	tests := map[string]struct {
 		say   func(w *world, p *placer.Placer)
@@ -150,8 +150,8 @@
 	assert.Equal(t, len(w.engines.orders()), 1, "no further order under a token that was refused")
 }
 
-// TestLoadsStayWithinTheBudget brings many empty engines and checks that in no
-// five seconds more loads begin than the store's rate and a small burst allow.
+// TestLoadsStayWithinTheBudget checks that the loads started in any five seconds stay within the store's rate
+// and a small burst.
 func TestLoadsStayWithinTheBudget(t *testing.T) {
 	t.Run("one service", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) { loadsStayWithinTheBudget(t, false) })
@@ -203,8 +203,8 @@
 	})
 }
 
-// TestAdapterOfALeavingEngineComesElsewhere lists an engine that is leaving and has
-// the adapter: requests do not go there, so another engine must get it.
+// TestAdapterOfALeavingEngineComesElsewhere checks that an adapter held only by a leaving engine is loaded on
+// another one, since a leaving engine gets no requests.
 func TestAdapterOfALeavingEngineComesElsewhere(t *testing.T) {
 	synctest.Test(t, testAdapterOfALeavingEngineComesElsewhere)
 }
@@ -220,7 +220,8 @@
 	assert.Equal(t, w.engines.orders()[0].server, "e1")
 }
 
-// TestAdapterOfAnEngineInNeedComesElsewhere lets a request wait for an adapter whose only engine takes few requests.
+// TestAdapterOfAnEngineInNeedComesElsewhere checks that an adapter is loaded on another engine if its only
+// engine limits its requests.
 func TestAdapterOfAnEngineInNeedComesElsewhere(t *testing.T) {
 	synctest.Test(t, testAdapterOfAnEngineInNeedComesElsewhere)
 }
@@ -262,8 +263,8 @@
 	assert.Equal(t, len(a.Gateways), 1, "a gateway that was silent no longer counts")
 }
 
-// TestResidencyIsSentInParts checks that a gateway is sent what has changed since
-// the version that it knows, and everything by a holder that it does not know.
+// TestResidencyIsSentInParts checks that a gateway is sent what has changed since the version that it has,
+// and everything if that version is of another term.
 func TestResidencyIsSentInParts(t *testing.T) { synctest.Test(t, testResidencyIsSentInParts) }
 
 func testResidencyIsSentInParts(t *testing.T) {
@@ -287,8 +288,8 @@
 	assert.Assert(t, a.Full && len(a.Residency) == 2, "%+v", a)
 }
 
-// TestOldDemandIsNoNewDemand reports to a new leader, in parts, of demand that is long
-// over: it must not be taken for demand of now and move models about.
+// TestOldDemandIsNoNewDemand guards against counters of past demand that are taken for current demand by a
+// new leader and cause moves.
 func TestOldDemandIsNoNewDemand(t *testing.T) { synctest.Test(t, testOldDemandIsNoNewDemand) }
 
 func testOldDemandIsNoNewDemand(t *testing.T) {
@@ -302,7 +303,7 @@
 	assert.Equal(t, len(w.engines.orders()), 0)
 }
 
-// TestDemandIsSentInParts checks that demand which a report leaves out stands.
+// TestDemandIsSentInParts checks that demand omitted from a report is unchanged.
 func TestDemandIsSentInParts(t *testing.T) { synctest.Test(t, testDemandIsSentInParts) }
 
 func testDemandIsSentInParts(t *testing.T) {
@@ -317,9 +318,8 @@
 	assert.Equal(t, w.engines.orders()[0].order.Adapter, "a1")
 }
 
-// TestUnloadThatDoesNotEndHoldsUpNoOther brings a model to a full engine that never ends
-// its unload, for long requests run there: the model comes elsewhere, and other models
-// come meanwhile.
+// TestUnloadThatDoesNotEndHoldsUpNoOther checks that an engine whose unload never completes does not block a
+// model: the model is loaded on another engine, and so are the other models.
 func TestUnloadThatDoesNotEndHoldsUpNoOther(t *testing.T) {
 	synctest.Test(t, testUnloadThatDoesNotEndHoldsUpNoOther)
 }
@@ -343,9 +343,9 @@
 	})
 }
 
-// TestAnotherRunOfAnEngine checks that the report of another run than the one that is listed counts
-// for nothing: no order goes to the engine, gateways see that it holds nothing, and once it is
-// listed its orders begin anew.
+// TestAnotherRunOfAnEngine checks a report from another incarnation of an engine than the registered one: the
+// engine gets no order and is published as empty. Once the new incarnation is registered, its sequence
+// numbers start at 0.
 func TestAnotherRunOfAnEngine(t *testing.T) { synctest.Test(t, testAnotherRunOfAnEngine) }
 
 func testAnotherRunOfAnEngine(t *testing.T) {
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -11,11 +11,11 @@
 	"rockcleat/table"
 )
 
-// maxPlanInterval is the longest time between two plans of a service.
+// maxPlanInterval is the maximum interval between two plans of a service.
 const maxPlanInterval = time.Second
 
-// planInterval returns the time between two plans for a number of engines: a plan costs as
-// much more as there are engines.
+// planInterval returns the interval between two plans of a service with a number of engines. It grows with
+// the cost of a plan.
 func planInterval(engines int) time.Duration {
 	if engines <= enginesAtFullPace {
 		return 0
@@ -23,7 +23,7 @@
 	return min(tick*time.Duration(engines/enginesAtFullPace), maxPlanInterval)
 }
 
-// runService plans for one service and makes the calls that are due at its engines.
+// runService plans for one service and starts the calls to its engines that are due.
 func (p *Placer) runService(s table.Service, now time.Time) {
 	list := p.engines.byService[s.Name]
 	p.abandonOverdueLoads(list, now)
@@ -37,8 +37,8 @@
 	}
 }
 
-// abandonOverdueLoads drops the loads that have waited too long for an engine to make room,
-// so that they are planned elsewhere and do not hold up others.
+// abandonOverdueLoads drops loads that have waited too long for their engine, so that they are planned on
+// another engine and do not delay other loads.
 func (p *Placer) abandonOverdueLoads(list []*engineState, now time.Time) {
 	for _, e := range list {
 		if e.loadOverdue(now) {
@@ -56,12 +56,13 @@
 	return out
 }
 
-// isInNeed reports whether an engine takes few requests for now.
+// isInNeed reports whether an engine currently accepts so few requests that no adapter should be placed on
+// it.
 func (p *Placer) isInNeed(e *engineState) bool {
 	return p.opts.IsInNeed != nil && p.opts.IsInNeed(e.server)
 }
 
-// planModels plans and queues the moves of models.
+// planModels plans and queues model moves.
 func (p *Placer) planModels(s table.Service, list []*engineState, now time.Time) {
 	demands := p.demand.modelDemands()
 	succession := p.successions[s.Name]
@@ -82,15 +83,15 @@
 	}
 }
 
-// storeLoadsPending counts the loads from the weight store that are planned and not yet
-// ordered; they count against the store's rate when they are.
+// storeLoadsPending returns the number of planned loads from the weight store that the engines have not
+// accepted yet. The limiter counts a load when its order is issued.
 func storeLoadsPending(list []*engineState) int {
 	n := 0
 	for _, e := range list {
 		if len(e.pending) == 0 || e.accepted && len(e.pending) == 1 {
 			continue
 		}
-		// The load of an abandoned move is gone, its unloads are not.
+		// An abandoned move leaves its unloads, without the load.
 		last := e.pending[len(e.pending)-1]
 		if !last.Unload && e.source(last.Model) == residency.FromStore {
 			n++
@@ -99,7 +100,7 @@
 	return n
 }
 
-// planAdapters plans the moves of adapters that are waited for, and issues their orders.
+// planAdapters plans the loads of missing adapters and issues their orders.
 func (p *Placer) planAdapters(s table.Service, list []*engineState, now time.Time) {
 	waited, running := p.demand.adapters(s.Name)
 	missing := p.withoutHeld(waited, list)
@@ -122,7 +123,8 @@
 	}
 }
 
-// withoutHeld returns the adapters that no engine holds which stays and is not in need.
+// withoutHeld returns the adapters that no engine holds, not counting engines that are leaving or limit their
+// requests (isInNeed).
 func (p *Placer) withoutHeld(adapters []backend.Adapter, list []*engineState) []backend.Adapter {
 	if len(adapters) == 0 {
 		return nil
@@ -141,7 +143,7 @@
 	return slices.DeleteFunc(adapters, func(a backend.Adapter) bool { return held[a] })
 }
 
-// noteMissingAdapters remembers since when each adapter has been waited for.
+// noteMissingAdapters records since when requests have been waiting for each missing adapter.
 func (p *Placer) noteMissingAdapters(missing []backend.Adapter, now time.Time) {
 	since := make(map[backend.Adapter]time.Time, len(missing))
 	for _, a := range missing {
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -8,26 +8,26 @@
 	"rockcleat/lease"
 )
 
-// publishEvery is the least time between two looks at what engines hold, for gateways.
+// publishEvery is the minimum interval between two updates of the published residency that reports of
+// gateways cause.
 const publishEvery = 25 * time.Millisecond
 
-// versionBits is the part of a residency's version that counts changes; the rest is of the
-// leader's token, so that versions of two leaders differ. A million changes in a term are
-// more than a leader makes in days.
+// versionBits is the number of low bits of a version that count the changes in a term. The other bits hold
+// the leader's token, so that versions of different terms differ.
 const versionBits = 20
 
-// termBits is how much of a token a version has room for: two leaders have the same only if their terms began at
-// the same count of writes in eras of the store that are eight apart.
+// termBits is the number of a token's low bits that a version holds. Tokens of two leaders agree in them only
+// if the terms began at the same write count of the store in store eras that are a multiple of eight apart.
 const termBits = 63 - versionBits
 
-// firstVersion returns the first version of the term with a token.
+// firstVersion returns the first version in the term with a token.
 func firstVersion(token int64) int64 { return token & (1<<termBits - 1) << versionBits }
 
-// isSameTerm reports whether two versions were made in the same term.
+// isSameTerm reports whether two versions belong to the same term.
 func isSameTerm(a, b int64) bool { return a>>versionBits == b>>versionBits }
 
-// A publishedResidency holds what engines hold, as published to gateways, with the version
-// in which that last changed for each engine.
+// A publishedResidency is what the engines hold, as sent to gateways. changedIn holds the version in which
+// each engine last changed.
 type publishedResidency struct {
 	version   int64
 	published map[string]backend.Residency
@@ -35,18 +35,18 @@
 	at        time.Time
 }
 
-// beginTerm starts the versions of a new leader's term. What was published stands until
-// the engines are known again.
+// beginTerm starts the versions of a new term. Engines keep their published residency until they are known
+// again.
 func (r *publishedResidency) beginTerm(token lease.Token) {
 	r.version = firstVersion(int64(token))
 	r.changedIn = make(map[string]int64)
 }
 
-// isDue reports whether the last look is older than publishEvery.
+// isDue reports whether the last update is at least publishEvery ago.
 func (r *publishedResidency) isDue(now time.Time) bool { return now.Sub(r.at) >= publishEvery }
 
-// publish makes a new version of what engines hold, if it differs. Of an engine whose state
-// is not known, for a report is due, what was published before stands.
+// publish updates the published residency and assigns a new version if it has changed. An engine that is not
+// known keeps its last published residency.
 func (p *Placer) publish(now time.Time) {
 	r := &p.residency
 	r.at = now
@@ -73,7 +73,7 @@
 	return a.Model == b.Model && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// changedSince returns what has changed since a version, or everything.
+// changedSince returns the engines that have changed since a version, or all engines.
 func (r *publishedResidency) changedSince(version int64, everything bool) map[string]backend.Residency {
 	out := make(map[string]backend.Residency)
 	for id, held := range r.published {
--- a/internal/placer/report_interval.go
+++ b/internal/placer/report_interval.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Pace of gateways' reports to the leader.
+// Intervals of the gateways' reports to the leader.
 const (
-	// reportEvery is the time between two reports of a gateway.
+	// reportEvery is the interval between two reports of a gateway in a small system.
 	reportEvery = 80 * time.Millisecond
-	// gatewaysAtFullPace is the number of gateways from which on each reports less often,
-	// so that the leader's load stays bounded.
+	// gatewaysAtFullPace is the number of gateways up to which the interval is shortest. Above it the
+	// interval grows with their number, to bound the leader's load.
 	gatewaysAtFullPace = 12
-	// maxReportInterval is the longest time between two reports of a gateway.
+	// maxReportInterval is the maximum interval between two reports of a gateway.
 	maxReportInterval = time.Second
-	// gatewayTimeout is how long a gateway without a report counts at least.
+	// gatewayTimeout is the minimum time without a report after which a gateway is removed.
 	gatewayTimeout = 2 * time.Second
-	// gatewayTimeoutReports is how many reports in a row may be missing.
+	// gatewayTimeoutReports is the minimum number of missed reports after which a gateway is removed.
 	gatewayTimeoutReports = 4
 )
 
-// ReportInterval returns the time between two reports of one of a number of gateways.
+// ReportInterval returns the interval between two reports of a gateway, by the number of gateways.
 func ReportInterval(gateways int) time.Duration {
 	return min(reportEvery*time.Duration(max(1, gateways/gatewaysAtFullPace)), maxReportInterval)
 }
 
-// gatewayTimeoutFor returns after how long without a report a gateway no longer counts.
+// gatewayTimeoutFor returns the time without a report after which a gateway is removed, by the number of
+// gateways.
 func gatewayTimeoutFor(gateways int) time.Duration {
 	return max(gatewayTimeout, gatewayTimeoutReports*ReportInterval(gateways))
 }
--- a/internal/placer/report_interval_test.go
+++ b/internal/placer/report_interval_test.go
@@ -10,8 +10,8 @@
 	"rockcleat/dispatch"
 )
 
-// TestGatewaysAreNotForgottenBetweenReports checks that with any number of gateways
-// each is known until several of its reports did not come.
+// TestGatewaysAreNotForgottenBetweenReports checks that a gateway is removed only after several missed
+// reports, for any number of gateways.
 func TestGatewaysAreNotForgottenBetweenReports(t *testing.T) {
 	tests := map[string]struct {
 		gateways int
@@ -33,8 +33,7 @@
 	}
 }
 
-// TestDemandOfManyGateways lets many gateways report at their pace and checks that
-// what they ask for counts.
+// TestDemandOfManyGateways checks that demand is counted when many gateways report at a long interval.
 func TestDemandOfManyGateways(t *testing.T) {
 	const gateways = 340
 	now := time.Unix(1000, 0)
--- a/internal/placer/speeds.go
+++ b/internal/placer/speeds.go
@@ -7,23 +7,23 @@
 	"rockcleat/lease"
 )
 
-// publishedChange is the part by which a model's speed must differ from the one published for
-// gateways to be sent it.
+// publishedChange is the relative change of a model's prefill speed from which on it is published again.
 const publishedChange = 0.1
 
-// A speedTable learns how long models take to prefill from the samples of all gateways, and keeps
-// which speeds gateways have been sent. It outlasts a term: a speed is as true under another leader.
+// A speedTable estimates the models' prefill speeds from the samples of all gateways, and tracks which speeds
+// were published. The estimates are kept across terms.
 //
-// Its zero value is ready to use: reports may come before the term begins, as soon as the lease is held.
+// The zero value is ready to use: a report can arrive after the lease was acquired and before the term has
+// begun.
 type speedTable struct {
 	speeds    dispatch.PrefillSpeeds
 	published map[string]float64
-	// changedIn is the version in which a published speed last changed; version is the newest.
+	// changedIn holds the version in which each published speed last changed. version is the latest version.
 	changedIn map[string]int64
 	version   int64
 }
 
-// beginTerm starts the versions of a new leader's term; known are the speeds that it reckons with.
+// beginTerm starts the versions of a new term. known holds the initial speeds in milliseconds per token.
 func (t *speedTable) beginTerm(token lease.Token, known map[string]float64) {
 	t.version = firstVersion(int64(token))
 	t.published, t.changedIn = make(map[string]float64), make(map[string]int64)
@@ -35,7 +35,7 @@
 	}
 }
 
-// observe counts the samples of a report.
+// observe adds the samples of a report.
 func (t *speedTable) observe(samples []dispatch.PrefillSample) {
 	for _, x := range samples {
 		t.speeds.Observe(x)
@@ -43,7 +43,7 @@
 	}
 }
 
-// publish makes a new version if a model's speed differs enough from what was published.
+// publish publishes a model's speed under a new version if it has changed enough.
 func (t *speedTable) publish(model string) {
 	speed := t.speeds.Of(model)
 	before, ok := t.published[model]
@@ -57,8 +57,8 @@
 	t.published[model], t.changedIn[model] = speed, t.version
 }
 
-// changedSince returns the speeds that have changed since a version, all of them if it is that of
-// another term.
+// changedSince returns the published speeds that have changed since a version, or all if the version belongs
+// to another term.
 func (t *speedTable) changedSince(version int64) map[string]float64 {
 	if version == t.version {
 		return nil
--- a/internal/placer/speeds_test.go
+++ b/internal/placer/speeds_test.go
@@ -12,9 +12,8 @@
 	"rockcleat/internal/placer"
 )
 
-// TestSpeedsAreLearnedOnce checks that a speed which many gateways have each seen little of is sent to
-// all, that gateways are sent only what has changed, and that the next leader begins with what it
-// knows itself.
+// TestSpeedsAreLearnedOnce checks that samples of many gateways add up to one published speed, that only
+// changes are sent, and that the next leader starts with the speeds that it knows.
 func TestSpeedsAreLearnedOnce(t *testing.T) { synctest.Test(t, testSpeedsAreLearnedOnce) }
 
 func testSpeedsAreLearnedOnce(t *testing.T) {
@@ -35,8 +34,8 @@
 	assert.Equal(t, len(a.Speeds), 1, "another term begins with all that it knows")
 }
 
-// TestSamplesBeforeTheTerm reports samples to a process that holds the lease and has not made its first
-// step as the leader yet. All gateways had restarted and the leader ended with each such report.
+// TestSamplesBeforeTheTerm guards against a panic on samples that arrive after the lease was acquired and
+// before the first step of the term.
 func TestSamplesBeforeTheTerm(t *testing.T) { synctest.Test(t, testSamplesBeforeTheTerm) }
 
 func testSamplesBeforeTheTerm(t *testing.T) {
--- a/internal/placer/store_loads.go
+++ b/internal/placer/store_loads.go
@@ -8,28 +8,26 @@
 	"rockcleat/table"
 )
 
-// The rate of loads from the weight store. The store allows 1.1 times its rate in any five
-// seconds and 3 loads more; both margins below are for orders that engines carry out late,
-// so that loads bunch.
+// Limits of loads from the weight store. The store permits 1.1 times its rate over any five seconds, and
+// three more loads. The limits are lower, because orders that engines carry out late can coincide with
+// others.
 const (
-	// storeRateShare is the part of the store's rate that is used.
+	// storeRateShare is the fraction of the store's rate that is used.
 	storeRateShare = 0.8
-	// storeBurst is the number of loads that may begin together.
+	// storeBurst is the number of loads that may start at once.
 	storeBurst = 2
 )
 
-// storeLoads limits how many loads from the weight store begin. There is one store for all
-// services.
+// A storeLoads limits how many loads from the weight store start. All services share one store.
 //
-// Its zero value allows none until setRate, and then begins with none allowed, unless
-// startFull is set.
+// The zero value must not be used before setRate. The limiter then starts empty, unless startFull is set.
 type storeLoads struct {
 	startFull bool
 	limiter   *rate.Limiter
 }
 
-// setRate sets the store's rate: the lowest that a service names. The limiter counts from
-// the previous step on, so that no time before the leader has settled counts.
+// setRate sets the store's rate to the lowest among the services. A new limiter starts to fill at the
+// previous step, so that the time before the leader has settled does not count.
 func (s *storeLoads) setRate(services []table.Service, previous, now time.Time) {
 	limit := rate.Inf
 	for _, x := range services {
@@ -47,8 +45,8 @@
 	}
 }
 
-// available returns how many loads may begin now.
+// available returns the number of loads that may start now.
 func (s *storeLoads) available(now time.Time) int { return int(s.limiter.TokensAt(now)) }
 
-// allow counts a load that begins now and reports whether it may.
+// allow reports whether a load may start now, and counts it if so.
 func (s *storeLoads) allow(now time.Time) bool { return s.limiter.AllowN(now, 1) }
--- a/quota/account.go
+++ b/quota/account.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// A stocked is a part of an earlier grant that is left.
+// A stocked is the unspent remainder of a grant or a refund.
 type stocked struct {
 	amount float64
 	until  time.Time
 }
 
-// An account is what a gateway may spend for one organisation, and what it has seen of its demand.
+// An account holds what a gateway may spend for one organisation, and the demand it has measured for it.
 type account struct {
 	stock []stocked
-	// deniedUntil is until when the owner is not asked again for an amount of deniedNeed or more.
+	// Until deniedUntil the owner is not asked for an amount of deniedNeed or more.
 	deniedUntil time.Time
 	deniedNeed  float64
-	// lentAt is when the owner was last asked that answered: until then it had this gateway's part.
+	// lentAt is when the last request that an owner answered was sent. Until then the owner had this
+	// gateway's share.
 	lentAt time.Time
-	// part is the gateway's own part of the rate while the owner cannot be asked; nil otherwise.
+	// part is the bucket of this gateway's own share of the rate while the owner cannot be reached, else nil.
 	part *bucket
-	// counts are those since the start.
+	// counts holds the decisions since the process started.
 	counts Counts
-	// demand is what was asked for lately, in the limit's unit a second, as of demandAt.
+	// demand is the average amount requested, in the limit's unit per second, as of demandAt.
 	demand   float64
 	demandAt time.Time
 }
 
-// demandTime is the time constant of the average of an organisation's demand.
+// demandTime is the time constant of the demand average.
 const demandTime = time.Second
 
-// note counts an amount that was asked for.
+// note adds an amount to the measured demand.
 func (a *account) note(amount float64, now time.Time) {
 	if elapsed := now.Sub(a.demandAt); elapsed > 0 {
 		a.demand *= math.Exp(-elapsed.Seconds() / demandTime.Seconds())
@@ -40,8 +41,8 @@
 	a.demand += amount / demandTime.Seconds()
 }
 
-// ahead returns what to ask for beside what a request needs: what is likely to be asked for within StockTime,
-// if that is at least one request more.
+// ahead returns the amount to prefetch in addition to what a request needs: the expected demand within
+// StockTime, or 0 if that is less than one more request.
 func (a *account) ahead(need float64) float64 {
 	expected := a.demand * StockTime.Seconds()
 	if expected < 2*need {
@@ -50,14 +51,15 @@
 	return expected - need
 }
 
-// add adds to the stock what may be spent until a time.
+// add adds an amount that may be spent until a time.
 func (a *account) add(amount float64, until time.Time) {
 	if amount > 0 {
 		a.stock = append(a.stock, stocked{amount: amount, until: until})
 	}
 }
 
-// spend spends an amount of the stock, what ends first before the rest, and reports whether it is there.
+// spend takes an amount from the stock, what expires first before the rest, and reports whether there was
+// enough.
 func (a *account) spend(amount float64, now time.Time) bool {
 	total := a.dropEnded(now)
 	if total < amount {
@@ -75,7 +77,7 @@
 	return true
 }
 
-// dropEnded drops what may no longer be spent and returns what is left.
+// dropEnded removes expired amounts and returns the total of the others.
 func (a *account) dropEnded(now time.Time) (total float64) {
 	kept := a.stock[:0]
 	for _, s := range a.stock {
@@ -88,13 +90,13 @@
 	return total
 }
 
-// partTime bounds what a gateway saves up of its own part, as a time of its rate: a process that was paused must
-// not spend at once what it did not spend meanwhile.
+// partTime bounds the burst of a gateway's own share, as a duration at its rate. A process that was paused
+// must not spend at once what it did not spend meanwhile.
 const partTime = time.Second
 
-// spendPart spends an amount of the gateway's own part of the rate, 0 to 1, which begins with nothing at a time.
-// It reports whether the amount was there. Nothing is owed: with a small burst each of many gateways would owe a
-// request's cost.
+// spendPart spends an amount from the gateway's own share of the rate, 0 to 1, and reports whether there was
+// enough. The bucket is empty at since. It never goes negative, because with a small burst each of many
+// gateways would otherwise overspend by the cost of a request.
 func (a *account) spendPart(l Limit, part, amount float64, since, now time.Time) bool {
 	if a.part == nil {
 		a.part = newBucket(since)
@@ -103,5 +105,5 @@
 	return part > 0 && a.part.amount >= amount && a.part.take(l, amount)
 }
 
-// endPart ends the gateway's own part: the owner answers.
+// endPart removes the bucket of the gateway's own share once the owner answers.
 func (a *account) endPart() { a.part = nil }
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// A Limit bounds what an organisation may spend: in any span of time at most Rate times its seconds and Burst.
+// A Limit bounds what an organisation may spend in any period: at most Rate times its seconds, plus Burst.
 type Limit struct {
-	// Rate is in the limit's unit a second, above 0; Burst in the limit's unit.
+	// Rate is in the limit's unit per second and above 0. Burst is in the limit's unit.
 	Rate, Burst float64
 }
 
-// A bucket holds what a limit allows now. It is empty at first.
+// A bucket is a token bucket that is initially empty.
 type bucket struct {
 	amount float64
-	// at is until when the rate has been added, share the part of the rate that was added last.
+	// at is when the bucket was last filled. share is the share of the rate then.
 	at    time.Time
 	share float64
 }
 
-// newBucket returns an empty bucket that fills from a time on.
+// newBucket returns an empty bucket that fills from now on.
 func newBucket(now time.Time) *bucket { return &bucket{at: now, share: 1} }
 
-// fill adds what a share of the limit's rate has allowed up to now: the lesser share of the last time and this
-// one, since nothing says when it changed. A limit that was lowered cuts what is there.
+// fill adds what a share of the limit's rate permits up to now. It uses the lower of the last share and this
+// one, because it is not known when the share changed. The amount is capped at the burst, also after the
+// limit was lowered.
 func (b *bucket) fill(l Limit, share float64, now time.Time) {
 	if elapsed := now.Sub(b.at); elapsed > 0 {
 		b.amount += l.Rate * min(share, b.share) * elapsed.Seconds()
@@ -33,8 +34,8 @@
 	b.amount = min(b.amount, l.Burst)
 }
 
-// take takes an amount if it is there. An amount above the burst needs the whole burst, and the bucket owes
-// the rest: it could never be there at once.
+// take removes an amount and reports whether there was enough. An amount above the burst could never be
+// available. It needs a full bucket, and the remainder makes the bucket negative.
 func (b *bucket) take(l Limit, amount float64) bool {
 	if b.amount < min(amount, l.Burst) {
 		return false
@@ -43,7 +44,7 @@
 	return true
 }
 
-// until returns how long it takes at the limit's whole rate until an amount is there, if nobody else takes any.
+// until returns the time until an amount is available at the full rate, if nothing else is taken.
 func (b *bucket) until(l Limit, amount float64) time.Duration {
 	missing := min(amount, l.Burst) - b.amount
 	return max(time.Duration(math.Ceil(missing/l.Rate*float64(time.Second))), 0)
--- a/quota/bucket_test.go
+++ b/quota/bucket_test.go
@@ -14,7 +14,7 @@
 		after  time.Duration
 		amount float64
 		taken  bool
-		// until is the wait for the amount after that.
+		// until is the wait for the same amount after that.
 		until time.Duration
 	}{
 		"empty at first":                {amount: 1, until: 10 * time.Millisecond},
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestLoweredLimit checks that a lower limit binds at once what has been saved up.
+// TestLoweredLimit checks that a lowered limit applies at once to the amount in the bucket.
 func TestLoweredLimit(t *testing.T) {
 	start := time.Unix(0, 0)
 	b := newBucket(start)
@@ -46,7 +46,7 @@
 	assert.Assert(t, !b.take(lower, 1))
 }
 
-// TestShareOfTheRate checks that a bucket whose share has changed counts the lesser one for the time between.
+// TestShareOfTheRate checks that the lower share applies to the period in which the share changed.
 func TestShareOfTheRate(t *testing.T) {
 	limit := Limit{Rate: 100, Burst: 1000}
 	start := time.Unix(0, 0)
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,21 +1,24 @@
-// Package quota keeps limits that several gateways keep together: those of organisations, and those that backend
-// servers name for themselves, each by its own Limiter. What follows calls whoever has a limit an organisation.
+// Package quota enforces rate limits that apply to all gateways together: the limits of organisations, and
+// those that backend servers set for themselves. Each kind has a Limiter of its own. The comments of this
+// package call the holder of a limit an organisation in both cases.
 //
-// An organisation's limit is a rate and a burst, in requests or in tokens, over all gateways. One gateway,
-// the organisation's owner by rendezvous hashing over the list of gateways that the leader sends, has the
-// limit's bucket and grants from it (granter). A gateway asks the owner for what a request needs, and where
-// more requests are expected for a little more (account). So the limit holds wherever requests arrive, and
-// an organisation inside its limit is served however its requests fall on gateways.
+// A limit is a rate and a burst, in requests or tokens. One gateway is the organisation's owner, chosen by
+// rendezvous hashing over the leader's list of gateways. The owner has the limit's token bucket and makes
+// grants from it (granter). Any other gateway requests a grant from the owner for a request, and prefetches a
+// small amount if it expects more requests (account). An organisation within its limit is served whichever
+// gateways its requests arrive at.
 //
-// The bound rests on parts: each of n gateways stands for one n-th of the rate and lends it to the owner that
-// it asks (fleet). While the owner hears of the leader it has the parts of all on the leader's list; those of
-// gateways that lately went off the list are left to them. When it has not heard of the leader for OwnerTime,
-// which is less than what the leader takes to put another in its place, it has the parts of those that have
-// asked it lately, up to AloneTime. A gateway that reaches no owner spends its own part, as long. So two
-// owners that do not know of each other grant the rate together. Whoever begins to grant begins with nothing,
-// and what is granted counts as spent then and ends by itself after StockTime.
+// The limit is also enforced when gateways lose contact. Each of n gateways has a share of 1/n of the rate,
+// and delegates it to the owner that it asks (fleet). An owner that hears from the leader grants the shares
+// of all listed gateways; those of gateways recently removed from the list are left to these gateways.
+// OwnerTime after its last contact with the leader, an owner is left with the shares of gateways that asked
+// it recently, and AloneTime later with none. OwnerTime is shorter than the time after which the leader lets
+// another gateway become the owner. A gateway that cannot reach the owner spends its own share, for the same
+// time. Two owners that do not know of each other therefore grant no more than the rate together. A new owner
+// starts with an empty bucket. A grant counts as spent when it is made, and expires after StockTime.
 //
-// A Limiter owns buckets, stocks and parts, all lost with its process. It relies on package clock, on being
-// given the leader's list and when a leader was heard, and asks other gateways through an Asker. Outcomes are
-// values. Amounts are in the limit's unit, times are time.Duration.
+// A Limiter keeps its buckets, prefetched grants and shares in memory and loses them when the process ends.
+// It relies on package clock, on the caller to pass on the leader's list of gateways and the time of each
+// reply from the leader, and on an Asker to reach other gateways. Failures are reported as outcomes, not as
+// errors. Amounts are in the limit's unit, rates in that unit per second, times are of type time.Duration.
 package quota
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -8,29 +8,28 @@
 	"rockcleat/rendezvous"
 )
 
-// Times of gateways. Why they are as they are: docs/design/0014.
+// Timing of ownership; see docs/design/0014.
 const (
-	// OwnerTime is how long after it asked a leader that replied a gateway has the parts of all gateways on
-	// the leader's list: less than the two seconds after which the leader takes a gateway that does not
-	// report off the list.
+	// OwnerTime is how long a gateway has the shares of all listed gateways, counted from when it sent the
+	// last request that a leader answered. It must be shorter than the two seconds after which the leader
+	// removes a gateway that does not report.
 	OwnerTime = 1800 * time.Millisecond
-	// AloneTime is how long after that gateways go on without a leader. It is longer than the time without
-	// one after the leader's loss, and than that for which a configuration may be relied on that nobody
-	// confirms.
+	// AloneTime is how long after that a gateway continues without a leader. It is longer than the time to
+	// replace a failed leader, and longer than the time for which an unconfirmed configuration may be used.
 	AloneTime = 8 * time.Second
-	// lendTime is for how long a gateway's part is with an owner that it has asked.
-	// Where it is longer, two owners have the part at once for too long.
+	// lendTime is how long a gateway's share stays with an owner that it has asked. A longer time would let
+	// two owners have the share at once for too long.
 	lendTime = time.Second
-	// maxGrace bounds the time for which an owner without a leader goes on with the parts of all, by what
-	// the Tolerance allows an organisation beyond its limit.
+	// maxGrace bounds the time for which an owner without a leader keeps the shares of all gateways under the
+	// Tolerance.
 	maxGrace = 2 * time.Second
-	// graceShare is the part of the Tolerance that one owner may use up in this way: several may lose the leader
-	// one after the other.
+	// graceShare is the fraction of the Tolerance that one owner may use for this. Several owners can lose
+	// the leader one after another.
 	graceShare = 0.1
 )
 
-// A Tolerance is what an organisation may have run beyond its limit in any window: Over times what the limit
-// allows in it, and Slack. The zero Tolerance allows nothing.
+// A Tolerance is the amount by which an organisation may exceed its limit in any window of length Window: the
+// fraction Over of what the limit permits in the window, plus Slack. The zero Tolerance permits no excess.
 type Tolerance struct {
 	Window time.Duration
 	Over   float64
@@ -38,36 +37,38 @@
 	Slack float64
 }
 
-// grace returns for how long a limit's whole rate may be granted twice within the Tolerance.
+// grace returns how long the full rate may be granted twice within the Tolerance.
 func (t Tolerance) grace(l Limit) time.Duration {
 	extra := t.Over*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
 	return min(time.Duration(graceShare*extra/l.Rate*float64(time.Second)), maxGrace)
 }
 
-// An Absence is what a leader knows of gateways that may spend their parts although they do not report to it.
+// An Absence is the leader's count of gateways that do not report to it but may be spending their shares.
 type Absence struct {
-	// Lapsed is the number of those that went off its list lately, Awaited that of those on the list that were
-	// there before its term and have not reported in it.
+	// Lapsed is the number of gateways recently removed from the leader's list. Awaited is the number of
+	// listed gateways that were known before the leader's term and have not reported in it.
 	Lapsed  int `json:"lapsed,omitempty"`
 	Awaited int `json:"awaited,omitempty"`
 }
 
-// A fleet is what a gateway knows of the others.
+// A fleet is a gateway's view of all gateways.
 type fleet struct {
 	self string
-	// ids are the gateways of the last list, none at first.
+	// ids lists the gateways in the leader's last list; initially empty.
 	ids []string
-	// owners remembers the owner of each organisation.
+	// owners caches the owner of each organisation.
 	owners map[string]string
-	// lapsed is when gateways went off the list: each may spend its part for a while.
+	// lapsed holds the gateways recently removed from the list and when they were. Each may go on spending
+	// its share for AloneTime.
 	lapsed map[string]time.Time
-	// absence is what the leader said last: a gateway that has started anew does not know who has lapsed.
+	// absence is the last Absence received from a leader. A gateway that has restarted does not know itself
+	// which gateways were removed.
 	absence Absence
-	// askedAt is when each gateway on the list last asked this one.
+	// askedAt is when each listed gateway last requested a grant from this one.
 	askedAt map[string]time.Time
-	// sureUntil is until when this gateway has the parts of all on the list.
+	// sureUntil is the time until which this gateway has the shares of all listed gateways.
 	sureUntil time.Time
-	// wasAlone says that it had not been sure before the leader was heard last.
+	// wasAlone is set if sureUntil had passed when the last request that a leader answered was sent.
 	wasAlone bool
 }
 
@@ -78,14 +79,14 @@
 	}
 }
 
-// heard notes that a leader replied to what it was asked at a time.
+// heard records that a leader replied to a request sent at a time.
 func (f *fleet) heard(asked time.Time, a Absence) {
 	f.absence = a
 	f.wasAlone = asked.After(f.sureUntil)
 	f.sureUntil = asked.Add(OwnerTime)
 }
 
-// set sets the list of gateways.
+// set replaces the list of gateways.
 func (f *fleet) set(ids []string, now time.Time) {
 	listed := make(map[string]bool, len(ids))
 	for _, id := range ids {
@@ -101,7 +102,8 @@
 	f.ids, f.owners = ids, make(map[string]string)
 }
 
-// noteFormer notes gateways that were there before this one knew any: those not on the list have lapsed.
+// noteFormer records gateways known before this process had a list. Those not listed count as recently
+// removed.
 func (f *fleet) noteFormer(ids []string, now time.Time) {
 	for _, id := range ids {
 		if !slices.Contains(f.ids, id) {
@@ -110,7 +112,8 @@
 	}
 }
 
-// owner returns the gateway that grants for an organisation; empty while no list is known.
+// owner returns the gateway that makes grants for an organisation, or an empty string if there is no list
+// yet.
 func (f *fleet) owner(organisation string) string {
 	id, ok := f.owners[organisation]
 	if !ok {
@@ -120,7 +123,7 @@
 	return id
 }
 
-// countLapsed returns the number of gateways that went off the list lately.
+// countLapsed returns the number of gateways recently removed from the list.
 func (f *fleet) countLapsed(now time.Time) int {
 	for id, at := range f.lapsed {
 		if now.Sub(at) > AloneTime {
@@ -130,20 +133,20 @@
 	return len(f.lapsed)
 }
 
-// size returns the number of gateways that have a part: those listed and those that lapsed.
+// size returns the number of gateways that have a share: those listed and those recently removed.
 func (f *fleet) size(now time.Time) int {
 	return len(f.ids) + max(f.countLapsed(now), f.absence.Lapsed)
 }
 
-// noteAsked notes that a gateway asked this one, if it is on the list.
+// noteAsked records that a gateway requested a grant from this one, if it is listed.
 func (f *fleet) noteAsked(id string, now time.Time) {
 	if slices.Contains(f.ids, id) {
 		f.askedAt[id] = now
 	}
 }
 
-// lenders returns the number of gateways whose part this one has by their asking, its own among them. Only those
-// on the list have one.
+// lenders returns the number of gateways whose share this gateway has: those that asked it recently, and
+// itself. Gateways that are not listed have no share.
 func (f *fleet) lenders(now time.Time) int {
 	n := 0
 	for _, id := range f.ids {
@@ -155,10 +158,10 @@
 	return n
 }
 
-// isSure reports whether this gateway has the parts of all on the list.
+// isSure reports whether this gateway has the shares of all listed gateways.
 func (f *fleet) isSure(now time.Time) bool { return now.Before(f.sureUntil) }
 
-// share returns the part of a limit's rate that this gateway grants as its owner, 0 to 1.
+// share returns the share of a limit's rate that this gateway grants as its owner, 0 to 1.
 func (f *fleet) share(l Limit, t Tolerance, now time.Time) float64 {
 	size := float64(f.size(now))
 	if size == 0 {
@@ -174,8 +177,8 @@
 	return 0
 }
 
-// ownPart returns the part of a rate that this gateway spends while it reaches no owner, 0 to 1: none if it is not
-// on the list, so that those on it do not leave it one.
+// ownPart returns the share of a rate that this gateway may spend while it cannot reach an owner, 0 to 1. It
+// is 0 for a gateway that is not listed, because the listed ones leave no share for it.
 func (f *fleet) ownPart(now time.Time) float64 {
 	if !slices.Contains(f.ids, f.self) || !now.Before(f.sureUntil.Add(AloneTime)) {
 		return 0
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -12,42 +12,43 @@
 	"rockcleat/quota"
 )
 
-// errCut is the error of calls that do not get through.
+// errCut is the error of a call to an unreachable gateway.
 var errCut = errors.New("cut off")
 
-// testOrganisation is the one organisation of the fleets.
+// testOrganisation is the only organisation in these tests.
 const testOrganisation = "guild"
 
-// Times of a fleet's leader.
+// Timing of the simulated leader.
 const (
-	// reportInterval is the time between two reports of a gateway, listTime that after which one that does
-	// not report is off the list.
+	// reportInterval is the interval between two reports of a gateway. listTime is how long the leader lists
+	// a gateway without a report.
 	reportInterval = 160 * time.Millisecond
 	listTime       = 2 * time.Second
-	// leaseTime is the time without a leader after one has gone.
+	// leaseTime is the time without a leader after the loss of one.
 	leaseTime = 3 * time.Second
-	// storeTime is for how long a gateway that is off the leader's list stays on the one in the store.
+	// storeTime is how long the store lists a gateway that the leader no longer lists.
 	storeTime = quota.AloneTime + 2*time.Second
 )
 
-// A fleet is gateways and the leader among them, without a network.
+// A fleet is a set of simulated gateways, one of them the leader, connected without a network.
 type fleet struct {
 	clock *clocktest.Clock
 	limit quota.Limit
-	// tolerance is what may run beyond the limit.
+	// tolerance is the permitted excess over the limit.
 	tolerance quota.Tolerance
 	gateways  []*member
-	// leader leads until it is cut off or restarted; nil if nobody does, until leadFrom.
+	// leader is the current leader, or nil until leadFrom.
 	leader   *member
 	leadFrom time.Time
-	// reported is when the leader heard of each gateway last.
+	// reported is when each gateway last reported to the leader.
 	reported map[string]time.Time
-	// awaited are the gateways that the leader remembered and that have not reported to it.
+	// awaited holds the gateways that the leader knew before its term and that have not reported in it.
 	awaited map[string]bool
-	// stored is the list in the store, with all that were on the leader's lately; listed is when each was.
+	// stored is the list in the store: every gateway that was on the leader's list within storeTime. listed
+	// is when each last was.
 	stored []string
 	listed map[string]time.Time
-	// spent are all requests that were let run.
+	// spent lists the requests that were let through.
 	spent []spending
 }
 
@@ -56,22 +57,22 @@
 	amount float64
 }
 
-// A member is one gateway of a fleet. It is its limiter's quota.Asker.
+// A member is a simulated gateway. It implements quota.Asker for its own limiter.
 type member struct {
 	fleet   *fleet
 	id      string
 	limiter *quota.Limiter
-	// island is the part of the network that it is in: gateways of two parts do not reach each other.
+	// island is the network partition of the gateway. Gateways in different partitions cannot reach each
+	// other.
 	island int
-	// paused says that its process does nothing.
+	// paused is set while the process is paused.
 	paused bool
-	// ids are those of the last list.
+	// ids is the last list of gateways passed to the limiter.
 	ids []string
 }
 
 func newFleet(size int, limit quota.Limit) *fleet { return newFleetWithin(size, limit, tolerance) }
 
-// newFleetWithin returns a fleet whose limit may be exceeded by a tolerance.
 func newFleetWithin(size int, limit quota.Limit, t quota.Tolerance) *fleet {
 	f := &fleet{clock: clocktest.New(time.Unix(0, 0)), limit: limit, tolerance: t, reported: make(map[string]time.Time), listed: make(map[string]time.Time)}
 	for i := range size {
@@ -82,7 +83,7 @@
 	return f
 }
 
-// restart makes a gateway begin anew, with nothing known.
+// restart replaces a gateway's limiter by one without state.
 func (f *fleet) restart(i int) {
 	m := f.gateways[i]
 	if f.leader == m {
@@ -98,12 +99,12 @@
 	}
 }
 
-// loseLeader leaves the fleet without a leader until the lease has ended.
+// loseLeader removes the leader until the lease has expired.
 func (f *fleet) loseLeader() {
 	f.leader, f.leadFrom = nil, f.clock.Now().Add(leaseTime)
 }
 
-// elect makes the first gateway that runs in the largest part of the network the leader.
+// elect makes the first running gateway of partition 0 the leader if there is none and the lease has expired.
 func (f *fleet) elect() {
 	if f.leader != nil || f.clock.Now().Before(f.leadFrom) {
 		return
@@ -117,7 +118,7 @@
 	}
 }
 
-// remember makes the new leader begin with the gateways that it knew, as if they had reported just now.
+// remember starts a leader's term with the gateways that it knew, as if they had just reported.
 func (f *fleet) remember() {
 	f.reported, f.awaited = make(map[string]time.Time), make(map[string]bool)
 	for _, id := range f.leader.ids {
@@ -125,7 +126,7 @@
 	}
 }
 
-// report lets all gateways that reach the leader report to it.
+// report makes all gateways that can reach the leader report to it.
 func (f *fleet) report() {
 	f.elect()
 	if f.leader == nil {
@@ -155,7 +156,7 @@
 	}
 }
 
-// store writes the leader's list to the store, with all that were on it lately.
+// store writes the leader's list to the store.
 func (f *fleet) store(ids []string) {
 	now := f.clock.Now()
 	for _, id := range ids {
@@ -175,7 +176,7 @@
 	m.limiter.SetGateways(ids)
 }
 
-// step lets a time pass in which all report as often as they do.
+// step advances the clock, with reports at their interval.
 func (f *fleet) step(d time.Duration) {
 	for d > 0 {
 		next := min(d, reportInterval)
@@ -185,7 +186,7 @@
 	}
 }
 
-// take lets a request arrive at a gateway.
+// take sends a request to a gateway and records it if it is let through.
 func (f *fleet) take(i int, amount float64) quota.Outcome {
 	m := f.gateways[i]
 	if m.paused {
@@ -198,7 +199,7 @@
 	return d.Outcome
 }
 
-// mostIn returns the most that was spent in any span of a length.
+// mostIn returns the maximum amount spent in any window of the given length.
 func (f *fleet) mostIn(window time.Duration) (most float64) {
 	sum, first := 0.0, 0
 	for _, s := range f.spent {
@@ -212,7 +213,7 @@
 	return most
 }
 
-// owner returns the gateway that grants for the organisation.
+// owner returns the index of the gateway that owns the organisation.
 func (f *fleet) owner() int {
 	for i, m := range f.gateways {
 		if s, _ := m.limiter.Status(testOrganisation); s.Owner == m.id {
--- a/quota/granter.go
+++ b/quota/granter.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// A Request asks the owner of a limit for a grant.
+// A Request requests a grant from the owner of a limit.
 type Request struct {
-	// Key names whose limit it is: an organisation or a backend server.
+	// Key identifies the holder of the limit: an organisation or a backend server.
 	Key string `json:"organisation"`
-	// From is the gateway that asks.
+	// From is the ID of the requesting gateway.
 	From string `json:"from"`
-	// Need is what one request needs, Ahead what would be of use beside it, in the limit's unit.
+	// Need is the amount that one request spends. Ahead is the additional amount to prefetch. Both are in the
+	// limit's unit.
 	Need  float64 `json:"need"`
 	Ahead float64 `json:"ahead,omitempty"`
 }
 
-// isValid reports whether the amounts may be granted: others send requests too, and a negative one would add to
-// what the bucket has.
+// isValid reports whether the amounts are valid. A request may come from an untrusted process; a negative
+// amount would add to the bucket.
 func (r Request) isValid() bool { return r.Need > 0 && r.Ahead >= 0 }
 
-// A Reply is an owner's answer to a Request.
+// A Reply is an owner's reply to a Request.
 type Reply struct {
-	// IsOwner says that the answering gateway grants for the organisation; all else is empty otherwise.
+	// IsOwner reports whether the replying gateway makes grants for the organisation. If not, all other
+	// fields are empty.
 	IsOwner bool `json:"owner,omitempty"`
-	// Granted is what the asking gateway may spend within StockTime of having asked: nothing, Need, or Need
-	// and Ahead.
+	// Granted is the amount that the requesting gateway may spend within StockTime of sending the request: 0,
+	// Need, or Need plus Ahead.
 	Granted float64 `json:"granted,omitempty"`
-	// IsUnsure says that the owner does not have the parts of all gateways: that it grants nothing does not
-	// say that the organisation is over its limit.
+	// IsUnsure reports whether the owner lacks the shares of some gateways. In that case a denial does not
+	// mean that the organisation is over its limit.
 	IsUnsure bool `json:"unsure,omitempty"`
-	// RetryAfterMs is when Need may be there, in milliseconds, if nothing was granted.
+	// RetryAfterMs is the time in milliseconds after which Need may be available, if nothing was granted.
 	RetryAfterMs int64 `json:"retry_after,omitempty"`
 }
 
-// aheadReserve is the part of the burst that grants ahead leave in the bucket, for requests of other
+// aheadReserve is the fraction of the burst that a prefetch must leave in the bucket for requests of other
 // gateways.
 const aheadReserve = 0.5
 
-// A granter has the buckets of the organisations that a gateway owns.
+// A granter holds the buckets of the organisations that a gateway owns.
 type granter struct {
 	buckets map[string]*bucket
-	// since is from when on buckets that are not there yet have been filling.
+	// since is when buckets that do not exist yet started to fill.
 	since time.Time
 }
 
@@ -46,8 +48,8 @@
 	return granter{buckets: make(map[string]*bucket), since: now}
 }
 
-// keep drops the buckets of organisations that this gateway does not own as of now. One that it gets again
-// begins with nothing.
+// keep removes the buckets of organisations that this gateway does not own as of now. A bucket that is
+// created again later is empty.
 func (g *granter) keep(owns func(organisation string) bool, now time.Time) {
 	for name := range g.buckets {
 		if !owns(name) {
@@ -57,7 +59,7 @@
 	g.since = now
 }
 
-// filled returns an organisation's bucket, filled by a share of the rate up to now.
+// filled returns an organisation's bucket, filled up to now by a share of the rate.
 func (g *granter) filled(organisation string, l Limit, share float64, now time.Time) *bucket {
 	b := g.buckets[organisation]
 	if b == nil {
@@ -68,12 +70,12 @@
 	return b
 }
 
-// available returns what an organisation's bucket has now.
+// available returns the amount in an organisation's bucket.
 func (g *granter) available(organisation string, l Limit, share float64, now time.Time) float64 {
 	return g.filled(organisation, l, share, now).amount
 }
 
-// grant grants from an organisation's bucket, which a share of the rate fills.
+// grant makes a grant from an organisation's bucket, which is filled by a share of the rate.
 func (g *granter) grant(r Request, l Limit, share float64, now time.Time) Reply {
 	b := g.filled(r.Key, l, share, now)
 	if !b.take(l, r.Need) {
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -11,47 +11,49 @@
 )
 
 const (
-	// StockTime is how long a grant may be spent, counted from when it was asked for. What is in stock adds
-	// to the limit in a window: at most half a second of the rate, since a grant ahead is no more than the
-	// demand in that time.
+	// StockTime is how long a grant may be spent, counted from when it was requested. Prefetched grants let
+	// an organisation exceed its limit in a window by at most half a second's worth of the rate, since a
+	// prefetch is no larger than the demand in StockTime.
 	StockTime = 500 * time.Millisecond
-	// denialTime bounds the time in which an owner that granted nothing is not asked again, so that an
-	// organisation far beyond its limit costs each gateway an ask in that time.
+	// denialTime bounds the time in which an owner is not asked again after a denial. It limits the requests
+	// for grants that an organisation far over its limit causes.
 	denialTime = 50 * time.Millisecond
 )
 
-// ErrEnded says that the process of the gateway that was asked has ended: nobody listens at its address.
+// ErrEnded is returned by an Asker if the process of the other gateway is known to have ended: nothing
+// listens at its address.
 var ErrEnded = errors.New("quota: the gateway has ended")
 
-// An Asker asks the gateway of an id for a grant.
+// An Asker requests grants from other gateways.
 type Asker interface {
-	// AskGrant returns the gateway's reply; an error is ErrEnded if that is known.
+	// AskGrant requests a grant from the gateway with an ID. The error is or wraps ErrEnded if the process is
+	// known to have ended.
 	AskGrant(ctx context.Context, gateway string, r Request) (Reply, error)
 }
 
-// Options are what a Limiter is made of.
+// Options configure a Limiter.
 type Options struct {
-	// Self is the id of this gateway.
+	// Self is the ID of this gateway.
 	Self      string
 	Clock     clock.Service
 	Asker     Asker
 	Tolerance Tolerance
 	// Limit returns an organisation's limit; ok is false if it has none.
 	Limit func(organisation string) (l Limit, ok bool)
-	// OnOwnerSilent, if not nil, is called when an owner does not grant, once until it does.
+	// OnOwnerSilent, if not nil, is called when an owner does not reply as the owner. It is not called again
+	// for the same organisation until an owner has.
 	OnOwnerSilent func(organisation, gateway string, err error)
 }
 
-// An Outcome says whether a request may run.
+// An Outcome is the result of a limit check.
 type Outcome int
 
-// The outcomes.
 const (
-	// Unknown says that nobody could tell.
+	// Unknown means that the limit could not be checked.
 	Unknown Outcome = iota
-	// Inside says that the request is inside its organisation's limit, and counts as spent.
+	// Inside means that the request is within the limit and counted as spent.
 	Inside
-	// Over says that it is beyond the limit.
+	// Over means that the request exceeds the limit.
 	Over
 )
 
@@ -66,14 +68,15 @@
 	return "unknown"
 }
 
-// A Decision says whether a request may run.
+// A Decision is the result of a limit check for one request.
 type Decision struct {
 	Outcome Outcome
-	// RetryAfter is when the organisation may be inside its limit again, if it is over.
+	// RetryAfter is the time after which the organisation may be within its limit again, if the outcome is
+	// Over.
 	RetryAfter time.Duration
 }
 
-// A Limiter keeps the limits of organisations together with those of the other gateways. It is safe for
+// A Limiter enforces the limits of organisations together with the Limiters of other gateways. It is safe for
 // concurrent use.
 type Limiter struct {
 	opts Options
@@ -82,11 +85,11 @@
 	fleet    fleet
 	granter  granter
 	accounts map[string]*account
-	// silent are the organisations whose owner did not grant when it was asked last.
+	// silent holds the organisations whose owner did not reply as such to the last request.
 	silent map[string]bool
 }
 
-// New returns a Limiter that knows no gateways.
+// New returns a Limiter without a list of gateways.
 func New(o Options) *Limiter {
 	now := o.Clock.Now()
 	return &Limiter{
@@ -95,23 +98,23 @@
 	}
 }
 
-// Heard notes that a leader replied to what it was asked at a time, and what it said of absent
-// gateways. It comes before the list of that reply.
+// Heard records that a leader replied to a request sent at a time, and the Absence in its reply. Call it
+// before SetGateways with the list of the same reply.
 func (l *Limiter) Heard(asked time.Time, a Absence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fleet.heard(asked, a)
 }
 
-// Lapsed returns the number of gateways that went off the leader's list lately, for the leader's replies.
+// Lapsed returns the number of gateways recently removed from the list. A leader sends it in its replies.
 func (l *Limiter) Lapsed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fleet.countLapsed(l.opts.Clock.Now())
 }
 
-// SetGateways sets the list of gateways by their ids. A gateway that went on without a leader before, while
-// another may have granted in its place, begins with nothing.
+// SetGateways replaces the list of gateway IDs. If this gateway was without a leader before, another may have
+// made grants in its place, so its buckets start empty.
 func (l *Limiter) SetGateways(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,15 +126,16 @@
 	l.granter.keep(func(organisation string) bool { return l.fleet.owner(organisation) == l.opts.Self }, now)
 }
 
-// NoteFormer tells of gateways that were there before this one started. Those that are not on the list may
-// spend their parts for a while.
+// NoteFormer records gateways that were known before this process started. Those that are not on the list may
+// still be spending their shares.
 func (l *Limiter) NoteFormer(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fleet.noteFormer(ids, l.opts.Clock.Now())
 }
 
-// Grant answers a gateway's request for a grant; one for a negative amount is not answered as an owner.
+// Grant handles another gateway's request for a grant. The reply is empty if this gateway does not own the
+// organisation or the request is invalid.
 func (l *Limiter) Grant(r Request) Reply {
 	limit, ok := l.opts.Limit(r.Key)
 	l.mu.Lock()
@@ -147,8 +151,7 @@
 	return reply
 }
 
-// Take decides whether a request of an organisation that spends an amount may run, and counts it as spent if
-// it may.
+// Take decides whether a request that spends an amount may run, and counts the amount as spent if so.
 func (l *Limiter) Take(ctx context.Context, organisation string, amount float64) Decision {
 	limit, ok := l.opts.Limit(organisation)
 	if !ok {
@@ -161,7 +164,6 @@
 	return d
 }
 
-// decide decides whether a request may run.
 func (l *Limiter) decide(ctx context.Context, organisation string, limit Limit, amount float64) Decision {
 	asked := l.opts.Clock.Now()
 	request, decision, decided := l.begin(organisation, amount, asked)
@@ -175,7 +177,7 @@
 	return l.finish(organisation, request, reply, asked)
 }
 
-// begin decides from what this gateway has, or returns what to ask the owner for.
+// begin decides from local state, or returns the request to send to the owner.
 func (l *Limiter) begin(organisation string, amount float64, now time.Time) (r Request, d Decision, decided bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,10 +192,10 @@
 	return Request{Key: organisation, From: l.opts.Self, Need: amount, Ahead: a.ahead(amount)}, Decision{}, false
 }
 
-// errNoOwner says that no gateway grants, as far as this one knows.
+// errNoOwner means that there is no known owner, or that the gateway asked is not the owner.
 var errNoOwner = errors.New("quota: no owner")
 
-// ask asks the owner of a limit for a grant; an error says that it does not answer as such.
+// ask requests a grant from the owner of a limit. It returns an error if there is no reply from an owner.
 func (l *Limiter) ask(ctx context.Context, r Request) (Reply, error) {
 	l.mu.Lock()
 	owner := l.fleet.owner(r.Key)
@@ -202,7 +204,7 @@
 	case "":
 		return Reply{}, errNoOwner
 	case l.opts.Self:
-		// Nothing is gained by a grant ahead to oneself.
+		// Prefetching from the local bucket has no use.
 		r.Ahead = 0
 		return owned(l.Grant(r), nil)
 	}
@@ -213,7 +215,7 @@
 	return reply, err
 }
 
-// owned returns the reply of an owner; that of another gateway becomes an error.
+// owned turns the reply of a gateway that is not the owner into an error.
 func owned(r Reply, err error) (Reply, error) {
 	if err == nil && !r.IsOwner {
 		err = errNoOwner
@@ -221,7 +223,7 @@
 	return r, err
 }
 
-// finish takes over an owner's reply.
+// finish applies an owner's reply.
 func (l *Limiter) finish(organisation string, r Request, reply Reply, asked time.Time) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,9 +243,9 @@
 	return Decision{Outcome: Over, RetryAfter: wait}
 }
 
-// takePart spends of this gateway's own part, unless the owner may still have it: one that is cut off believes
-// for OwnerTime that it grants alone, as long as which its organisations are refused. Nothing says that an
-// organisation is over its limit when the part is used up: the owner would have more.
+// takePart spends from this gateway's own share if the owner cannot have it any more. An owner that has lost
+// its connections acts as owner until OwnerTime has passed; meanwhile the outcome is Unknown. The outcome is
+// never Over, because the owner could grant more than this share.
 func (l *Limiter) takePart(organisation string, limit Limit, amount float64, ended bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -258,7 +260,8 @@
 	return Decision{Outcome: Inside}
 }
 
-// lentUntil returns until when others had this gateway's part of an organisation's rate. The Limiter is locked.
+// lentUntil returns the time until which other gateways had this gateway's share of an organisation's rate.
+// l.mu must be held.
 func (l *Limiter) lentUntil(a *account, now time.Time) time.Time {
 	switch {
 	case l.fleet.isSure(now):
@@ -269,7 +272,8 @@
 	return l.fleet.sureUntil
 }
 
-// GiveBack gives back what a request spent that has not run. It may be spent here, for as long as a grant.
+// GiveBack returns an amount spent by a request that did not run. It may be spent by this gateway within
+// StockTime.
 func (l *Limiter) GiveBack(organisation string, amount float64) {
 	if _, ok := l.opts.Limit(organisation); !ok {
 		return
@@ -281,8 +285,8 @@
 	a.add(amount, l.opts.Clock.Now().Add(StockTime))
 }
 
-// Keep forgets the limits that a function does not want kept: a Limiter whose limits come and go would hold all that
-// there ever were.
+// Keep removes the state of all organisations for which wanted returns false. Without it, a Limiter whose
+// limits come and go would grow without bound.
 func (l *Limiter) Keep(wanted func(organisation string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -293,7 +297,7 @@
 	maps.DeleteFunc(l.fleet.owners, func(name, _ string) bool { return unwanted(name) })
 }
 
-// noteSilent reports an owner that did not grant, once until one does.
+// noteSilent calls OnOwnerSilent, unless it has already been called since an owner last replied.
 func (l *Limiter) noteSilent(organisation, gateway string, err error) {
 	l.mu.Lock()
 	known := l.silent[organisation]
@@ -304,7 +308,7 @@
 	}
 }
 
-// account returns an organisation's account. The Limiter is locked.
+// account returns an organisation's account and creates it if necessary. l.mu must be held.
 func (l *Limiter) account(organisation string) *account {
 	a := l.accounts[organisation]
 	if a == nil {
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -12,21 +12,19 @@
 	"rockcleat/serverlimit"
 )
 
-// The users' bound on what an organisation may have run: in any window at most what the limit allows, a tenth
-// more, and a fixed amount.
+// tolerance is the permitted excess over the limit of an organisation, as agreed with the users.
 var tolerance = quota.Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 10_000}
 
-// typicalCost is that of a request, in tokens.
+// typicalCost is the cost of a request in tokens.
 const typicalCost = 1600
 
-// allowed returns the users' bound in a window.
+// allowed returns the maximum that a limit and the tolerance permit in one window.
 func allowed(l quota.Limit) float64 {
 	return (l.Rate*tolerance.Window.Seconds()+l.Burst)*(1+tolerance.Over) + tolerance.Slack
 }
 
-// TestInsideTheLimitIsServed lets requests of an organisation arrive at any of 24 gateways, at three quarters
-// of its rate: none is refused, however they fall. In even parts of 108 tokens a second each gateway would
-// serve one in fifteen seconds.
+// TestInsideTheLimitIsServed checks that no request is refused at three quarters of the rate, whichever
+// gateways the requests arrive at. Fixed equal shares per gateway would be too small for single requests.
 func TestInsideTheLimitIsServed(t *testing.T) {
 	tests := map[string]quota.Limit{
 		"the smallest":  {Rate: 2600, Burst: 2600},
@@ -48,8 +46,7 @@
 	}
 }
 
-// TestOverTheLimit lets an organisation ask for six times its rate everywhere: it gets its rate, and what is
-// refused says when to come back.
+// TestOverTheLimit checks that an organisation which requests six times its rate gets its rate.
 func TestOverTheLimit(t *testing.T) {
 	limit := quota.Limit{Rate: 40_000, Burst: 40_000}
 	f := newFleet(24, limit)
@@ -72,8 +69,8 @@
 	assert.Assert(t, f.mostIn(tolerance.Window) <= allowed(limit), "%v tokens in a window", f.mostIn(tolerance.Window))
 }
 
-// TestNewOwnerBeginsWithNothing restarts the owner again and again: what all let run together stays within
-// the bound, although each life of it has forgotten what it granted.
+// TestNewOwnerBeginsWithNothing checks that repeated restarts of the owner, which forgets its grants, do not
+// exceed the limit.
 func TestNewOwnerBeginsWithNothing(t *testing.T) {
 	limit := quota.Limit{Rate: 100_000, Burst: 100_000}
 	f := newFleet(6, limit)
@@ -92,8 +89,8 @@
 	assert.Assert(t, f.mostIn(tolerance.Window) <= allowed(limit), "%v of %v", f.mostIn(tolerance.Window), allowed(limit))
 }
 
-// TestLimitHolds cuts gateways off, restarts and pauses them and the leader at any time, while every gateway
-// is asked for as much as it lets run: in no window do they together let run more than the users' bound.
+// TestLimitHolds checks that the limit holds in every window while gateways and the leader are partitioned,
+// restarted and paused at random, under maximum load.
 func TestLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(2, 24).Draw(t, "gateways")
@@ -107,9 +104,8 @@
 	})
 }
 
-// TestServerLimitHolds does the same to the limit of a backend server, which takes few requests a second: in any
-// window it gets at most one and a half times what it named and five requests, those of gateways that were restarted,
-// paused or cut off included.
+// TestServerLimitHolds checks the same for the limit of a backend server, which is small. It permits one and
+// a half times the limit and five requests in any window.
 func TestServerLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(2, 24).Draw(t, "gateways")
@@ -123,8 +119,8 @@
 	})
 }
 
-// disturb cuts, restarts and pauses gateways and the leader as a test draws it, while every gateway is asked for as
-// much as it lets run.
+// disturb partitions, restarts and pauses gateways at random, while each gateway receives requests until one
+// is not let through.
 func (f *fleet) disturb(t *rapid.T, cost func() float64) {
 	for range rapid.IntRange(20, 80).Draw(t, "steps") {
 		f.step(time.Duration(rapid.IntRange(10, 900).Draw(t, "ms")) * time.Millisecond)
@@ -134,7 +130,7 @@
 		case "restart":
 			f.restart(i)
 		case "cut":
-			// Each gateway that is cut off is alone.
+			// Each isolated gateway gets a partition of its own.
 			m.island = i + 1
 			if f.leader == m {
 				f.loseLeader()
@@ -160,8 +156,8 @@
 	}
 }
 
-// TestStrangersHaveNoPart checks that a gateway that is not on the list has no part: neither one that reaches no
-// owner, nor for an owner that it asks.
+// TestStrangersHaveNoPart checks that a gateway that is not listed has no share: it spends none itself, and
+// an owner that it asks gains none.
 func TestStrangersHaveNoPart(t *testing.T) {
 	limit := quota.Limit{Rate: 1000, Burst: 1000}
 	f := newFleet(3, limit)
@@ -183,7 +179,7 @@
 	assert.Equal(t, status.Share, 0.5, "the owner has its own part only")
 }
 
-// TestInvalidRequests checks that a request for a grant that no gateway makes adds nothing to a limit.
+// TestInvalidRequests checks that an invalid request for a grant adds nothing to a bucket.
 func TestInvalidRequests(t *testing.T) {
 	f := newFleet(3, quota.Limit{Rate: 1000, Burst: 1000})
 	f.step(3 * time.Second)
--- a/quota/status.go
+++ b/quota/status.go
@@ -1,12 +1,13 @@
 package quota
 
-// Counts are a gateway's decisions for one organisation since its start.
+// Counts holds a gateway's decisions for one organisation since the process started.
 type Counts struct {
-	// Inside, Over and Unknown count requests by outcome.
+	// Inside, Over and Unknown are the numbers of requests by outcome.
 	Inside  int64 `json:"inside"`
 	Over    int64 `json:"over"`
 	Unknown int64 `json:"unknown"`
-	// Spent is what those inside have spent and not been given back, in the limit's unit.
+	// Spent is the amount spent by requests within the limit, without what was given back, in the limit's
+	// unit.
 	Spent float64 `json:"spent"`
 }
 
@@ -23,23 +24,23 @@
 	}
 }
 
-// A Status is what a gateway knows of a limit.
+// A Status is a gateway's view of one limit.
 type Status struct {
-	// Key names whose limit it is.
+	// Key identifies the holder of the limit.
 	Key string `json:"organisation"`
-	// Rate is in the limit's unit a second, Burst in the limit's unit.
+	// Rate is in the limit's unit per second. Burst is in the limit's unit.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst"`
-	// Owner is the gateway that grants; empty while no list of gateways is known.
+	// Owner is the gateway that makes grants, or empty if there is no list of gateways yet.
 	Owner string `json:"owner,omitempty"`
-	// Share is the part of the rate that this gateway grants, Available what it has to grant now, if it is the
-	// owner.
+	// Share is the share of the rate that this gateway grants, and Available the amount in its bucket. Both
+	// are set at the owner only.
 	Share     float64 `json:"share,omitempty"`
 	Available float64 `json:"available,omitempty"`
 	Counts
 }
 
-// Status returns what this gateway knows of the limit of an organisation; ok is false if it has none.
+// Status returns this gateway's view of an organisation's limit; ok is false if there is none.
 func (l *Limiter) Status(organisation string) (s Status, ok bool) {
 	limit, ok := l.opts.Limit(organisation)
 	if !ok {
