--- a/apikey/directory_test.go
+++ b/apikey/directory_test.go
@@ -67,7 +67,7 @@
 			b.Fatal(err)
 		}
 		if _, ok := d.Organisation(k); !ok {
-			b.Fatal("the key is not known")
+			b.Fatal("key not found")
 		}
 	}
 }
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -218,7 +218,7 @@
 			return
 		}
 	}
-	w.t.Fatalf("%s: orders %v", what, w.engines.orders())
+	w.t.Fatalf("timed out waiting for %s; orders issued: %v", what, w.engines.orders())
 }
 
 // Steps by which a test advances the clock.
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -13,7 +13,7 @@
 )
 
 // errCut is the error of a call to an unreachable gateway.
-var errCut = errors.New("cut off")
+var errCut = errors.New("gateway is unreachable")
 
 // testOrganisation is the only organisation in these tests.
 const testOrganisation = "guild"
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -22,7 +22,7 @@
 
 // ErrEnded is returned by an Asker if the process of the other gateway is known to have ended: nothing
 // listens at its address.
-var ErrEnded = errors.New("quota: the gateway has ended")
+var ErrEnded = errors.New("quota: gateway process is not running")
 
 // An Asker requests grants from other gateways.
 type Asker interface {
@@ -193,7 +193,7 @@
 }
 
 // errNoOwner means that there is no known owner, or that the gateway asked is not the owner.
-var errNoOwner = errors.New("quota: no owner")
+var errNoOwner = errors.New("quota: no gateway owns the limit")
 
 // ask requests a grant from the owner of a limit. It returns an error if there is no reply from an owner.
 func (l *Limiter) ask(ctx context.Context, r Request) (Reply, error) {
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -61,7 +61,7 @@
 		case quota.Inside:
 			inside++
 		case quota.Unknown:
-			t.Fatal("the owner is there")
+			t.Fatal("outcome is Unknown although the owner is reachable")
 		}
 	}
 	served := float64(inside) * typicalCost
@@ -99,7 +99,7 @@
 		f := newFleet(size, limit)
 		f.disturb(t, func() float64 { return rapid.Float64Range(100, 4000).Draw(t, "cost") })
 		if most := f.mostIn(tolerance.Window); most > allowed(limit) {
-			t.Fatalf("%v tokens in a window, %v are allowed", most, allowed(limit))
+			t.Fatalf("spent %v tokens in a window, limit is %v", most, allowed(limit))
 		}
 	})
 }
@@ -114,7 +114,7 @@
 		f.disturb(t, func() float64 { return 1 })
 		most, allowed := f.mostIn(serverlimit.Window), 1.5*perSecond*serverlimit.Window.Seconds()+5
 		if most > allowed {
-			t.Fatalf("%v requests in a window, %v are allowed", most, allowed)
+			t.Fatalf("let through %v requests in a window, limit is %v", most, allowed)
 		}
 	})
 }
