--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -30,62 +30,62 @@
 
 // A demandRate is a moving average of the work requested of one model, in tokens per second.
 type demandRate struct {
-	// risen is the average with time constant demandRiseTime. held follows it upwards, and decays with
+	// smoothed is the average with time constant demandRiseTime. held follows it upwards, and decays with
 	// demandFallTime at most.
-	risen, held float64
+	smoothed, peak float64
 }
 
 // update adds the work of one step.
 func (r *demandRate) update(tokens float64, step time.Duration) {
-	now := tokens / step.Seconds()
-	r.risen += (now - r.risen) * (1 - math.Exp(-step.Seconds()/demandRiseTime.Seconds()))
-	r.held = max(r.risen, r.held*math.Exp(-step.Seconds()/demandFallTime.Seconds()))
+	current := tokens / step.Seconds()
+	r.smoothed += (current - r.smoothed) * (1 - math.Exp(-step.Seconds()/demandRiseTime.Seconds()))
+	r.peak = max(r.smoothed, r.peak*math.Exp(-step.Seconds()/demandFallTime.Seconds()))
 }
 
 // risen is the average with time constant demandRiseTime. held is its peak, which decays with demandFallTime.
 type demand struct {
 	gateways map[string]*gateway
-	// former holds the gateways known before the term that have not reported in it yet. formerSince is when
+	// awaited holds the gateways known before the term that have not reported in it yet. awaitedSince is when
 	// they were added.
-	former      map[string]Gateway
-	formerSince time.Time
+	awaited      map[string]Gateway
+	awaitedSince time.Time
 	// newTokens is the work requested since the last step, in tokens by model.
 	newTokens map[string]float64
 	rates     map[string]*demandRate
 	// adapterLastUsed is when each adapter was last requested.
 	adapterLastUsed map[backend.Adapter]time.Time
-	// loads is the total load of all gateways at each server.
-	loads loads
+	// loadTotals is the total load of all gateways at each server.
+	loads loadTotals
 }
 
 func newDemand() *demand {
 	return &demand{
-		gateways: make(map[string]*gateway), former: make(map[string]Gateway), newTokens: make(map[string]float64),
-		rates: make(map[string]*demandRate), adapterLastUsed: make(map[backend.Adapter]time.Time), loads: newLoads(),
+		gateways: make(map[string]*gateway), awaited: make(map[string]Gateway), newTokens: make(map[string]float64),
+		rates: make(map[string]*demandRate), adapterLastUsed: make(map[backend.Adapter]time.Time), loads: newLoadTotals(),
 	}
 }
 
 // apply adds a gateway's report. The first report of a gateway and a full report only set the baseline of its
 // counters.
 func (d *demand) apply(r Report, now time.Time) {
-	delete(d.former, r.GatewayID)
+	delete(d.awaited, r.GatewayID)
 	g := d.gateways[r.GatewayID]
 	if g == nil || r.Full {
 		d.reset(g, r, now)
 		return
 	}
 	d.loads.update(g.report.Loads, r.Loads)
-	for name, x := range r.Demands {
-		before := g.demands[name]
-		if x.Arrived < before.Arrived {
+	for name, current := range r.Demands {
+		previous := g.demands[name]
+		if current.Arrived < previous.Arrived {
 			// The counter went back: the gateway has restarted.
-			before = dispatch.Demand{}
+			previous = dispatch.Demand{}
 		}
-		if x.Arrived == before.Arrived {
+		if current.Arrived == previous.Arrived {
 			continue
 		}
 		a := backend.ParseAdapter(name)
-		d.newTokens[a.Model] += float64(x.WorkTokens - before.WorkTokens)
+		d.newTokens[a.Model] += float64(current.WorkTokens - previous.WorkTokens)
 		if a.Name != "" {
 			d.adapterLastUsed[a] = now
 		}
@@ -94,9 +94,9 @@
 }
 
 // reset replaces the state of a gateway by a report. before is its previous state, or nil.
-func (d *demand) reset(before *gateway, r Report, now time.Time) {
-	if before != nil {
-		d.loads.update(before.report.Loads, nil)
+func (d *demand) reset(previous *gateway, r Report, now time.Time) {
+	if previous != nil {
+		d.loads.update(previous.report.Loads, nil)
 	}
 	g := &gateway{demands: make(map[string]dispatch.Demand)}
 	d.gateways[r.GatewayID] = g
@@ -111,34 +111,34 @@
 	g.report.Demands = nil
 }
 
-// remember adds gateways that were known before the term. Each is listed until it reports, or until the
+// addAwaited adds gateways that were known before the term. Each is listed until it reports, or until the
 // timeout of gateways that do not report. Otherwise the list would grow with each first report of the term,
 // and the ownership of engines and limits would move between the few gateways listed so far.
-func (d *demand) remember(gateways []Gateway, now time.Time) {
-	d.formerSince = now
+func (d *demand) addAwaited(gateways []Gateway, now time.Time) {
+	d.awaitedSince = now
 	for _, g := range gateways {
 		if d.gateways[g.ID] == nil {
-			d.former[g.ID] = g
+			d.awaited[g.ID] = g
 		}
 	}
 }
 
-// list returns the gateways sorted by ID, and a hash of their IDs and addresses as the version of the list.
-func (d *demand) list() ([]Gateway, uint64) {
-	list := make([]Gateway, 0, len(d.gateways))
+// listGateways returns the gateways sorted by ID, and a hash of their IDs and addresses as the version of the list.
+func (d *demand) listGateways() ([]Gateway, uint64) {
+	gateways := make([]Gateway, 0, len(d.gateways))
 	for _, g := range d.gateways {
-		list = append(list, Gateway{
+		gateways = append(gateways, Gateway{
 			Gateway: dispatch.Gateway{ID: g.report.GatewayID, Hall: g.report.Hall}, Addr: g.report.Addr,
 		})
 	}
-	list = slices.AppendSeq(list, maps.Values(d.former))
-	slices.SortFunc(list, func(x, y Gateway) int { return strings.Compare(x.ID, y.ID) })
+	gateways = slices.AppendSeq(gateways, maps.Values(d.awaited))
+	slices.SortFunc(gateways, func(x, y Gateway) int { return strings.Compare(x.ID, y.ID) })
 	h := fnv.New64a()
-	for _, g := range list {
+	for _, g := range gateways {
 		// Writes to a hash never fail.
 		_, _ = io.WriteString(h, g.ID+"\x00"+g.Addr+"\x00")
 	}
-	return list, h.Sum64()
+	return gateways, h.Sum64()
 }
 
 // step updates the rates with the work of the elapsed time.
@@ -154,10 +154,10 @@
 	clear(d.newTokens)
 }
 
-// forget removes gateways that have not reported within the timeout.
-func (d *demand) forget(now time.Time, timeout time.Duration) {
-	if now.Sub(d.formerSince) > timeout {
-		clear(d.former)
+// removeSilent removes gateways that have not reported within the timeout.
+func (d *demand) removeSilent(now time.Time, timeout time.Duration) {
+	if now.Sub(d.awaitedSince) > timeout {
+		clear(d.awaited)
 	}
 	for id, g := range d.gateways {
 		if now.Sub(g.reportedAt) > timeout {
@@ -171,7 +171,7 @@
 func (d *demand) modelDemands() map[string]residency.Demand {
 	out := make(map[string]residency.Demand)
 	for model, r := range d.rates {
-		out[model] = residency.Demand{TokensPerSecond: r.held}
+		out[model] = residency.Demand{TokensPerSecond: r.peak}
 	}
 	for _, g := range d.gateways {
 		for name, x := range g.demands {
@@ -193,9 +193,9 @@
 	return sum
 }
 
-// adapters returns the adapters of a service that requests are waiting for, and the number of running
+// adapterDemand returns the adapters of a service that requests are waiting for, and the number of running
 // requests by adapter.
-func (d *demand) adapters(service string) (waited []backend.Adapter, running map[backend.Adapter]int) {
+func (d *demand) adapterDemand(service string) (waiting []backend.Adapter, running map[backend.Adapter]int) {
 	seen := make(map[backend.Adapter]bool)
 	running = make(map[backend.Adapter]int)
 	for _, g := range d.gateways {
@@ -207,9 +207,9 @@
 			running[a] += x.Running
 			if x.Waiting > 0 && !seen[a] {
 				seen[a] = true
-				waited = append(waited, a)
+				waiting = append(waiting, a)
 			}
 		}
 	}
-	return waited, running
+	return waiting, running
 }
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -12,24 +12,24 @@
 
 // Timing of orders and reports.
 const (
-	// retireNotice is the delay between the publication that a model is about to be unloaded and the order to
+	// unloadNotice is the delay between the publication that a model is about to be unloaded and the order to
 	// unload it. Gateways learn of the change with their next report.
-	retireNotice = 350 * time.Millisecond
-	// pollEvery is the interval between two reports of an engine that is carrying out an order.
-	pollEvery = 250 * time.Millisecond
+	unloadNotice = 350 * time.Millisecond
+	// pollInterval is the interval between two reports of an engine that is carrying out an order.
+	pollInterval = 250 * time.Millisecond
 	// adapterLoadTime is the expected time to load an adapter.
 	adapterLoadTime = 40 * time.Millisecond
 	// adapterCheckDelay is the delay before a report confirms that an adapter was loaded.
 	adapterCheckDelay = 500 * time.Millisecond
-	// minResidence is how long a loaded model is protected from eviction, unless a model without a replica
+	// minResidenceTime is how long a loaded model is protected from eviction, unless a model without a replica
 	// needs its memory.
-	minResidence = 4 * time.Second
-	// reportLag is the time after an accepted order in which a report may still predate the order. It covers
+	minResidenceTime = 4 * time.Second
+	// maxReportLag is the time after an accepted order in which a report may still predate the order. It covers
 	// the age of an engine's report and the duration of the call.
-	reportLag = 1500 * time.Millisecond
-	// cacheUnknownTime is the time after a load in which a report may still list cached weights that the load
+	maxReportLag = 1500 * time.Millisecond
+	// cacheUnknownDuration is the time after a load in which a report may still list cached weights that the load
 	// has evicted.
-	cacheUnknownTime = 700 * time.Millisecond
+	cacheUnknownDuration = 700 * time.Millisecond
 	// maxLoadWait is how long a load may wait for memory to be freed on its engine. An order that was not
 	// answered may be carried out up to 12 s later, so the wait has to be longer.
 	maxLoadWait = 13 * time.Second
@@ -60,14 +60,14 @@
 	plannedAt time.Time
 	// lastAccepted is when the engine last accepted an order.
 	lastAccepted time.Time
-	// calling is set while a call to the engine is in progress.
-	calling bool
-	// otherRun is set when the last report came from another incarnation of the server than the registered
+	// callInProgress is set while a call to the engine is in progress.
+	callInProgress bool
+	// otherIncarnation is set when the last report came from another incarnation of the server than the registered
 	// one.
-	otherRun bool
+	otherIncarnation bool
 	// nextReport is when the next report is due, or zero if none is.
 	nextReport time.Time
-	// loadedAt holds the times at which models were loaded, for minResidence.
+	// loadedAt holds the times at which models were loaded, for minResidenceTime.
 	loadedAt map[string]time.Time
 	// adapterReadyAt holds the times at which adapters being loaded are expected to be ready.
 	adapterReadyAt map[backend.Adapter]time.Time
@@ -81,48 +81,48 @@
 }
 
 // isIdle reports whether a new move may be planned for the engine.
-func (e *engineState) isIdle() bool { return e.known && !e.calling && len(e.pending) == 0 }
+func (e *engineState) isIdle() bool { return e.known && !e.callInProgress && len(e.pending) == 0 }
 
 // servable returns the models and adapters that gateways may send requests for: those that the engine holds,
 // without models about to be unloaded and adapters still being loaded.
 func (e *engineState) servable(now time.Time) []backend.Resident {
-	if e.otherRun {
+	if e.otherIncarnation {
 		return nil
 	}
-	var out []backend.Resident
+	var servable []backend.Resident
 	for _, r := range e.residents {
-		if e.isRetiring(r.Model) {
+		if e.isUnloading(r.Model) {
 			continue
 		}
 		r = r.Clone()
 		r.Adapters = slices.DeleteFunc(r.Adapters, func(name string) bool {
 			return now.Before(e.adapterReadyAt[backend.Adapter{Model: r.Model, Name: name}])
 		})
-		out = append(out, r)
+		servable = append(servable, r)
 	}
-	return out
+	return servable
 }
 
-func (e *engineState) isRetiring(model string) bool {
+func (e *engineState) isUnloading(model string) bool {
 	return slices.ContainsFunc(e.pending, func(o backend.Order) bool {
 		return o.Unload && o.Adapter == "" && o.Model == model
 	})
 }
 
-// afterOrders returns the models that the engine will hold once its pending orders are completed.
-func (e *engineState) afterOrders() []backend.Resident {
-	list := slices.DeleteFunc(slices.Clone(e.residents), func(r backend.Resident) bool { return e.isRetiring(r.Model) })
+// residentsAfterOrders returns the models that the engine will hold once its pending orders are completed.
+func (e *engineState) residentsAfterOrders() []backend.Resident {
+	residents := slices.DeleteFunc(slices.Clone(e.residents), func(r backend.Resident) bool { return e.isUnloading(r.Model) })
 	for _, o := range e.pending {
 		if !o.Unload && o.Adapter == "" {
-			list = append(list, backend.Resident{Model: o.Model})
+			residents = append(residents, backend.Resident{Model: o.Model})
 		}
 	}
-	return list
+	return residents
 }
 
 // view returns the engine's state as input to planning.
 func (e *engineState) view(now time.Time) residency.EngineView {
-	maps.DeleteFunc(e.loadedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= minResidence })
+	maps.DeleteFunc(e.loadedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= minResidenceTime })
 	var recent map[string]bool
 	for model := range e.loadedAt {
 		if recent == nil {
@@ -131,7 +131,7 @@
 		recent[model] = true
 	}
 	return residency.EngineView{
-		ID: e.server.ID, Hall: e.server.Hall, Residents: e.afterOrders(), Idle: e.isIdle(), Leaving: e.server.Leaving,
+		ID: e.server.ID, Hall: e.server.Hall, Residents: e.residentsAfterOrders(), Idle: e.isIdle(), Leaving: e.server.Leaving,
 		CachedInMemory: e.cachedInMemory, CachedOnDisk: e.cachedOnDisk, RecentlyLoaded: recent,
 	}
 }
@@ -145,18 +145,18 @@
 	e.accepted = false
 	e.plannedAt = now
 	if len(m.Evictions) > 0 {
-		e.notBefore = now.Add(retireNotice)
+		e.notBefore = now.Add(unloadNotice)
 	}
 }
 
-// loadOverdue reports whether a load has waited for longer than maxLoadWait. Either the engine lets running
+// isLoadOverdue reports whether a load has waited for longer than maxLoadWait. Either the engine lets running
 // requests end before it unloads a model, or it does not answer.
-func (e *engineState) loadOverdue(now time.Time) bool {
+func (e *engineState) isLoadOverdue(now time.Time) bool {
 	n := len(e.pending)
 	if n == 0 || e.pending[n-1].Unload || now.Sub(e.plannedAt) < maxLoadWait {
 		return false
 	}
-	return n > 1 || !e.accepted && !e.known && !e.calling
+	return n > 1 || !e.accepted && !e.known && !e.callInProgress
 }
 
 // abandonLoad removes the pending load and returns its model, so that it can be planned on another engine.
@@ -168,17 +168,17 @@
 	return model
 }
 
-// isOther reports whether a report comes from another incarnation of the server than the registered one. This
+// isFromOtherIncarnation reports whether a report comes from another incarnation of the server than the registered one. This
 // happens when the server has restarted and its new record has not been seen yet. Incarnations cannot be told
 // apart where the records do not identify them.
-func (e *engineState) isOther(r backend.Report) bool {
+func (e *engineState) isFromOtherIncarnation(r backend.Report) bool {
 	return r.ServerID != "" && e.server.Instance != "" && r.ServerID != e.server.ID
 }
 
 // apply applies a report and reports whether it did. A report that may predate the last accepted order is
 // ignored.
 func (e *engineState) apply(r backend.Report, now time.Time) bool {
-	if e.known && r.Sequence < e.sequence && now.Sub(e.lastAccepted) < reportLag {
+	if e.known && r.Sequence < e.sequence && now.Sub(e.lastAccepted) < maxReportLag {
 		return false
 	}
 	e.sequence = r.Sequence
@@ -208,7 +208,7 @@
 		if !o.Unload {
 			e.loadedAt[o.Model] = now
 			loaded = o.Model
-			e.distrustCache(now)
+			e.invalidateCache(now)
 		}
 	}
 	if e.accepted {
@@ -218,12 +218,12 @@
 	return loaded
 }
 
-// distrustCache discards the cached weights until a report is certain to be newer than the load that has just
+// invalidateCache discards the cached weights until a report is certain to be newer than the load that has just
 // finished. A load from the weight store may have evicted some of them, so that loading these would also read
 // from the store.
-func (e *engineState) distrustCache(now time.Time) {
+func (e *engineState) invalidateCache(now time.Time) {
 	e.cachedInMemory, e.cachedOnDisk = nil, nil
-	e.cacheUnknownUntil = now.Add(cacheUnknownTime)
+	e.cacheUnknownUntil = now.Add(cacheUnknownDuration)
 	e.nextReport = e.cacheUnknownUntil
 }
 
@@ -243,7 +243,7 @@
 	o := e.pending[0]
 	m, ok := spec.Model(o.Model)
 	if o.Unload || !ok {
-		return pollEvery
+		return pollInterval
 	}
 	return residency.LoadTime(m, e.source(o.Model))
 }
@@ -261,8 +261,8 @@
 	e.adapterReadyAt[a] = now.Add(adapterLoadTime)
 }
 
-// dropAdapter removes an adapter that was unloaded.
-func (e *engineState) dropAdapter(a backend.Adapter) {
+// removeAdapter removes an adapter that was unloaded.
+func (e *engineState) removeAdapter(a backend.Adapter) {
 	e.residents = slices.Clone(e.residents)
 	for i, r := range e.residents {
 		if r.Model == a.Model {
--- a/internal/placer/engine_test.go
+++ b/internal/placer/engine_test.go
@@ -9,10 +9,10 @@
 	"rockcleat/backend"
 )
 
-// TestCachedWeightsAreDistrustedAfterALoad guards against a report that still lists cached weights which the
+// TestCachedWeightsAreIgnoredAfterLoad guards against a report that still lists cached weights which the
 // load that has just finished evicted. A load of these weights must count as one from the weight store until
 // a report is certain to be newer.
-func TestCachedWeightsAreDistrustedAfterALoad(t *testing.T) {
+func TestCachedWeightsAreIgnoredAfterLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEngine(&backend.Server{ID: "e"})
 	report := backend.Report{CachedOnDisk: []string{"m2"}, Residents: []backend.Resident{{Model: "m1"}}, Sequence: 1}
@@ -26,10 +26,10 @@
 	e.pending = []backend.Order{{Model: "m2"}}
 	assert.Assert(t, e.fromStore(), "a load has ended since the report")
 
-	assert.Assert(t, e.apply(report, now.Add(cacheUnknownTime/2)))
+	assert.Assert(t, e.apply(report, now.Add(cacheUnknownDuration/2)))
 	assert.Assert(t, e.fromStore(), "the report may be older than the load's end")
-	assert.Assert(t, !e.nextReport.IsZero() && !e.nextReport.After(now.Add(cacheUnknownTime)), "a newer report is due")
+	assert.Assert(t, !e.nextReport.IsZero() && !e.nextReport.After(now.Add(cacheUnknownDuration)), "a newer report is due")
 
-	assert.Assert(t, e.apply(report, now.Add(cacheUnknownTime)))
+	assert.Assert(t, e.apply(report, now.Add(cacheUnknownDuration)))
 	assert.Assert(t, !e.fromStore())
 }
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -41,20 +41,20 @@
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
 	issued  []issuedOrder
-	// answer, if not nil, returns the answer to the n-th order and whether the order is carried out.
-	answer func(n int, o backend.Order) (out backend.OrderOutcome, done bool, err error)
+	// respond, if not nil, returns the answer to the n-th order and whether the order is carried out.
+	respond func(n int, o backend.Order) (out backend.OrderOutcome, done bool, err error)
 }
 
 type fakeEngine struct {
 	// serverID is the incarnation named in reports; empty for none.
-	serverID  string
-	sequence  int
-	fence     int64
-	residents []backend.Resident
-	coming    []backend.Adapter
-	// runs makes an unload of a model stay in progress.
-	runs bool
-	busy bool
+	serverID        string
+	sequence        int
+	fence           int64
+	residents       []backend.Resident
+	loadingAdapters []backend.Adapter
+	// blockUnload makes an unload of a model stay in progress.
+	blockUnload     bool
+	orderInProgress bool
 }
 
 func (f *fakeEngines) Report(_ context.Context, s *backend.Server) (backend.Report, error) {
@@ -64,7 +64,7 @@
 	if !ok {
 		return backend.Report{}, errors.New("no such engine")
 	}
-	r := backend.Report{ServerID: e.serverID, Sequence: e.sequence, LoadingAdapters: e.coming, OrderInProgress: e.busy}
+	r := backend.Report{ServerID: e.serverID, Sequence: e.sequence, LoadingAdapters: e.loadingAdapters, OrderInProgress: e.orderInProgress}
 	for _, x := range e.residents {
 		r.Residents = append(r.Residents, x.Clone())
 	}
@@ -83,23 +83,23 @@
 	if o.Sequence != e.sequence {
 		return backend.OrderConflict, nil
 	}
-	if f.answer != nil {
-		out, done, err := f.answer(len(f.issued), o)
+	if f.respond != nil {
+		out, done, err := f.respond(len(f.issued), o)
 		if done {
-			e.do(o)
+			e.apply(o)
 		}
 		return out, err
 	}
-	if o.Unload && o.Adapter == "" && e.runs {
+	if o.Unload && o.Adapter == "" && e.blockUnload {
 		e.sequence++
-		e.busy = true
+		e.orderInProgress = true
 		return backend.OrderAccepted, nil
 	}
-	e.do(o)
+	e.apply(o)
 	return backend.OrderAccepted, nil
 }
 
-func (e *fakeEngine) do(o backend.Order) {
+func (e *fakeEngine) apply(o backend.Order) {
 	e.sequence++
 	i := slices.IndexFunc(e.residents, func(r backend.Resident) bool { return r.Model == o.Model })
 	switch {
@@ -151,7 +151,7 @@
 }
 
 // A world is a placer with fake engines, a fake lease and a test clock.
-type world struct {
+type fixture struct {
 	t        *testing.T
 	clock    *clocktest.Clock
 	lease    *fakeLease
@@ -159,21 +159,21 @@
 	registry backend.Registry
 	spec     *table.EngineSpec
 	placer   *placer.Placer
-	// second adds a second service of engines, which shares the weight store.
-	second bool
-	// inNeed names the servers for which IsInNeed reports true.
-	inNeed map[string]bool
+	// secondService adds a second service of engines, which shares the weight store.
+	secondService bool
+	// throttled names the servers for which IsInNeed reports true.
+	throttled map[string]bool
 }
 
-// newWorld returns a world with models of 60 GB and engines of 200 GB that hold the named models. It must be
+// newFixture returns a world with models of 60 GB and engines of 200 GB that hold the named models. It must be
 // called in a synctest bubble.
-func newWorld(t *testing.T, models int, held ...[]string) *world {
+func newFixture(t *testing.T, models int, held ...[]string) *fixture {
 	c := clocktest.New(time.Unix(1000, 0))
-	w := &world{t: t, clock: c, lease: &fakeLease{token: 7}}
-	w.engines = &fakeEngines{clock: c, engines: make(map[string]*fakeEngine)}
-	w.spec = &table.EngineSpec{WeightsMB: 200_000, AdapterSlots: 2, LoadsPerSecond: 1}
+	f := &fixture{t: t, clock: c, lease: &fakeLease{token: 7}}
+	f.engines = &fakeEngines{clock: c, engines: make(map[string]*fakeEngine)}
+	f.spec = &table.EngineSpec{WeightsMB: 200_000, AdapterSlots: 2, LoadsPerSecond: 1}
 	for i := range models {
-		w.spec.Models = append(w.spec.Models, table.ModelSpec{
+		f.spec.Models = append(f.spec.Models, table.ModelSpec{
 			Name: fmt.Sprint("m", i), WeightsMB: 60_000, Adapters: 4, AdapterMB: 10, StoreLoadTime: time.Second,
 		})
 	}
@@ -184,41 +184,41 @@
 		for _, m := range names {
 			e.residents = append(e.residents, backend.Resident{Model: m})
 		}
-		w.engines.engines[id] = e
+		f.engines.engines[id] = e
 		list = append(list, backend.Server{ID: id, Service: service, Hall: "h", Residents: e.residents})
 	}
-	w.registry.Replace(list, c.Now())
-	return w
+	f.registry.Replace(list, c.Now())
+	return f
 }
 
-func (w *world) start(first bool) *placer.Placer {
-	services := []table.Service{{Name: service, Engine: w.spec}, {Name: "plain"}}
-	if w.second {
-		services = append(services, table.Service{Name: "second", Engine: w.spec})
+func (f *fixture) start(first bool) *placer.Placer {
+	services := []table.Service{{Name: service, Engine: f.spec}, {Name: "plain"}}
+	if f.secondService {
+		services = append(services, table.Service{Name: "second", Engine: f.spec})
 	}
 	routing := table.NewRouting(1, nil, services, table.RequestLimits{})
 	p := placer.New(placer.Options{
-		Lease: w.lease, Engines: w.engines, Registry: &w.registry,
+		Lease: f.lease, Engines: f.engines, Registry: &f.registry,
 		Routing:    func() *table.Routing { return routing },
-		IsInNeed:   func(s *backend.Server) bool { return w.inNeed[s.ID] },
-		SettleTime: ttl, FirstStart: first, Clock: w.clock, Log: zap.NewNop(),
+		IsInNeed:   func(s *backend.Server) bool { return f.throttled[s.ID] },
+		SettleTime: ttl, FirstStart: first, Clock: f.clock, Log: zap.NewNop(),
 	})
-	w.placer = p
+	f.placer = p
 	p.Start()
-	w.t.Cleanup(func() { p.Stop(context.Background()) })
+	f.t.Cleanup(func() { p.Stop(context.Background()) })
 	return p
 }
 
-// run advances the clock until the condition holds.
-func (w *world) run(what string, cond func() bool) {
-	w.t.Helper()
+// waitUntil advances the clock until the condition holds.
+func (f *fixture) waitUntil(what string, cond func() bool) {
+	f.t.Helper()
 	for range maxSteps {
-		w.pass(stepTime)
+		f.advance(stepTime)
 		if cond() {
 			return
 		}
 	}
-	w.t.Fatalf("timed out waiting for %s; orders issued: %v", what, w.engines.orders())
+	f.t.Fatalf("timed out waiting for %s; orders issued: %v", what, f.engines.orders())
 }
 
 // Steps by which a test advances the clock.
@@ -227,32 +227,32 @@
 	maxSteps = 2000
 )
 
-// pass advances the clock in steps and waits after each one for the placer's calls to engines to end.
-func (w *world) pass(d time.Duration) {
+// advance advances the clock in steps and waits after each one for the placer's calls to engines to end.
+func (f *fixture) advance(d time.Duration) {
 	for range int(d / stepTime) {
-		w.clock.Advance(stepTime)
+		f.clock.Advance(stepTime)
 		synctest.Wait()
 	}
 }
 
-func (w *world) ordered(n int) func() bool {
-	return func() bool { return len(w.engines.orders()) >= n }
+func (f *fixture) ordersIssued(n int) func() bool {
+	return func() bool { return len(f.engines.orders()) >= n }
 }
 
-// ask reports the demand for a model or adapter and returns the reply.
-func (w *world) ask(name string, arrived, waiting int) placer.Reply {
-	return w.placer.Report(placer.Report{GatewayID: "g", Demands: map[string]dispatch.Demand{
+// reportDemand reports the demand for a model or adapter and returns the reply.
+func (f *fixture) reportDemand(name string, arrived, waiting int) placer.Reply {
+	return f.placer.Report(placer.Report{GatewayID: "g", Demands: map[string]dispatch.Demand{
 		name: {Arrived: arrived, WorkTokens: arrived * 1000, Waiting: waiting, Service: service},
 	}})
 }
 
-// startWaitingFor starts the first leader, reports a request that waits for an adapter, and waits for the
+// startWithWaitingRequest starts the first leader, reports a request that waits for an adapter, and waits for the
 // first order.
-func (w *world) startWaitingFor(adapter string) {
-	p := w.start(true)
-	w.pass(5 * time.Second)
-	w.ask(adapter, 0, 0)
-	w.ask(adapter, 1, 1)
+func (f *fixture) startWithWaitingRequest(adapter string) {
+	p := f.start(true)
+	f.advance(5 * time.Second)
+	f.reportDemand(adapter, 0, 0)
+	f.reportDemand(adapter, 1, 1)
 	p.Wake()
-	w.run("adapter", w.ordered(1))
+	f.waitUntil("adapter", f.ordersIssued(1))
 }
--- a/internal/placer/leadership.go
+++ b/internal/placer/leadership.go
@@ -21,16 +21,16 @@
 	since time.Time
 	// settleTime is how long this leader waits before its first order.
 	settleTime time.Duration
-	// fenced is the last token that an engine rejected. No order is issued under it any more.
-	fenced lease.Token
+	// fencedToken is the last token that an engine rejected. No order is issued under it any more.
+	fencedToken lease.Token
 	// former tracks the previous leader's replies.
-	former nonLeaderReplies
+	previousLeader nonLeaderReplies
 }
 
-// mayOrder reports whether orders may be issued: the settle time has passed, so that no order of the previous
+// canIssueOrders reports whether orders may be issued: the settle time has passed, so that no order of the previous
 // leader is in progress, and no engine has seen a newer leader.
-func (l *leadership) mayOrder(now time.Time) bool {
-	return l.token != l.fenced && now.Sub(l.since) >= l.settleTime
+func (l *leadership) canIssueOrders(now time.Time) bool {
+	return l.token != l.fencedToken && now.Sub(l.since) >= l.settleTime
 }
 
 // nonLeaderReplies tracks the unbroken period in which the process at an address has replied that it does not
@@ -40,9 +40,9 @@
 	first, last time.Time
 }
 
-// note records a reply of the process at an address. notLeader is false if the process leads or did not
+// record records a reply of the process at an address. notLeader is false if the process leads or did not
 // reply.
-func (n *nonLeaderReplies) note(addr string, notLeader bool, now time.Time) {
+func (n *nonLeaderReplies) record(addr string, notLeader bool, now time.Time) {
 	switch {
 	case !notLeader:
 		*n = nonLeaderReplies{}
@@ -68,8 +68,8 @@
 	if p.isFirst() {
 		return firstLeaderDelay
 	}
-	quiet := p.leadership.former.duration(p.opts.Lease.OtherHolder().Addr, now)
-	return max(p.opts.SettleTime-quiet, 0)
+	notLeading := p.leadership.previousLeader.duration(p.opts.Lease.OtherHolder().Addr, now)
+	return max(p.opts.SettleTime-notLeading, 0)
 }
 
 // isFirst reports whether there was no earlier leader.
@@ -80,5 +80,5 @@
 func (p *Placer) NotePeerReply(addr string, notLeader bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.leadership.former.note(addr, notLeader, p.opts.Clock.Now())
+	p.leadership.previousLeader.record(addr, notLeader, p.opts.Clock.Now())
 }
--- a/internal/placer/loads_test.go
+++ b/internal/placer/loads_test.go
@@ -14,7 +14,7 @@
 // TestLoadsAddUp checks the totals after random updates of the gateways' loads.
 func TestLoadsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := newLoads()
+		l := newLoadTotals()
 		had := make(map[int]map[string]dispatch.Load)
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			g := rapid.IntRange(0, 3).Draw(t, "gateway")
@@ -46,7 +46,7 @@
 // TestOnlyTheBusiestAreSent checks that only the busiest servers are listed if there are more than
 // maxReportedServers.
 func TestOnlyTheBusiestAreSent(t *testing.T) {
-	l := newLoads()
+	l := newLoadTotals()
 	all := make(map[string]dispatch.Load)
 	for i := range 3 * maxReportedServers {
 		all[fmt.Sprint("s", i)] = dispatch.Load{Running: i + 1}
--- a/internal/placer/orders.go
+++ b/internal/placer/orders.go
@@ -14,12 +14,12 @@
 
 // Rate of engine reports; see docs/design/0009.
 const (
-	// refreshEvery is the interval between two reports of an engine without orders, if there are at most
-	// enginesAtFullPace engines. It grows with the number of engines.
-	refreshEvery = 6 * time.Second
-	// enginesAtFullPace is the number of engines up to which intervals are shortest. Above it they grow with
+	// minRefreshInterval is the interval between two reports of an engine without orders, if there are at most
+	// enginesAtFullRate engines. It grows with the number of engines.
+	minRefreshInterval = 6 * time.Second
+	// enginesAtFullRate is the number of engines up to which intervals are shortest. Above it they grow with
 	// the number of engines.
-	enginesAtFullPace = 100
+	enginesAtFullRate = 100
 	// maxReportsPerStep is the maximum number of reports requested in one step.
 	maxReportsPerStep = 30
 )
@@ -28,7 +28,7 @@
 // order.
 func (p *Placer) callIfDue(e *engineState, spec *table.EngineSpec, now time.Time) {
 	switch {
-	case e.calling:
+	case e.callInProgress:
 	case (!e.known || !e.nextReport.IsZero()) && !now.Before(e.nextReport):
 		if p.reportsRequested < maxReportsPerStep {
 			p.reportsRequested++
@@ -41,17 +41,17 @@
 
 // fetchReport requests a report from an engine and applies it.
 func (p *Placer) fetchReport(e *engineState) {
-	e.calling = true
+	e.callInProgress = true
 	server := e.server
 	go func() {
 		r, err := p.opts.Engines.Report(p.ctx, server)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		now := p.opts.Clock.Now()
-		e.calling = false
+		e.callInProgress = false
 		if err != nil {
 			p.opts.Log.Warn("engine report failed", zap.String("server", server.ID), telemetry.Error(err))
-			e.nextReport = now.Add(2 * pollEvery)
+			e.nextReport = now.Add(2 * pollInterval)
 			return
 		}
 		p.applyReport(e, r, now)
@@ -60,18 +60,18 @@
 
 // applyReport applies a report and schedules the next one.
 func (p *Placer) applyReport(e *engineState, r backend.Report, now time.Time) {
-	if e.isOther(r) {
-		p.noteOtherRun(e, r, now)
+	if e.isFromOtherIncarnation(r) {
+		p.handleOtherIncarnation(e, r, now)
 		return
 	}
-	e.otherRun = false
+	e.otherIncarnation = false
 	if !e.apply(r, now) {
-		e.nextReport = now.Add(pollEvery / 2)
+		e.nextReport = now.Add(pollInterval / 2)
 		return
 	}
 	e.nextReport = now.Add(p.refreshInterval())
 	if r.OrderInProgress {
-		e.nextReport = now.Add(pollEvery)
+		e.nextReport = now.Add(pollInterval)
 		if len(e.pending) == 0 {
 			// The order in progress comes from the previous leader; wait until it ends.
 			e.known = false
@@ -84,20 +84,20 @@
 	p.publish(now)
 }
 
-// noteOtherRun handles a report from another incarnation of an engine than the registered one. The registered
+// handleOtherIncarnation handles a report from another incarnation of an engine than the registered one. The registered
 // incarnation is gone: it gets no orders and holds nothing. The registry will list the new one.
-func (p *Placer) noteOtherRun(e *engineState, r backend.Report, now time.Time) {
-	if !e.otherRun {
+func (p *Placer) handleOtherIncarnation(e *engineState, r backend.Report, now time.Time) {
+	if !e.otherIncarnation {
 		p.opts.Log.Info("report from another incarnation of the server", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
 	}
-	e.known, e.otherRun = false, true
-	e.nextReport = now.Add(pollEvery)
+	e.known, e.otherIncarnation = false, true
+	e.nextReport = now.Add(pollInterval)
 	p.publish(now)
 }
 
 // refreshInterval returns the interval between two reports of an engine without orders.
 func (p *Placer) refreshInterval() time.Duration {
-	return refreshEvery * time.Duration(max(1, len(p.engines.byID)/enginesAtFullPace))
+	return minRefreshInterval * time.Duration(max(1, len(p.engines.byID)/enginesAtFullRate))
 }
 
 // issueModelOrder issues the first pending order, unless the model does not fit or the limiter of store loads
@@ -105,21 +105,21 @@
 func (p *Placer) issueModelOrder(e *engineState, spec *table.EngineSpec, now time.Time) {
 	o := e.pending[0]
 	o.Sequence, o.Fence = e.sequence, int64(p.leadership.token)
-	takes := e.expectedTime(spec)
+	expectedTime := e.expectedTime(spec)
 	if !o.Unload && residency.Free(spec, e.residents) < modelWeights(spec, o.Model) {
 		e.pending = nil
 		return
 	}
-	if e.fromStore() && !p.storeLoads.allow(now) {
+	if e.fromStore() && !p.storeLoadLimiter.allow(now) {
 		return
 	}
-	e.calling = true
+	e.callInProgress = true
 	server := e.server
 	go func() {
 		out, err := p.send(server, o)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.modelOrderAnswered(e, answer{order: o, outcome: out, err: err}, takes)
+		p.handleModelOrderResult(e, orderResult{order: o, outcome: out, err: err}, expectedTime)
 	}()
 }
 
@@ -142,41 +142,41 @@
 }
 
 // An answer is the result of an order.
-type answer struct {
+type orderResult struct {
 	order   backend.Order
 	outcome backend.OrderOutcome
 	err     error
 }
 
-// noteAnswer logs the result of an order, and updates the sequence number and the rejected token.
-func (p *Placer) noteAnswer(e *engineState, a answer, now time.Time) {
+// recordOrderResult logs the result of an order, and updates the sequence number and the rejected token.
+func (p *Placer) recordOrderResult(e *engineState, a orderResult, now time.Time) {
 	p.opts.Log.Info("order issued", zap.String("server", e.server.ID), zap.Bool("unload", a.order.Unload),
 		zap.String("model", a.order.Model), zap.String("adapter", a.order.Adapter), zap.Int("sequence", a.order.Sequence),
 		zap.Int64("fence", a.order.Fence), zap.Stringer("outcome", a.outcome), telemetry.Error(a.err))
 	if a.outcome == backend.OrderFenced {
-		p.leadership.fenced = lease.Token(a.order.Fence)
+		p.leadership.fencedToken = lease.Token(a.order.Fence)
 	}
-	if a.counts() {
+	if a.isCounted() {
 		e.sequence++
 		e.lastAccepted = now
 	}
 }
 
-// counts reports whether the engine counted the order in its sequence. An order for an adapter that was
+// isCounted reports whether the engine counted the order in its sequence. An order for an adapter that was
 // already in the requested state counts too.
-func (a answer) counts() bool {
+func (a orderResult) isCounted() bool {
 	return a.outcome == backend.OrderAccepted || a.outcome == backend.OrderAlreadyDone && a.order.Adapter != ""
 }
 
-// modelOrderAnswered handles the result of an order for a model.
-func (p *Placer) modelOrderAnswered(e *engineState, a answer, takes time.Duration) {
+// handleModelOrderResult handles the result of an order for a model.
+func (p *Placer) handleModelOrderResult(e *engineState, a orderResult, expectedTime time.Duration) {
 	now := p.opts.Clock.Now()
-	p.noteAnswer(e, a, now)
-	e.calling = false
+	p.recordOrderResult(e, a, now)
+	e.callInProgress = false
 	switch a.outcome {
 	case backend.OrderAccepted:
 		e.accepted = true
-		e.nextReport = now.Add(takes)
+		e.nextReport = now.Add(expectedTime)
 	case backend.OrderFenced:
 		e.pending = nil
 	case backend.OrderUnanswered:
@@ -187,13 +187,13 @@
 	default:
 		e.known = false
 		e.pending = nil
-		e.nextReport = now.Add(pollEvery)
+		e.nextReport = now.Add(pollInterval)
 	}
 }
 
 // issueAdapterOrders loads an adapter, after unloading the one that it replaces, if any.
 func (p *Placer) issueAdapterOrders(e *engineState, m residency.AdapterMove) {
-	e.calling = true
+	e.callInProgress = true
 	server := e.server
 	load := backend.Order{Model: m.Model, Adapter: m.Name, Sequence: e.sequence, Fence: int64(p.leadership.token)}
 	go func() {
@@ -202,40 +202,40 @@
 				Unload: true, Model: m.Evict.Model, Adapter: m.Evict.Name, Sequence: load.Sequence, Fence: load.Fence,
 			}
 			out, err := p.send(server, unload)
-			if !p.adapterOrderAnswered(e, answer{order: unload, outcome: out, err: err}) {
+			if !p.handleAdapterOrderResult(e, orderResult{order: unload, outcome: out, err: err}) {
 				return
 			}
 			load.Sequence++
 		}
 		out, err := p.send(server, load)
-		p.adapterOrderAnswered(e, answer{order: load, outcome: out, err: err})
+		p.handleAdapterOrderResult(e, orderResult{order: load, outcome: out, err: err})
 	}()
 }
 
-// adapterOrderAnswered handles the result of an order for an adapter and reports whether the engine counted
+// handleAdapterOrderResult handles the result of an order for an adapter and reports whether the engine counted
 // it.
-func (p *Placer) adapterOrderAnswered(e *engineState, a answer) bool {
+func (p *Placer) handleAdapterOrderResult(e *engineState, a orderResult) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.opts.Clock.Now()
-	p.noteAnswer(e, a, now)
-	if !a.counts() {
-		e.calling, e.known = false, false
-		e.nextReport = now.Add(pollEvery)
+	p.recordOrderResult(e, a, now)
+	if !a.isCounted() {
+		e.callInProgress, e.known = false, false
+		e.nextReport = now.Add(pollInterval)
 		return false
 	}
 	adapter := backend.Adapter{Model: a.order.Model, Name: a.order.Adapter}
 	if a.order.Unload {
-		e.dropAdapter(adapter)
+		e.removeAdapter(adapter)
 		return true
 	}
-	e.calling = false
+	e.callInProgress = false
 	e.addAdapter(adapter, now)
 	e.nextReport = now.Add(adapterCheckDelay)
 	if a.outcome == backend.OrderAlreadyDone {
 		// The engine may have held the adapter before; only a report shows whether the order was counted.
 		e.known = false
-		e.nextReport = now.Add(pollEvery)
+		e.nextReport = now.Add(pollInterval)
 	}
 	p.publish(now)
 	return true
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -18,8 +18,8 @@
 
 // Intervals between planning steps.
 const (
-	// tick is the regular interval.
-	tick = 100 * time.Millisecond
+	// stepInterval is the regular interval.
+	stepInterval = 100 * time.Millisecond
 	// minStepInterval is the minimum time between a step and the next one that Wake triggers.
 	minStepInterval = 25 * time.Millisecond
 )
@@ -71,19 +71,19 @@
 	leadership leadership
 	engines    engineTable
 	demand     *demand
-	// adapterWaitedSince is the time since which requests have been waiting for an adapter that no usable
+	// adapterWaitingSince is the time since which requests have been waiting for an adapter that no usable
 	// engine holds.
-	adapterWaitedSince map[backend.Adapter]time.Time
+	adapterWaitingSince map[backend.Adapter]time.Time
 	// plannedAt is the time of the last model plan of each service.
 	plannedAt map[string]time.Time
 	// successions holds, by service, the order observed in this term in which demand moves between models.
-	successions map[string]*residency.Succession
-	storeLoads  storeLoads
-	speeds      speedTable
-	residency   publishedResidency
+	successions      map[string]*residency.Succession
+	storeLoadLimiter storeLoadLimiter
+	speeds           speedTable
+	residency        publishedResidency
 	// reportsRequested is the number of engine reports requested in this step.
 	reportsRequested int
-	stepped          time.Time
+	lastStep         time.Time
 
 	stop   func()
 	ctx    context.Context
@@ -100,7 +100,7 @@
 // Start begins to campaign for the lease and to run the periodic steps.
 func (p *Placer) Start() {
 	go p.opts.Lease.Campaign(p.ctx, p.opts.Keys)
-	p.stop = p.opts.Clock.Subscribe(tick, p.step)
+	p.stop = p.opts.Clock.Subscribe(stepInterval, p.step)
 }
 
 // Stop releases the lease and stops the placer.
@@ -125,13 +125,13 @@
 func (p *Placer) Report(r Report) Reply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held, ok := p.opts.Lease.Held()
+	heldToken, ok := p.opts.Lease.Held()
 	if !ok {
 		return Reply{}
 	}
 	now := p.opts.Clock.Now()
-	if held != p.leadership.token {
-		p.becomeLeader(held, now)
+	if heldToken != p.leadership.token {
+		p.becomeLeader(heldToken, now)
 	}
 	p.demand.apply(r, now)
 	p.speeds.observe(r.Samples)
@@ -139,33 +139,33 @@
 		p.publish(now)
 	}
 	token := int64(p.leadership.token)
-	a := Reply{IsLeader: true, Term: token, ResidencyVersion: p.residency.version}
-	a.Loads, a.BusiestOnly = p.demand.loads.excluding(r.Loads, now)
-	a.Awaited = len(p.demand.former)
-	gateways, version := p.demand.list()
-	a.GatewaysVersion = version
+	reply := Reply{IsLeader: true, Term: token, ResidencyVersion: p.residency.version}
+	reply.Loads, reply.BusiestOnly = p.demand.loads.excluding(r.Loads, now)
+	reply.Awaited = len(p.demand.awaited)
+	gateways, version := p.demand.listGateways()
+	reply.GatewaysVersion = version
 	if r.GatewaysVersion != version {
-		a.Gateways = gateways
+		reply.Gateways = gateways
 	}
-	a.Full = !isSameTerm(r.ResidencyVersion, p.residency.version)
-	a.Residency = p.residency.changedSince(r.ResidencyVersion, a.Full)
-	a.SpeedsVersion, a.Speeds = p.speeds.version, p.speeds.changedSince(r.SpeedsVersion)
-	return a
+	reply.Full = !isSameTerm(r.ResidencyVersion, p.residency.version)
+	reply.Residency = p.residency.changedSince(r.ResidencyVersion, reply.Full)
+	reply.SpeedsVersion, reply.Speeds = p.speeds.version, p.speeds.changedSince(r.SpeedsVersion)
+	return reply
 }
 
 // Wake runs a step to act on new reports, unless the last step was less than minStepInterval ago.
 func (p *Placer) Wake() {
 	now := p.opts.Clock.Now()
-	if p.steppedLately(now) {
+	if p.steppedRecently(now) {
 		return
 	}
 	p.step(now)
 }
 
-func (p *Placer) steppedLately(now time.Time) bool {
+func (p *Placer) steppedRecently(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.stepped) < minStepInterval
+	return now.Sub(p.lastStep) < minStepInterval
 }
 
 // step checks the lease, updates the demand, plans, and makes the calls to engines that are due.
@@ -174,28 +174,28 @@
 	defer p.mu.Unlock()
 	token, held := p.opts.Lease.Held()
 	if !held {
-		p.resign()
+		p.loseLeadership()
 		return
 	}
 	if token != p.leadership.token {
 		p.becomeLeader(token, now)
 	}
-	elapsed := now.Sub(p.stepped)
+	elapsed := now.Sub(p.lastStep)
 	if elapsed <= 0 {
 		return
 	}
-	previous := p.stepped
-	p.stepped = now
+	previous := p.lastStep
+	p.lastStep = now
 	p.reportsRequested = 0
 	p.demand.step(elapsed)
-	p.demand.forget(now, gatewayTimeoutFor(len(p.demand.gateways)))
+	p.demand.removeSilent(now, gatewayTimeoutFor(len(p.demand.gateways)))
 	routing := p.opts.Routing()
-	if routing == nil || !p.leadership.mayOrder(now) {
+	if routing == nil || !p.leadership.canIssueOrders(now) {
 		return
 	}
 	p.engines.sync(p.opts.Registry.Snapshot(), routing)
 	services := routing.Services()
-	p.storeLoads.setRate(services, previous, now)
+	p.storeLoadLimiter.setRate(services, previous, now)
 	for _, s := range services {
 		if s.Engine != nil {
 			p.runService(s, now)
@@ -209,19 +209,19 @@
 func (p *Placer) becomeLeader(token lease.Token, now time.Time) {
 	p.leadership.settleTime = p.settleTime(now)
 	p.opts.Log.Info("leadership gained", zap.Int64("token", int64(token)), zap.Duration("settle", p.leadership.settleTime))
-	p.leadership.token, p.leadership.since, p.stepped = token, now, now
-	p.storeLoads = storeLoads{startFull: p.isFirst()}
+	p.leadership.token, p.leadership.since, p.lastStep = token, now, now
+	p.storeLoadLimiter = storeLoadLimiter{startFull: p.isFirst()}
 	p.residency.beginTerm(token)
-	p.speeds.beginTerm(token, p.knownSpeeds())
+	p.speeds.beginTerm(token, p.initialSpeeds())
 	if p.opts.Gateways != nil {
-		p.demand.remember(p.opts.Gateways(), now)
+		p.demand.addAwaited(p.opts.Gateways(), now)
 	}
 	p.plannedAt = make(map[string]time.Time)
 	p.successions = make(map[string]*residency.Succession)
 }
 
-// resign discards the state that only a leader may act on.
-func (p *Placer) resign() {
+// loseLeadership discards the state that only a leader may act on.
+func (p *Placer) loseLeadership() {
 	if p.leadership.token == 0 {
 		return
 	}
@@ -232,8 +232,8 @@
 	p.residency.published = nil
 }
 
-// knownSpeeds returns the prefill speeds that a new term starts with.
-func (p *Placer) knownSpeeds() map[string]float64 {
+// initialSpeeds returns the prefill speeds that a new term starts with.
+func (p *Placer) initialSpeeds() map[string]float64 {
 	if p.opts.PrefillSpeeds == nil {
 		return nil
 	}
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -17,64 +17,64 @@
 // planInterval returns the interval between two plans of a service with a number of engines. It grows with
 // the cost of a plan.
 func planInterval(engines int) time.Duration {
-	if engines <= enginesAtFullPace {
+	if engines <= enginesAtFullRate {
 		return 0
 	}
-	return min(tick*time.Duration(engines/enginesAtFullPace), maxPlanInterval)
+	return min(stepInterval*time.Duration(engines/enginesAtFullRate), maxPlanInterval)
 }
 
 // runService plans for one service and starts the calls to its engines that are due.
 func (p *Placer) runService(s table.Service, now time.Time) {
-	list := p.engines.byService[s.Name]
-	p.abandonOverdueLoads(list, now)
-	p.planAdapters(s, list, now)
-	if now.Sub(p.plannedAt[s.Name]) >= planInterval(len(list)) {
+	engines := p.engines.byService[s.Name]
+	p.abandonOverdueLoads(engines, now)
+	p.planAdapters(s, engines, now)
+	if now.Sub(p.plannedAt[s.Name]) >= planInterval(len(engines)) {
 		p.plannedAt[s.Name] = now
-		p.planModels(s, list, now)
+		p.planModels(s, engines, now)
 	}
-	for _, e := range list {
+	for _, e := range engines {
 		p.callIfDue(e, s.Engine, now)
 	}
 }
 
 // abandonOverdueLoads drops loads that have waited too long for their engine, so that they are planned on
 // another engine and do not delay other loads.
-func (p *Placer) abandonOverdueLoads(list []*engineState, now time.Time) {
-	for _, e := range list {
-		if e.loadOverdue(now) {
+func (p *Placer) abandonOverdueLoads(engines []*engineState, now time.Time) {
+	for _, e := range engines {
+		if e.isLoadOverdue(now) {
 			p.opts.Log.Warn("move abandoned", zap.String("server", e.server.ID), zap.String("model", e.abandonLoad()))
 		}
 	}
 }
 
-func (p *Placer) views(list []*engineState, now time.Time) []residency.EngineView {
-	out := make([]residency.EngineView, len(list))
-	for i, e := range list {
+func (p *Placer) engineViews(engines []*engineState, now time.Time) []residency.EngineView {
+	out := make([]residency.EngineView, len(engines))
+	for i, e := range engines {
 		out[i] = e.view(now)
-		out[i].InNeed = p.isInNeed(e)
+		out[i].InNeed = p.isThrottled(e)
 	}
 	return out
 }
 
-// isInNeed reports whether an engine currently accepts so few requests that no adapter should be placed on
+// isThrottled reports whether an engine currently accepts so few requests that no adapter should be placed on
 // it.
-func (p *Placer) isInNeed(e *engineState) bool {
+func (p *Placer) isThrottled(e *engineState) bool {
 	return p.opts.IsInNeed != nil && p.opts.IsInNeed(e.server)
 }
 
 // planModels plans and queues model moves.
-func (p *Placer) planModels(s table.Service, list []*engineState, now time.Time) {
+func (p *Placer) planModels(s table.Service, engines []*engineState, now time.Time) {
 	demands := p.demand.modelDemands()
 	succession := p.successions[s.Name]
 	if succession == nil {
 		succession = &residency.Succession{}
 		p.successions[s.Name] = succession
 	}
-	engines := p.views(list, now)
-	succession.Observe(s.Engine, demands, engines)
+	views := p.engineViews(engines, now)
+	succession.Observe(s.Engine, demands, views)
 	moves := residency.Plan(residency.Input{
-		Spec: s.Engine, Engines: engines, Demands: demands, Succession: succession,
-		StoreLoadsAllowed: p.storeLoads.available(now) - storeLoadsPending(list),
+		Spec: s.Engine, Engines: views, Demands: demands, Succession: succession,
+		StoreLoadsAllowed: p.storeLoadLimiter.available(now) - pendingStoreLoads(engines),
 	})
 	for _, m := range moves {
 		p.opts.Log.Info("move planned", zap.String("server", m.Engine), zap.String("model", m.Model),
@@ -83,11 +83,11 @@
 	}
 }
 
-// storeLoadsPending returns the number of planned loads from the weight store that the engines have not
+// pendingStoreLoads returns the number of planned loads from the weight store that the engines have not
 // accepted yet. The limiter counts a load when its order is issued.
-func storeLoadsPending(list []*engineState) int {
+func pendingStoreLoads(engines []*engineState) int {
 	n := 0
-	for _, e := range list {
+	for _, e := range engines {
 		if len(e.pending) == 0 || e.accepted && len(e.pending) == 1 {
 			continue
 		}
@@ -101,56 +101,56 @@
 }
 
 // planAdapters plans the loads of missing adapters and issues their orders.
-func (p *Placer) planAdapters(s table.Service, list []*engineState, now time.Time) {
-	waited, running := p.demand.adapters(s.Name)
-	missing := p.withoutHeld(waited, list)
-	p.noteMissingAdapters(missing, now)
+func (p *Placer) planAdapters(s table.Service, engines []*engineState, now time.Time) {
+	waiting, running := p.demand.adapterDemand(s.Name)
+	missing := p.notLoaded(waiting, engines)
+	p.recordMissingAdapters(missing, now)
 	if len(missing) == 0 {
 		return
 	}
-	idle := slices.DeleteFunc(p.views(list, now), func(e residency.EngineView) bool { return !e.Idle })
+	idle := slices.DeleteFunc(p.engineViews(engines, now), func(e residency.EngineView) bool { return !e.Idle })
 	requests := make(map[string]int)
-	for id, l := range p.demand.loads.total {
+	for id, l := range p.demand.loads.byServer {
 		requests[id] = l.Running
 	}
 	moves := residency.PlanAdapters(residency.AdapterInput{
 		Slots: s.Engine.AdapterSlots, Engines: idle, Missing: missing,
 		LastUsed: p.demand.adapterLastUsed, RequestsByAdapter: running, RequestsByEngine: requests,
-		WaitingSince: p.adapterWaitedSince, Now: now,
+		WaitingSince: p.adapterWaitingSince, Now: now,
 	})
 	for _, m := range moves {
 		p.issueAdapterOrders(p.engines.byID[m.Engine], m)
 	}
 }
 
-// withoutHeld returns the adapters that no engine holds, not counting engines that are leaving or limit their
-// requests (isInNeed).
-func (p *Placer) withoutHeld(adapters []backend.Adapter, list []*engineState) []backend.Adapter {
+// notLoaded returns the adapters that no engine holds, not counting engines that are leaving or limit their
+// requests (isThrottled).
+func (p *Placer) notLoaded(adapters []backend.Adapter, engines []*engineState) []backend.Adapter {
 	if len(adapters) == 0 {
 		return nil
 	}
-	held := make(map[backend.Adapter]bool)
-	for _, e := range list {
-		if e.server.Leaving || p.isInNeed(e) {
+	loaded := make(map[backend.Adapter]bool)
+	for _, e := range engines {
+		if e.server.Leaving || p.isThrottled(e) {
 			continue
 		}
 		for _, r := range e.residents {
 			for _, name := range r.Adapters {
-				held[backend.Adapter{Model: r.Model, Name: name}] = true
+				loaded[backend.Adapter{Model: r.Model, Name: name}] = true
 			}
 		}
 	}
-	return slices.DeleteFunc(adapters, func(a backend.Adapter) bool { return held[a] })
+	return slices.DeleteFunc(adapters, func(a backend.Adapter) bool { return loaded[a] })
 }
 
-// noteMissingAdapters records since when requests have been waiting for each missing adapter.
-func (p *Placer) noteMissingAdapters(missing []backend.Adapter, now time.Time) {
+// recordMissingAdapters records since when requests have been waiting for each missing adapter.
+func (p *Placer) recordMissingAdapters(missing []backend.Adapter, now time.Time) {
 	since := make(map[backend.Adapter]time.Time, len(missing))
 	for _, a := range missing {
 		since[a] = now
-		if before, ok := p.adapterWaitedSince[a]; ok {
-			since[a] = before
+		if previous, ok := p.adapterWaitingSince[a]; ok {
+			since[a] = previous
 		}
 	}
-	p.adapterWaitedSince = since
+	p.adapterWaitingSince = since
 }
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -8,23 +8,23 @@
 	"rockcleat/lease"
 )
 
-// publishEvery is the minimum interval between two updates of the published residency that reports of
+// publishInterval is the minimum interval between two updates of the published residency that reports of
 // gateways cause.
-const publishEvery = 25 * time.Millisecond
+const publishInterval = 25 * time.Millisecond
 
-// versionBits is the number of low bits of a version that count the changes in a term. The other bits hold
+// changeBits is the number of low bits of a version that count the changes in a term. The other bits hold
 // the leader's token, so that versions of different terms differ.
-const versionBits = 20
+const changeBits = 20
 
 // termBits is the number of a token's low bits that a version holds. Tokens of two leaders agree in them only
 // if the terms began at the same write count of the store in store eras that are a multiple of eight apart.
-const termBits = 63 - versionBits
+const termBits = 63 - changeBits
 
 // firstVersion returns the first version in the term with a token.
-func firstVersion(token int64) int64 { return token & (1<<termBits - 1) << versionBits }
+func firstVersion(token int64) int64 { return token & (1<<termBits - 1) << changeBits }
 
 // isSameTerm reports whether two versions belong to the same term.
-func isSameTerm(a, b int64) bool { return a>>versionBits == b>>versionBits }
+func isSameTerm(a, b int64) bool { return a>>changeBits == b>>changeBits }
 
 // A publishedResidency is what the engines hold, as sent to gateways. changedIn holds the version in which
 // each engine last changed.
@@ -32,7 +32,7 @@
 	version   int64
 	published map[string]backend.Residency
 	changedIn map[string]int64
-	at        time.Time
+	checkedAt time.Time
 }
 
 // beginTerm starts the versions of a new term. Engines keep their published residency until they are known
@@ -42,28 +42,30 @@
 	r.changedIn = make(map[string]int64)
 }
 
-// isDue reports whether the last update is at least publishEvery ago.
-func (r *publishedResidency) isDue(now time.Time) bool { return now.Sub(r.at) >= publishEvery }
+// isDue reports whether the last update is at least publishInterval ago.
+func (r *publishedResidency) isDue(now time.Time) bool {
+	return now.Sub(r.checkedAt) >= publishInterval
+}
 
 // publish updates the published residency and assigns a new version if it has changed. An engine that is not
 // known keeps its last published residency.
 func (p *Placer) publish(now time.Time) {
 	r := &p.residency
-	r.at = now
-	next := r.version + 1
+	r.checkedAt = now
+	nextVersion := r.version + 1
 	published := make(map[string]backend.Residency, len(p.engines.byID))
 	for id, e := range p.engines.byID {
-		before, ok := r.published[id]
-		if !e.known && !e.otherRun {
+		previous, ok := r.published[id]
+		if !e.known && !e.otherIncarnation {
 			if ok {
-				published[id] = before
+				published[id] = previous
 			}
 			continue
 		}
 		published[id] = backend.Residency{Residents: e.servable(now)}
-		if !ok || !slices.EqualFunc(before.Residents, published[id].Residents, sameResident) {
-			r.changedIn[id] = next
-			r.version = next
+		if !ok || !slices.EqualFunc(previous.Residents, published[id].Residents, sameResident) {
+			r.changedIn[id] = nextVersion
+			r.version = nextVersion
 		}
 	}
 	r.published = published
@@ -74,11 +76,11 @@
 }
 
 // changedSince returns the engines that have changed since a version, or all engines.
-func (r *publishedResidency) changedSince(version int64, everything bool) map[string]backend.Residency {
+func (r *publishedResidency) changedSince(version int64, all bool) map[string]backend.Residency {
 	out := make(map[string]backend.Residency)
-	for id, held := range r.published {
-		if everything || r.changedIn[id] > version {
-			out[id] = held
+	for id, residency := range r.published {
+		if all || r.changedIn[id] > version {
+			out[id] = residency
 		}
 	}
 	return out
--- a/internal/placer/report_interval_test.go
+++ b/internal/placer/report_interval_test.go
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, ReportInterval(test.gateways), test.pace)
 			assert.Assert(t, gatewayTimeoutFor(test.gateways) >= 3*test.pace)
-			assert.Assert(t, gatewayTimeoutFor(test.gateways) >= gatewayTimeout)
+			assert.Assert(t, gatewayTimeoutFor(test.gateways) >= minGatewayTimeout)
 		})
 	}
 }
@@ -46,7 +46,7 @@
 		}
 		now = now.Add(ReportInterval(gateways))
 		d.step(ReportInterval(gateways))
-		d.forget(now, gatewayTimeoutFor(len(d.gateways)))
+		d.removeSilent(now, gatewayTimeoutFor(len(d.gateways)))
 	}
 	assert.Assert(t, d.modelDemands()["m"].TokensPerSecond > 0)
 }
--- a/internal/placer/speeds.go
+++ b/internal/placer/speeds.go
@@ -7,8 +7,8 @@
 	"rockcleat/lease"
 )
 
-// publishedChange is the relative change of a model's prefill speed from which on it is published again.
-const publishedChange = 0.1
+// minPublishedChange is the relative change of a model's prefill speed from which on it is published again.
+const minPublishedChange = 0.1
 
 // A speedTable estimates the models' prefill speeds from the samples of all gateways, and tracks which speeds
 // were published. The estimates are kept across terms.
@@ -46,8 +46,8 @@
 // publish publishes a model's speed under a new version if it has changed enough.
 func (t *speedTable) publish(model string) {
 	speed := t.speeds.Of(model)
-	before, ok := t.published[model]
-	if ok && math.Abs(speed-before) < publishedChange*before {
+	previous, ok := t.published[model]
+	if ok && math.Abs(speed-previous) < minPublishedChange*previous {
 		return
 	}
 	if t.published == nil {
@@ -63,10 +63,10 @@
 	if version == t.version {
 		return nil
 	}
-	everything := !isSameTerm(version, t.version)
+	all := !isSameTerm(version, t.version)
 	out := make(map[string]float64)
 	for model, speed := range t.published {
-		if everything || t.changedIn[model] > version {
+		if all || t.changedIn[model] > version {
 			out[model] = speed
 		}
 	}
--- a/internal/placer/speeds_test.go
+++ b/internal/placer/speeds_test.go
@@ -18,9 +18,9 @@
 
 func testSpeedsAreLearnedOnce(t *testing.T) {
 	const speed = 0.0057
-	w := newWorld(t, 2, []string{"m0", "m1"})
-	p := w.start(true)
-	w.pass(5 * time.Second)
+	f := newFixture(t, 2, []string{"m0", "m1"})
+	p := f.start(true)
+	f.advance(5 * time.Second)
 	for i := range 100 {
 		p.Report(placer.Report{GatewayID: string(rune('a' + i%20)), Samples: []dispatch.PrefillSample{{Model: "m0", MsPerToken: speed}}})
 	}
@@ -28,8 +28,8 @@
 	assert.Assert(t, math.Abs(a.Speeds["m0"]-speed) < 0.15*speed, "%v", a.Speeds)
 	a = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: a.SpeedsVersion})
 	assert.Equal(t, len(a.Speeds), 0)
-	w.lease.set(9)
-	w.pass(5 * time.Second)
+	f.lease.set(9)
+	f.advance(5 * time.Second)
 	a = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: a.SpeedsVersion})
 	assert.Equal(t, len(a.Speeds), 1, "another term begins with all that it knows")
 }
@@ -39,11 +39,11 @@
 func TestSamplesBeforeTheTerm(t *testing.T) { synctest.Test(t, testSamplesBeforeTheTerm) }
 
 func testSamplesBeforeTheTerm(t *testing.T) {
-	w := newWorld(t, 2, []string{"m0", "m1"})
-	p := w.start(true)
+	f := newFixture(t, 2, []string{"m0", "m1"})
+	p := f.start(true)
 	a := p.Report(placer.Report{GatewayID: "g", Samples: []dispatch.PrefillSample{{Model: "m0", MsPerToken: 0.01}}})
 	assert.Assert(t, a.IsLeader)
-	w.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	a = p.Report(placer.Report{GatewayID: "g"})
 	assert.Equal(t, len(a.Speeds), 1)
 }
--- a/internal/placer/store_loads.go
+++ b/internal/placer/store_loads.go
@@ -18,17 +18,17 @@
 	storeBurst = 2
 )
 
-// A storeLoads limits how many loads from the weight store start. All services share one store.
+// A storeLoadLimiter limits how many loads from the weight store start. All services share one store.
 //
 // The zero value must not be used before setRate. The limiter then starts empty, unless startFull is set.
-type storeLoads struct {
+type storeLoadLimiter struct {
 	startFull bool
 	limiter   *rate.Limiter
 }
 
 // setRate sets the store's rate to the lowest among the services. A new limiter starts to fill at the
 // previous step, so that the time before the leader has settled does not count.
-func (s *storeLoads) setRate(services []table.Service, previous, now time.Time) {
+func (s *storeLoadLimiter) setRate(services []table.Service, previous, now time.Time) {
 	limit := rate.Inf
 	for _, x := range services {
 		if x.Engine != nil {
@@ -46,7 +46,7 @@
 }
 
 // available returns the number of loads that may start now.
-func (s *storeLoads) available(now time.Time) int { return int(s.limiter.TokensAt(now)) }
+func (s *storeLoadLimiter) available(now time.Time) int { return int(s.limiter.TokensAt(now)) }
 
 // allow reports whether a load may start now, and counts it if so.
-func (s *storeLoads) allow(now time.Time) bool { return s.limiter.AllowN(now, 1) }
+func (s *storeLoadLimiter) allow(now time.Time) bool { return s.limiter.AllowN(now, 1) }
