--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -14,21 +14,21 @@
 // A bucket is a token bucket that is initially empty.
 type bucket struct {
 	amount float64
-	// at is when the bucket was last filled. share is the share of the rate then.
-	at    time.Time
-	share float64
+	// filledAt is when the bucket was last filled. share is the share of the rate then.
+	filledAt time.Time
+	share    float64
 }
 
 // newBucket returns an empty bucket that fills from now on.
-func newBucket(now time.Time) *bucket { return &bucket{at: now, share: 1} }
+func newBucket(now time.Time) *bucket { return &bucket{filledAt: now, share: 1} }
 
 // fill adds what a share of the limit's rate permits up to now. It uses the lower of the last share and this
 // one, because it is not known when the share changed. The amount is capped at the burst, also after the
 // limit was lowered.
 func (b *bucket) fill(l Limit, share float64, now time.Time) {
-	if elapsed := now.Sub(b.at); elapsed > 0 {
+	if elapsed := now.Sub(b.filledAt); elapsed > 0 {
 		b.amount += l.Rate * min(share, b.share) * elapsed.Seconds()
-		b.at = now
+		b.filledAt = now
 	}
 	b.share = share
 	b.amount = min(b.amount, l.Burst)
@@ -44,8 +44,8 @@
 	return true
 }
 
-// until returns the time until an amount is available at the full rate, if nothing else is taken.
-func (b *bucket) until(l Limit, amount float64) time.Duration {
+// timeUntil returns the time until an amount is available at the full rate, if nothing else is taken.
+func (b *bucket) timeUntil(l Limit, amount float64) time.Duration {
 	missing := min(amount, l.Burst) - b.amount
 	return max(time.Duration(math.Ceil(missing/l.Rate*float64(time.Second))), 0)
 }
--- a/quota/bucket_test.go
+++ b/quota/bucket_test.go
@@ -30,7 +30,7 @@
 			b := newBucket(start)
 			b.fill(limit, 1, start.Add(test.after))
 			assert.Equal(t, b.take(limit, test.amount), test.taken)
-			assert.Equal(t, b.until(limit, test.amount).Round(time.Microsecond), test.until)
+			assert.Equal(t, b.timeUntil(limit, test.amount).Round(time.Microsecond), test.until)
 		})
 	}
 }
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -17,9 +17,9 @@
 	// AloneTime is how long after that a gateway continues without a leader. It is longer than the time to
 	// replace a failed leader, and longer than the time for which an unconfirmed configuration may be used.
 	AloneTime = 8 * time.Second
-	// lendTime is how long a gateway's share stays with an owner that it has asked. A longer time would let
+	// delegationTime is how long a gateway's share stays with an owner that it has asked. A longer time would let
 	// two owners have the share at once for too long.
-	lendTime = time.Second
+	delegationTime = time.Second
 	// maxGrace bounds the time for which an owner without a leader keeps the shares of all gateways under the
 	// Tolerance.
 	maxGrace = 2 * time.Second
@@ -39,8 +39,8 @@
 
 // grace returns how long the full rate may be granted twice within the Tolerance.
 func (t Tolerance) grace(l Limit) time.Duration {
-	extra := t.Over*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
-	return min(time.Duration(graceShare*extra/l.Rate*float64(time.Second)), maxGrace)
+	excess := t.Over*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
+	return min(time.Duration(graceShare*excess/l.Rate*float64(time.Second)), maxGrace)
 }
 
 // An Absence is the leader's count of gateways that do not report to it but may be spending their shares.
@@ -52,135 +52,135 @@
 }
 
 // A fleet is a gateway's view of all gateways.
-type fleet struct {
+type gatewaySet struct {
 	self string
-	// ids lists the gateways in the leader's last list; initially empty.
-	ids []string
+	// gatewayIDs lists the gateways in the leader's last list; initially empty.
+	gatewayIDs []string
 	// owners caches the owner of each organisation.
 	owners map[string]string
-	// lapsed holds the gateways recently removed from the list and when they were. Each may go on spending
+	// removed holds the gateways recently removed from the list and when they were. Each may go on spending
 	// its share for AloneTime.
-	lapsed map[string]time.Time
+	removed map[string]time.Time
 	// absence is the last Absence received from a leader. A gateway that has restarted does not know itself
 	// which gateways were removed.
 	absence Absence
 	// askedAt is when each listed gateway last requested a grant from this one.
 	askedAt map[string]time.Time
-	// sureUntil is the time until which this gateway has the shares of all listed gateways.
-	sureUntil time.Time
-	// wasAlone is set if sureUntil had passed when the last request that a leader answered was sent.
-	wasAlone bool
+	// confirmedUntil is the time until which this gateway has the shares of all listed gateways.
+	confirmedUntil time.Time
+	// wasUnconfirmed is set if confirmedUntil had passed when the last request that a leader answered was sent.
+	wasUnconfirmed bool
 }
 
-func newFleet(self string, now time.Time) fleet {
-	return fleet{
-		self: self, owners: make(map[string]string), lapsed: make(map[string]time.Time), askedAt: make(map[string]time.Time),
-		sureUntil: now,
+func newGatewaySet(self string, now time.Time) gatewaySet {
+	return gatewaySet{
+		self: self, owners: make(map[string]string), removed: make(map[string]time.Time), askedAt: make(map[string]time.Time),
+		confirmedUntil: now,
 	}
 }
 
-// heard records that a leader replied to a request sent at a time.
-func (f *fleet) heard(asked time.Time, a Absence) {
+// recordLeaderReply records that a leader replied to a request sent at a time.
+func (f *gatewaySet) recordLeaderReply(sentAt time.Time, a Absence) {
 	f.absence = a
-	f.wasAlone = asked.After(f.sureUntil)
-	f.sureUntil = asked.Add(OwnerTime)
+	f.wasUnconfirmed = sentAt.After(f.confirmedUntil)
+	f.confirmedUntil = sentAt.Add(OwnerTime)
 }
 
-// set replaces the list of gateways.
-func (f *fleet) set(ids []string, now time.Time) {
+// setGateways replaces the list of gateways.
+func (f *gatewaySet) setGateways(ids []string, now time.Time) {
 	listed := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		listed[id] = true
-		delete(f.lapsed, id)
+		delete(f.removed, id)
 	}
-	for _, id := range f.ids {
+	for _, id := range f.gatewayIDs {
 		if !listed[id] {
-			f.lapsed[id] = now
+			f.removed[id] = now
 		}
 	}
 	maps.DeleteFunc(f.askedAt, func(id string, _ time.Time) bool { return !listed[id] })
-	f.ids, f.owners = ids, make(map[string]string)
+	f.gatewayIDs, f.owners = ids, make(map[string]string)
 }
 
-// noteFormer records gateways known before this process had a list. Those not listed count as recently
+// addFormer records gateways known before this process had a list. Those not listed count as recently
 // removed.
-func (f *fleet) noteFormer(ids []string, now time.Time) {
+func (f *gatewaySet) addFormer(ids []string, now time.Time) {
 	for _, id := range ids {
-		if !slices.Contains(f.ids, id) {
-			f.lapsed[id] = now
+		if !slices.Contains(f.gatewayIDs, id) {
+			f.removed[id] = now
 		}
 	}
 }
 
 // owner returns the gateway that makes grants for an organisation, or an empty string if there is no list
 // yet.
-func (f *fleet) owner(organisation string) string {
+func (f *gatewaySet) owner(organisation string) string {
 	id, ok := f.owners[organisation]
 	if !ok {
-		id = rendezvous.Owner(f.ids, rendezvous.Key(organisation))
+		id = rendezvous.Owner(f.gatewayIDs, rendezvous.Key(organisation))
 		f.owners[organisation] = id
 	}
 	return id
 }
 
-// countLapsed returns the number of gateways recently removed from the list.
-func (f *fleet) countLapsed(now time.Time) int {
-	for id, at := range f.lapsed {
+// countRemoved returns the number of gateways recently removed from the list.
+func (f *gatewaySet) countRemoved(now time.Time) int {
+	for id, at := range f.removed {
 		if now.Sub(at) > AloneTime {
-			delete(f.lapsed, id)
+			delete(f.removed, id)
 		}
 	}
-	return len(f.lapsed)
+	return len(f.removed)
 }
 
 // size returns the number of gateways that have a share: those listed and those recently removed.
-func (f *fleet) size(now time.Time) int {
-	return len(f.ids) + max(f.countLapsed(now), f.absence.Lapsed)
+func (f *gatewaySet) size(now time.Time) int {
+	return len(f.gatewayIDs) + max(f.countRemoved(now), f.absence.Lapsed)
 }
 
-// noteAsked records that a gateway requested a grant from this one, if it is listed.
-func (f *fleet) noteAsked(id string, now time.Time) {
-	if slices.Contains(f.ids, id) {
+// recordRequest records that a gateway requested a grant from this one, if it is listed.
+func (f *gatewaySet) recordRequest(id string, now time.Time) {
+	if slices.Contains(f.gatewayIDs, id) {
 		f.askedAt[id] = now
 	}
 }
 
-// lenders returns the number of gateways whose share this gateway has: those that asked it recently, and
+// countDelegators returns the number of gateways whose share this gateway has: those that asked it recently, and
 // itself. Gateways that are not listed have no share.
-func (f *fleet) lenders(now time.Time) int {
+func (f *gatewaySet) countDelegators(now time.Time) int {
 	n := 0
-	for _, id := range f.ids {
+	for _, id := range f.gatewayIDs {
 		at, asked := f.askedAt[id]
-		if id == f.self || asked && now.Sub(at) <= lendTime {
+		if id == f.self || asked && now.Sub(at) <= delegationTime {
 			n++
 		}
 	}
 	return n
 }
 
-// isSure reports whether this gateway has the shares of all listed gateways.
-func (f *fleet) isSure(now time.Time) bool { return now.Before(f.sureUntil) }
+// isConfirmed reports whether this gateway has the shares of all listed gateways.
+func (f *gatewaySet) isConfirmed(now time.Time) bool { return now.Before(f.confirmedUntil) }
 
 // share returns the share of a limit's rate that this gateway grants as its owner, 0 to 1.
-func (f *fleet) share(l Limit, t Tolerance, now time.Time) float64 {
+func (f *gatewaySet) share(l Limit, t Tolerance, now time.Time) float64 {
 	size := float64(f.size(now))
 	if size == 0 {
 		return 0
 	}
-	listed := float64(max(len(f.ids)-f.absence.Awaited, 1)) / size
+	listed := float64(max(len(f.gatewayIDs)-f.absence.Awaited, 1)) / size
 	switch {
-	case now.Before(f.sureUntil.Add(t.grace(l))):
+	case now.Before(f.confirmedUntil.Add(t.grace(l))):
 		return listed
-	case now.Before(f.sureUntil.Add(AloneTime)):
-		return min(listed, float64(f.lenders(now))/size)
+	case now.Before(f.confirmedUntil.Add(AloneTime)):
+		return min(listed, float64(f.countDelegators(now))/size)
 	}
 	return 0
 }
 
-// ownPart returns the share of a rate that this gateway may spend while it cannot reach an owner, 0 to 1. It
+// ownShare returns the share of a rate that this gateway may spend while it cannot reach an owner, 0 to 1. It
 // is 0 for a gateway that is not listed, because the listed ones leave no share for it.
-func (f *fleet) ownPart(now time.Time) float64 {
-	if !slices.Contains(f.ids, f.self) || !now.Before(f.sureUntil.Add(AloneTime)) {
+func (f *gatewaySet) ownShare(now time.Time) float64 {
+	if !slices.Contains(f.gatewayIDs, f.self) || !now.Before(f.confirmedUntil.Add(AloneTime)) {
 		return 0
 	}
 	return 1 / float64(f.size(now))
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -12,71 +12,73 @@
 	"rockcleat/quota"
 )
 
-// errCut is the error of a call to an unreachable gateway.
-var errCut = errors.New("gateway is unreachable")
+// errUnreachable is the error of a call to an unreachable gateway.
+var errUnreachable = errors.New("gateway is unreachable")
 
 // testOrganisation is the only organisation in these tests.
 const testOrganisation = "guild"
 
 // Timing of the simulated leader.
 const (
-	// reportInterval is the interval between two reports of a gateway. listTime is how long the leader lists
+	// reportInterval is the interval between two reports of a gateway. listTimeout is how long the leader lists
 	// a gateway without a report.
 	reportInterval = 160 * time.Millisecond
-	listTime       = 2 * time.Second
-	// leaseTime is the time without a leader after the loss of one.
-	leaseTime = 3 * time.Second
-	// storeTime is how long the store lists a gateway that the leader no longer lists.
-	storeTime = quota.AloneTime + 2*time.Second
+	listTimeout    = 2 * time.Second
+	// leaderlessTime is the time without a leader after the loss of one.
+	leaderlessTime = 3 * time.Second
+	// storedListTime is how long the store lists a gateway that the leader no longer lists.
+	storedListTime = quota.AloneTime + 2*time.Second
 )
 
 // A fleet is a set of simulated gateways, one of them the leader, connected without a network.
-type fleet struct {
+type gatewaySet struct {
 	clock *clocktest.Clock
 	limit quota.Limit
 	// tolerance is the permitted excess over the limit.
 	tolerance quota.Tolerance
-	gateways  []*member
+	gateways  []*testGateway
 	// leader is the current leader, or nil until leadFrom.
-	leader   *member
+	leader   *testGateway
 	leadFrom time.Time
 	// reported is when each gateway last reported to the leader.
 	reported map[string]time.Time
 	// awaited holds the gateways that the leader knew before its term and that have not reported in it.
 	awaited map[string]bool
-	// stored is the list in the store: every gateway that was on the leader's list within storeTime. listed
+	// stored is the list in the store: every gateway that was on the leader's list within storedListTime. listed
 	// is when each last was.
-	stored []string
-	listed map[string]time.Time
-	// spent lists the requests that were let through.
-	spent []spending
+	stored     []string
+	lastListed map[string]time.Time
+	// spends lists the requests that were let through.
+	spends []spend
 }
 
-type spending struct {
+type spend struct {
 	at     time.Time
 	amount float64
 }
 
 // A member is a simulated gateway. It implements quota.Asker for its own limiter.
-type member struct {
-	fleet   *fleet
+type testGateway struct {
+	set     *gatewaySet
 	id      string
 	limiter *quota.Limiter
-	// island is the network partition of the gateway. Gateways in different partitions cannot reach each
+	// partition is the network partition of the gateway. Gateways in different partitions cannot reach each
 	// other.
-	island int
+	partition int
 	// paused is set while the process is paused.
 	paused bool
 	// ids is the last list of gateways passed to the limiter.
 	ids []string
 }
 
-func newFleet(size int, limit quota.Limit) *fleet { return newFleetWithin(size, limit, tolerance) }
+func newGatewaySet(size int, limit quota.Limit) *gatewaySet {
+	return newGatewaySetWithin(size, limit, tolerance)
+}
 
-func newFleetWithin(size int, limit quota.Limit, t quota.Tolerance) *fleet {
-	f := &fleet{clock: clocktest.New(time.Unix(0, 0)), limit: limit, tolerance: t, reported: make(map[string]time.Time), listed: make(map[string]time.Time)}
+func newGatewaySetWithin(size int, limit quota.Limit, t quota.Tolerance) *gatewaySet {
+	f := &gatewaySet{clock: clocktest.New(time.Unix(0, 0)), limit: limit, tolerance: t, reported: make(map[string]time.Time), lastListed: make(map[string]time.Time)}
 	for i := range size {
-		f.gateways = append(f.gateways, &member{fleet: f, id: fmt.Sprint("g", i)})
+		f.gateways = append(f.gateways, &testGateway{set: f, id: fmt.Sprint("g", i)})
 		f.restart(i)
 	}
 	f.leader = f.gateways[0]
@@ -84,7 +86,7 @@
 }
 
 // restart replaces a gateway's limiter by one without state.
-func (f *fleet) restart(i int) {
+func (f *gatewaySet) restart(i int) {
 	m := f.gateways[i]
 	if f.leader == m {
 		f.loseLeader()
@@ -95,31 +97,31 @@
 		Limit: func(string) (quota.Limit, bool) { return f.limit, true },
 	})
 	if len(f.stored) > 0 {
-		m.follow(f.stored)
+		m.applyList(f.stored)
 	}
 }
 
 // loseLeader removes the leader until the lease has expired.
-func (f *fleet) loseLeader() {
-	f.leader, f.leadFrom = nil, f.clock.Now().Add(leaseTime)
+func (f *gatewaySet) loseLeader() {
+	f.leader, f.leadFrom = nil, f.clock.Now().Add(leaderlessTime)
 }
 
 // elect makes the first running gateway of partition 0 the leader if there is none and the lease has expired.
-func (f *fleet) elect() {
+func (f *gatewaySet) elect() {
 	if f.leader != nil || f.clock.Now().Before(f.leadFrom) {
 		return
 	}
 	for _, m := range f.gateways {
-		if m.island == 0 && !m.paused {
+		if m.partition == 0 && !m.paused {
 			f.leader = m
-			f.remember()
+			f.seedReports()
 			return
 		}
 	}
 }
 
-// remember starts a leader's term with the gateways that it knew, as if they had just reported.
-func (f *fleet) remember() {
+// seedReports starts a leader's term with the gateways that it knew, as if they had just reported.
+func (f *gatewaySet) seedReports() {
 	f.reported, f.awaited = make(map[string]time.Time), make(map[string]bool)
 	for _, id := range f.leader.ids {
 		f.reported[id], f.awaited[id] = f.clock.Now(), true
@@ -127,7 +129,7 @@
 }
 
 // report makes all gateways that can reach the leader report to it.
-func (f *fleet) report() {
+func (f *gatewaySet) report() {
 	f.elect()
 	if f.leader == nil {
 		return
@@ -141,34 +143,36 @@
 	}
 	var ids []string
 	for _, m := range f.gateways {
-		if at, ok := f.reported[m.id]; ok && now.Sub(at) < listTime {
+		if at, ok := f.reported[m.id]; ok && now.Sub(at) < listTimeout {
 			ids = append(ids, m.id)
 			continue
 		}
 		delete(f.awaited, m.id)
 	}
-	f.store(ids)
+	f.storeList(ids)
 	for _, m := range f.gateways {
 		if f.reaches(m, f.leader) {
 			m.limiter.Heard(now, quota.Absence{Lapsed: f.leader.limiter.Lapsed(), Awaited: len(f.awaited)})
-			m.follow(ids)
+			m.applyList(ids)
 		}
 	}
 }
 
-// store writes the leader's list to the store.
-func (f *fleet) store(ids []string) {
+// storeList writes the leader's list to the store.
+func (f *gatewaySet) storeList(ids []string) {
 	now := f.clock.Now()
 	for _, id := range ids {
-		f.listed[id] = now
+		f.lastListed[id] = now
 	}
-	maps.DeleteFunc(f.listed, func(_ string, at time.Time) bool { return now.Sub(at) > storeTime })
-	f.stored = slices.Sorted(maps.Keys(f.listed))
+	maps.DeleteFunc(f.lastListed, func(_ string, at time.Time) bool { return now.Sub(at) > storedListTime })
+	f.stored = slices.Sorted(maps.Keys(f.lastListed))
 }
 
-func (f *fleet) reaches(a, b *member) bool { return a.island == b.island && !a.paused && !b.paused }
+func (f *gatewaySet) reaches(a, b *testGateway) bool {
+	return a.partition == b.partition && !a.paused && !b.paused
+}
 
-func (m *member) follow(ids []string) {
+func (m *testGateway) applyList(ids []string) {
 	if slices.Equal(m.ids, ids) {
 		return
 	}
@@ -177,7 +181,7 @@
 }
 
 // step advances the clock, with reports at their interval.
-func (f *fleet) step(d time.Duration) {
+func (f *gatewaySet) step(d time.Duration) {
 	for d > 0 {
 		next := min(d, reportInterval)
 		f.clock.Advance(next)
@@ -186,26 +190,26 @@
 	}
 }
 
-// take sends a request to a gateway and records it if it is let through.
-func (f *fleet) take(i int, amount float64) quota.Outcome {
+// request sends a request to a gateway and records it if it is let through.
+func (f *gatewaySet) request(i int, amount float64) quota.Outcome {
 	m := f.gateways[i]
 	if m.paused {
 		return quota.Unknown
 	}
 	d := m.limiter.Take(context.Background(), testOrganisation, amount)
 	if d.Outcome == quota.Inside {
-		f.spent = append(f.spent, spending{at: f.clock.Now(), amount: amount})
+		f.spends = append(f.spends, spend{at: f.clock.Now(), amount: amount})
 	}
 	return d.Outcome
 }
 
-// mostIn returns the maximum amount spent in any window of the given length.
-func (f *fleet) mostIn(window time.Duration) (most float64) {
+// maxSpentIn returns the maximum amount spent in any window of the given length.
+func (f *gatewaySet) maxSpentIn(window time.Duration) (most float64) {
 	sum, first := 0.0, 0
-	for _, s := range f.spent {
+	for _, s := range f.spends {
 		sum += s.amount
-		for s.at.Sub(f.spent[first].at) >= window {
-			sum -= f.spent[first].amount
+		for s.at.Sub(f.spends[first].at) >= window {
+			sum -= f.spends[first].amount
 			first++
 		}
 		most = max(most, sum)
@@ -214,7 +218,7 @@
 }
 
 // owner returns the index of the gateway that owns the organisation.
-func (f *fleet) owner() int {
+func (f *gatewaySet) owner() int {
 	for i, m := range f.gateways {
 		if s, _ := m.limiter.Status(testOrganisation); s.Owner == m.id {
 			return i
@@ -224,11 +228,11 @@
 }
 
 // AskGrant implements quota.Asker.
-func (m *member) AskGrant(_ context.Context, addr string, r quota.Request) (quota.Reply, error) {
-	for _, other := range m.fleet.gateways {
-		if other.id == addr && m.fleet.reaches(m, other) {
+func (m *testGateway) AskGrant(_ context.Context, gateway string, r quota.Request) (quota.Reply, error) {
+	for _, other := range m.set.gateways {
+		if other.id == gateway && m.set.reaches(m, other) {
 			return other.limiter.Grant(r), nil
 		}
 	}
-	return quota.Reply{}, errCut
+	return quota.Reply{}, errUnreachable
 }
--- a/quota/granter.go
+++ b/quota/granter.go
@@ -33,9 +33,9 @@
 	RetryAfterMs int64 `json:"retry_after,omitempty"`
 }
 
-// aheadReserve is the fraction of the burst that a prefetch must leave in the bucket for requests of other
+// prefetchReserve is the fraction of the burst that a prefetch must leave in the bucket for requests of other
 // gateways.
-const aheadReserve = 0.5
+const prefetchReserve = 0.5
 
 // A granter holds the buckets of the organisations that a gateway owns.
 type granter struct {
@@ -48,9 +48,9 @@
 	return granter{buckets: make(map[string]*bucket), since: now}
 }
 
-// keep removes the buckets of organisations that this gateway does not own as of now. A bucket that is
+// retain removes the buckets of organisations that this gateway does not own as of now. A bucket that is
 // created again later is empty.
-func (g *granter) keep(owns func(organisation string) bool, now time.Time) {
+func (g *granter) retain(owns func(organisation string) bool, now time.Time) {
 	for name := range g.buckets {
 		if !owns(name) {
 			delete(g.buckets, name)
@@ -59,8 +59,8 @@
 	g.since = now
 }
 
-// filled returns an organisation's bucket, filled up to now by a share of the rate.
-func (g *granter) filled(organisation string, l Limit, share float64, now time.Time) *bucket {
+// filledBucket returns an organisation's bucket, filled up to now by a share of the rate.
+func (g *granter) filledBucket(organisation string, l Limit, share float64, now time.Time) *bucket {
 	b := g.buckets[organisation]
 	if b == nil {
 		b = newBucket(g.since)
@@ -72,17 +72,17 @@
 
 // available returns the amount in an organisation's bucket.
 func (g *granter) available(organisation string, l Limit, share float64, now time.Time) float64 {
-	return g.filled(organisation, l, share, now).amount
+	return g.filledBucket(organisation, l, share, now).amount
 }
 
 // grant makes a grant from an organisation's bucket, which is filled by a share of the rate.
 func (g *granter) grant(r Request, l Limit, share float64, now time.Time) Reply {
-	b := g.filled(r.Key, l, share, now)
+	b := g.filledBucket(r.Key, l, share, now)
 	if !b.take(l, r.Need) {
-		return Reply{IsOwner: true, RetryAfterMs: b.until(l, r.Need).Milliseconds() + 1}
+		return Reply{IsOwner: true, RetryAfterMs: b.timeUntil(l, r.Need).Milliseconds() + 1}
 	}
 	granted := r.Need
-	if b.amount-r.Ahead >= aheadReserve*l.Burst {
+	if b.amount-r.Ahead >= prefetchReserve*l.Burst {
 		b.amount -= r.Ahead
 		granted += r.Ahead
 	}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -82,35 +82,35 @@
 	opts Options
 
 	mu       sync.Mutex
-	fleet    fleet
+	gateways gatewaySet
 	granter  granter
 	accounts map[string]*account
-	// silent holds the organisations whose owner did not reply as such to the last request.
-	silent map[string]bool
+	// unresponsive holds the organisations whose owner did not reply as such to the last request.
+	unresponsive map[string]bool
 }
 
 // New returns a Limiter without a list of gateways.
 func New(o Options) *Limiter {
 	now := o.Clock.Now()
 	return &Limiter{
-		opts: o, fleet: newFleet(o.Self, now), granter: newGranter(now), accounts: make(map[string]*account),
-		silent: make(map[string]bool),
+		opts: o, gateways: newGatewaySet(o.Self, now), granter: newGranter(now), accounts: make(map[string]*account),
+		unresponsive: make(map[string]bool),
 	}
 }
 
 // Heard records that a leader replied to a request sent at a time, and the Absence in its reply. Call it
 // before SetGateways with the list of the same reply.
-func (l *Limiter) Heard(asked time.Time, a Absence) {
+func (l *Limiter) Heard(sentAt time.Time, a Absence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fleet.heard(asked, a)
+	l.gateways.recordLeaderReply(sentAt, a)
 }
 
 // Lapsed returns the number of gateways recently removed from the list. A leader sends it in its replies.
 func (l *Limiter) Lapsed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fleet.countLapsed(l.opts.Clock.Now())
+	return l.gateways.countRemoved(l.opts.Clock.Now())
 }
 
 // SetGateways replaces the list of gateway IDs. If this gateway was without a leader before, another may have
@@ -119,11 +119,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Clock.Now()
-	l.fleet.set(ids, now)
-	if l.fleet.wasAlone {
+	l.gateways.setGateways(ids, now)
+	if l.gateways.wasUnconfirmed {
 		l.granter = newGranter(now)
 	}
-	l.granter.keep(func(organisation string) bool { return l.fleet.owner(organisation) == l.opts.Self }, now)
+	l.granter.retain(func(organisation string) bool { return l.gateways.owner(organisation) == l.opts.Self }, now)
 }
 
 // NoteFormer records gateways that were known before this process started. Those that are not on the list may
@@ -131,7 +131,7 @@
 func (l *Limiter) NoteFormer(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fleet.noteFormer(ids, l.opts.Clock.Now())
+	l.gateways.addFormer(ids, l.opts.Clock.Now())
 }
 
 // Grant handles another gateway's request for a grant. The reply is empty if this gateway does not own the
@@ -140,14 +140,14 @@
 	limit, ok := l.opts.Limit(r.Key)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !ok || !r.isValid() || l.fleet.owner(r.Key) != l.opts.Self {
+	if !ok || !r.isValid() || l.gateways.owner(r.Key) != l.opts.Self {
 		return Reply{}
 	}
 	now := l.opts.Clock.Now()
-	share := l.fleet.share(limit, l.opts.Tolerance, now)
+	share := l.gateways.share(limit, l.opts.Tolerance, now)
 	reply := l.granter.grant(r, limit, share, now)
-	l.fleet.noteAsked(r.From, now)
-	reply.IsUnsure = !l.fleet.isSure(now)
+	l.gateways.recordRequest(r.From, now)
+	reply.IsUnsure = !l.gateways.isConfirmed(now)
 	return reply
 }
 
@@ -160,45 +160,45 @@
 	d := l.decide(ctx, organisation, limit, amount)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account(organisation).counts.note(d.Outcome, amount)
+	l.account(organisation).counts.record(d.Outcome, amount)
 	return d
 }
 
 func (l *Limiter) decide(ctx context.Context, organisation string, limit Limit, amount float64) Decision {
-	asked := l.opts.Clock.Now()
-	request, decision, decided := l.begin(organisation, amount, asked)
+	sentAt := l.opts.Clock.Now()
+	request, decision, decided := l.decideLocally(organisation, amount, sentAt)
 	if decided {
 		return decision
 	}
-	reply, err := l.ask(ctx, request)
+	reply, err := l.requestGrant(ctx, request)
 	if err != nil {
-		return l.takePart(organisation, limit, amount, errors.Is(err, ErrEnded))
+		return l.takeOwnShare(organisation, limit, amount, errors.Is(err, ErrEnded))
 	}
-	return l.finish(organisation, request, reply, asked)
+	return l.applyReply(organisation, request, reply, sentAt)
 }
 
-// begin decides from local state, or returns the request to send to the owner.
-func (l *Limiter) begin(organisation string, amount float64, now time.Time) (r Request, d Decision, decided bool) {
+// decideLocally decides from local state, or returns the request to send to the owner.
+func (l *Limiter) decideLocally(organisation string, amount float64, now time.Time) (r Request, d Decision, decided bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(organisation)
-	a.note(amount, now)
+	a.recordDemand(amount, now)
 	if a.spend(amount, now) {
 		return Request{}, Decision{Outcome: Inside}, true
 	}
-	if left := a.deniedUntil.Sub(now); left > 0 && amount >= a.deniedNeed {
-		return Request{}, Decision{Outcome: Over, RetryAfter: left}, true
+	if remaining := a.deniedUntil.Sub(now); remaining > 0 && amount >= a.deniedAmount {
+		return Request{}, Decision{Outcome: Over, RetryAfter: remaining}, true
 	}
-	return Request{Key: organisation, From: l.opts.Self, Need: amount, Ahead: a.ahead(amount)}, Decision{}, false
+	return Request{Key: organisation, From: l.opts.Self, Need: amount, Ahead: a.prefetchAmount(amount)}, Decision{}, false
 }
 
 // errNoOwner means that there is no known owner, or that the gateway asked is not the owner.
 var errNoOwner = errors.New("quota: no gateway owns the limit")
 
-// ask requests a grant from the owner of a limit. It returns an error if there is no reply from an owner.
-func (l *Limiter) ask(ctx context.Context, r Request) (Reply, error) {
+// requestGrant requests a grant from the owner of a limit. It returns an error if there is no reply from an owner.
+func (l *Limiter) requestGrant(ctx context.Context, r Request) (Reply, error) {
 	l.mu.Lock()
-	owner := l.fleet.owner(r.Key)
+	owner := l.gateways.owner(r.Key)
 	l.mu.Unlock()
 	switch owner {
 	case "":
@@ -206,70 +206,70 @@
 	case l.opts.Self:
 		// Prefetching from the local bucket has no use.
 		r.Ahead = 0
-		return owned(l.Grant(r), nil)
+		return requireOwner(l.Grant(r), nil)
 	}
-	reply, err := owned(l.opts.Asker.AskGrant(ctx, owner, r))
+	reply, err := requireOwner(l.opts.Asker.AskGrant(ctx, owner, r))
 	if err != nil {
-		l.noteSilent(r.Key, owner, err)
+		l.reportUnresponsive(r.Key, owner, err)
 	}
 	return reply, err
 }
 
-// owned turns the reply of a gateway that is not the owner into an error.
-func owned(r Reply, err error) (Reply, error) {
+// requireOwner turns the reply of a gateway that is not the owner into an error.
+func requireOwner(r Reply, err error) (Reply, error) {
 	if err == nil && !r.IsOwner {
 		err = errNoOwner
 	}
 	return r, err
 }
 
-// finish applies an owner's reply.
-func (l *Limiter) finish(organisation string, r Request, reply Reply, asked time.Time) Decision {
+// applyReply applies an owner's reply.
+func (l *Limiter) applyReply(organisation string, r Request, reply Reply, sentAt time.Time) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.silent, organisation)
+	delete(l.unresponsive, organisation)
 	a := l.account(organisation)
-	a.endPart()
-	a.lentAt = asked
+	a.clearOwnShare()
+	a.delegatedAt = sentAt
 	if reply.Granted >= r.Need {
-		a.add(reply.Granted-r.Need, asked.Add(StockTime))
+		a.addCredit(reply.Granted-r.Need, sentAt.Add(StockTime))
 		return Decision{Outcome: Inside}
 	}
 	if reply.IsUnsure {
 		return Decision{Outcome: Unknown}
 	}
 	wait := time.Duration(reply.RetryAfterMs) * time.Millisecond
-	a.deniedUntil, a.deniedNeed = asked.Add(min(wait, denialTime)), r.Need
+	a.deniedUntil, a.deniedAmount = sentAt.Add(min(wait, denialTime)), r.Need
 	return Decision{Outcome: Over, RetryAfter: wait}
 }
 
-// takePart spends from this gateway's own share if the owner cannot have it any more. An owner that has lost
+// takeOwnShare spends from this gateway's own share if the owner cannot have it any more. An owner that has lost
 // its connections acts as owner until OwnerTime has passed; meanwhile the outcome is Unknown. The outcome is
 // never Over, because the owner could grant more than this share.
-func (l *Limiter) takePart(organisation string, limit Limit, amount float64, ended bool) Decision {
+func (l *Limiter) takeOwnShare(organisation string, limit Limit, amount float64, notRunning bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Clock.Now()
 	a := l.account(organisation)
-	if l.fleet.isSure(now) && !ended {
+	if l.gateways.isConfirmed(now) && !notRunning {
 		return Decision{Outcome: Unknown}
 	}
-	if !a.spendPart(limit, l.fleet.ownPart(now), amount, l.lentUntil(a, now), now) {
+	if !a.spendOwnShare(limit, l.gateways.ownShare(now), amount, l.delegatedUntil(a, now), now) {
 		return Decision{Outcome: Unknown}
 	}
 	return Decision{Outcome: Inside}
 }
 
-// lentUntil returns the time until which other gateways had this gateway's share of an organisation's rate.
+// delegatedUntil returns the time until which other gateways had this gateway's share of an organisation's rate.
 // l.mu must be held.
-func (l *Limiter) lentUntil(a *account, now time.Time) time.Time {
+func (l *Limiter) delegatedUntil(a *account, now time.Time) time.Time {
 	switch {
-	case l.fleet.isSure(now):
+	case l.gateways.isConfirmed(now):
 		return now
-	case a.lentAt.After(l.fleet.sureUntil):
-		return a.lentAt
+	case a.delegatedAt.After(l.gateways.confirmedUntil):
+		return a.delegatedAt
 	}
-	return l.fleet.sureUntil
+	return l.gateways.confirmedUntil
 }
 
 // GiveBack returns an amount spent by a request that did not run. It may be spent by this gateway within
@@ -282,7 +282,7 @@
 	defer l.mu.Unlock()
 	a := l.account(organisation)
 	a.counts.Spent -= amount
-	a.add(amount, l.opts.Clock.Now().Add(StockTime))
+	a.addCredit(amount, l.opts.Clock.Now().Add(StockTime))
 }
 
 // Keep removes the state of all organisations for which wanted returns false. Without it, a Limiter whose
@@ -292,18 +292,18 @@
 	defer l.mu.Unlock()
 	unwanted := func(organisation string) bool { return !wanted(organisation) }
 	maps.DeleteFunc(l.accounts, func(name string, _ *account) bool { return unwanted(name) })
-	maps.DeleteFunc(l.silent, func(name string, _ bool) bool { return unwanted(name) })
+	maps.DeleteFunc(l.unresponsive, func(name string, _ bool) bool { return unwanted(name) })
 	maps.DeleteFunc(l.granter.buckets, func(name string, _ *bucket) bool { return unwanted(name) })
-	maps.DeleteFunc(l.fleet.owners, func(name, _ string) bool { return unwanted(name) })
+	maps.DeleteFunc(l.gateways.owners, func(name, _ string) bool { return unwanted(name) })
 }
 
-// noteSilent calls OnOwnerSilent, unless it has already been called since an owner last replied.
-func (l *Limiter) noteSilent(organisation, gateway string, err error) {
+// reportUnresponsive calls OnOwnerSilent, unless it has already been called since an owner last replied.
+func (l *Limiter) reportUnresponsive(organisation, gateway string, err error) {
 	l.mu.Lock()
-	known := l.silent[organisation]
-	l.silent[organisation] = true
+	reported := l.unresponsive[organisation]
+	l.unresponsive[organisation] = true
 	l.mu.Unlock()
-	if !known && l.opts.OnOwnerSilent != nil {
+	if !reported && l.opts.OnOwnerSilent != nil {
 		l.opts.OnOwnerSilent(organisation, gateway, err)
 	}
 }
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -18,8 +18,8 @@
 // typicalCost is the cost of a request in tokens.
 const typicalCost = 1600
 
-// allowed returns the maximum that a limit and the tolerance permit in one window.
-func allowed(l quota.Limit) float64 {
+// maxAllowed returns the maximum that a limit and the tolerance permit in one window.
+func maxAllowed(l quota.Limit) float64 {
 	return (l.Rate*tolerance.Window.Seconds()+l.Burst)*(1+tolerance.Over) + tolerance.Slack
 }
 
@@ -35,12 +35,12 @@
 	for name, limit := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(1, 2))
-			f := newFleet(24, limit)
+			f := newGatewaySet(24, limit)
 			f.step(3 * time.Second)
 			pause := time.Duration(typicalCost / (0.75 * limit.Rate) * float64(time.Second))
 			for range 500 {
 				f.step(pause)
-				assert.Equal(t, f.take(r.IntN(24), typicalCost), quota.Inside)
+				assert.Equal(t, f.request(r.IntN(24), typicalCost), quota.Inside)
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 // TestOverTheLimit checks that an organisation which requests six times its rate gets its rate.
 func TestOverTheLimit(t *testing.T) {
 	limit := quota.Limit{Rate: 40_000, Burst: 40_000}
-	f := newFleet(24, limit)
+	f := newGatewaySet(24, limit)
 	r := rand.New(rand.NewPCG(1, 2))
 	f.step(3 * time.Second)
 	const seconds = 10
@@ -57,7 +57,7 @@
 	inside := 0
 	for range int(seconds * 6 * limit.Rate / typicalCost) {
 		f.step(pause)
-		switch f.take(r.IntN(24), typicalCost) {
+		switch f.request(r.IntN(24), typicalCost) {
 		case quota.Inside:
 			inside++
 		case quota.Unknown:
@@ -66,27 +66,27 @@
 	}
 	served := float64(inside) * typicalCost
 	assert.Assert(t, served >= 0.97*limit.Rate*seconds, "%v tokens in %d s", served, seconds)
-	assert.Assert(t, f.mostIn(tolerance.Window) <= allowed(limit), "%v tokens in a window", f.mostIn(tolerance.Window))
+	assert.Assert(t, f.maxSpentIn(tolerance.Window) <= maxAllowed(limit), "%v tokens in a window", f.maxSpentIn(tolerance.Window))
 }
 
-// TestNewOwnerBeginsWithNothing checks that repeated restarts of the owner, which forgets its grants, do not
+// TestNewOwnerStartsEmpty checks that repeated restarts of the owner, which forgets its grants, do not
 // exceed the limit.
-func TestNewOwnerBeginsWithNothing(t *testing.T) {
+func TestNewOwnerStartsEmpty(t *testing.T) {
 	limit := quota.Limit{Rate: 100_000, Burst: 100_000}
-	f := newFleet(6, limit)
+	f := newGatewaySet(6, limit)
 	r := rand.New(rand.NewPCG(1, 2))
 	f.step(3 * time.Second)
 	for range 400 {
 		f.step(20 * time.Millisecond)
 		for i := range f.gateways {
-			for f.take(i, typicalCost) == quota.Inside {
+			for f.request(i, typicalCost) == quota.Inside {
 			}
 		}
 		if r.IntN(20) == 0 {
 			f.restart(f.owner())
 		}
 	}
-	assert.Assert(t, f.mostIn(tolerance.Window) <= allowed(limit), "%v of %v", f.mostIn(tolerance.Window), allowed(limit))
+	assert.Assert(t, f.maxSpentIn(tolerance.Window) <= maxAllowed(limit), "%v of %v", f.maxSpentIn(tolerance.Window), maxAllowed(limit))
 }
 
 // TestLimitHolds checks that the limit holds in every window while gateways and the leader are partitioned,
@@ -96,10 +96,10 @@
 		size := rapid.IntRange(2, 24).Draw(t, "gateways")
 		limit := quota.Limit{Rate: rapid.Float64Range(1000, 200_000).Draw(t, "rate")}
 		limit.Burst = limit.Rate * rapid.Float64Range(0.1, 1).Draw(t, "burst")
-		f := newFleet(size, limit)
-		f.disturb(t, func() float64 { return rapid.Float64Range(100, 4000).Draw(t, "cost") })
-		if most := f.mostIn(tolerance.Window); most > allowed(limit) {
-			t.Fatalf("spent %v tokens in a window, limit is %v", most, allowed(limit))
+		f := newGatewaySet(size, limit)
+		f.injectFaults(t, func() float64 { return rapid.Float64Range(100, 4000).Draw(t, "cost") })
+		if most := f.maxSpentIn(tolerance.Window); most > maxAllowed(limit) {
+			t.Fatalf("spent %v tokens in a window, limit is %v", most, maxAllowed(limit))
 		}
 	})
 }
@@ -110,18 +110,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(2, 24).Draw(t, "gateways")
 		perSecond := rapid.OneOf(rapid.Float64Range(0, 5), rapid.Float64Range(5, 200)).Draw(t, "rate")
-		f := newFleetWithin(size, serverlimit.Quota(perSecond), serverlimit.Tolerance())
-		f.disturb(t, func() float64 { return 1 })
-		most, allowed := f.mostIn(serverlimit.Window), 1.5*perSecond*serverlimit.Window.Seconds()+5
+		f := newGatewaySetWithin(size, serverlimit.Quota(perSecond), serverlimit.Tolerance())
+		f.injectFaults(t, func() float64 { return 1 })
+		most, allowed := f.maxSpentIn(serverlimit.Window), 1.5*perSecond*serverlimit.Window.Seconds()+5
 		if most > allowed {
 			t.Fatalf("let through %v requests in a window, limit is %v", most, allowed)
 		}
 	})
 }
 
-// disturb partitions, restarts and pauses gateways at random, while each gateway receives requests until one
+// injectFaults partitions, restarts and pauses gateways at random, while each gateway receives requests until one
 // is not let through.
-func (f *fleet) disturb(t *rapid.T, cost func() float64) {
+func (f *gatewaySet) injectFaults(t *rapid.T, cost func() float64) {
 	for range rapid.IntRange(20, 80).Draw(t, "steps") {
 		f.step(time.Duration(rapid.IntRange(10, 900).Draw(t, "ms")) * time.Millisecond)
 		i := rapid.IntRange(0, len(f.gateways)-1).Draw(t, "gateway")
@@ -131,12 +131,12 @@
 			f.restart(i)
 		case "cut":
 			// Each isolated gateway gets a partition of its own.
-			m.island = i + 1
+			m.partition = i + 1
 			if f.leader == m {
 				f.loseLeader()
 			}
 		case "heal":
-			m.island = 0
+			m.partition = 0
 		case "pause":
 			m.paused = true
 			if f.leader == m {
@@ -148,7 +148,7 @@
 		amount := cost()
 		for j := range f.gateways {
 			for range 200 {
-				if f.take(j, amount) != quota.Inside {
+				if f.request(j, amount) != quota.Inside {
 					break
 				}
 			}
@@ -156,23 +156,23 @@
 	}
 }
 
-// TestStrangersHaveNoPart checks that a gateway that is not listed has no share: it spends none itself, and
+// TestUnlistedGatewaysHaveNoShare checks that a gateway that is not listed has no share: it spends none itself, and
 // an owner that it asks gains none.
-func TestStrangersHaveNoPart(t *testing.T) {
+func TestUnlistedGatewaysHaveNoShare(t *testing.T) {
 	limit := quota.Limit{Rate: 1000, Burst: 1000}
-	f := newFleet(3, limit)
-	stranger := f.gateways[2]
-	stranger.limiter.SetGateways([]string{"g0", "g1"})
+	f := newGatewaySet(3, limit)
+	unlisted := f.gateways[2]
+	unlisted.limiter.SetGateways([]string{"g0", "g1"})
 	for _, m := range f.gateways[:2] {
 		m.limiter.SetGateways([]string{"g0", "g1"})
-		m.island = 1
+		m.partition = 1
 	}
 	f.clock.Advance(3 * time.Second)
-	assert.Equal(t, f.take(2, 100), quota.Unknown)
-	stranger.island = 1
+	assert.Equal(t, f.request(2, 100), quota.Unknown)
+	unlisted.partition = 1
 	for range 20 {
 		f.clock.Advance(50 * time.Millisecond)
-		stranger.limiter.Take(t.Context(), testOrganisation, 1)
+		unlisted.limiter.Take(t.Context(), testOrganisation, 1)
 	}
 	status, ok := f.gateways[f.owner()].limiter.Status(testOrganisation)
 	assert.Assert(t, ok)
@@ -181,7 +181,7 @@
 
 // TestInvalidRequests checks that an invalid request for a grant adds nothing to a bucket.
 func TestInvalidRequests(t *testing.T) {
-	f := newFleet(3, quota.Limit{Rate: 1000, Burst: 1000})
+	f := newGatewaySet(3, quota.Limit{Rate: 1000, Burst: 1000})
 	f.step(3 * time.Second)
 	owner := f.gateways[f.owner()].limiter
 	tests := map[string]quota.Request{
--- a/quota/status.go
+++ b/quota/status.go
@@ -11,8 +11,8 @@
 	Spent float64 `json:"spent"`
 }
 
-// note counts a decision.
-func (c *Counts) note(o Outcome, amount float64) {
+// record counts a decision.
+func (c *Counts) record(o Outcome, amount float64) {
 	switch o {
 	case Inside:
 		c.Inside++
@@ -49,12 +49,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s = Status{
-		Key: organisation, Rate: limit.Rate, Burst: limit.Burst, Owner: l.fleet.owner(organisation),
+		Key: organisation, Rate: limit.Rate, Burst: limit.Burst, Owner: l.gateways.owner(organisation),
 		Counts: l.account(organisation).counts,
 	}
 	if s.Owner == l.opts.Self {
 		now := l.opts.Clock.Now()
-		s.Share = l.fleet.share(limit, l.opts.Tolerance, now)
+		s.Share = l.gateways.share(limit, l.opts.Tolerance, now)
 		s.Available = l.granter.available(organisation, limit, s.Share, now)
 	}
 	return s, true
