--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -62,12 +62,12 @@
 type Link[R any] struct {
 	log  Log[R]
 	peer string
-	// seen is the position up to which the peer's changes are known. sent is the local version up to which
+	// peerCursor is the position up to which the peer's changes are known. sent is the local version up to which
 	// the peer is known to have the changes.
-	seen Cursor
-	sent uint64
+	peerCursor   Cursor
+	ackedVersion uint64
 	// telling is the local version up to which the last message carries the changes.
-	telling uint64
+	sentVersion uint64
 }
 
 // NewLink returns a Link without a peer.
@@ -79,35 +79,35 @@
 	if peer != l.peer {
 		*l = Link[R]{log: l.log, peer: peer}
 	}
-	records, telling := l.log.Since(l.sent)
-	l.telling = telling
-	return Message[R]{Records: records, Seen: l.seen}
+	records, version := l.log.Since(l.ackedVersion)
+	l.sentVersion = version
+	return Message[R]{Records: records, Seen: l.peerCursor}
 }
 
 // Apply merges the reply to the last message; nil stands for a reply without changes. If the peer has
 // restarted, the next message carries all records.
 func (l *Link[R]) Apply(r *Reply[R]) {
-	l.sent = l.telling
+	l.ackedVersion = l.sentVersion
 	if r == nil {
 		return
 	}
-	if l.seen.Epoch != 0 && l.seen.Epoch != r.Epoch {
-		l.sent = 0
+	if l.peerCursor.Epoch != 0 && l.peerCursor.Epoch != r.Epoch {
+		l.ackedVersion = 0
 	}
 	before, after := l.log.Merge(r.Records)
-	if l.sent == before {
+	if l.ackedVersion == before {
 		// The changes merged just now came from the peer and need not be sent back.
-		l.sent = after
+		l.ackedVersion = after
 	}
-	l.seen = r.Cursor
+	l.peerCursor = r.Cursor
 }
 
 // Oldest returns the keys of the oldest changes, at most a given number, ordered by version, and the version
 // up to which they are complete. That is version if all keys are returned. Oldest sorts changed in place.
-func Oldest[K any](changed []K, versionOf func(K) uint64, most int, version uint64) ([]K, uint64) {
+func Oldest[K any](changed []K, versionOf func(K) uint64, limit int, version uint64) ([]K, uint64) {
 	slices.SortFunc(changed, func(a, b K) int { return cmp.Compare(versionOf(a), versionOf(b)) })
-	if len(changed) <= most {
+	if len(changed) <= limit {
 		return changed, version
 	}
-	return changed[:most], versionOf(changed[most-1])
+	return changed[:limit], versionOf(changed[limit-1])
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -13,16 +13,16 @@
 type wordLog struct {
 	epoch uint32
 	words []string
-	// sent is the number of records returned by Since.
-	sent int
+	// returned is the number of records returned by Since.
+	returned int
 }
 
 func (l *wordLog) Epoch() uint32 { return l.epoch }
 
 func (l *wordLog) Since(after uint64) ([]string, uint64) {
-	news := l.words[min(int(after), len(l.words)):]
-	l.sent += len(news)
-	return news, uint64(len(l.words))
+	changed := l.words[min(int(after), len(l.words)):]
+	l.returned += len(changed)
+	return changed, uint64(len(l.words))
 }
 
 func (l *wordLog) Merge(records []string) (before, after uint64) {
@@ -50,13 +50,13 @@
 }
 
 // exchange sends a message to the named peer. If lost is set, the reply is dropped.
-func (p *pair) exchange(name string, lost bool) {
+func (p *pair) exchange(name string, replyLost bool) {
 	m := p.link.Message(name)
 	reply := exchange.Answer[string](p.peer, m)
 	if len(m.Records) > 0 || reply != nil {
 		p.messages++
 	}
-	if !lost {
+	if !replyLost {
 		p.link.Apply(reply)
 	}
 }
