--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -62,8 +62,8 @@
 type Link[R any] struct {
 	log  Log[R]
 	peer string
-	// peerCursor is the position up to which the peer's changes are known. sent is the local version up to which
-	// the peer is known to have the changes.
+	// peerCursor is the position up to which the peer's changes are known. sent is the local version up to
+	// which the peer is known to have the changes.
 	peerCursor   Cursor
 	ackedVersion uint64
 	// telling is the local version up to which the last message carries the changes.
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -30,8 +30,8 @@
 
 // A demandRate is a moving average of the work requested of one model, in tokens per second.
 type demandRate struct {
-	// smoothed is the average with time constant demandRiseTime. held follows it upwards, and decays with
-	// demandFallTime at most.
+	// smoothed is an exponential moving average with time constant demandRiseTime. peak is its maximum, which
+	// decays with time constant demandFallTime.
 	smoothed, peak float64
 }
 
@@ -42,7 +42,7 @@
 	r.peak = max(r.smoothed, r.peak*math.Exp(-step.Seconds()/demandFallTime.Seconds()))
 }
 
-// risen is the average with time constant demandRiseTime. held is its peak, which decays with demandFallTime.
+// A demand aggregates the reports of all gateways.
 type demand struct {
 	gateways map[string]*gateway
 	// awaited holds the gateways known before the term that have not reported in it yet. awaitedSince is when
@@ -54,7 +54,7 @@
 	rates     map[string]*demandRate
 	// adapterLastUsed is when each adapter was last requested.
 	adapterLastUsed map[backend.Adapter]time.Time
-	// loadTotals is the total load of all gateways at each server.
+	// loads is the total load of all gateways at each server.
 	loads loadTotals
 }
 
@@ -93,7 +93,7 @@
 	g.apply(r, now)
 }
 
-// reset replaces the state of a gateway by a report. before is its previous state, or nil.
+// reset replaces the state of a gateway by a report. previous is the state so far, or nil.
 func (d *demand) reset(previous *gateway, r Report, now time.Time) {
 	if previous != nil {
 		d.loads.update(previous.report.Loads, nil)
@@ -111,9 +111,9 @@
 	g.report.Demands = nil
 }
 
-// addAwaited adds gateways that were known before the term. Each is listed until it reports, or until the
-// timeout of gateways that do not report. Otherwise the list would grow with each first report of the term,
-// and the ownership of engines and limits would move between the few gateways listed so far.
+// addAwaited adds gateways known before the term, until they report or time out. Without them the list would
+// grow with each first report of the term, and the ownership of engines and limits would move between the few
+// gateways listed so far.
 func (d *demand) addAwaited(gateways []Gateway, now time.Time) {
 	d.awaitedSince = now
 	for _, g := range gateways {
@@ -123,7 +123,8 @@
 	}
 }
 
-// listGateways returns the gateways sorted by ID, and a hash of their IDs and addresses as the version of the list.
+// listGateways returns the gateways sorted by ID, and a hash of their IDs and addresses as the version of the
+// list.
 func (d *demand) listGateways() ([]Gateway, uint64) {
 	gateways := make([]Gateway, 0, len(d.gateways))
 	for _, g := range d.gateways {
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -12,10 +12,11 @@
 
 // Timing of orders and reports.
 const (
-	// unloadNotice is the delay between the publication that a model is about to be unloaded and the order to
-	// unload it. Gateways learn of the change with their next report.
+	// unloadNotice is the delay between publishing that a model is about to be unloaded and ordering the
+	// unload. Gateways learn of the change with their next report.
 	unloadNotice = 350 * time.Millisecond
-	// pollInterval is the interval between two reports of an engine that is carrying out an order.
+	// pollInterval is the interval between two requests for the report of an engine that is carrying out an
+	// order.
 	pollInterval = 250 * time.Millisecond
 	// adapterLoadTime is the expected time to load an adapter.
 	adapterLoadTime = 40 * time.Millisecond
@@ -24,11 +25,11 @@
 	// minResidenceTime is how long a loaded model is protected from eviction, unless a model without a replica
 	// needs its memory.
 	minResidenceTime = 4 * time.Second
-	// maxReportLag is the time after an accepted order in which a report may still predate the order. It covers
-	// the age of an engine's report and the duration of the call.
+	// maxReportLag is how long after an accepted order a report may still predate the order. It covers the
+	// age of an engine's report and the duration of the call.
 	maxReportLag = 1500 * time.Millisecond
-	// cacheUnknownDuration is the time after a load in which a report may still list cached weights that the load
-	// has evicted.
+	// cacheUnknownDuration is how long after a load a report may still list cached weights that the load has
+	// evicted.
 	cacheUnknownDuration = 700 * time.Millisecond
 	// maxLoadWait is how long a load may wait for memory to be freed on its engine. An order that was not
 	// answered may be carried out up to 12 s later, so the wait has to be longer.
@@ -62,8 +63,8 @@
 	lastAccepted time.Time
 	// callInProgress is set while a call to the engine is in progress.
 	callInProgress bool
-	// otherIncarnation is set when the last report came from another incarnation of the server than the registered
-	// one.
+	// otherIncarnation is set when the last report came from another incarnation of the server than the
+	// registered one.
 	otherIncarnation bool
 	// nextReport is when the next report is due, or zero if none is.
 	nextReport time.Time
@@ -168,15 +169,15 @@
 	return model
 }
 
-// isFromOtherIncarnation reports whether a report comes from another incarnation of the server than the registered one. This
-// happens when the server has restarted and its new record has not been seen yet. Incarnations cannot be told
-// apart where the records do not identify them.
+// isFromOtherIncarnation reports whether a report comes from another incarnation of the server than the
+// registered one. This happens when the server has restarted and its new record has not been seen yet.
+// Incarnations cannot be told apart where the records do not identify them.
 func (e *engineState) isFromOtherIncarnation(r backend.Report) bool {
 	return r.ServerID != "" && e.server.Instance != "" && r.ServerID != e.server.ID
 }
 
-// apply applies a report and reports whether it did. A report that may predate the last accepted order is
-// ignored.
+// apply updates the engine's state from a report. It returns false and changes nothing if the report may
+// predate the last accepted order.
 func (e *engineState) apply(r backend.Report, now time.Time) bool {
 	if e.known && r.Sequence < e.sequence && now.Sub(e.lastAccepted) < maxReportLag {
 		return false
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -246,8 +246,8 @@
 	}})
 }
 
-// startWithWaitingRequest starts the first leader, reports a request that waits for an adapter, and waits for the
-// first order.
+// startWithWaitingRequest starts the first leader, reports a request that waits for an adapter, and waits for
+// the first order.
 func (f *fixture) startWithWaitingRequest(adapter string) {
 	p := f.start(true)
 	f.advance(5 * time.Second)
--- a/internal/placer/leadership.go
+++ b/internal/placer/leadership.go
@@ -10,8 +10,8 @@
 // register within three heartbeats; models held by an unregistered server would count as missing.
 const firstLeaderDelay = 4 * time.Second
 
-// nonLeaderReplyMaxAge is the maximum age of the last reply by which the previous leader counts as no longer
-// leading. Gateways normally report several times within it.
+// nonLeaderReplyMaxAge is how old the previous leader's last reply may be for its earlier replies to count.
+// Gateways normally report several times within this time.
 const nonLeaderReplyMaxAge = 500 * time.Millisecond
 
 // A leadership holds the state of the current term and decides whether orders may be issued in it.
@@ -23,18 +23,18 @@
 	settleTime time.Duration
 	// fencedToken is the last token that an engine rejected. No order is issued under it any more.
 	fencedToken lease.Token
-	// former tracks the previous leader's replies.
+	// previousLeader tracks the previous leader's replies.
 	previousLeader nonLeaderReplies
 }
 
-// canIssueOrders reports whether orders may be issued: the settle time has passed, so that no order of the previous
-// leader is in progress, and no engine has seen a newer leader.
+// canIssueOrders reports whether orders may be issued: the settle time has passed, so that no order of the
+// previous leader is in progress, and no engine has rejected the token.
 func (l *leadership) canIssueOrders(now time.Time) bool {
 	return l.token != l.fencedToken && now.Sub(l.since) >= l.settleTime
 }
 
-// nonLeaderReplies tracks the unbroken period in which the process at an address has replied that it does not
-// lead.
+// nonLeaderReplies tracks how long the process at an address has replied, without interruption, that it does
+// not lead.
 type nonLeaderReplies struct {
 	addr        string
 	first, last time.Time
@@ -53,7 +53,8 @@
 	}
 }
 
-// duration returns how long the process at an address has replied without a break that it does not lead.
+// duration returns how long the process at an address has replied, without interruption, that it does not
+// lead.
 func (n *nonLeaderReplies) duration(addr string, now time.Time) time.Duration {
 	if addr == "" || n.addr != addr || now.Sub(n.last) > nonLeaderReplyMaxAge {
 		return 0
@@ -62,7 +63,7 @@
 }
 
 // settleTime returns how long a new leader waits before its first order. Orders of the previous leader can be
-// in progress for as long as a lease lasts. The time in which that process has already replied that it does
+// in progress for as long as a lease lasts. The time in which that leader has already replied that it does
 // not lead is deducted.
 func (p *Placer) settleTime(now time.Time) time.Duration {
 	if p.isFirst() {
--- a/internal/placer/load_totals.go
+++ b/internal/placer/load_totals.go
@@ -18,7 +18,7 @@
 	rankInterval = 100 * time.Millisecond
 )
 
-// A loads is the total load of all gateways at each server.
+// A loadTotals holds the total load of all gateways at each server.
 type loadTotals struct {
 	byServer map[string]dispatch.Load
 	// busiest lists the servers in a reply if there are more than maxReportedServers.
@@ -47,10 +47,10 @@
 	}
 }
 
-func subtractLoad(l, part dispatch.Load) dispatch.Load {
-	l.Running -= part.Running
-	l.PrefillMs -= part.PrefillMs
-	l.UsedTokens -= part.UsedTokens
+func subtractLoad(l, other dispatch.Load) dispatch.Load {
+	l.Running -= other.Running
+	l.PrefillMs -= other.PrefillMs
+	l.UsedTokens -= other.UsedTokens
 	return l
 }
 
--- a/internal/placer/messages.go
+++ b/internal/placer/messages.go
@@ -54,12 +54,12 @@
 	Loads       map[string]dispatch.Load `json:"loads,omitempty"`
 	BusiestOnly bool                     `json:"partial,omitempty"`
 	// Residency holds the engines whose residency has changed since the reported version, or all engines if
-	// Full is set. ResidencyVersion is its new version.
+	// Full is set. ResidencyVersion is the new version.
 	ResidencyVersion int64                        `json:"version"`
 	Full             bool                         `json:"full,omitempty"`
 	Residency        map[string]backend.Residency `json:"residency,omitempty"`
 	// Speeds holds the prefill speeds that have changed since the reported version, in milliseconds per token
-	// by model. SpeedsVersion is their new version.
+	// by model. SpeedsVersion is the new version.
 	SpeedsVersion int64              `json:"speeds,omitempty"`
 	Speeds        map[string]float64 `json:"prefill,omitempty"`
 }
--- a/internal/placer/orders.go
+++ b/internal/placer/orders.go
@@ -14,8 +14,7 @@
 
 // Rate of engine reports; see docs/design/0009.
 const (
-	// minRefreshInterval is the interval between two reports of an engine without orders, if there are at most
-	// enginesAtFullRate engines. It grows with the number of engines.
+	// minRefreshInterval is the shortest interval between two reports of an engine without orders.
 	minRefreshInterval = 6 * time.Second
 	// enginesAtFullRate is the number of engines up to which intervals are shortest. Above it they grow with
 	// the number of engines.
@@ -84,8 +83,8 @@
 	p.publish(now)
 }
 
-// handleOtherIncarnation handles a report from another incarnation of an engine than the registered one. The registered
-// incarnation is gone: it gets no orders and holds nothing. The registry will list the new one.
+// handleOtherIncarnation handles a report from another incarnation of an engine than the registered one. The
+// registered incarnation is gone: it gets no orders and holds nothing. The registry will list the new one.
 func (p *Placer) handleOtherIncarnation(e *engineState, r backend.Report, now time.Time) {
 	if !e.otherIncarnation {
 		p.opts.Log.Info("report from another incarnation of the server", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
@@ -141,7 +140,7 @@
 	return p.opts.Engines.Order(p.ctx, s, o)
 }
 
-// An answer is the result of an order.
+// An orderResult is the result of an order.
 type orderResult struct {
 	order   backend.Order
 	outcome backend.OrderOutcome
@@ -149,14 +148,14 @@
 }
 
 // recordOrderResult logs the result of an order, and updates the sequence number and the rejected token.
-func (p *Placer) recordOrderResult(e *engineState, a orderResult, now time.Time) {
-	p.opts.Log.Info("order issued", zap.String("server", e.server.ID), zap.Bool("unload", a.order.Unload),
-		zap.String("model", a.order.Model), zap.String("adapter", a.order.Adapter), zap.Int("sequence", a.order.Sequence),
-		zap.Int64("fence", a.order.Fence), zap.Stringer("outcome", a.outcome), telemetry.Error(a.err))
-	if a.outcome == backend.OrderFenced {
-		p.leadership.fencedToken = lease.Token(a.order.Fence)
-	}
-	if a.isCounted() {
+func (p *Placer) recordOrderResult(e *engineState, result orderResult, now time.Time) {
+	p.opts.Log.Info("order issued", zap.String("server", e.server.ID), zap.Bool("unload", result.order.Unload),
+		zap.String("model", result.order.Model), zap.String("adapter", result.order.Adapter), zap.Int("sequence", result.order.Sequence),
+		zap.Int64("fence", result.order.Fence), zap.Stringer("outcome", result.outcome), telemetry.Error(result.err))
+	if result.outcome == backend.OrderFenced {
+		p.leadership.fencedToken = lease.Token(result.order.Fence)
+	}
+	if result.isCounted() {
 		e.sequence++
 		e.lastAccepted = now
 	}
@@ -164,16 +163,16 @@
 
 // isCounted reports whether the engine counted the order in its sequence. An order for an adapter that was
 // already in the requested state counts too.
-func (a orderResult) isCounted() bool {
-	return a.outcome == backend.OrderAccepted || a.outcome == backend.OrderAlreadyDone && a.order.Adapter != ""
+func (result orderResult) isCounted() bool {
+	return result.outcome == backend.OrderAccepted || result.outcome == backend.OrderAlreadyDone && result.order.Adapter != ""
 }
 
 // handleModelOrderResult handles the result of an order for a model.
-func (p *Placer) handleModelOrderResult(e *engineState, a orderResult, expectedTime time.Duration) {
+func (p *Placer) handleModelOrderResult(e *engineState, result orderResult, expectedTime time.Duration) {
 	now := p.opts.Clock.Now()
-	p.recordOrderResult(e, a, now)
+	p.recordOrderResult(e, result, now)
 	e.callInProgress = false
-	switch a.outcome {
+	switch result.outcome {
 	case backend.OrderAccepted:
 		e.accepted = true
 		e.nextReport = now.Add(expectedTime)
@@ -214,25 +213,25 @@
 
 // handleAdapterOrderResult handles the result of an order for an adapter and reports whether the engine counted
 // it.
-func (p *Placer) handleAdapterOrderResult(e *engineState, a orderResult) bool {
+func (p *Placer) handleAdapterOrderResult(e *engineState, result orderResult) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.opts.Clock.Now()
-	p.recordOrderResult(e, a, now)
-	if !a.isCounted() {
+	p.recordOrderResult(e, result, now)
+	if !result.isCounted() {
 		e.callInProgress, e.known = false, false
 		e.nextReport = now.Add(pollInterval)
 		return false
 	}
-	adapter := backend.Adapter{Model: a.order.Model, Name: a.order.Adapter}
-	if a.order.Unload {
+	adapter := backend.Adapter{Model: result.order.Model, Name: result.order.Adapter}
+	if result.order.Unload {
 		e.removeAdapter(adapter)
 		return true
 	}
 	e.callInProgress = false
 	e.addAdapter(adapter, now)
 	e.nextReport = now.Add(adapterCheckDelay)
-	if a.outcome == backend.OrderAlreadyDone {
+	if result.outcome == backend.OrderAlreadyDone {
 		// The engine may have held the adapter before; only a report shows whether the order was counted.
 		e.known = false
 		e.nextReport = now.Add(pollInterval)
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -16,9 +16,9 @@
 	"rockcleat/table"
 )
 
-// Intervals between planning steps.
+// Intervals between steps.
 const (
-	// stepInterval is the regular interval.
+	// stepInterval is the interval of the periodic steps.
 	stepInterval = 100 * time.Millisecond
 	// minStepInterval is the minimum time between a step and the next one that Wake triggers.
 	minStepInterval = 25 * time.Millisecond
@@ -71,10 +71,10 @@
 	leadership leadership
 	engines    engineTable
 	demand     *demand
-	// adapterWaitingSince is the time since which requests have been waiting for an adapter that no usable
+	// adapterWaitingSince holds the times since which requests have been waiting for adapters that no usable
 	// engine holds.
 	adapterWaitingSince map[backend.Adapter]time.Time
-	// plannedAt is the time of the last model plan of each service.
+	// plannedAt holds the time of the last model plan of each service.
 	plannedAt map[string]time.Time
 	// successions holds, by service, the order observed in this term in which demand moves between models.
 	successions      map[string]*residency.Succession
@@ -204,8 +204,8 @@
 	p.publish(now)
 }
 
-// becomeLeader starts a term. No engine is known yet. The limiter of store loads starts empty, except for the
-// first leader, before which nothing was loaded.
+// becomeLeader starts a term. The limiter of store loads starts empty, unless there was no earlier leader
+// that could have started loads.
 func (p *Placer) becomeLeader(token lease.Token, now time.Time) {
 	p.leadership.settleTime = p.settleTime(now)
 	p.opts.Log.Info("leadership gained", zap.Int64("token", int64(token)), zap.Duration("settle", p.leadership.settleTime))
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -150,8 +150,8 @@
 	assert.Equal(t, len(f.engines.orders()), 1, "no further order under a token that was refused")
 }
 
-// TestStoreLoadsStayWithinTheRate checks that the loads started in any five seconds stay within the store's rate
-// and a small burst.
+// TestStoreLoadsStayWithinTheRate checks that the loads started in any five seconds stay within the store's
+// rate and a small burst.
 func TestStoreLoadsStayWithinTheRate(t *testing.T) {
 	t.Run("one service", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) { testStoreLoadsStayWithinTheRate(t, false) })
@@ -203,8 +203,8 @@
 	})
 }
 
-// TestAdapterOfALeavingEngineIsLoadedElsewhere checks that an adapter held only by a leaving engine is loaded on
-// another one, since a leaving engine gets no requests.
+// TestAdapterOfALeavingEngineIsLoadedElsewhere checks that an adapter held only by a leaving engine is loaded
+// on another one, since a leaving engine gets no requests.
 func TestAdapterOfALeavingEngineIsLoadedElsewhere(t *testing.T) {
 	synctest.Test(t, testAdapterOfALeavingEngineIsLoadedElsewhere)
 }
@@ -343,9 +343,9 @@
 	})
 }
 
-// TestAnotherIncarnationOfAnEngine checks a report from another incarnation of an engine than the registered one: the
-// engine gets no order and is published as empty. Once the new incarnation is registered, its sequence
-// numbers start at 0.
+// TestAnotherIncarnationOfAnEngine checks a report from another incarnation of an engine than the registered
+// one: the engine gets no order and is published as empty. Once the new incarnation is registered, its
+// sequence numbers start at 0.
 func TestAnotherIncarnationOfAnEngine(t *testing.T) {
 	synctest.Test(t, testAnotherIncarnationOfAnEngine)
 }
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -14,8 +14,8 @@
 // maxPlanInterval is the maximum interval between two plans of a service.
 const maxPlanInterval = time.Second
 
-// planInterval returns the interval between two plans of a service with a number of engines. It grows with
-// the cost of a plan.
+// planInterval returns the interval between two plans of a service. It grows with the number of engines, as
+// the cost of a plan does.
 func planInterval(engines int) time.Duration {
 	if engines <= enginesAtFullRate {
 		return 0
@@ -123,8 +123,8 @@
 	}
 }
 
-// notLoaded returns the adapters that no engine holds, not counting engines that are leaving or limit their
-// requests (isThrottled).
+// notLoaded returns the adapters that are not loaded on any usable engine. Engines that are leaving or
+// throttled are not usable.
 func (p *Placer) notLoaded(adapters []backend.Adapter, engines []*engineState) []backend.Adapter {
 	if len(adapters) == 0 {
 		return nil
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -8,8 +8,8 @@
 	"rockcleat/lease"
 )
 
-// publishInterval is the minimum interval between two updates of the published residency that reports of
-// gateways cause.
+// publishInterval is the minimum interval between two updates of the published residency that gateways'
+// reports trigger.
 const publishInterval = 25 * time.Millisecond
 
 // changeBits is the number of low bits of a version that count the changes in a term. The other bits hold
--- a/internal/placer/speeds.go
+++ b/internal/placer/speeds.go
@@ -7,7 +7,7 @@
 	"rockcleat/lease"
 )
 
-// minPublishedChange is the relative change of a model's prefill speed from which on it is published again.
+// minPublishedChange is the minimum relative change of a model's prefill speed that is published.
 const minPublishedChange = 0.1
 
 // A speedTable estimates the models' prefill speeds from the samples of all gateways, and tracks which speeds
--- a/quota/account.go
+++ b/quota/account.go
@@ -90,12 +90,12 @@
 	return total
 }
 
-// ownShareBurstTime bounds the burst of a gateway's own share, as a duration at its rate. A process that was paused
-// must not spend at once what it did not spend meanwhile.
+// ownShareBurstTime bounds the burst of a gateway's own share, as a duration at its rate. A process that was
+// paused must not spend at once what it did not spend meanwhile.
 const ownShareBurstTime = time.Second
 
-// spendOwnShare spends an amount from the gateway's own share of the rate, 0 to 1, and reports whether there was
-// enough. The bucket is empty at since. It never goes negative, because with a small burst each of many
+// spendOwnShare spends an amount from the gateway's own share of the rate, 0 to 1, and reports whether there
+// was enough. The bucket is empty at since. It never goes negative, because with a small burst each of many
 // gateways would otherwise overspend by the cost of a request.
 func (a *account) spendOwnShare(l Limit, share, amount float64, since, now time.Time) bool {
 	if a.ownShare == nil {
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -17,8 +17,8 @@
 	// AloneTime is how long after that a gateway continues without a leader. It is longer than the time to
 	// replace a failed leader, and longer than the time for which an unconfirmed configuration may be used.
 	AloneTime = 8 * time.Second
-	// delegationTime is how long a gateway's share stays with an owner that it has asked. A longer time would let
-	// two owners have the share at once for too long.
+	// delegationTime is how long a gateway's share stays with an owner that it has asked. A longer time would
+	// let two owners have the share at once for too long.
 	delegationTime = time.Second
 	// maxGrace bounds the time for which an owner without a leader keeps the shares of all gateways under the
 	// Tolerance.
@@ -145,8 +145,8 @@
 	}
 }
 
-// countDelegators returns the number of gateways whose share this gateway has: those that asked it recently, and
-// itself. Gateways that are not listed have no share.
+// countDelegators returns the number of gateways whose share this gateway has: those that asked it recently,
+// and itself. Gateways that are not listed have no share.
 func (f *gatewaySet) countDelegators(now time.Time) int {
 	n := 0
 	for _, id := range f.gatewayIDs {
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -44,8 +44,8 @@
 	reported map[string]time.Time
 	// awaited holds the gateways that the leader knew before its term and that have not reported in it.
 	awaited map[string]bool
-	// stored is the list in the store: every gateway that was on the leader's list within storedListTime. listed
-	// is when each last was.
+	// stored is the list in the store: every gateway that was on the leader's list within storedListTime.
+	// listed is when each last was.
 	stored     []string
 	lastListed map[string]time.Time
 	// spends lists the requests that were let through.
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -195,7 +195,8 @@
 // errNoOwner means that there is no known owner, or that the gateway asked is not the owner.
 var errNoOwner = errors.New("quota: no gateway owns the limit")
 
-// requestGrant requests a grant from the owner of a limit. It returns an error if there is no reply from an owner.
+// requestGrant requests a grant from the owner of a limit. It returns an error if there is no reply from an
+// owner.
 func (l *Limiter) requestGrant(ctx context.Context, r Request) (Reply, error) {
 	l.mu.Lock()
 	owner := l.gateways.owner(r.Key)
@@ -243,9 +244,9 @@
 	return Decision{Outcome: Over, RetryAfter: wait}
 }
 
-// takeOwnShare spends from this gateway's own share if the owner cannot have it any more. An owner that has lost
-// its connections acts as owner until OwnerTime has passed; meanwhile the outcome is Unknown. The outcome is
-// never Over, because the owner could grant more than this share.
+// takeOwnShare spends from this gateway's own share if the owner cannot have it any more. An owner that has
+// lost its connections acts as owner until OwnerTime has passed; meanwhile the outcome is Unknown. The
+// outcome is never Over, because the owner could grant more than this share.
 func (l *Limiter) takeOwnShare(organisation string, limit Limit, amount float64, notRunning bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -260,8 +261,8 @@
 	return Decision{Outcome: Inside}
 }
 
-// delegatedUntil returns the time until which other gateways had this gateway's share of an organisation's rate.
-// l.mu must be held.
+// delegatedUntil returns the time until which other gateways had this gateway's share of an organisation's
+// rate. l.mu must be held.
 func (l *Limiter) delegatedUntil(a *account, now time.Time) time.Time {
 	switch {
 	case l.gateways.isConfirmed(now):
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -119,8 +119,8 @@
 	})
 }
 
-// injectFaults partitions, restarts and pauses gateways at random, while each gateway receives requests until one
-// is not let through.
+// injectFaults partitions, restarts and pauses gateways at random, while each gateway receives requests until
+// one is not let through.
 func (f *gatewaySet) injectFaults(t *rapid.T, cost func() float64) {
 	for range rapid.IntRange(20, 80).Draw(t, "steps") {
 		f.step(time.Duration(rapid.IntRange(10, 900).Draw(t, "ms")) * time.Millisecond)
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestUnlistedGatewaysHaveNoShare checks that a gateway that is not listed has no share: it spends none itself, and
-// an owner that it asks gains none.
+// TestUnlistedGatewaysHaveNoShare checks that a gateway that is not listed has no share: it spends none
+// itself, and an owner that it asks gains none.
 func TestUnlistedGatewaysHaveNoShare(t *testing.T) {
 	limit := quota.Limit{Rate: 1000, Burst: 1000}
 	f := newGatewaySet(3, limit)
