--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -33,8 +33,8 @@
 // IsZero reports whether the message carries no records and no position.
 func (m Message[R]) IsZero() bool { return len(m.Records) == 0 && m.Seen == Cursor{} }
 
-// A Reply is the answer to a Message. Its Cursor is the position up to which the receiver of the reply knows
-// the replying log's changes once it has merged Records.
+// A Reply is the answer to a Message. Its Cursor is the position up to which Records completes the changes
+// known to the receiver.
 type Reply[R any] struct {
 	Cursor
 	Records []R `json:"records,omitempty"`
@@ -52,7 +52,7 @@
 	reply := &Reply[R]{Cursor: Cursor{Epoch: l.Epoch(), Version: version}, Records: records}
 	isFirst := m.Seen == Cursor{} && version == 0
 	if isFirst || reply.Cursor == m.Seen {
-		// There is nothing to send between two logs that have no changes.
+		// Either this log has no changes yet, or the peer has all of them.
 		return nil
 	}
 	return reply
@@ -62,11 +62,11 @@
 type Link[R any] struct {
 	log  Log[R]
 	peer string
-	// peerCursor is the position up to which the peer's changes are known. sent is the local version up to
-	// which the peer is known to have the changes.
+	// peerCursor is the position up to which the peer's changes are known. ackedVersion is the local version
+	// up to which the peer is known to have the changes.
 	peerCursor   Cursor
 	ackedVersion uint64
-	// telling is the local version up to which the last message carries the changes.
+	// sentVersion is the local version up to which the last message carries the changes.
 	sentVersion uint64
 }
 
@@ -102,8 +102,9 @@
 	l.peerCursor = r.Cursor
 }
 
-// Oldest returns the keys of the oldest changes, at most a given number, ordered by version, and the version
-// up to which they are complete. That is version if all keys are returned. Oldest sorts changed in place.
+// Oldest returns the keys of the oldest changes, at most limit of them, ordered by version. It also returns
+// the version up to which they are complete: that of the last key, or the given version if no key is left
+// out. It sorts changed in place.
 func Oldest[K any](changed []K, versionOf func(K) uint64, limit int, version uint64) ([]K, uint64) {
 	slices.SortFunc(changed, func(a, b K) int { return cmp.Compare(versionOf(a), versionOf(b)) })
 	if len(changed) <= limit {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -49,7 +49,7 @@
 	return p
 }
 
-// exchange sends a message to the named peer. If lost is set, the reply is dropped.
+// exchange sends a message to the named peer. If replyLost is set, the reply is dropped.
 func (p *pair) exchange(name string, replyLost bool) {
 	m := p.link.Message(name)
 	reply := exchange.Answer[string](p.peer, m)
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -34,7 +34,8 @@
 	at     time.Time
 }
 
-// fakeEngines implements backend.EngineClient. Orders are carried out at once unless answer or runs is set.
+// fakeEngines implements backend.EngineClient. Orders are carried out at once unless respond or blockUnload
+// is set.
 type fakeEngines struct {
 	clock clock.Service
 
@@ -122,9 +123,9 @@
 
 // A fakeLease is a lease that the test controls.
 type fakeLease struct {
-	mu    sync.Mutex
-	token lease.Token
-	other bool
+	mu        sync.Mutex
+	token     lease.Token
+	seenOther bool
 }
 
 func (l *fakeLease) set(token lease.Token) {
@@ -141,7 +142,7 @@
 
 func (l *fakeLease) OtherHolder() lease.Record { return lease.Record{Addr: "last"} }
 
-func (l *fakeLease) HasSeenOther() bool { return l.other }
+func (l *fakeLease) HasSeenOther() bool { return l.seenOther }
 
 func (l *fakeLease) Campaign(context.Context, kv.PrefixStore) {}
 
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// A world is a placer with fake engines, a fake lease and a test clock.
+// A fixture is a placer with fake engines, a fake lease and a test clock.
 type fixture struct {
 	t        *testing.T
 	clock    *clocktest.Clock
@@ -165,8 +166,8 @@
 	throttled map[string]bool
 }
 
-// newFixture returns a world with models of 60 GB and engines of 200 GB that hold the named models. It must be
-// called in a synctest bubble.
+// newFixture returns a fixture with models of 60 GB and engines of 200 GB that hold the named models. It must
+// be called in a synctest bubble.
 func newFixture(t *testing.T, models int, held ...[]string) *fixture {
 	c := clocktest.New(time.Unix(1000, 0))
 	f := &fixture{t: t, clock: c, lease: &fakeLease{token: 7}}
@@ -177,7 +178,7 @@
 			Name: fmt.Sprint("m", i), WeightsMB: 60_000, Adapters: 4, AdapterMB: 10, StoreLoadTime: time.Second,
 		})
 	}
-	var list []backend.Server
+	var servers []backend.Server
 	for i, names := range held {
 		id := fmt.Sprint("e", i)
 		e := &fakeEngine{}
@@ -185,9 +186,9 @@
 			e.residents = append(e.residents, backend.Resident{Model: m})
 		}
 		f.engines.engines[id] = e
-		list = append(list, backend.Server{ID: id, Service: service, Hall: "h", Residents: e.residents})
+		servers = append(servers, backend.Server{ID: id, Service: service, Hall: "h", Residents: e.residents})
 	}
-	f.registry.Replace(list, c.Now())
+	f.registry.Replace(servers, c.Now())
 	return f
 }
 
--- a/internal/placer/load_totals.go
+++ b/internal/placer/load_totals.go
@@ -30,19 +30,19 @@
 
 // update replaces a gateway's previous loads by its new ones.
 func (l *loadTotals) update(previous, current map[string]dispatch.Load) {
-	for id, x := range previous {
-		sum := subtractLoad(l.byServer[id], x)
+	for id, load := range previous {
+		sum := subtractLoad(l.byServer[id], load)
 		if sum == (dispatch.Load{}) {
 			delete(l.byServer, id)
 			continue
 		}
 		l.byServer[id] = sum
 	}
-	for id, x := range current {
+	for id, load := range current {
 		sum := l.byServer[id]
-		sum.Running += x.Running
-		sum.PrefillMs += x.PrefillMs
-		sum.UsedTokens += x.UsedTokens
+		sum.Running += load.Running
+		sum.PrefillMs += load.PrefillMs
+		sum.UsedTokens += load.UsedTokens
 		l.byServer[id] = sum
 	}
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -26,8 +26,8 @@
 	assert.Assert(t, o.order.Fence > 0)
 	f.advance(5 * time.Second)
 	assert.Equal(t, len(f.engines.orders()), 1)
-	a := f.reportDemand("m1", 0, 0)
-	assert.Equal(t, len(a.Residency["e0"].Residents), 2)
+	reply := f.reportDemand("m1", 0, 0)
+	assert.Equal(t, len(reply.Residency["e0"].Residents), 2)
 }
 
 func TestOrderWithoutAnswerIsIssuedAgainUnderTheSameSequence(t *testing.T) {
@@ -47,8 +47,8 @@
 				f.waitUntil("model there", func() bool { return len(f.reportDemand("m1", 0, 0).Residency["e0"].Residents) == 2 })
 				f.advance(3 * time.Second)
 				loads := 0
-				for _, g := range f.engines.orders() {
-					assert.Equal(t, g.order.Sequence, 0, "a late order and a repeated one must not both count")
+				for _, issued := range f.engines.orders() {
+					assert.Equal(t, issued.order.Sequence, 0, "a late order and a repeated one must not both count")
 					loads++
 				}
 				assert.Assert(t, loads <= 2)
@@ -64,7 +64,7 @@
 func testLaterLeaderSettles(t *testing.T) {
 	f := newFixture(t, 2, []string{"m0"})
 	start := f.clock.Now()
-	f.lease.other = true
+	f.lease.seenOther = true
 	f.start(true)
 	f.waitUntil("load", f.ordersIssued(1))
 	assert.Assert(t, f.engines.orders()[0].at.Sub(start) >= ttl)
@@ -108,7 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t, 2, []string{"m0"})
-				f.lease.other = true
+				f.lease.seenOther = true
 				f.lease.set(0)
 				p := f.start(true)
 				test.say(f, p)
@@ -252,15 +252,15 @@
 	p := f.start(true)
 	f.advance(5 * time.Second)
 	p.Report(placer.Report{GatewayID: "g1", Addr: "a1", Hall: "h1", Loads: map[string]dispatch.Load{"e0": {Running: 2, PrefillMs: 30, UsedTokens: 5}}})
-	a := p.Report(placer.Report{GatewayID: "g2", Addr: "a2", Hall: "h2", Loads: map[string]dispatch.Load{"e0": {Running: 7}}})
-	assert.Equal(t, len(a.Gateways), 2)
-	assert.Equal(t, a.Loads["e0"], dispatch.Load{Running: 2, PrefillMs: 30, UsedTokens: 5}, "others' load without the own")
-	again := p.Report(placer.Report{GatewayID: "g2", Addr: "a2", GatewaysVersion: a.GatewaysVersion, ResidencyVersion: a.ResidencyVersion})
+	reply := p.Report(placer.Report{GatewayID: "g2", Addr: "a2", Hall: "h2", Loads: map[string]dispatch.Load{"e0": {Running: 7}}})
+	assert.Equal(t, len(reply.Gateways), 2)
+	assert.Equal(t, reply.Loads["e0"], dispatch.Load{Running: 2, PrefillMs: 30, UsedTokens: 5}, "others' load without the own")
+	again := p.Report(placer.Report{GatewayID: "g2", Addr: "a2", GatewaysVersion: reply.GatewaysVersion, ResidencyVersion: reply.ResidencyVersion})
 	assert.Equal(t, len(again.Gateways)+len(again.Residency), 0, "what is known is not sent again")
-	assert.Equal(t, again.GatewaysVersion, a.GatewaysVersion)
+	assert.Equal(t, again.GatewaysVersion, reply.GatewaysVersion)
 	f.advance(3 * time.Second)
-	a = p.Report(placer.Report{GatewayID: "g2", Addr: "a2", GatewaysVersion: a.GatewaysVersion})
-	assert.Equal(t, len(a.Gateways), 1, "a gateway that was silent no longer counts")
+	reply = p.Report(placer.Report{GatewayID: "g2", Addr: "a2", GatewaysVersion: reply.GatewaysVersion})
+	assert.Equal(t, len(reply.Gateways), 1, "a gateway that was silent no longer counts")
 }
 
 // TestResidencyIsSentInParts checks that a gateway is sent what has changed since the version that it has,
@@ -271,21 +271,21 @@
 	f := newFixture(t, 2, []string{"m0"}, []string{"m0", "m1"})
 	p := f.start(true)
 	f.advance(5 * time.Second)
-	a := p.Report(placer.Report{GatewayID: "g"})
-	assert.Assert(t, a.Full && len(a.Residency) == 2, "%+v", a)
+	reply := p.Report(placer.Report{GatewayID: "g"})
+	assert.Assert(t, reply.Full && len(reply.Residency) == 2, "%+v", reply)
 	f.reportDemand("m1/a1", 0, 0)
 	f.reportDemand("m1/a1", 1, 1)
 	p.Wake()
 	f.waitUntil("adapter published", func() bool {
-		a = p.Report(placer.Report{GatewayID: "g", ResidencyVersion: a.ResidencyVersion})
-		r := a.Residency["e1"].Residents
+		reply = p.Report(placer.Report{GatewayID: "g", ResidencyVersion: reply.ResidencyVersion})
+		r := reply.Residency["e1"].Residents
 		return len(r) == 2 && r[1].Has("a1")
 	})
-	assert.Assert(t, !a.Full && len(a.Residency) == 1, "%+v", a)
+	assert.Assert(t, !reply.Full && len(reply.Residency) == 1, "%+v", reply)
 	f.lease.set(9)
 	f.advance(5 * time.Second)
-	a = p.Report(placer.Report{GatewayID: "g", ResidencyVersion: a.ResidencyVersion})
-	assert.Assert(t, a.Full && len(a.Residency) == 2, "%+v", a)
+	reply = p.Report(placer.Report{GatewayID: "g", ResidencyVersion: reply.ResidencyVersion})
+	assert.Assert(t, reply.Full && len(reply.Residency) == 2, "%+v", reply)
 }
 
 // TestPastDemandIsNotCounted guards against counters of past demand that are taken for current demand by a
--- a/internal/placer/speeds_test.go
+++ b/internal/placer/speeds_test.go
@@ -24,14 +24,14 @@
 	for i := range 100 {
 		p.Report(placer.Report{GatewayID: string(rune('a' + i%20)), Samples: []dispatch.PrefillSample{{Model: "m0", MsPerToken: speed}}})
 	}
-	a := p.Report(placer.Report{GatewayID: "new"})
-	assert.Assert(t, math.Abs(a.Speeds["m0"]-speed) < 0.15*speed, "%v", a.Speeds)
-	a = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: a.SpeedsVersion})
-	assert.Equal(t, len(a.Speeds), 0)
+	reply := p.Report(placer.Report{GatewayID: "new"})
+	assert.Assert(t, math.Abs(reply.Speeds["m0"]-speed) < 0.15*speed, "%v", reply.Speeds)
+	reply = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: reply.SpeedsVersion})
+	assert.Equal(t, len(reply.Speeds), 0)
 	f.lease.set(9)
 	f.advance(5 * time.Second)
-	a = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: a.SpeedsVersion})
-	assert.Equal(t, len(a.Speeds), 1, "another term begins with all that it knows")
+	reply = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: reply.SpeedsVersion})
+	assert.Equal(t, len(reply.Speeds), 1, "another term begins with all that it knows")
 }
 
 // TestSamplesBeforeTheTerm guards against a panic on samples that arrive after the lease was acquired and
@@ -41,9 +41,9 @@
 func testSamplesBeforeTheTerm(t *testing.T) {
 	f := newFixture(t, 2, []string{"m0", "m1"})
 	p := f.start(true)
-	a := p.Report(placer.Report{GatewayID: "g", Samples: []dispatch.PrefillSample{{Model: "m0", MsPerToken: 0.01}}})
-	assert.Assert(t, a.IsLeader)
+	reply := p.Report(placer.Report{GatewayID: "g", Samples: []dispatch.PrefillSample{{Model: "m0", MsPerToken: 0.01}}})
+	assert.Assert(t, reply.IsLeader)
 	f.advance(5 * time.Second)
-	a = p.Report(placer.Report{GatewayID: "g"})
-	assert.Equal(t, len(a.Speeds), 1)
+	reply = p.Report(placer.Report{GatewayID: "g"})
+	assert.Equal(t, len(reply.Speeds), 1)
 }
--- a/quota/account.go
+++ b/quota/account.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A stocked is the unspent remainder of a grant or a refund.
+// A credit is an amount granted or given back that has not been spent yet.
 type credit struct {
 	amount float64
 	until  time.Time
@@ -20,7 +20,8 @@
 	// delegatedAt is when the last request that an owner answered was sent. Until then the owner had this
 	// gateway's share.
 	delegatedAt time.Time
-	// part is the bucket of this gateway's own share of the rate while the owner cannot be reached, else nil.
+	// ownShare is the bucket of this gateway's own share of the rate while the owner cannot be reached, else
+	// nil.
 	ownShare *bucket
 	// counts holds the decisions since the process started.
 	counts Counts
@@ -32,7 +33,7 @@
 // demandTimeConstant is the time constant of the demand average.
 const demandTimeConstant = time.Second
 
-// note adds an amount to the measured demand.
+// recordDemand adds an amount to the measured demand.
 func (a *account) recordDemand(amount float64, now time.Time) {
 	if elapsed := now.Sub(a.demandAt); elapsed > 0 {
 		a.demand *= math.Exp(-elapsed.Seconds() / demandTimeConstant.Seconds())
@@ -51,15 +52,15 @@
 	return expected - need
 }
 
-// addCredit adds an amount that may be spent until a time.
+// addCredit adds an amount that may be spent until the given time.
 func (a *account) addCredit(amount float64, until time.Time) {
 	if amount > 0 {
 		a.credits = append(a.credits, credit{amount: amount, until: until})
 	}
 }
 
-// spend takes an amount from the stock, what expires first before the rest, and reports whether there was
-// enough.
+// spend takes an amount from the credits, in the order in which they were added, and reports whether there
+// was enough.
 func (a *account) spend(amount float64, now time.Time) bool {
 	total := a.dropExpired(now)
 	if total < amount {
@@ -80,10 +81,10 @@
 // dropExpired removes expired amounts and returns the total of the others.
 func (a *account) dropExpired(now time.Time) (total float64) {
 	kept := a.credits[:0]
-	for _, s := range a.credits {
-		if now.Before(s.until) {
-			kept = append(kept, s)
-			total += s.amount
+	for _, c := range a.credits {
+		if now.Before(c.until) {
+			kept = append(kept, c)
+			total += c.amount
 		}
 	}
 	a.credits = kept
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -4,17 +4,18 @@
 //
 // A limit is a rate and a burst, in requests or tokens. One gateway is the organisation's owner, chosen by
 // rendezvous hashing over the leader's list of gateways. The owner has the limit's token bucket and makes
-// grants from it (granter). Any other gateway requests a grant from the owner for a request, and prefetches a
-// small amount if it expects more requests (account). An organisation within its limit is served whichever
-// gateways its requests arrive at.
+// grants from it (granter). Any other gateway requests a grant from the owner when a request needs one, and
+// prefetches a small amount if it expects more requests (account). An organisation within its limit is served
+// whichever gateways its requests arrive at.
 //
-// The limit is also enforced when gateways lose contact. Each of n gateways has a share of 1/n of the rate,
-// and delegates it to the owner that it asks (fleet). An owner that hears from the leader grants the shares
-// of all listed gateways; those of gateways recently removed from the list are left to these gateways.
-// OwnerTime after its last contact with the leader, an owner is left with the shares of gateways that asked
-// it recently, and AloneTime later with none. OwnerTime is shorter than the time after which the leader lets
-// another gateway become the owner. A gateway that cannot reach the owner spends its own share, for the same
-// time. Two owners that do not know of each other therefore grant no more than the rate together. A new owner
+// The limit is also enforced when gateways lose contact with each other. Each of n gateways has a share of
+// 1/n of the rate, and delegates it to the owner that it asks (gatewaySet). The shares of gateways recently
+// removed from the list are left to these gateways. An owner in contact with the leader grants the shares of
+// all listed gateways. When OwnerTime has passed since the last contact, and a grace period that the
+// Tolerance permits, the owner grants only the shares of gateways that asked it recently, and AloneTime after
+// OwnerTime none. OwnerTime is shorter than the time after which the leader lets another gateway become the
+// owner. A gateway that cannot reach the owner spends its own share, up to the same time. Two owners that do
+// not know of each other therefore grant no more than the rate together, within the Tolerance. A new owner
 // starts with an empty bucket. A grant counts as spent when it is made, and expires after StockTime.
 //
 // A Limiter keeps its buckets, prefetched grants and shares in memory and loses them when the process ends.
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -20,11 +20,11 @@
 	// delegationTime is how long a gateway's share stays with an owner that it has asked. A longer time would
 	// let two owners have the share at once for too long.
 	delegationTime = time.Second
-	// maxGrace bounds the time for which an owner without a leader keeps the shares of all gateways under the
-	// Tolerance.
+	// maxGrace bounds the additional time in which the Tolerance lets an owner without a leader keep the
+	// shares of all listed gateways.
 	maxGrace = 2 * time.Second
-	// graceShare is the fraction of the Tolerance that one owner may use for this. Several owners can lose
-	// the leader one after another.
+	// graceShare is the fraction of the Tolerance that one owner may use for that additional time. Several
+	// owners can lose the leader one after another.
 	graceShare = 0.1
 )
 
@@ -51,10 +51,10 @@
 	Awaited int `json:"awaited,omitempty"`
 }
 
-// A fleet is a gateway's view of all gateways.
+// A gatewaySet is a gateway's view of all gateways.
 type gatewaySet struct {
 	self string
-	// gatewayIDs lists the gateways in the leader's last list; initially empty.
+	// gatewayIDs is the leader's last list of gateways. It is empty at first.
 	gatewayIDs []string
 	// owners caches the owner of each organisation.
 	owners map[string]string
@@ -79,79 +79,78 @@
 	}
 }
 
-// recordLeaderReply records that a leader replied to a request sent at a time.
-func (f *gatewaySet) recordLeaderReply(sentAt time.Time, a Absence) {
-	f.absence = a
-	f.wasUnconfirmed = sentAt.After(f.confirmedUntil)
-	f.confirmedUntil = sentAt.Add(OwnerTime)
+// recordLeaderReply records that a leader replied to a request sent at the given time.
+func (s *gatewaySet) recordLeaderReply(sentAt time.Time, a Absence) {
+	s.absence = a
+	s.wasUnconfirmed = sentAt.After(s.confirmedUntil)
+	s.confirmedUntil = sentAt.Add(OwnerTime)
 }
 
 // setGateways replaces the list of gateways.
-func (f *gatewaySet) setGateways(ids []string, now time.Time) {
+func (s *gatewaySet) setGateways(ids []string, now time.Time) {
 	listed := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		listed[id] = true
-		delete(f.removed, id)
+		delete(s.removed, id)
 	}
-	for _, id := range f.gatewayIDs {
+	for _, id := range s.gatewayIDs {
 		if !listed[id] {
-			f.removed[id] = now
+			s.removed[id] = now
 		}
 	}
-	maps.DeleteFunc(f.askedAt, func(id string, _ time.Time) bool { return !listed[id] })
-	f.gatewayIDs, f.owners = ids, make(map[string]string)
+	maps.DeleteFunc(s.askedAt, func(id string, _ time.Time) bool { return !listed[id] })
+	s.gatewayIDs, s.owners = ids, make(map[string]string)
 }
 
-// addFormer records gateways known before this process had a list. Those not listed count as recently
-// removed.
-func (f *gatewaySet) addFormer(ids []string, now time.Time) {
+// addFormer records gateways known before this process started. Those not listed count as recently removed.
+func (s *gatewaySet) addFormer(ids []string, now time.Time) {
 	for _, id := range ids {
-		if !slices.Contains(f.gatewayIDs, id) {
-			f.removed[id] = now
+		if !slices.Contains(s.gatewayIDs, id) {
+			s.removed[id] = now
 		}
 	}
 }
 
 // owner returns the gateway that makes grants for an organisation, or an empty string if there is no list
 // yet.
-func (f *gatewaySet) owner(organisation string) string {
-	id, ok := f.owners[organisation]
+func (s *gatewaySet) owner(organisation string) string {
+	id, ok := s.owners[organisation]
 	if !ok {
-		id = rendezvous.Owner(f.gatewayIDs, rendezvous.Key(organisation))
-		f.owners[organisation] = id
+		id = rendezvous.Owner(s.gatewayIDs, rendezvous.Key(organisation))
+		s.owners[organisation] = id
 	}
 	return id
 }
 
 // countRemoved returns the number of gateways recently removed from the list.
-func (f *gatewaySet) countRemoved(now time.Time) int {
-	for id, at := range f.removed {
+func (s *gatewaySet) countRemoved(now time.Time) int {
+	for id, at := range s.removed {
 		if now.Sub(at) > AloneTime {
-			delete(f.removed, id)
+			delete(s.removed, id)
 		}
 	}
-	return len(f.removed)
+	return len(s.removed)
 }
 
 // size returns the number of gateways that have a share: those listed and those recently removed.
-func (f *gatewaySet) size(now time.Time) int {
-	return len(f.gatewayIDs) + max(f.countRemoved(now), f.absence.Lapsed)
+func (s *gatewaySet) size(now time.Time) int {
+	return len(s.gatewayIDs) + max(s.countRemoved(now), s.absence.Lapsed)
 }
 
 // recordRequest records that a gateway requested a grant from this one, if it is listed.
-func (f *gatewaySet) recordRequest(id string, now time.Time) {
-	if slices.Contains(f.gatewayIDs, id) {
-		f.askedAt[id] = now
+func (s *gatewaySet) recordRequest(id string, now time.Time) {
+	if slices.Contains(s.gatewayIDs, id) {
+		s.askedAt[id] = now
 	}
 }
 
 // countDelegators returns the number of gateways whose share this gateway has: those that asked it recently,
 // and itself. Gateways that are not listed have no share.
-func (f *gatewaySet) countDelegators(now time.Time) int {
+func (s *gatewaySet) countDelegators(now time.Time) int {
 	n := 0
-	for _, id := range f.gatewayIDs {
-		at, asked := f.askedAt[id]
-		if id == f.self || asked && now.Sub(at) <= delegationTime {
+	for _, id := range s.gatewayIDs {
+		at, asked := s.askedAt[id]
+		if id == s.self || asked && now.Sub(at) <= delegationTime {
 			n++
 		}
 	}
@@ -159,29 +158,29 @@
 }
 
 // isConfirmed reports whether this gateway has the shares of all listed gateways.
-func (f *gatewaySet) isConfirmed(now time.Time) bool { return now.Before(f.confirmedUntil) }
+func (s *gatewaySet) isConfirmed(now time.Time) bool { return now.Before(s.confirmedUntil) }
 
 // share returns the share of a limit's rate that this gateway grants as its owner, 0 to 1.
-func (f *gatewaySet) share(l Limit, t Tolerance, now time.Time) float64 {
-	size := float64(f.size(now))
+func (s *gatewaySet) share(l Limit, t Tolerance, now time.Time) float64 {
+	size := float64(s.size(now))
 	if size == 0 {
 		return 0
 	}
-	listed := float64(max(len(f.gatewayIDs)-f.absence.Awaited, 1)) / size
+	listed := float64(max(len(s.gatewayIDs)-s.absence.Awaited, 1)) / size
 	switch {
-	case now.Before(f.confirmedUntil.Add(t.grace(l))):
+	case now.Before(s.confirmedUntil.Add(t.grace(l))):
 		return listed
-	case now.Before(f.confirmedUntil.Add(AloneTime)):
-		return min(listed, float64(f.countDelegators(now))/size)
+	case now.Before(s.confirmedUntil.Add(AloneTime)):
+		return min(listed, float64(s.countDelegators(now))/size)
 	}
 	return 0
 }
 
 // ownShare returns the share of a rate that this gateway may spend while it cannot reach an owner, 0 to 1. It
 // is 0 for a gateway that is not listed, because the listed ones leave no share for it.
-func (f *gatewaySet) ownShare(now time.Time) float64 {
-	if !slices.Contains(f.gatewayIDs, f.self) || !now.Before(f.confirmedUntil.Add(AloneTime)) {
+func (s *gatewaySet) ownShare(now time.Time) float64 {
+	if !slices.Contains(s.gatewayIDs, s.self) || !now.Before(s.confirmedUntil.Add(AloneTime)) {
 		return 0
 	}
-	return 1 / float64(f.size(now))
+	return 1 / float64(s.size(now))
 }
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -30,7 +30,7 @@
 	storedListTime = quota.AloneTime + 2*time.Second
 )
 
-// A fleet is a set of simulated gateways, one of them the leader, connected without a network.
+// A gatewaySet is a set of simulated gateways, one of them the leader, connected without a network.
 type gatewaySet struct {
 	clock *clocktest.Clock
 	limit quota.Limit
@@ -45,7 +45,7 @@
 	// awaited holds the gateways that the leader knew before its term and that have not reported in it.
 	awaited map[string]bool
 	// stored is the list in the store: every gateway that was on the leader's list within storedListTime.
-	// listed is when each last was.
+	// lastListed holds when each last was.
 	stored     []string
 	lastListed map[string]time.Time
 	// spends lists the requests that were let through.
@@ -57,7 +57,7 @@
 	amount float64
 }
 
-// A member is a simulated gateway. It implements quota.Asker for its own limiter.
+// A testGateway is a simulated gateway. It implements quota.Asker for its own limiter.
 type testGateway struct {
 	set     *gatewaySet
 	id      string
@@ -76,140 +76,140 @@
 }
 
 func newGatewaySetWithin(size int, limit quota.Limit, t quota.Tolerance) *gatewaySet {
-	f := &gatewaySet{clock: clocktest.New(time.Unix(0, 0)), limit: limit, tolerance: t, reported: make(map[string]time.Time), lastListed: make(map[string]time.Time)}
+	s := &gatewaySet{clock: clocktest.New(time.Unix(0, 0)), limit: limit, tolerance: t, reported: make(map[string]time.Time), lastListed: make(map[string]time.Time)}
 	for i := range size {
-		f.gateways = append(f.gateways, &testGateway{set: f, id: fmt.Sprint("g", i)})
-		f.restart(i)
+		s.gateways = append(s.gateways, &testGateway{set: s, id: fmt.Sprint("g", i)})
+		s.restart(i)
 	}
-	f.leader = f.gateways[0]
-	return f
+	s.leader = s.gateways[0]
+	return s
 }
 
 // restart replaces a gateway's limiter by one without state.
-func (f *gatewaySet) restart(i int) {
-	m := f.gateways[i]
-	if f.leader == m {
-		f.loseLeader()
-	}
-	m.ids = nil
-	m.limiter = quota.New(quota.Options{
-		Self: m.id, Clock: f.clock, Asker: m, Tolerance: f.tolerance,
-		Limit: func(string) (quota.Limit, bool) { return f.limit, true },
+func (s *gatewaySet) restart(i int) {
+	g := s.gateways[i]
+	if s.leader == g {
+		s.loseLeader()
+	}
+	g.ids = nil
+	g.limiter = quota.New(quota.Options{
+		Self: g.id, Clock: s.clock, Asker: g, Tolerance: s.tolerance,
+		Limit: func(string) (quota.Limit, bool) { return s.limit, true },
 	})
-	if len(f.stored) > 0 {
-		m.applyList(f.stored)
+	if len(s.stored) > 0 {
+		g.applyList(s.stored)
 	}
 }
 
 // loseLeader removes the leader until the lease has expired.
-func (f *gatewaySet) loseLeader() {
-	f.leader, f.leadFrom = nil, f.clock.Now().Add(leaderlessTime)
+func (s *gatewaySet) loseLeader() {
+	s.leader, s.leadFrom = nil, s.clock.Now().Add(leaderlessTime)
 }
 
 // elect makes the first running gateway of partition 0 the leader if there is none and the lease has expired.
-func (f *gatewaySet) elect() {
-	if f.leader != nil || f.clock.Now().Before(f.leadFrom) {
+func (s *gatewaySet) elect() {
+	if s.leader != nil || s.clock.Now().Before(s.leadFrom) {
 		return
 	}
-	for _, m := range f.gateways {
-		if m.partition == 0 && !m.paused {
-			f.leader = m
-			f.seedReports()
+	for _, g := range s.gateways {
+		if g.partition == 0 && !g.paused {
+			s.leader = g
+			s.seedReports()
 			return
 		}
 	}
 }
 
 // seedReports starts a leader's term with the gateways that it knew, as if they had just reported.
-func (f *gatewaySet) seedReports() {
-	f.reported, f.awaited = make(map[string]time.Time), make(map[string]bool)
-	for _, id := range f.leader.ids {
-		f.reported[id], f.awaited[id] = f.clock.Now(), true
+func (s *gatewaySet) seedReports() {
+	s.reported, s.awaited = make(map[string]time.Time), make(map[string]bool)
+	for _, id := range s.leader.ids {
+		s.reported[id], s.awaited[id] = s.clock.Now(), true
 	}
 }
 
 // report makes all gateways that can reach the leader report to it.
-func (f *gatewaySet) report() {
-	f.elect()
-	if f.leader == nil {
+func (s *gatewaySet) report() {
+	s.elect()
+	if s.leader == nil {
 		return
 	}
-	now := f.clock.Now()
-	for _, m := range f.gateways {
-		if f.reaches(m, f.leader) {
-			f.reported[m.id] = now
-			delete(f.awaited, m.id)
+	now := s.clock.Now()
+	for _, g := range s.gateways {
+		if s.reaches(g, s.leader) {
+			s.reported[g.id] = now
+			delete(s.awaited, g.id)
 		}
 	}
 	var ids []string
-	for _, m := range f.gateways {
-		if at, ok := f.reported[m.id]; ok && now.Sub(at) < listTimeout {
-			ids = append(ids, m.id)
+	for _, g := range s.gateways {
+		if at, ok := s.reported[g.id]; ok && now.Sub(at) < listTimeout {
+			ids = append(ids, g.id)
 			continue
 		}
-		delete(f.awaited, m.id)
+		delete(s.awaited, g.id)
 	}
-	f.storeList(ids)
-	for _, m := range f.gateways {
-		if f.reaches(m, f.leader) {
-			m.limiter.Heard(now, quota.Absence{Lapsed: f.leader.limiter.Lapsed(), Awaited: len(f.awaited)})
-			m.applyList(ids)
+	s.storeList(ids)
+	for _, g := range s.gateways {
+		if s.reaches(g, s.leader) {
+			g.limiter.Heard(now, quota.Absence{Lapsed: s.leader.limiter.Lapsed(), Awaited: len(s.awaited)})
+			g.applyList(ids)
 		}
 	}
 }
 
 // storeList writes the leader's list to the store.
-func (f *gatewaySet) storeList(ids []string) {
-	now := f.clock.Now()
+func (s *gatewaySet) storeList(ids []string) {
+	now := s.clock.Now()
 	for _, id := range ids {
-		f.lastListed[id] = now
+		s.lastListed[id] = now
 	}
-	maps.DeleteFunc(f.lastListed, func(_ string, at time.Time) bool { return now.Sub(at) > storedListTime })
-	f.stored = slices.Sorted(maps.Keys(f.lastListed))
+	maps.DeleteFunc(s.lastListed, func(_ string, at time.Time) bool { return now.Sub(at) > storedListTime })
+	s.stored = slices.Sorted(maps.Keys(s.lastListed))
 }
 
-func (f *gatewaySet) reaches(a, b *testGateway) bool {
+func (s *gatewaySet) reaches(a, b *testGateway) bool {
 	return a.partition == b.partition && !a.paused && !b.paused
 }
 
-func (m *testGateway) applyList(ids []string) {
-	if slices.Equal(m.ids, ids) {
+func (g *testGateway) applyList(ids []string) {
+	if slices.Equal(g.ids, ids) {
 		return
 	}
-	m.ids = ids
-	m.limiter.SetGateways(ids)
+	g.ids = ids
+	g.limiter.SetGateways(ids)
 }
 
 // step advances the clock, with reports at their interval.
-func (f *gatewaySet) step(d time.Duration) {
+func (s *gatewaySet) step(d time.Duration) {
 	for d > 0 {
 		next := min(d, reportInterval)
-		f.clock.Advance(next)
-		f.report()
+		s.clock.Advance(next)
+		s.report()
 		d -= next
 	}
 }
 
 // request sends a request to a gateway and records it if it is let through.
-func (f *gatewaySet) request(i int, amount float64) quota.Outcome {
-	m := f.gateways[i]
-	if m.paused {
+func (s *gatewaySet) request(i int, amount float64) quota.Outcome {
+	g := s.gateways[i]
+	if g.paused {
 		return quota.Unknown
 	}
-	d := m.limiter.Take(context.Background(), testOrganisation, amount)
+	d := g.limiter.Take(context.Background(), testOrganisation, amount)
 	if d.Outcome == quota.Inside {
-		f.spends = append(f.spends, spend{at: f.clock.Now(), amount: amount})
+		s.spends = append(s.spends, spend{at: s.clock.Now(), amount: amount})
 	}
 	return d.Outcome
 }
 
 // maxSpentIn returns the maximum amount spent in any window of the given length.
-func (f *gatewaySet) maxSpentIn(window time.Duration) (most float64) {
+func (s *gatewaySet) maxSpentIn(window time.Duration) (most float64) {
 	sum, first := 0.0, 0
-	for _, s := range f.spends {
-		sum += s.amount
-		for s.at.Sub(f.spends[first].at) >= window {
-			sum -= f.spends[first].amount
+	for _, x := range s.spends {
+		sum += x.amount
+		for x.at.Sub(s.spends[first].at) >= window {
+			sum -= s.spends[first].amount
 			first++
 		}
 		most = max(most, sum)
@@ -218,9 +218,9 @@
 }
 
 // owner returns the index of the gateway that owns the organisation.
-func (f *gatewaySet) owner() int {
-	for i, m := range f.gateways {
-		if s, _ := m.limiter.Status(testOrganisation); s.Owner == m.id {
+func (s *gatewaySet) owner() int {
+	for i, g := range s.gateways {
+		if status, _ := g.limiter.Status(testOrganisation); status.Owner == g.id {
 			return i
 		}
 	}
@@ -228,9 +228,9 @@
 }
 
 // AskGrant implements quota.Asker.
-func (m *testGateway) AskGrant(_ context.Context, gateway string, r quota.Request) (quota.Reply, error) {
-	for _, other := range m.set.gateways {
-		if other.id == gateway && m.set.reaches(m, other) {
+func (g *testGateway) AskGrant(_ context.Context, gateway string, r quota.Request) (quota.Reply, error) {
+	for _, other := range g.set.gateways {
+		if other.id == gateway && g.set.reaches(g, other) {
 			return other.limiter.Grant(r), nil
 		}
 	}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -26,8 +26,8 @@
 
 // An Asker requests grants from other gateways.
 type Asker interface {
-	// AskGrant requests a grant from the gateway with an ID. The error is or wraps ErrEnded if the process is
-	// known to have ended.
+	// AskGrant requests a grant from the gateway with the given ID. The error is or wraps ErrEnded if the
+	// process is known to have ended.
 	AskGrant(ctx context.Context, gateway string, r Request) (Reply, error)
 }
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// Heard records that a leader replied to a request sent at a time, and the Absence in its reply. Call it
-// before SetGateways with the list of the same reply.
+// Heard records that a leader replied to a request sent at the given time, and the Absence in its reply. Call
+// it before SetGateways with the list of the same reply.
 func (l *Limiter) Heard(sentAt time.Time, a Absence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +134,7 @@
 	l.gateways.addFormer(ids, l.opts.Clock.Now())
 }
 
-// Grant handles another gateway's request for a grant. The reply is empty if this gateway does not own the
+// Grant handles a gateway's request for a grant. The reply is empty if this gateway does not own the
 // organisation or the request is invalid.
 func (l *Limiter) Grant(r Request) Reply {
 	limit, ok := l.opts.Limit(r.Key)
@@ -151,7 +151,8 @@
 	return reply
 }
 
-// Take decides whether a request that spends an amount may run, and counts the amount as spent if so.
+// Take decides whether a request that spends an amount may run, and counts the amount as spent if so. A
+// request of an organisation without a limit may always run.
 func (l *Limiter) Take(ctx context.Context, organisation string, amount float64) Decision {
 	limit, ok := l.opts.Limit(organisation)
 	if !ok {
@@ -205,7 +206,7 @@
 	case "":
 		return Reply{}, errNoOwner
 	case l.opts.Self:
-		// Prefetching from the local bucket has no use.
+		// A local grant needs no prefetch.
 		r.Ahead = 0
 		return requireOwner(l.Grant(r), nil)
 	}
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -24,7 +24,8 @@
 }
 
 // TestInsideTheLimitIsServed checks that no request is refused at three quarters of the rate, whichever
-// gateways the requests arrive at. Fixed equal shares per gateway would be too small for single requests.
+// gateways the requests arrive at. With a fixed equal share per gateway, most requests under the smallest
+// limit would be refused.
 func TestInsideTheLimitIsServed(t *testing.T) {
 	tests := map[string]quota.Limit{
 		"the smallest":  {Rate: 2600, Burst: 2600},
@@ -35,12 +36,12 @@
 	for name, limit := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(1, 2))
-			f := newGatewaySet(24, limit)
-			f.step(3 * time.Second)
+			s := newGatewaySet(24, limit)
+			s.step(3 * time.Second)
 			pause := time.Duration(typicalCost / (0.75 * limit.Rate) * float64(time.Second))
 			for range 500 {
-				f.step(pause)
-				assert.Equal(t, f.request(r.IntN(24), typicalCost), quota.Inside)
+				s.step(pause)
+				assert.Equal(t, s.request(r.IntN(24), typicalCost), quota.Inside)
 			}
 		})
 	}
@@ -49,15 +50,15 @@
 // TestOverTheLimit checks that an organisation which requests six times its rate gets its rate.
 func TestOverTheLimit(t *testing.T) {
 	limit := quota.Limit{Rate: 40_000, Burst: 40_000}
-	f := newGatewaySet(24, limit)
+	s := newGatewaySet(24, limit)
 	r := rand.New(rand.NewPCG(1, 2))
-	f.step(3 * time.Second)
+	s.step(3 * time.Second)
 	const seconds = 10
 	pause := time.Duration(typicalCost / (6 * limit.Rate) * float64(time.Second))
 	inside := 0
 	for range int(seconds * 6 * limit.Rate / typicalCost) {
-		f.step(pause)
-		switch f.request(r.IntN(24), typicalCost) {
+		s.step(pause)
+		switch s.request(r.IntN(24), typicalCost) {
 		case quota.Inside:
 			inside++
 		case quota.Unknown:
@@ -66,27 +67,27 @@
 	}
 	served := float64(inside) * typicalCost
 	assert.Assert(t, served >= 0.97*limit.Rate*seconds, "%v tokens in %d s", served, seconds)
-	assert.Assert(t, f.maxSpentIn(tolerance.Window) <= maxAllowed(limit), "%v tokens in a window", f.maxSpentIn(tolerance.Window))
+	assert.Assert(t, s.maxSpentIn(tolerance.Window) <= maxAllowed(limit), "%v tokens in a window", s.maxSpentIn(tolerance.Window))
 }
 
 // TestNewOwnerStartsEmpty checks that repeated restarts of the owner, which forgets its grants, do not
 // exceed the limit.
 func TestNewOwnerStartsEmpty(t *testing.T) {
 	limit := quota.Limit{Rate: 100_000, Burst: 100_000}
-	f := newGatewaySet(6, limit)
+	s := newGatewaySet(6, limit)
 	r := rand.New(rand.NewPCG(1, 2))
-	f.step(3 * time.Second)
+	s.step(3 * time.Second)
 	for range 400 {
-		f.step(20 * time.Millisecond)
-		for i := range f.gateways {
-			for f.request(i, typicalCost) == quota.Inside {
+		s.step(20 * time.Millisecond)
+		for i := range s.gateways {
+			for s.request(i, typicalCost) == quota.Inside {
 			}
 		}
 		if r.IntN(20) == 0 {
-			f.restart(f.owner())
+			s.restart(s.owner())
 		}
 	}
-	assert.Assert(t, f.maxSpentIn(tolerance.Window) <= maxAllowed(limit), "%v of %v", f.maxSpentIn(tolerance.Window), maxAllowed(limit))
+	assert.Assert(t, s.maxSpentIn(tolerance.Window) <= maxAllowed(limit), "%v of %v", s.maxSpentIn(tolerance.Window), maxAllowed(limit))
 }
 
 // TestLimitHolds checks that the limit holds in every window while gateways and the leader are partitioned,
@@ -96,23 +97,23 @@
 		size := rapid.IntRange(2, 24).Draw(t, "gateways")
 		limit := quota.Limit{Rate: rapid.Float64Range(1000, 200_000).Draw(t, "rate")}
 		limit.Burst = limit.Rate * rapid.Float64Range(0.1, 1).Draw(t, "burst")
-		f := newGatewaySet(size, limit)
-		f.injectFaults(t, func() float64 { return rapid.Float64Range(100, 4000).Draw(t, "cost") })
-		if most := f.maxSpentIn(tolerance.Window); most > maxAllowed(limit) {
+		s := newGatewaySet(size, limit)
+		s.injectFaults(t, func() float64 { return rapid.Float64Range(100, 4000).Draw(t, "cost") })
+		if most := s.maxSpentIn(tolerance.Window); most > maxAllowed(limit) {
 			t.Fatalf("spent %v tokens in a window, limit is %v", most, maxAllowed(limit))
 		}
 	})
 }
 
-// TestServerLimitHolds checks the same for the limit of a backend server, which is small. It permits one and
-// a half times the limit and five requests in any window.
+// TestServerLimitHolds checks the same for the limit of a backend server, which can be a few requests per
+// second. One and a half times the limit plus five requests are permitted in any window.
 func TestServerLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(2, 24).Draw(t, "gateways")
 		perSecond := rapid.OneOf(rapid.Float64Range(0, 5), rapid.Float64Range(5, 200)).Draw(t, "rate")
-		f := newGatewaySetWithin(size, serverlimit.Quota(perSecond), serverlimit.Tolerance())
-		f.injectFaults(t, func() float64 { return 1 })
-		most, allowed := f.maxSpentIn(serverlimit.Window), 1.5*perSecond*serverlimit.Window.Seconds()+5
+		s := newGatewaySetWithin(size, serverlimit.Quota(perSecond), serverlimit.Tolerance())
+		s.injectFaults(t, func() float64 { return 1 })
+		most, allowed := s.maxSpentIn(serverlimit.Window), 1.5*perSecond*serverlimit.Window.Seconds()+5
 		if most > allowed {
 			t.Fatalf("let through %v requests in a window, limit is %v", most, allowed)
 		}
@@ -121,34 +122,34 @@
 
 // injectFaults partitions, restarts and pauses gateways at random, while each gateway receives requests until
 // one is not let through.
-func (f *gatewaySet) injectFaults(t *rapid.T, cost func() float64) {
+func (s *gatewaySet) injectFaults(t *rapid.T, cost func() float64) {
 	for range rapid.IntRange(20, 80).Draw(t, "steps") {
-		f.step(time.Duration(rapid.IntRange(10, 900).Draw(t, "ms")) * time.Millisecond)
-		i := rapid.IntRange(0, len(f.gateways)-1).Draw(t, "gateway")
-		m := f.gateways[i]
+		s.step(time.Duration(rapid.IntRange(10, 900).Draw(t, "ms")) * time.Millisecond)
+		i := rapid.IntRange(0, len(s.gateways)-1).Draw(t, "gateway")
+		g := s.gateways[i]
 		switch rapid.SampledFrom([]string{"", "", "", "restart", "cut", "heal", "pause", "wake"}).Draw(t, "what") {
 		case "restart":
-			f.restart(i)
+			s.restart(i)
 		case "cut":
 			// Each isolated gateway gets a partition of its own.
-			m.partition = i + 1
-			if f.leader == m {
-				f.loseLeader()
+			g.partition = i + 1
+			if s.leader == g {
+				s.loseLeader()
 			}
 		case "heal":
-			m.partition = 0
+			g.partition = 0
 		case "pause":
-			m.paused = true
-			if f.leader == m {
-				f.loseLeader()
+			g.paused = true
+			if s.leader == g {
+				s.loseLeader()
 			}
 		case "wake":
-			m.paused = false
+			g.paused = false
 		}
 		amount := cost()
-		for j := range f.gateways {
+		for j := range s.gateways {
 			for range 200 {
-				if f.request(j, amount) != quota.Inside {
+				if s.request(j, amount) != quota.Inside {
 					break
 				}
 			}
@@ -160,30 +161,30 @@
 // itself, and an owner that it asks gains none.
 func TestUnlistedGatewaysHaveNoShare(t *testing.T) {
 	limit := quota.Limit{Rate: 1000, Burst: 1000}
-	f := newGatewaySet(3, limit)
-	unlisted := f.gateways[2]
+	s := newGatewaySet(3, limit)
+	unlisted := s.gateways[2]
 	unlisted.limiter.SetGateways([]string{"g0", "g1"})
-	for _, m := range f.gateways[:2] {
-		m.limiter.SetGateways([]string{"g0", "g1"})
-		m.partition = 1
+	for _, g := range s.gateways[:2] {
+		g.limiter.SetGateways([]string{"g0", "g1"})
+		g.partition = 1
 	}
-	f.clock.Advance(3 * time.Second)
-	assert.Equal(t, f.request(2, 100), quota.Unknown)
+	s.clock.Advance(3 * time.Second)
+	assert.Equal(t, s.request(2, 100), quota.Unknown)
 	unlisted.partition = 1
 	for range 20 {
-		f.clock.Advance(50 * time.Millisecond)
+		s.clock.Advance(50 * time.Millisecond)
 		unlisted.limiter.Take(t.Context(), testOrganisation, 1)
 	}
-	status, ok := f.gateways[f.owner()].limiter.Status(testOrganisation)
+	status, ok := s.gateways[s.owner()].limiter.Status(testOrganisation)
 	assert.Assert(t, ok)
 	assert.Equal(t, status.Share, 0.5, "the owner has its own part only")
 }
 
 // TestInvalidRequests checks that an invalid request for a grant adds nothing to a bucket.
 func TestInvalidRequests(t *testing.T) {
-	f := newGatewaySet(3, quota.Limit{Rate: 1000, Burst: 1000})
-	f.step(3 * time.Second)
-	owner := f.gateways[f.owner()].limiter
+	s := newGatewaySet(3, quota.Limit{Rate: 1000, Burst: 1000})
+	s.step(3 * time.Second)
+	owner := s.gateways[s.owner()].limiter
 	tests := map[string]quota.Request{
 		"negative need":   {Key: testOrganisation, From: "g0", Need: -500},
 		"no need":         {Key: testOrganisation, From: "g0"},
