--- a/quota/granter.go
+++ b/quota/granter.go
@@ -14,8 +14,8 @@
 	Ahead float64 `json:"ahead,omitempty"`
 }
 
-// isValid reports whether the amounts are valid. A request may come from an untrusted process; a negative
-// amount would add to the bucket.
+// isValid reports whether the amounts are valid. Requests can come from other senders than gateways; a
+// negative amount would add to the bucket.
 func (r Request) isValid() bool { return r.Need > 0 && r.Ahead >= 0 }
 
 // A Reply is an owner's reply to a Request.
