--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -14,80 +14,78 @@
 	"rockcleat/residency"
 )
 
-// How measured demand follows what is asked: it rises soon and falls slowly, so that
-// replicas stay through a lull. Demand moves within 4 to 6 s on the users' sites.
+// Time constants of measured demand. It rises fast and falls slowly, so that replicas survive a short lull.
 const (
-	// demandRiseTime is the time constant of a rise.
 	demandRiseTime = 1500 * time.Millisecond
-	// demandFallTime is the time constant of a fall.
 	demandFallTime = 8 * time.Second
 )
 
-// A gateway holds the leader's view of one gateway.
+// A gateway is the leader's view of one gateway.
 type gateway struct {
-	// report is its last one without Demands, which demands adds up.
+	// report is the gateway's last report without Demands. demands accumulates those of all its reports.
 	report     Report
 	demands    map[string]dispatch.Demand
 	reportedAt time.Time
 }
 
-// A demandRate follows the work asked of one model, in tokens per second.
+// A demandRate is a moving average of the work requested of one model, in tokens per second.
 type demandRate struct {
-	// risen follows the work within demandRiseTime; held falls no faster than
-	// demandFallTime allows.
-	risen, held float64
+	// smoothed is an exponential moving average with time constant demandRiseTime. peak is its maximum, which
+	// decays with time constant demandFallTime.
+	smoothed, peak float64
 }
 
-// update counts the work of one step.
+// update adds the work of one step.
 func (r *demandRate) update(tokens float64, step time.Duration) {
-	now := tokens / step.Seconds()
-	r.risen += (now - r.risen) * (1 - math.Exp(-step.Seconds()/demandRiseTime.Seconds()))
-	r.held = max(r.risen, r.held*math.Exp(-step.Seconds()/demandFallTime.Seconds()))
+	current := tokens / step.Seconds()
+	r.smoothed += (current - r.smoothed) * (1 - math.Exp(-step.Seconds()/demandRiseTime.Seconds()))
+	r.peak = max(r.smoothed, r.peak*math.Exp(-step.Seconds()/demandFallTime.Seconds()))
 }
 
-// A demand sums up what gateways report.
+// A demand aggregates the reports of all gateways.
 type demand struct {
 	gateways map[string]*gateway
-	// former are those that this process knew before it led and that have not reported yet, since when.
-	former      map[string]Gateway
-	formerSince time.Time
-	// newTokens is the work asked for since the last step, by model.
+	// awaited holds the gateways known before the term that have not reported in it yet. awaitedSince is when
+	// they were added.
+	awaited      map[string]Gateway
+	awaitedSince time.Time
+	// newTokens is the work requested since the last step, in tokens by model.
 	newTokens map[string]float64
 	rates     map[string]*demandRate
-	// adapterLastUsed is when each adapter was last asked for.
+	// adapterLastUsed is when each adapter was last requested.
 	adapterLastUsed map[backend.Adapter]time.Time
-	// loads sums up what gateways have at servers.
-	loads loads
+	// loads is the total load of all gateways at each server.
+	loads loadTotals
 }
 
 func newDemand() *demand {
 	return &demand{
-		gateways: make(map[string]*gateway), former: make(map[string]Gateway), newTokens: make(map[string]float64),
-		rates: make(map[string]*demandRate), adapterLastUsed: make(map[backend.Adapter]time.Time), loads: newLoads(),
+		gateways: make(map[string]*gateway), awaited: make(map[string]Gateway), newTokens: make(map[string]float64),
+		rates: make(map[string]*demandRate), adapterLastUsed: make(map[backend.Adapter]time.Time), loads: newLoadTotals(),
 	}
 }
 
-// apply counts what is new in a report. The first report of a gateway, and a full one, only
-// show where its counts stand.
+// apply adds a gateway's report. The first report of a gateway and a full report only set the baseline of its
+// counters.
 func (d *demand) apply(r Report, now time.Time) {
-	delete(d.former, r.GatewayID)
+	delete(d.awaited, r.GatewayID)
 	g := d.gateways[r.GatewayID]
 	if g == nil || r.Full {
 		d.reset(g, r, now)
 		return
 	}
 	d.loads.update(g.report.Loads, r.Loads)
-	for name, x := range r.Demands {
-		before := g.demands[name]
-		if x.Arrived < before.Arrived {
-			// The gateway has started anew.
-			before = dispatch.Demand{}
+	for name, current := range r.Demands {
+		previous := g.demands[name]
+		if current.Arrived < previous.Arrived {
+			// The counter went back: the gateway has restarted.
+			previous = dispatch.Demand{}
 		}
-		if x.Arrived == before.Arrived {
+		if current.Arrived == previous.Arrived {
 			continue
 		}
 		a := backend.ParseAdapter(name)
-		d.newTokens[a.Model] += float64(x.WorkTokens - before.WorkTokens)
+		d.newTokens[a.Model] += float64(current.WorkTokens - previous.WorkTokens)
 		if a.Name != "" {
 			d.adapterLastUsed[a] = now
 		}
@@ -95,11 +93,10 @@
 	g.apply(r, now)
 }
 
-// reset takes a report as the whole state of its gateway; before is its last state,
-// or nil.
-func (d *demand) reset(before *gateway, r Report, now time.Time) {
-	if before != nil {
-		d.loads.update(before.report.Loads, nil)
+// reset replaces the state of a gateway by a report. previous is the state so far, or nil.
+func (d *demand) reset(previous *gateway, r Report, now time.Time) {
+	if previous != nil {
+		d.loads.update(previous.report.Loads, nil)
 	}
 	g := &gateway{demands: make(map[string]dispatch.Demand)}
 	d.gateways[r.GatewayID] = g
@@ -107,45 +104,45 @@
 	g.apply(r, now)
 }
 
-// apply keeps what a report says; demands that it leaves out are as they were.
+// apply stores a report. Demands that it omits are unchanged.
 func (g *gateway) apply(r Report, now time.Time) {
 	maps.Copy(g.demands, r.Demands)
 	g.report, g.reportedAt = r, now
 	g.report.Demands = nil
 }
 
-// remember makes gateways that were known before the term count until they report, or until as much time has
-// passed as without reports: the first reports of a term come within a report's interval, and a list that grew
-// by them passed the engines and limits that gateways own around among those few.
-func (d *demand) remember(gateways []Gateway, now time.Time) {
-	d.formerSince = now
+// addAwaited adds gateways known before the term, until they report or time out. Without them the list would
+// grow with each first report of the term, and the ownership of engines and limits would move between the few
+// gateways listed so far.
+func (d *demand) addAwaited(gateways []Gateway, now time.Time) {
+	d.awaitedSince = now
 	for _, g := range gateways {
 		if d.gateways[g.ID] == nil {
-			d.former[g.ID] = g
+			d.awaited[g.ID] = g
 		}
 	}
 }
 
-// list returns the gateways in the order of their names, and a version that is the same for
-// the same gateways.
-func (d *demand) list() ([]Gateway, uint64) {
-	list := make([]Gateway, 0, len(d.gateways))
+// listGateways returns the gateways sorted by ID, and a hash of their IDs and addresses as the version of the
+// list.
+func (d *demand) listGateways() ([]Gateway, uint64) {
+	gateways := make([]Gateway, 0, len(d.gateways))
 	for _, g := range d.gateways {
-		list = append(list, Gateway{
+		gateways = append(gateways, Gateway{
 			Gateway: dispatch.Gateway{ID: g.report.GatewayID, Hall: g.report.Hall}, Addr: g.report.Addr,
 		})
 	}
-	list = slices.AppendSeq(list, maps.Values(d.former))
-	slices.SortFunc(list, func(x, y Gateway) int { return strings.Compare(x.ID, y.ID) })
+	gateways = slices.AppendSeq(gateways, maps.Values(d.awaited))
+	slices.SortFunc(gateways, func(x, y Gateway) int { return strings.Compare(x.ID, y.ID) })
 	h := fnv.New64a()
-	for _, g := range list {
-		// Writing to a hash never fails.
+	for _, g := range gateways {
+		// Writes to a hash never fail.
 		_, _ = io.WriteString(h, g.ID+"\x00"+g.Addr+"\x00")
 	}
-	return list, h.Sum64()
+	return gateways, h.Sum64()
 }
 
-// step moves the rates on by a time.
+// step updates the rates with the work of the elapsed time.
 func (d *demand) step(elapsed time.Duration) {
 	for model := range d.newTokens {
 		if d.rates[model] == nil {
@@ -158,10 +155,10 @@
 	clear(d.newTokens)
 }
 
-// forget drops gateways that have not reported for a time.
-func (d *demand) forget(now time.Time, timeout time.Duration) {
-	if now.Sub(d.formerSince) > timeout {
-		clear(d.former)
+// removeSilent removes gateways that have not reported within the timeout.
+func (d *demand) removeSilent(now time.Time, timeout time.Duration) {
+	if now.Sub(d.awaitedSince) > timeout {
+		clear(d.awaited)
 	}
 	for id, g := range d.gateways {
 		if now.Sub(g.reportedAt) > timeout {
@@ -171,11 +168,11 @@
 	}
 }
 
-// modelDemands returns what is asked of each model.
+// modelDemands returns the demand for each model.
 func (d *demand) modelDemands() map[string]residency.Demand {
 	out := make(map[string]residency.Demand)
 	for model, r := range d.rates {
-		out[model] = residency.Demand{TokensPerSecond: r.held}
+		out[model] = residency.Demand{TokensPerSecond: r.peak}
 	}
 	for _, g := range d.gateways {
 		for name, x := range g.demands {
@@ -186,7 +183,7 @@
 	return out
 }
 
-// addDemand adds to a model's demand what one gateway reports of it or of an adapter.
+// addDemand adds one gateway's demand for a model or one of its adapters to the model's total.
 func addDemand(sum residency.Demand, x dispatch.Demand) residency.Demand {
 	objective := time.Duration(x.ObjectiveMs) * time.Millisecond
 	if !sum.Asked || objective < sum.Objective {
@@ -197,9 +194,9 @@
 	return sum
 }
 
-// adapters returns the adapters of a service that are waited for, and how many requests use
-// each.
-func (d *demand) adapters(service string) (waited []backend.Adapter, running map[backend.Adapter]int) {
+// adapterDemand returns the adapters of a service that requests are waiting for, and the number of running
+// requests by adapter.
+func (d *demand) adapterDemand(service string) (waiting []backend.Adapter, running map[backend.Adapter]int) {
 	seen := make(map[backend.Adapter]bool)
 	running = make(map[backend.Adapter]int)
 	for _, g := range d.gateways {
@@ -211,9 +208,9 @@
 			running[a] += x.Running
 			if x.Waiting > 0 && !seen[a] {
 				seen[a] = true
-				waited = append(waited, a)
+				waiting = append(waiting, a)
 			}
 		}
 	}
-	return waited, running
+	return waiting, running
 }
--- a/internal/placer/demand_test.go
+++ b/internal/placer/demand_test.go
@@ -10,7 +10,8 @@
 	"rockcleat/dispatch"
 )
 
-// TestObjectiveOfDemand adds up what gateways report of a model and its adapters.
+// TestObjectiveOfDemand checks that the objective of a model is the shortest among those reported for the
+// model and its adapters.
 func TestObjectiveOfDemand(t *testing.T) {
 	tests := map[string]struct {
 		reports []map[string]dispatch.Demand
@@ -40,8 +41,8 @@
 	}
 }
 
-// TestNewLeaderKnowsTheGateways checks that a leader begins its term with the gateways that it knew before, waits
-// for their reports, and drops those that do not report.
+// TestNewLeaderKnowsTheGateways checks that a leader starts its term with the gateways known before, waits
+// for their reports, and removes those that do not report.
 func TestNewLeaderKnowsTheGateways(t *testing.T) {
 	const timeout = 2 * time.Second
 	start := time.Unix(1000, 0)
@@ -50,16 +51,16 @@
 	}
 	d := newDemand()
 	d.apply(Report{GatewayID: "a", Addr: "a:1", Hall: "h"}, start)
-	d.remember(known, start)
-	list, version := d.list()
+	d.addAwaited(known, start)
+	list, version := d.listGateways()
 	assert.DeepEqual(t, list, known)
-	assert.Equal(t, len(d.former), 1, "one is awaited")
+	assert.Equal(t, len(d.awaited), 1, "one is awaited")
 	d.apply(Report{GatewayID: "b", Addr: "b:1", Hall: "h"}, start.Add(time.Second))
-	_, after := d.list()
+	_, after := d.listGateways()
 	assert.Equal(t, after, version, "the list is the same")
-	assert.Equal(t, len(d.former), 0)
-	d.remember(append(known, Gateway{Gateway: dispatch.Gateway{ID: "c"}, Addr: "c:1"}), start.Add(time.Second))
-	d.forget(start.Add(time.Second+timeout+1), timeout)
-	list, _ = d.list()
+	assert.Equal(t, len(d.awaited), 0)
+	d.addAwaited(append(known, Gateway{Gateway: dispatch.Gateway{ID: "c"}, Addr: "c:1"}), start.Add(time.Second))
+	d.removeSilent(start.Add(time.Second+timeout+1), timeout)
+	list, _ = d.listGateways()
 	assert.Equal(t, len(list), 0)
 }
--- a/internal/placer/orders.go
+++ b/internal/placer/orders.go
@@ -12,23 +12,22 @@
 	"rockcleat/table"
 )
 
-// Pace of engines' reports (docs/design/0009, many servers).
+// Rate of engine reports; see docs/design/0009.
 const (
-	// refreshEvery is how often an engine without orders is asked for a report, with up
-	// to enginesAtFullPace of them; with more it is done less often.
-	refreshEvery = 6 * time.Second
-	// enginesAtFullPace is the number of engines up to which all are looked at at the
-	// full pace.
-	enginesAtFullPace = 100
-	// maxReportsPerStep bounds the reports asked for in one step.
+	// minRefreshInterval is the shortest interval between two reports of an engine without orders.
+	minRefreshInterval = 6 * time.Second
+	// enginesAtFullRate is the number of engines up to which intervals are shortest. Above it they grow with
+	// the number of engines.
+	enginesAtFullRate = 100
+	// maxReportsPerStep is the maximum number of reports requested in one step.
 	maxReportsPerStep = 30
 )
 
-// callIfDue makes the call to an engine that is due, if there is one: a report, or the first
-// pending order.
+// callIfDue starts the call to an engine that is due, if any: the request for a report, or the first pending
+// order.
 func (p *Placer) callIfDue(e *engineState, spec *table.EngineSpec, now time.Time) {
 	switch {
-	case e.calling:
+	case e.callInProgress:
 	case (!e.known || !e.nextReport.IsZero()) && !now.Before(e.nextReport):
 		if p.reportsRequested < maxReportsPerStep {
 			p.reportsRequested++
@@ -39,41 +38,41 @@
 	}
 }
 
-// fetchReport reads an engine's report and applies it.
+// fetchReport requests a report from an engine and applies it.
 func (p *Placer) fetchReport(e *engineState) {
-	e.calling = true
+	e.callInProgress = true
 	server := e.server
 	go func() {
 		r, err := p.opts.Engines.Report(p.ctx, server)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		now := p.opts.Clock.Now()
-		e.calling = false
+		e.callInProgress = false
 		if err != nil {
-			p.opts.Log.Warn("no report", zap.String("server", server.ID), telemetry.Error(err))
-			e.nextReport = now.Add(2 * pollEvery)
+			p.opts.Log.Warn("engine report failed", zap.String("server", server.ID), telemetry.Error(err))
+			e.nextReport = now.Add(2 * pollInterval)
 			return
 		}
 		p.applyReport(e, r, now)
 	}()
 }
 
-// applyReport applies a report and sets when the next one is due.
+// applyReport applies a report and schedules the next one.
 func (p *Placer) applyReport(e *engineState, r backend.Report, now time.Time) {
-	if e.isOther(r) {
-		p.noteOtherRun(e, r, now)
+	if e.isFromOtherIncarnation(r) {
+		p.handleOtherIncarnation(e, r, now)
 		return
 	}
-	e.otherRun = false
+	e.otherIncarnation = false
 	if !e.apply(r, now) {
-		e.nextReport = now.Add(pollEvery / 2)
+		e.nextReport = now.Add(pollInterval / 2)
 		return
 	}
 	e.nextReport = now.Add(p.refreshInterval())
 	if r.OrderInProgress {
-		e.nextReport = now.Add(pollEvery)
+		e.nextReport = now.Add(pollInterval)
 		if len(e.pending) == 0 {
-			// An order of the last leader is under way; wait for its end.
+			// The order in progress comes from the previous leader; wait until it ends.
 			e.known = false
 		}
 		return
@@ -84,48 +83,47 @@
 	p.publish(now)
 }
 
-// noteOtherRun notes that a report comes from another run of an engine than the one listed. It tells
-// nothing of the run that is listed, which gets no orders and holds nothing any more; the list will
-// name the other one.
-func (p *Placer) noteOtherRun(e *engineState, r backend.Report, now time.Time) {
-	if !e.otherRun {
-		p.opts.Log.Info("another run reports", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
+// handleOtherIncarnation handles a report from another incarnation of an engine than the registered one. The
+// registered incarnation is gone: it gets no orders and holds nothing. The registry will list the new one.
+func (p *Placer) handleOtherIncarnation(e *engineState, r backend.Report, now time.Time) {
+	if !e.otherIncarnation {
+		p.opts.Log.Info("report from another incarnation of the server", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
 	}
-	e.known, e.otherRun = false, true
-	e.nextReport = now.Add(pollEvery)
+	e.known, e.otherIncarnation = false, true
+	e.nextReport = now.Add(pollInterval)
 	p.publish(now)
 }
 
-// refreshInterval returns the time between two reports of an engine without orders.
+// refreshInterval returns the interval between two reports of an engine without orders.
 func (p *Placer) refreshInterval() time.Duration {
-	return refreshEvery * time.Duration(max(1, len(p.engines.byID)/enginesAtFullPace))
+	return minRefreshInterval * time.Duration(max(1, len(p.engines.byID)/enginesAtFullRate))
 }
 
-// issueModelOrder issues the first pending order, unless the model does not fit or the
-// weight store allows no load now.
+// issueModelOrder issues the first pending order, unless the model does not fit or the limiter of store loads
+// does not permit it yet.
 func (p *Placer) issueModelOrder(e *engineState, spec *table.EngineSpec, now time.Time) {
 	o := e.pending[0]
 	o.Sequence, o.Fence = e.sequence, int64(p.leadership.token)
-	takes := e.expectedTime(spec)
+	expectedTime := e.expectedTime(spec)
 	if !o.Unload && residency.Free(spec, e.residents) < modelWeights(spec, o.Model) {
 		e.pending = nil
 		return
 	}
-	if e.fromStore() && !p.storeLoads.allow(now) {
+	if e.fromStore() && !p.storeLoadLimiter.allow(now) {
 		return
 	}
-	e.calling = true
+	e.callInProgress = true
 	server := e.server
 	go func() {
 		out, err := p.send(server, o)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.modelOrderAnswered(e, answer{order: o, outcome: out, err: err}, takes)
+		p.handleModelOrderResult(e, orderResult{order: o, outcome: out, err: err}, expectedTime)
 	}()
 }
 
-// modelWeights returns a model's memory in MB; that of a whole engine if it is not
-// configured, so that it does not fit.
+// modelWeights returns the size of a model's weights in MB. For a model that is not configured it returns the
+// memory of a whole engine, so that the model does not fit.
 func modelWeights(spec *table.EngineSpec, model string) float64 {
 	m, ok := spec.Model(model)
 	if !ok {
@@ -134,7 +132,7 @@
 	return m.WeightsMB
 }
 
-// send sends an order if the lease is still surely held.
+// send sends an order if the lease is certainly still held under the order's token.
 func (p *Placer) send(s *backend.Server, o backend.Order) (backend.OrderOutcome, error) {
 	if token, held := p.opts.Lease.Held(); !held || int64(token) != o.Fence {
 		return backend.OrderFenced, nil
@@ -142,60 +140,59 @@
 	return p.opts.Engines.Order(p.ctx, s, o)
 }
 
-// An answer is an engine's answer to an order.
-type answer struct {
+// An orderResult is the result of an order.
+type orderResult struct {
 	order   backend.Order
 	outcome backend.OrderOutcome
 	err     error
 }
 
-// noteAnswer logs an answer and counts what every order counts: the sequence, and a token
-// that was refused for its fence.
-func (p *Placer) noteAnswer(e *engineState, a answer, now time.Time) {
-	p.opts.Log.Info("order issued", zap.String("server", e.server.ID), zap.Bool("unload", a.order.Unload),
-		zap.String("model", a.order.Model), zap.String("adapter", a.order.Adapter), zap.Int("sequence", a.order.Sequence),
-		zap.Int64("fence", a.order.Fence), zap.Stringer("outcome", a.outcome), telemetry.Error(a.err))
-	if a.outcome == backend.OrderFenced {
-		p.leadership.fenced = lease.Token(a.order.Fence)
+// recordOrderResult logs the result of an order, and updates the sequence number and the rejected token.
+func (p *Placer) recordOrderResult(e *engineState, result orderResult, now time.Time) {
+	p.opts.Log.Info("order issued", zap.String("server", e.server.ID), zap.Bool("unload", result.order.Unload),
+		zap.String("model", result.order.Model), zap.String("adapter", result.order.Adapter), zap.Int("sequence", result.order.Sequence),
+		zap.Int64("fence", result.order.Fence), zap.Stringer("outcome", result.outcome), telemetry.Error(result.err))
+	if result.outcome == backend.OrderFenced {
+		p.leadership.fencedToken = lease.Token(result.order.Fence)
 	}
-	if a.counts() {
+	if result.isCounted() {
 		e.sequence++
 		e.lastAccepted = now
 	}
 }
 
-// counts reports whether the engine counts the order as taken. An order for an adapter may
-// be done at once, which counts too.
-func (a answer) counts() bool {
-	return a.outcome == backend.OrderAccepted || a.outcome == backend.OrderAlreadyDone && a.order.Adapter != ""
+// isCounted reports whether the engine counted the order in its sequence. An order for an adapter that was
+// already in the requested state counts too.
+func (result orderResult) isCounted() bool {
+	return result.outcome == backend.OrderAccepted || result.outcome == backend.OrderAlreadyDone && result.order.Adapter != ""
 }
 
-// modelOrderAnswered takes an engine's answer to an order for a model.
-func (p *Placer) modelOrderAnswered(e *engineState, a answer, takes time.Duration) {
+// handleModelOrderResult handles the result of an order for a model.
+func (p *Placer) handleModelOrderResult(e *engineState, result orderResult, expectedTime time.Duration) {
 	now := p.opts.Clock.Now()
-	p.noteAnswer(e, a, now)
-	e.calling = false
-	switch a.outcome {
+	p.recordOrderResult(e, result, now)
+	e.callInProgress = false
+	switch result.outcome {
 	case backend.OrderAccepted:
 		e.accepted = true
-		e.nextReport = now.Add(takes)
+		e.nextReport = now.Add(expectedTime)
 	case backend.OrderFenced:
 		e.pending = nil
 	case backend.OrderUnanswered:
-		// It may be carried out late: ask what became of it, and issue it again under
-		// the same sequence, so that it counts once.
+		// The order may still be carried out. Request a report, then repeat the order with the same sequence
+		// number, so that the engine accepts it only once.
 		e.known = false
 		e.nextReport = now.Add(orderRetryDelay)
 	default:
 		e.known = false
 		e.pending = nil
-		e.nextReport = now.Add(pollEvery)
+		e.nextReport = now.Add(pollInterval)
 	}
 }
 
-// issueAdapterOrders brings an adapter to an engine, after the eviction that makes room.
+// issueAdapterOrders loads an adapter, after unloading the one that it replaces, if any.
 func (p *Placer) issueAdapterOrders(e *engineState, m residency.AdapterMove) {
-	e.calling = true
+	e.callInProgress = true
 	server := e.server
 	load := backend.Order{Model: m.Model, Adapter: m.Name, Sequence: e.sequence, Fence: int64(p.leadership.token)}
 	go func() {
@@ -204,40 +201,40 @@
 				Unload: true, Model: m.Evict.Model, Adapter: m.Evict.Name, Sequence: load.Sequence, Fence: load.Fence,
 			}
 			out, err := p.send(server, unload)
-			if !p.adapterOrderAnswered(e, answer{order: unload, outcome: out, err: err}) {
+			if !p.handleAdapterOrderResult(e, orderResult{order: unload, outcome: out, err: err}) {
 				return
 			}
 			load.Sequence++
 		}
 		out, err := p.send(server, load)
-		p.adapterOrderAnswered(e, answer{order: load, outcome: out, err: err})
+		p.handleAdapterOrderResult(e, orderResult{order: load, outcome: out, err: err})
 	}()
 }
 
-// adapterOrderAnswered takes an engine's answer to an order for an adapter and reports
-// whether it was carried out.
-func (p *Placer) adapterOrderAnswered(e *engineState, a answer) bool {
+// handleAdapterOrderResult handles the result of an order for an adapter and reports whether the engine counted
+// it.
+func (p *Placer) handleAdapterOrderResult(e *engineState, result orderResult) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.opts.Clock.Now()
-	p.noteAnswer(e, a, now)
-	if !a.counts() {
-		e.calling, e.known = false, false
-		e.nextReport = now.Add(pollEvery)
+	p.recordOrderResult(e, result, now)
+	if !result.isCounted() {
+		e.callInProgress, e.known = false, false
+		e.nextReport = now.Add(pollInterval)
 		return false
 	}
-	adapter := backend.Adapter{Model: a.order.Model, Name: a.order.Adapter}
-	if a.order.Unload {
-		e.dropAdapter(adapter)
+	adapter := backend.Adapter{Model: result.order.Model, Name: result.order.Adapter}
+	if result.order.Unload {
+		e.removeAdapter(adapter)
 		return true
 	}
-	e.calling = false
+	e.callInProgress = false
 	e.addAdapter(adapter, now)
 	e.nextReport = now.Add(adapterCheckDelay)
-	if a.outcome == backend.OrderAlreadyDone {
-		// The engine may have held it already: only a report says whether it counted.
+	if result.outcome == backend.OrderAlreadyDone {
+		// The engine may have held the adapter before; only a report shows whether the order was counted.
 		e.known = false
-		e.nextReport = now.Add(pollEvery)
+		e.nextReport = now.Add(pollInterval)
 	}
 	p.publish(now)
 	return true
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -11,69 +11,70 @@
 	"rockcleat/table"
 )
 
-// maxPlanInterval is the longest time between two plans of a service.
+// maxPlanInterval is the maximum interval between two plans of a service.
 const maxPlanInterval = time.Second
 
-// planInterval returns the time between two plans for a number of engines: a plan costs as
-// much more as there are engines.
+// planInterval returns the interval between two plans of a service. It grows with the number of engines, as
+// the cost of a plan does.
 func planInterval(engines int) time.Duration {
-	if engines <= enginesAtFullPace {
+	if engines <= enginesAtFullRate {
 		return 0
 	}
-	return min(tick*time.Duration(engines/enginesAtFullPace), maxPlanInterval)
+	return min(stepInterval*time.Duration(engines/enginesAtFullRate), maxPlanInterval)
 }
 
-// runService plans for one service and makes the calls that are due at its engines.
+// runService plans for one service and starts the calls to its engines that are due.
 func (p *Placer) runService(s table.Service, now time.Time) {
-	list := p.engines.byService[s.Name]
-	p.abandonOverdueLoads(list, now)
-	p.planAdapters(s, list, now)
-	if now.Sub(p.plannedAt[s.Name]) >= planInterval(len(list)) {
+	engines := p.engines.byService[s.Name]
+	p.abandonOverdueLoads(engines, now)
+	p.planAdapters(s, engines, now)
+	if now.Sub(p.plannedAt[s.Name]) >= planInterval(len(engines)) {
 		p.plannedAt[s.Name] = now
-		p.planModels(s, list, now)
+		p.planModels(s, engines, now)
 	}
-	for _, e := range list {
+	for _, e := range engines {
 		p.callIfDue(e, s.Engine, now)
 	}
 }
 
-// abandonOverdueLoads drops the loads that have waited too long for an engine to make room,
-// so that they are planned elsewhere and do not hold up others.
-func (p *Placer) abandonOverdueLoads(list []*engineState, now time.Time) {
-	for _, e := range list {
-		if e.loadOverdue(now) {
+// abandonOverdueLoads drops loads that have waited too long for their engine, so that they are planned on
+// another engine and do not delay other loads.
+func (p *Placer) abandonOverdueLoads(engines []*engineState, now time.Time) {
+	for _, e := range engines {
+		if e.isLoadOverdue(now) {
 			p.opts.Log.Warn("move abandoned", zap.String("server", e.server.ID), zap.String("model", e.abandonLoad()))
 		}
 	}
 }
 
-func (p *Placer) views(list []*engineState, now time.Time) []residency.EngineView {
-	out := make([]residency.EngineView, len(list))
-	for i, e := range list {
+func (p *Placer) engineViews(engines []*engineState, now time.Time) []residency.EngineView {
+	out := make([]residency.EngineView, len(engines))
+	for i, e := range engines {
 		out[i] = e.view(now)
-		out[i].InNeed = p.isInNeed(e)
+		out[i].InNeed = p.isThrottled(e)
 	}
 	return out
 }
 
-// isInNeed reports whether an engine takes few requests for now.
-func (p *Placer) isInNeed(e *engineState) bool {
+// isThrottled reports whether an engine currently accepts so few requests that no adapter should be placed on
+// it.
+func (p *Placer) isThrottled(e *engineState) bool {
 	return p.opts.IsInNeed != nil && p.opts.IsInNeed(e.server)
 }
 
-// planModels plans and queues the moves of models.
-func (p *Placer) planModels(s table.Service, list []*engineState, now time.Time) {
+// planModels plans and queues model moves.
+func (p *Placer) planModels(s table.Service, engines []*engineState, now time.Time) {
 	demands := p.demand.modelDemands()
 	succession := p.successions[s.Name]
 	if succession == nil {
 		succession = &residency.Succession{}
 		p.successions[s.Name] = succession
 	}
-	engines := p.views(list, now)
-	succession.Observe(s.Engine, demands, engines)
+	views := p.engineViews(engines, now)
+	succession.Observe(s.Engine, demands, views)
 	moves := residency.Plan(residency.Input{
-		Spec: s.Engine, Engines: engines, Demands: demands, Succession: succession,
-		StoreLoadsAllowed: p.storeLoads.available(now) - storeLoadsPending(list),
+		Spec: s.Engine, Engines: views, Demands: demands, Succession: succession,
+		StoreLoadsAllowed: p.storeLoadLimiter.available(now) - pendingStoreLoads(engines),
 	})
 	for _, m := range moves {
 		p.opts.Log.Info("move planned", zap.String("server", m.Engine), zap.String("model", m.Model),
@@ -82,15 +83,15 @@
 	}
 }
 
-// storeLoadsPending counts the loads from the weight store that are planned and not yet
-// ordered; they count against the store's rate when they are.
-func storeLoadsPending(list []*engineState) int {
+// pendingStoreLoads returns the number of planned loads from the weight store that the engines have not
+// accepted yet. The limiter counts a load when its order is issued.
+func pendingStoreLoads(engines []*engineState) int {
 	n := 0
-	for _, e := range list {
+	for _, e := range engines {
 		if len(e.pending) == 0 || e.accepted && len(e.pending) == 1 {
 			continue
 		}
-		// The load of an abandoned move is gone, its unloads are not.
+		// An abandoned move leaves its unloads, without the load.
 		last := e.pending[len(e.pending)-1]
 		if !last.Unload && e.source(last.Model) == residency.FromStore {
 			n++
@@ -99,56 +100,57 @@
 	return n
 }
 
-// planAdapters plans the moves of adapters that are waited for, and issues their orders.
-func (p *Placer) planAdapters(s table.Service, list []*engineState, now time.Time) {
-	waited, running := p.demand.adapters(s.Name)
-	missing := p.withoutHeld(waited, list)
-	p.noteMissingAdapters(missing, now)
+// planAdapters plans the loads of missing adapters and issues their orders.
+func (p *Placer) planAdapters(s table.Service, engines []*engineState, now time.Time) {
+	waiting, running := p.demand.adapterDemand(s.Name)
+	missing := p.notLoaded(waiting, engines)
+	p.recordMissingAdapters(missing, now)
 	if len(missing) == 0 {
 		return
 	}
-	idle := slices.DeleteFunc(p.views(list, now), func(e residency.EngineView) bool { return !e.Idle })
+	idle := slices.DeleteFunc(p.engineViews(engines, now), func(e residency.EngineView) bool { return !e.Idle })
 	requests := make(map[string]int)
-	for id, l := range p.demand.loads.total {
+	for id, l := range p.demand.loads.byServer {
 		requests[id] = l.Running
 	}
 	moves := residency.PlanAdapters(residency.AdapterInput{
 		Slots: s.Engine.AdapterSlots, Engines: idle, Missing: missing,
 		LastUsed: p.demand.adapterLastUsed, RequestsByAdapter: running, RequestsByEngine: requests,
-		WaitingSince: p.adapterWaitedSince, Now: now,
+		WaitingSince: p.adapterWaitingSince, Now: now,
 	})
 	for _, m := range moves {
 		p.issueAdapterOrders(p.engines.byID[m.Engine], m)
 	}
 }
 
-// withoutHeld returns the adapters that no engine holds which stays and is not in need.
-func (p *Placer) withoutHeld(adapters []backend.Adapter, list []*engineState) []backend.Adapter {
+// notLoaded returns the adapters that are not loaded on any usable engine. Engines that are leaving or
+// throttled are not usable.
+func (p *Placer) notLoaded(adapters []backend.Adapter, engines []*engineState) []backend.Adapter {
 	if len(adapters) == 0 {
 		return nil
 	}
-	held := make(map[backend.Adapter]bool)
-	for _, e := range list {
-		if e.server.Leaving || p.isInNeed(e) {
+	loaded := make(map[backend.Adapter]bool)
+	for _, e := range engines {
+		if e.server.Leaving || p.isThrottled(e) {
 			continue
 		}
 		for _, r := range e.residents {
 			for _, name := range r.Adapters {
-				held[backend.Adapter{Model: r.Model, Name: name}] = true
+				loaded[backend.Adapter{Model: r.Model, Name: name}] = true
 			}
 		}
 	}
-	return slices.DeleteFunc(adapters, func(a backend.Adapter) bool { return held[a] })
+	return slices.DeleteFunc(adapters, func(a backend.Adapter) bool { return loaded[a] })
 }
 
-// noteMissingAdapters remembers since when each adapter has been waited for.
-func (p *Placer) noteMissingAdapters(missing []backend.Adapter, now time.Time) {
+// recordMissingAdapters records since when requests have been waiting for each missing adapter.
+func (p *Placer) recordMissingAdapters(missing []backend.Adapter, now time.Time) {
 	since := make(map[backend.Adapter]time.Time, len(missing))
 	for _, a := range missing {
 		since[a] = now
-		if before, ok := p.adapterWaitedSince[a]; ok {
-			since[a] = before
+		if previous, ok := p.adapterWaitingSince[a]; ok {
+			since[a] = previous
 		}
 	}
-	p.adapterWaitedSince = since
+	p.adapterWaitingSince = since
 }
--- a/internal/placer/report_interval_test.go
+++ b/internal/placer/report_interval_test.go
@@ -10,8 +10,8 @@
 	"rockcleat/dispatch"
 )
 
-// TestGatewaysAreNotForgottenBetweenReports checks that with any number of gateways
-// each is known until several of its reports did not come.
+// TestGatewaysAreNotForgottenBetweenReports checks that a gateway is removed only after several missed
+// reports, for any number of gateways.
 func TestGatewaysAreNotForgottenBetweenReports(t *testing.T) {
 	tests := map[string]struct {
 		gateways int
@@ -28,13 +28,12 @@
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, ReportInterval(test.gateways), test.pace)
 			assert.Assert(t, gatewayTimeoutFor(test.gateways) >= 3*test.pace)
-			assert.Assert(t, gatewayTimeoutFor(test.gateways) >= gatewayTimeout)
+			assert.Assert(t, gatewayTimeoutFor(test.gateways) >= minGatewayTimeout)
 		})
 	}
 }
 
-// TestDemandOfManyGateways lets many gateways report at their pace and checks that
-// what they ask for counts.
+// TestDemandOfManyGateways checks that demand is counted when many gateways report at a long interval.
 func TestDemandOfManyGateways(t *testing.T) {
 	const gateways = 340
 	now := time.Unix(1000, 0)
@@ -47,7 +46,7 @@
 		}
 		now = now.Add(ReportInterval(gateways))
 		d.step(ReportInterval(gateways))
-		d.forget(now, gatewayTimeoutFor(len(d.gateways)))
+		d.removeSilent(now, gatewayTimeoutFor(len(d.gateways)))
 	}
 	assert.Assert(t, d.modelDemands()["m"].TokensPerSecond > 0)
 }
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -8,29 +8,28 @@
 	"rockcleat/rendezvous"
 )
 
-// Times of gateways. Why they are as they are: docs/design/0014.
+// Timing of ownership; see docs/design/0014.
 const (
-	// OwnerTime is how long after it asked a leader that replied a gateway has the parts of all gateways on
-	// the leader's list: less than the two seconds after which the leader takes a gateway that does not
-	// report off the list.
+	// OwnerTime is how long a gateway has the shares of all listed gateways, counted from when it sent the
+	// last request that a leader answered. It must be shorter than the two seconds after which the leader
+	// removes a gateway that does not report.
 	OwnerTime = 1800 * time.Millisecond
-	// AloneTime is how long after that gateways go on without a leader. It is longer than the time without
-	// one after the leader's loss, and than that for which a configuration may be relied on that nobody
-	// confirms.
+	// AloneTime is how long after that a gateway continues without a leader. It is longer than the time to
+	// replace a failed leader, and longer than the time for which an unconfirmed configuration may be used.
 	AloneTime = 8 * time.Second
-	// lendTime is for how long a gateway's part is with an owner that it has asked.
-	// Where it is longer, two owners have the part at once for too long.
-	lendTime = time.Second
-	// maxGrace bounds the time for which an owner without a leader goes on with the parts of all, by what
-	// the Tolerance allows an organisation beyond its limit.
+	// delegationTime is how long a gateway's share stays with an owner that it has asked. A longer time would
+	// let two owners have the share at once for too long.
+	delegationTime = time.Second
+	// maxGrace bounds the additional time in which the Tolerance lets an owner without a leader keep the
+	// shares of all listed gateways.
 	maxGrace = 2 * time.Second
-	// graceShare is the part of the Tolerance that one owner may use up in this way: several may lose the leader
-	// one after the other.
+	// graceShare is the fraction of the Tolerance that one owner may use for that additional time. Several
+	// owners can lose the leader one after another.
 	graceShare = 0.1
 )
 
-// A Tolerance is what an organisation may have run beyond its limit in any window: Over times what the limit
-// allows in it, and Slack. The zero Tolerance allows nothing.
+// A Tolerance is the amount by which an organisation may exceed its limit in any window of length Window: the
+// fraction Over of what the limit permits in the window, plus Slack. The zero Tolerance permits no excess.
 type Tolerance struct {
 	Window time.Duration
 	Over   float64
@@ -38,147 +37,150 @@
 	Slack float64
 }
 
-// grace returns for how long a limit's whole rate may be granted twice within the Tolerance.
+// grace returns how long the full rate may be granted twice within the Tolerance.
 func (t Tolerance) grace(l Limit) time.Duration {
-	extra := t.Over*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
-	return min(time.Duration(graceShare*extra/l.Rate*float64(time.Second)), maxGrace)
+	excess := t.Over*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
+	return min(time.Duration(graceShare*excess/l.Rate*float64(time.Second)), maxGrace)
 }
 
-// An Absence is what a leader knows of gateways that may spend their parts although they do not report to it.
+// An Absence is the leader's count of gateways that do not report to it but may be spending their shares.
 type Absence struct {
-	// Lapsed is the number of those that went off its list lately, Awaited that of those on the list that were
-	// there before its term and have not reported in it.
+	// Lapsed is the number of gateways recently removed from the leader's list. Awaited is the number of
+	// listed gateways that were known before the leader's term and have not reported in it.
 	Lapsed  int `json:"lapsed,omitempty"`
 	Awaited int `json:"awaited,omitempty"`
 }
 
-// A fleet is what a gateway knows of the others.
-type fleet struct {
+// A gatewaySet is a gateway's view of all gateways.
+type gatewaySet struct {
 	self string
-	// ids are the gateways of the last list, none at first.
-	ids []string
-	// owners remembers the owner of each organisation.
+	// gatewayIDs is the leader's last list of gateways. It is empty at first.
+	gatewayIDs []string
+	// owners caches the owner of each organisation.
 	owners map[string]string
-	// lapsed is when gateways went off the list: each may spend its part for a while.
-	lapsed map[string]time.Time
-	// absence is what the leader said last: a gateway that has started anew does not know who has lapsed.
+	// removed holds the gateways recently removed from the list and when they were. Each may go on spending
+	// its share for AloneTime.
+	removed map[string]time.Time
+	// absence is the last Absence received from a leader. A gateway that has restarted does not know itself
+	// which gateways were removed.
 	absence Absence
-	// askedAt is when each gateway on the list last asked this one.
+	// askedAt is when each listed gateway last requested a grant from this one.
 	askedAt map[string]time.Time
-	// sureUntil is until when this gateway has the parts of all on the list.
-	sureUntil time.Time
-	// wasAlone says that it had not been sure before the leader was heard last.
-	wasAlone bool
+	// confirmedUntil is the time until which this gateway has the shares of all listed gateways.
+	confirmedUntil time.Time
+	// wasUnconfirmed is set if confirmedUntil had passed when the last request that a leader answered was sent.
+	wasUnconfirmed bool
 }
 
-func newFleet(self string, now time.Time) fleet {
-	return fleet{
-		self: self, owners: make(map[string]string), lapsed: make(map[string]time.Time), askedAt: make(map[string]time.Time),
-		sureUntil: now,
+func newGatewaySet(self string, now time.Time) gatewaySet {
+	return gatewaySet{
+		self: self, owners: make(map[string]string), removed: make(map[string]time.Time), askedAt: make(map[string]time.Time),
+		confirmedUntil: now,
 	}
 }
 
-// heard notes that a leader replied to what it was asked at a time.
-func (f *fleet) heard(asked time.Time, a Absence) {
-	f.absence = a
-	f.wasAlone = asked.After(f.sureUntil)
-	f.sureUntil = asked.Add(OwnerTime)
+// recordLeaderReply records that a leader replied to a request sent at the given time.
+func (s *gatewaySet) recordLeaderReply(sentAt time.Time, a Absence) {
+	s.absence = a
+	s.wasUnconfirmed = sentAt.After(s.confirmedUntil)
+	s.confirmedUntil = sentAt.Add(OwnerTime)
 }
 
-// set sets the list of gateways.
-func (f *fleet) set(ids []string, now time.Time) {
+// setGateways replaces the list of gateways.
+func (s *gatewaySet) setGateways(ids []string, now time.Time) {
 	listed := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		listed[id] = true
-		delete(f.lapsed, id)
+		delete(s.removed, id)
 	}
-	for _, id := range f.ids {
+	for _, id := range s.gatewayIDs {
 		if !listed[id] {
-			f.lapsed[id] = now
+			s.removed[id] = now
 		}
 	}
-	maps.DeleteFunc(f.askedAt, func(id string, _ time.Time) bool { return !listed[id] })
-	f.ids, f.owners = ids, make(map[string]string)
+	maps.DeleteFunc(s.askedAt, func(id string, _ time.Time) bool { return !listed[id] })
+	s.gatewayIDs, s.owners = ids, make(map[string]string)
 }
 
-// noteFormer notes gateways that were there before this one knew any: those not on the list have lapsed.
-func (f *fleet) noteFormer(ids []string, now time.Time) {
+// addFormer records gateways known before this process started. Those not listed count as recently removed.
+func (s *gatewaySet) addFormer(ids []string, now time.Time) {
 	for _, id := range ids {
-		if !slices.Contains(f.ids, id) {
-			f.lapsed[id] = now
+		if !slices.Contains(s.gatewayIDs, id) {
+			s.removed[id] = now
 		}
 	}
 }
 
-// owner returns the gateway that grants for an organisation; empty while no list is known.
-func (f *fleet) owner(organisation string) string {
-	id, ok := f.owners[organisation]
+// owner returns the gateway that makes grants for an organisation, or an empty string if there is no list
+// yet.
+func (s *gatewaySet) owner(organisation string) string {
+	id, ok := s.owners[organisation]
 	if !ok {
-		id = rendezvous.Owner(f.ids, rendezvous.Key(organisation))
-		f.owners[organisation] = id
+		id = rendezvous.Owner(s.gatewayIDs, rendezvous.Key(organisation))
+		s.owners[organisation] = id
 	}
 	return id
 }
 
-// countLapsed returns the number of gateways that went off the list lately.
-func (f *fleet) countLapsed(now time.Time) int {
-	for id, at := range f.lapsed {
+// countRemoved returns the number of gateways recently removed from the list.
+func (s *gatewaySet) countRemoved(now time.Time) int {
+	for id, at := range s.removed {
 		if now.Sub(at) > AloneTime {
-			delete(f.lapsed, id)
+			delete(s.removed, id)
 		}
 	}
-	return len(f.lapsed)
+	return len(s.removed)
 }
 
-// size returns the number of gateways that have a part: those listed and those that lapsed.
-func (f *fleet) size(now time.Time) int {
-	return len(f.ids) + max(f.countLapsed(now), f.absence.Lapsed)
+// size returns the number of gateways that have a share: those listed and those recently removed.
+func (s *gatewaySet) size(now time.Time) int {
+	return len(s.gatewayIDs) + max(s.countRemoved(now), s.absence.Lapsed)
 }
 
-// noteAsked notes that a gateway asked this one, if it is on the list.
-func (f *fleet) noteAsked(id string, now time.Time) {
-	if slices.Contains(f.ids, id) {
-		f.askedAt[id] = now
+// recordRequest records that a gateway requested a grant from this one, if it is listed.
+func (s *gatewaySet) recordRequest(id string, now time.Time) {
+	if slices.Contains(s.gatewayIDs, id) {
+		s.askedAt[id] = now
 	}
 }
 
-// lenders returns the number of gateways whose part this one has by their asking, its own among them. Only those
-// on the list have one.
-func (f *fleet) lenders(now time.Time) int {
+// countDelegators returns the number of gateways whose share this gateway has: those that asked it recently,
+// and itself. Gateways that are not listed have no share.
+func (s *gatewaySet) countDelegators(now time.Time) int {
 	n := 0
-	for _, id := range f.ids {
-		at, asked := f.askedAt[id]
-		if id == f.self || asked && now.Sub(at) <= lendTime {
+	for _, id := range s.gatewayIDs {
+		at, asked := s.askedAt[id]
+		if id == s.self || asked && now.Sub(at) <= delegationTime {
 			n++
 		}
 	}
 	return n
 }
 
-// isSure reports whether this gateway has the parts of all on the list.
-func (f *fleet) isSure(now time.Time) bool { return now.Before(f.sureUntil) }
+// isConfirmed reports whether this gateway has the shares of all listed gateways.
+func (s *gatewaySet) isConfirmed(now time.Time) bool { return now.Before(s.confirmedUntil) }
 
-// share returns the part of a limit's rate that this gateway grants as its owner, 0 to 1.
-func (f *fleet) share(l Limit, t Tolerance, now time.Time) float64 {
-	size := float64(f.size(now))
+// share returns the share of a limit's rate that this gateway grants as its owner, 0 to 1.
+func (s *gatewaySet) share(l Limit, t Tolerance, now time.Time) float64 {
+	size := float64(s.size(now))
 	if size == 0 {
 		return 0
 	}
-	listed := float64(max(len(f.ids)-f.absence.Awaited, 1)) / size
+	listed := float64(max(len(s.gatewayIDs)-s.absence.Awaited, 1)) / size
 	switch {
-	case now.Before(f.sureUntil.Add(t.grace(l))):
+	case now.Before(s.confirmedUntil.Add(t.grace(l))):
 		return listed
-	case now.Before(f.sureUntil.Add(AloneTime)):
-		return min(listed, float64(f.lenders(now))/size)
+	case now.Before(s.confirmedUntil.Add(AloneTime)):
+		return min(listed, float64(s.countDelegators(now))/size)
 	}
 	return 0
 }
 
-// ownPart returns the part of a rate that this gateway spends while it reaches no owner, 0 to 1: none if it is not
-// on the list, so that those on it do not leave it one.
-func (f *fleet) ownPart(now time.Time) float64 {
-	if !slices.Contains(f.ids, f.self) || !now.Before(f.sureUntil.Add(AloneTime)) {
+// ownShare returns the share of a rate that this gateway may spend while it cannot reach an owner, 0 to 1. It
+// is 0 for a gateway that is not listed, because the listed ones leave no share for it.
+func (s *gatewaySet) ownShare(now time.Time) float64 {
+	if !slices.Contains(s.gatewayIDs, s.self) || !now.Before(s.confirmedUntil.Add(AloneTime)) {
 		return 0
 	}
-	return 1 / float64(f.size(now))
+	return 1 / float64(s.size(now))
 }
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -12,199 +12,204 @@
 	"rockcleat/quota"
 )
 
-// errCut is the error of calls that do not get through.
-var errCut = errors.New("cut off")
+// errUnreachable is the error of a call to an unreachable gateway.
+var errUnreachable = errors.New("gateway is unreachable")
 
-// testOrganisation is the one organisation of the fleets.
+// testOrganisation is the only organisation in these tests.
 const testOrganisation = "guild"
 
-// Times of a fleet's leader.
+// Timing of the simulated leader.
 const (
-	// reportInterval is the time between two reports of a gateway, listTime that after which one that does
-	// not report is off the list.
+	// reportInterval is the interval between two reports of a gateway. listTimeout is how long the leader lists
+	// a gateway without a report.
 	reportInterval = 160 * time.Millisecond
-	listTime       = 2 * time.Second
-	// leaseTime is the time without a leader after one has gone.
-	leaseTime = 3 * time.Second
-	// storeTime is for how long a gateway that is off the leader's list stays on the one in the store.
-	storeTime = quota.AloneTime + 2*time.Second
+	listTimeout    = 2 * time.Second
+	// leaderlessTime is the time without a leader after the loss of one.
+	leaderlessTime = 3 * time.Second
+	// storedListTime is how long the store lists a gateway that the leader no longer lists.
+	storedListTime = quota.AloneTime + 2*time.Second
 )
 
-// A fleet is gateways and the leader among them, without a network.
-type fleet struct {
+// A gatewaySet is a set of simulated gateways, one of them the leader, connected without a network.
+type gatewaySet struct {
 	clock *clocktest.Clock
 	limit quota.Limit
-	// tolerance is what may run beyond the limit.
+	// tolerance is the permitted excess over the limit.
 	tolerance quota.Tolerance
-	gateways  []*member
-	// leader leads until it is cut off or restarted; nil if nobody does, until leadFrom.
-	leader   *member
+	gateways  []*testGateway
+	// leader is the current leader, or nil until leadFrom.
+	leader   *testGateway
 	leadFrom time.Time
-	// reported is when the leader heard of each gateway last.
+	// reported is when each gateway last reported to the leader.
 	reported map[string]time.Time
-	// awaited are the gateways that the leader remembered and that have not reported to it.
+	// awaited holds the gateways that the leader knew before its term and that have not reported in it.
 	awaited map[string]bool
-	// stored is the list in the store, with all that were on the leader's lately; listed is when each was.
-	stored []string
-	listed map[string]time.Time
-	// spent are all requests that were let run.
-	spent []spending
+	// stored is the list in the store: every gateway that was on the leader's list within storedListTime.
+	// lastListed holds when each last was.
+	stored     []string
+	lastListed map[string]time.Time
+	// spends lists the requests that were let through.
+	spends []spend
 }
 
-type spending struct {
+type spend struct {
 	at     time.Time
 	amount float64
 }
 
-// A member is one gateway of a fleet. It is its limiter's quota.Asker.
-type member struct {
-	fleet   *fleet
+// A testGateway is a simulated gateway. It implements quota.Asker for its own limiter.
+type testGateway struct {
+	set     *gatewaySet
 	id      string
 	limiter *quota.Limiter
-	// island is the part of the network that it is in: gateways of two parts do not reach each other.
-	island int
-	// paused says that its process does nothing.
+	// partition is the network partition of the gateway. Gateways in different partitions cannot reach each
+	// other.
+	partition int
+	// paused is set while the process is paused.
 	paused bool
-	// ids are those of the last list.
+	// ids is the last list of gateways passed to the limiter.
 	ids []string
 }
 
-func newFleet(size int, limit quota.Limit) *fleet { return newFleetWithin(size, limit, tolerance) }
+func newGatewaySet(size int, limit quota.Limit) *gatewaySet {
+	return newGatewaySetWithin(size, limit, tolerance)
+}
 
-// newFleetWithin returns a fleet whose limit may be exceeded by a tolerance.
-func newFleetWithin(size int, limit quota.Limit, t quota.Tolerance) *fleet {
-	f := &fleet{clock: clocktest.New(time.Unix(0, 0)), limit: limit, tolerance: t, reported: make(map[string]time.Time), listed: make(map[string]time.Time)}
+func newGatewaySetWithin(size int, limit quota.Limit, t quota.Tolerance) *gatewaySet {
+	s := &gatewaySet{clock: clocktest.New(time.Unix(0, 0)), limit: limit, tolerance: t, reported: make(map[string]time.Time), lastListed: make(map[string]time.Time)}
 	for i := range size {
-		f.gateways = append(f.gateways, &member{fleet: f, id: fmt.Sprint("g", i)})
-		f.restart(i)
+		s.gateways = append(s.gateways, &testGateway{set: s, id: fmt.Sprint("g", i)})
+		s.restart(i)
 	}
-	f.leader = f.gateways[0]
-	return f
+	s.leader = s.gateways[0]
+	return s
 }
 
-// restart makes a gateway begin anew, with nothing known.
-func (f *fleet) restart(i int) {
-	m := f.gateways[i]
-	if f.leader == m {
-		f.loseLeader()
+// restart replaces a gateway's limiter by one without state.
+func (s *gatewaySet) restart(i int) {
+	g := s.gateways[i]
+	if s.leader == g {
+		s.loseLeader()
 	}
-	m.ids = nil
-	m.limiter = quota.New(quota.Options{
-		Self: m.id, Clock: f.clock, Asker: m, Tolerance: f.tolerance,
-		Limit: func(string) (quota.Limit, bool) { return f.limit, true },
+	g.ids = nil
+	g.limiter = quota.New(quota.Options{
+		Self: g.id, Clock: s.clock, Asker: g, Tolerance: s.tolerance,
+		Limit: func(string) (quota.Limit, bool) { return s.limit, true },
 	})
-	if len(f.stored) > 0 {
-		m.follow(f.stored)
+	if len(s.stored) > 0 {
+		g.applyList(s.stored)
 	}
 }
 
-// loseLeader leaves the fleet without a leader until the lease has ended.
-func (f *fleet) loseLeader() {
-	f.leader, f.leadFrom = nil, f.clock.Now().Add(leaseTime)
+// loseLeader removes the leader until the lease has expired.
+func (s *gatewaySet) loseLeader() {
+	s.leader, s.leadFrom = nil, s.clock.Now().Add(leaderlessTime)
 }
 
-// elect makes the first gateway that runs in the largest part of the network the leader.
-func (f *fleet) elect() {
-	if f.leader != nil || f.clock.Now().Before(f.leadFrom) {
+// elect makes the first running gateway of partition 0 the leader if there is none and the lease has expired.
+func (s *gatewaySet) elect() {
+	if s.leader != nil || s.clock.Now().Before(s.leadFrom) {
 		return
 	}
-	for _, m := range f.gateways {
-		if m.island == 0 && !m.paused {
-			f.leader = m
-			f.remember()
+	for _, g := range s.gateways {
+		if g.partition == 0 && !g.paused {
+			s.leader = g
+			s.seedReports()
 			return
 		}
 	}
 }
 
-// remember makes the new leader begin with the gateways that it knew, as if they had reported just now.
-func (f *fleet) remember() {
-	f.reported, f.awaited = make(map[string]time.Time), make(map[string]bool)
-	for _, id := range f.leader.ids {
-		f.reported[id], f.awaited[id] = f.clock.Now(), true
+// seedReports starts a leader's term with the gateways that it knew, as if they had just reported.
+func (s *gatewaySet) seedReports() {
+	s.reported, s.awaited = make(map[string]time.Time), make(map[string]bool)
+	for _, id := range s.leader.ids {
+		s.reported[id], s.awaited[id] = s.clock.Now(), true
 	}
 }
 
-// report lets all gateways that reach the leader report to it.
-func (f *fleet) report() {
-	f.elect()
-	if f.leader == nil {
+// report makes all gateways that can reach the leader report to it.
+func (s *gatewaySet) report() {
+	s.elect()
+	if s.leader == nil {
 		return
 	}
-	now := f.clock.Now()
-	for _, m := range f.gateways {
-		if f.reaches(m, f.leader) {
-			f.reported[m.id] = now
-			delete(f.awaited, m.id)
+	now := s.clock.Now()
+	for _, g := range s.gateways {
+		if s.reaches(g, s.leader) {
+			s.reported[g.id] = now
+			delete(s.awaited, g.id)
 		}
 	}
 	var ids []string
-	for _, m := range f.gateways {
-		if at, ok := f.reported[m.id]; ok && now.Sub(at) < listTime {
-			ids = append(ids, m.id)
+	for _, g := range s.gateways {
+		if at, ok := s.reported[g.id]; ok && now.Sub(at) < listTimeout {
+			ids = append(ids, g.id)
 			continue
 		}
-		delete(f.awaited, m.id)
+		delete(s.awaited, g.id)
 	}
-	f.store(ids)
-	for _, m := range f.gateways {
-		if f.reaches(m, f.leader) {
-			m.limiter.Heard(now, quota.Absence{Lapsed: f.leader.limiter.Lapsed(), Awaited: len(f.awaited)})
-			m.follow(ids)
+	s.storeList(ids)
+	for _, g := range s.gateways {
+		if s.reaches(g, s.leader) {
+			g.limiter.Heard(now, quota.Absence{Lapsed: s.leader.limiter.Lapsed(), Awaited: len(s.awaited)})
+			g.applyList(ids)
 		}
 	}
 }
 
-// store writes the leader's list to the store, with all that were on it lately.
-func (f *fleet) store(ids []string) {
-	now := f.clock.Now()
+// storeList writes the leader's list to the store.
+func (s *gatewaySet) storeList(ids []string) {
+	now := s.clock.Now()
 	for _, id := range ids {
-		f.listed[id] = now
+		s.lastListed[id] = now
 	}
-	maps.DeleteFunc(f.listed, func(_ string, at time.Time) bool { return now.Sub(at) > storeTime })
-	f.stored = slices.Sorted(maps.Keys(f.listed))
+	maps.DeleteFunc(s.lastListed, func(_ string, at time.Time) bool { return now.Sub(at) > storedListTime })
+	s.stored = slices.Sorted(maps.Keys(s.lastListed))
 }
 
-func (f *fleet) reaches(a, b *member) bool { return a.island == b.island && !a.paused && !b.paused }
+func (s *gatewaySet) reaches(a, b *testGateway) bool {
+	return a.partition == b.partition && !a.paused && !b.paused
+}
 
-func (m *member) follow(ids []string) {
-	if slices.Equal(m.ids, ids) {
+func (g *testGateway) applyList(ids []string) {
+	if slices.Equal(g.ids, ids) {
 		return
 	}
-	m.ids = ids
-	m.limiter.SetGateways(ids)
+	g.ids = ids
+	g.limiter.SetGateways(ids)
 }
 
-// step lets a time pass in which all report as often as they do.
-func (f *fleet) step(d time.Duration) {
+// step advances the clock, with reports at their interval.
+func (s *gatewaySet) step(d time.Duration) {
 	for d > 0 {
 		next := min(d, reportInterval)
-		f.clock.Advance(next)
-		f.report()
+		s.clock.Advance(next)
+		s.report()
 		d -= next
 	}
 }
 
-// take lets a request arrive at a gateway.
-func (f *fleet) take(i int, amount float64) quota.Outcome {
-	m := f.gateways[i]
-	if m.paused {
+// request sends a request to a gateway and records it if it is let through.
+func (s *gatewaySet) request(i int, amount float64) quota.Outcome {
+	g := s.gateways[i]
+	if g.paused {
 		return quota.Unknown
 	}
-	d := m.limiter.Take(context.Background(), testOrganisation, amount)
+	d := g.limiter.Take(context.Background(), testOrganisation, amount)
 	if d.Outcome == quota.Inside {
-		f.spent = append(f.spent, spending{at: f.clock.Now(), amount: amount})
+		s.spends = append(s.spends, spend{at: s.clock.Now(), amount: amount})
 	}
 	return d.Outcome
 }
 
-// mostIn returns the most that was spent in any span of a length.
-func (f *fleet) mostIn(window time.Duration) (most float64) {
+// maxSpentIn returns the maximum amount spent in any window of the given length.
+func (s *gatewaySet) maxSpentIn(window time.Duration) (most float64) {
 	sum, first := 0.0, 0
-	for _, s := range f.spent {
-		sum += s.amount
-		for s.at.Sub(f.spent[first].at) >= window {
-			sum -= f.spent[first].amount
+	for _, x := range s.spends {
+		sum += x.amount
+		for x.at.Sub(s.spends[first].at) >= window {
+			sum -= s.spends[first].amount
 			first++
 		}
 		most = max(most, sum)
@@ -212,10 +217,10 @@
 	return most
 }
 
-// owner returns the gateway that grants for the organisation.
-func (f *fleet) owner() int {
-	for i, m := range f.gateways {
-		if s, _ := m.limiter.Status(testOrganisation); s.Owner == m.id {
+// owner returns the index of the gateway that owns the organisation.
+func (s *gatewaySet) owner() int {
+	for i, g := range s.gateways {
+		if status, _ := g.limiter.Status(testOrganisation); status.Owner == g.id {
 			return i
 		}
 	}
@@ -223,11 +228,11 @@
 }
 
 // AskGrant implements quota.Asker.
-func (m *member) AskGrant(_ context.Context, addr string, r quota.Request) (quota.Reply, error) {
-	for _, other := range m.fleet.gateways {
-		if other.id == addr && m.fleet.reaches(m, other) {
+func (g *testGateway) AskGrant(_ context.Context, gateway string, r quota.Request) (quota.Reply, error) {
+	for _, other := range g.set.gateways {
+		if other.id == gateway && g.set.reaches(g, other) {
 			return other.limiter.Grant(r), nil
 		}
 	}
-	return quota.Reply{}, errCut
+	return quota.Reply{}, errUnreachable
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -11,47 +11,49 @@
 )
 
 const (
-	// StockTime is how long a grant may be spent, counted from when it was asked for. What is in stock adds
-	// to the limit in a window: at most half a second of the rate, since a grant ahead is no more than the
-	// demand in that time.
+	// StockTime is how long a grant may be spent, counted from when it was requested. Prefetched grants let
+	// an organisation exceed its limit in a window by at most half a second's worth of the rate, since a
+	// prefetch is no larger than the demand in StockTime.
 	StockTime = 500 * time.Millisecond
-	// denialTime bounds the time in which an owner that granted nothing is not asked again, so that an
-	// organisation far beyond its limit costs each gateway an ask in that time.
+	// denialTime bounds the time in which an owner is not asked again after a denial. It limits the requests
+	// for grants that an organisation far over its limit causes.
 	denialTime = 50 * time.Millisecond
 )
 
-// ErrEnded says that the process of the gateway that was asked has ended: nobody listens at its address.
-var ErrEnded = errors.New("quota: the gateway has ended")
+// ErrEnded is returned by an Asker if the process of the other gateway is known to have ended: nothing
+// listens at its address.
+var ErrEnded = errors.New("quota: gateway process is not running")
 
-// An Asker asks the gateway of an id for a grant.
+// An Asker requests grants from other gateways.
 type Asker interface {
-	// AskGrant returns the gateway's reply; an error is ErrEnded if that is known.
+	// AskGrant requests a grant from the gateway with the given ID. The error is or wraps ErrEnded if the
+	// process is known to have ended.
 	AskGrant(ctx context.Context, gateway string, r Request) (Reply, error)
 }
 
-// Options are what a Limiter is made of.
+// Options configure a Limiter.
 type Options struct {
-	// Self is the id of this gateway.
+	// Self is the ID of this gateway.
 	Self      string
 	Clock     clock.Service
 	Asker     Asker
 	Tolerance Tolerance
 	// Limit returns an organisation's limit; ok is false if it has none.
 	Limit func(organisation string) (l Limit, ok bool)
-	// OnOwnerSilent, if not nil, is called when an owner does not grant, once until it does.
+	// OnOwnerSilent, if not nil, is called when an owner does not reply as the owner. It is not called again
+	// for the same organisation until an owner has.
 	OnOwnerSilent func(organisation, gateway string, err error)
 }
 
-// An Outcome says whether a request may run.
+// An Outcome is the result of a limit check.
 type Outcome int
 
-// The outcomes.
 const (
-	// Unknown says that nobody could tell.
+	// Unknown means that the limit could not be checked.
 	Unknown Outcome = iota
-	// Inside says that the request is inside its organisation's limit, and counts as spent.
+	// Inside means that the request is within the limit and counted as spent.
 	Inside
-	// Over says that it is beyond the limit.
+	// Over means that the request exceeds the limit.
 	Over
 )
 
@@ -66,89 +68,91 @@
 	return "unknown"
 }
 
-// A Decision says whether a request may run.
+// A Decision is the result of a limit check for one request.
 type Decision struct {
 	Outcome Outcome
-	// RetryAfter is when the organisation may be inside its limit again, if it is over.
+	// RetryAfter is the time after which the organisation may be within its limit again, if the outcome is
+	// Over.
 	RetryAfter time.Duration
 }
 
-// A Limiter keeps the limits of organisations together with those of the other gateways. It is safe for
+// A Limiter enforces the limits of organisations together with the Limiters of other gateways. It is safe for
 // concurrent use.
 type Limiter struct {
 	opts Options
 
 	mu       sync.Mutex
-	fleet    fleet
+	gateways gatewaySet
 	granter  granter
 	accounts map[string]*account
-	// silent are the organisations whose owner did not grant when it was asked last.
-	silent map[string]bool
+	// unresponsive holds the organisations whose owner did not reply as such to the last request.
+	unresponsive map[string]bool
 }
 
-// New returns a Limiter that knows no gateways.
+// New returns a Limiter without a list of gateways.
 func New(o Options) *Limiter {
 	now := o.Clock.Now()
 	return &Limiter{
-		opts: o, fleet: newFleet(o.Self, now), granter: newGranter(now), accounts: make(map[string]*account),
-		silent: make(map[string]bool),
+		opts: o, gateways: newGatewaySet(o.Self, now), granter: newGranter(now), accounts: make(map[string]*account),
+		unresponsive: make(map[string]bool),
 	}
 }
 
-// Heard notes that a leader replied to what it was asked at a time, and what it said of absent
-// gateways. It comes before the list of that reply.
-func (l *Limiter) Heard(asked time.Time, a Absence) {
+// Heard records that a leader replied to a request sent at the given time, and the Absence in its reply. Call
+// it before SetGateways with the list of the same reply.
+func (l *Limiter) Heard(sentAt time.Time, a Absence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fleet.heard(asked, a)
+	l.gateways.recordLeaderReply(sentAt, a)
 }
 
-// Lapsed returns the number of gateways that went off the leader's list lately, for the leader's replies.
+// Lapsed returns the number of gateways recently removed from the list. A leader sends it in its replies.
 func (l *Limiter) Lapsed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fleet.countLapsed(l.opts.Clock.Now())
+	return l.gateways.countRemoved(l.opts.Clock.Now())
 }
 
-// SetGateways sets the list of gateways by their ids. A gateway that went on without a leader before, while
-// another may have granted in its place, begins with nothing.
+// SetGateways replaces the list of gateway IDs. If this gateway was without a leader before, another may have
+// made grants in its place, so its buckets start empty.
 func (l *Limiter) SetGateways(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Clock.Now()
-	l.fleet.set(ids, now)
-	if l.fleet.wasAlone {
+	l.gateways.setGateways(ids, now)
+	if l.gateways.wasUnconfirmed {
 		l.granter = newGranter(now)
 	}
-	l.granter.keep(func(organisation string) bool { return l.fleet.owner(organisation) == l.opts.Self }, now)
+	l.granter.retain(func(organisation string) bool { return l.gateways.owner(organisation) == l.opts.Self }, now)
 }
 
-// NoteFormer tells of gateways that were there before this one started. Those that are not on the list may
-// spend their parts for a while.
+// NoteFormer records gateways that were known before this process started. Those that are not on the list may
+// still be spending their shares.
 func (l *Limiter) NoteFormer(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fleet.noteFormer(ids, l.opts.Clock.Now())
+	l.gateways.addFormer(ids, l.opts.Clock.Now())
 }
 
-// Grant answers a gateway's request for a grant; one for a negative amount is not answered as an owner.
+// Grant handles a gateway's request for a grant. The reply is empty if this gateway does not own the
+// organisation or the request is invalid.
 func (l *Limiter) Grant(r Request) Reply {
 	limit, ok := l.opts.Limit(r.Key)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !ok || !r.isValid() || l.fleet.owner(r.Key) != l.opts.Self {
+	if !ok || !r.isValid() || l.gateways.owner(r.Key) != l.opts.Self {
 		return Reply{}
 	}
 	now := l.opts.Clock.Now()
-	share := l.fleet.share(limit, l.opts.Tolerance, now)
+	share := l.gateways.share(limit, l.opts.Tolerance, now)
 	reply := l.granter.grant(r, limit, share, now)
-	l.fleet.noteAsked(r.From, now)
-	reply.IsUnsure = !l.fleet.isSure(now)
+	l.gateways.recordRequest(r.From, now)
+	reply.IsUnsure = !l.gateways.isConfirmed(now)
 	return reply
 }
 
-// Take decides whether a request of an organisation that spends an amount may run, and counts it as spent if
-// it may.
+// Take decides whether a request that spends an amount may run, and counts the amount as spent if so. A
+// request of an organisation without a limit may always run.
 func (l *Limiter) Take(ctx context.Context, organisation string, amount float64) Decision {
 	limit, ok := l.opts.Limit(organisation)
 	if !ok {
@@ -157,119 +161,121 @@
 	d := l.decide(ctx, organisation, limit, amount)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account(organisation).counts.note(d.Outcome, amount)
+	l.account(organisation).counts.record(d.Outcome, amount)
 	return d
 }
 
-// decide decides whether a request may run.
 func (l *Limiter) decide(ctx context.Context, organisation string, limit Limit, amount float64) Decision {
-	asked := l.opts.Clock.Now()
-	request, decision, decided := l.begin(organisation, amount, asked)
+	sentAt := l.opts.Clock.Now()
+	request, decision, decided := l.decideLocally(organisation, amount, sentAt)
 	if decided {
 		return decision
 	}
-	reply, err := l.ask(ctx, request)
+	reply, err := l.requestGrant(ctx, request)
 	if err != nil {
-		return l.takePart(organisation, limit, amount, errors.Is(err, ErrEnded))
+		return l.takeOwnShare(organisation, limit, amount, errors.Is(err, ErrEnded))
 	}
-	return l.finish(organisation, request, reply, asked)
+	return l.applyReply(organisation, request, reply, sentAt)
 }
 
-// begin decides from what this gateway has, or returns what to ask the owner for.
-func (l *Limiter) begin(organisation string, amount float64, now time.Time) (r Request, d Decision, decided bool) {
+// decideLocally decides from local state, or returns the request to send to the owner.
+func (l *Limiter) decideLocally(organisation string, amount float64, now time.Time) (r Request, d Decision, decided bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(organisation)
-	a.note(amount, now)
+	a.recordDemand(amount, now)
 	if a.spend(amount, now) {
 		return Request{}, Decision{Outcome: Inside}, true
 	}
-	if left := a.deniedUntil.Sub(now); left > 0 && amount >= a.deniedNeed {
-		return Request{}, Decision{Outcome: Over, RetryAfter: left}, true
+	if remaining := a.deniedUntil.Sub(now); remaining > 0 && amount >= a.deniedAmount {
+		return Request{}, Decision{Outcome: Over, RetryAfter: remaining}, true
 	}
-	return Request{Key: organisation, From: l.opts.Self, Need: amount, Ahead: a.ahead(amount)}, Decision{}, false
+	return Request{Key: organisation, From: l.opts.Self, Need: amount, Ahead: a.prefetchAmount(amount)}, Decision{}, false
 }
 
-// errNoOwner says that no gateway grants, as far as this one knows.
-var errNoOwner = errors.New("quota: no owner")
+// errNoOwner means that there is no known owner, or that the gateway asked is not the owner.
+var errNoOwner = errors.New("quota: no gateway owns the limit")
 
-// ask asks the owner of a limit for a grant; an error says that it does not answer as such.
-func (l *Limiter) ask(ctx context.Context, r Request) (Reply, error) {
+// requestGrant requests a grant from the owner of a limit. It returns an error if there is no reply from an
+// owner.
+func (l *Limiter) requestGrant(ctx context.Context, r Request) (Reply, error) {
 	l.mu.Lock()
-	owner := l.fleet.owner(r.Key)
+	owner := l.gateways.owner(r.Key)
 	l.mu.Unlock()
 	switch owner {
 	case "":
 		return Reply{}, errNoOwner
 	case l.opts.Self:
-		// Nothing is gained by a grant ahead to oneself.
+		// A local grant needs no prefetch.
 		r.Ahead = 0
-		return owned(l.Grant(r), nil)
+		return requireOwner(l.Grant(r), nil)
 	}
-	reply, err := owned(l.opts.Asker.AskGrant(ctx, owner, r))
+	reply, err := requireOwner(l.opts.Asker.AskGrant(ctx, owner, r))
 	if err != nil {
-		l.noteSilent(r.Key, owner, err)
+		l.reportUnresponsive(r.Key, owner, err)
 	}
 	return reply, err
 }
 
-// owned returns the reply of an owner; that of another gateway becomes an error.
-func owned(r Reply, err error) (Reply, error) {
+// requireOwner turns the reply of a gateway that is not the owner into an error.
+func requireOwner(r Reply, err error) (Reply, error) {
 	if err == nil && !r.IsOwner {
 		err = errNoOwner
 	}
 	return r, err
 }
 
-// finish takes over an owner's reply.
-func (l *Limiter) finish(organisation string, r Request, reply Reply, asked time.Time) Decision {
+// applyReply applies an owner's reply.
+func (l *Limiter) applyReply(organisation string, r Request, reply Reply, sentAt time.Time) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.silent, organisation)
+	delete(l.unresponsive, organisation)
 	a := l.account(organisation)
-	a.endPart()
-	a.lentAt = asked
+	a.clearOwnShare()
+	a.delegatedAt = sentAt
 	if reply.Granted >= r.Need {
-		a.add(reply.Granted-r.Need, asked.Add(StockTime))
+		a.addCredit(reply.Granted-r.Need, sentAt.Add(StockTime))
 		return Decision{Outcome: Inside}
 	}
 	if reply.IsUnsure {
 		return Decision{Outcome: Unknown}
 	}
 	wait := time.Duration(reply.RetryAfterMs) * time.Millisecond
-	a.deniedUntil, a.deniedNeed = asked.Add(min(wait, denialTime)), r.Need
+	a.deniedUntil, a.deniedAmount = sentAt.Add(min(wait, denialTime)), r.Need
 	return Decision{Outcome: Over, RetryAfter: wait}
 }
 
-// takePart spends of this gateway's own part, unless the owner may still have it: one that is cut off believes
-// for OwnerTime that it grants alone, as long as which its organisations are refused. Nothing says that an
-// organisation is over its limit when the part is used up: the owner would have more.
-func (l *Limiter) takePart(organisation string, limit Limit, amount float64, ended bool) Decision {
+// takeOwnShare spends from this gateway's own share if the owner cannot have it any more. An owner that has
+// lost its connections acts as owner until OwnerTime has passed; meanwhile the outcome is Unknown. The
+// outcome is never Over, because the owner could grant more than this share.
+func (l *Limiter) takeOwnShare(organisation string, limit Limit, amount float64, notRunning bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Clock.Now()
 	a := l.account(organisation)
-	if l.fleet.isSure(now) && !ended {
+	if l.gateways.isConfirmed(now) && !notRunning {
 		return Decision{Outcome: Unknown}
 	}
-	if !a.spendPart(limit, l.fleet.ownPart(now), amount, l.lentUntil(a, now), now) {
+	if !a.spendOwnShare(limit, l.gateways.ownShare(now), amount, l.delegatedUntil(a, now), now) {
 		return Decision{Outcome: Unknown}
 	}
 	return Decision{Outcome: Inside}
 }
 
-// lentUntil returns until when others had this gateway's part of an organisation's rate. The Limiter is locked.
-func (l *Limiter) lentUntil(a *account, now time.Time) time.Time {
+// delegatedUntil returns the time until which other gateways had this gateway's share of an organisation's
+// rate. l.mu must be held.
+func (l *Limiter) delegatedUntil(a *account, now time.Time) time.Time {
 	switch {
-	case l.fleet.isSure(now):
+	case l.gateways.isConfirmed(now):
 		return now
-	case a.lentAt.After(l.fleet.sureUntil):
-		return a.lentAt
+	case a.delegatedAt.After(l.gateways.confirmedUntil):
+		return a.delegatedAt
 	}
-	return l.fleet.sureUntil
+	return l.gateways.confirmedUntil
 }
 
-// GiveBack gives back what a request spent that has not run. It may be spent here, for as long as a grant.
+// GiveBack returns an amount spent by a request that did not run. It may be spent by this gateway within
+// StockTime.
 func (l *Limiter) GiveBack(organisation string, amount float64) {
 	if _, ok := l.opts.Limit(organisation); !ok {
 		return
@@ -278,33 +284,33 @@
 	defer l.mu.Unlock()
 	a := l.account(organisation)
 	a.counts.Spent -= amount
-	a.add(amount, l.opts.Clock.Now().Add(StockTime))
+	a.addCredit(amount, l.opts.Clock.Now().Add(StockTime))
 }
 
-// Keep forgets the limits that a function does not want kept: a Limiter whose limits come and go would hold all that
-// there ever were.
+// Keep removes the state of all organisations for which wanted returns false. Without it, a Limiter whose
+// limits come and go would grow without bound.
 func (l *Limiter) Keep(wanted func(organisation string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	unwanted := func(organisation string) bool { return !wanted(organisation) }
 	maps.DeleteFunc(l.accounts, func(name string, _ *account) bool { return unwanted(name) })
-	maps.DeleteFunc(l.silent, func(name string, _ bool) bool { return unwanted(name) })
+	maps.DeleteFunc(l.unresponsive, func(name string, _ bool) bool { return unwanted(name) })
 	maps.DeleteFunc(l.granter.buckets, func(name string, _ *bucket) bool { return unwanted(name) })
-	maps.DeleteFunc(l.fleet.owners, func(name, _ string) bool { return unwanted(name) })
+	maps.DeleteFunc(l.gateways.owners, func(name, _ string) bool { return unwanted(name) })
 }
 
-// noteSilent reports an owner that did not grant, once until one does.
-func (l *Limiter) noteSilent(organisation, gateway string, err error) {
+// reportUnresponsive calls OnOwnerSilent, unless it has already been called since an owner last replied.
+func (l *Limiter) reportUnresponsive(organisation, gateway string, err error) {
 	l.mu.Lock()
-	known := l.silent[organisation]
-	l.silent[organisation] = true
+	reported := l.unresponsive[organisation]
+	l.unresponsive[organisation] = true
 	l.mu.Unlock()
-	if !known && l.opts.OnOwnerSilent != nil {
+	if !reported && l.opts.OnOwnerSilent != nil {
 		l.opts.OnOwnerSilent(organisation, gateway, err)
 	}
 }
 
-// account returns an organisation's account. The Limiter is locked.
+// account returns an organisation's account and creates it if necessary. l.mu must be held.
 func (l *Limiter) account(organisation string) *account {
 	a := l.accounts[organisation]
 	if a == nil {
