--- a/table/check.go
+++ b/table/check.go
@@ -8,24 +8,20 @@
 	"time"
 )
 
-// Bounds of the columns.
+// Maximum values of the columns.
 const (
-	// maxNameLength is in bytes.
-	maxNameLength = 128
-	// maxWeight has no unit.
-	maxWeight = 1000
-	// maxShare is in percent.
-	maxShare = 100
-	// maxConcurrency is in requests.
-	maxConcurrency = 100000
-	// maxQueueTime is the longest time that a row lets requests wait.
-	maxQueueTime = 10 * time.Minute
+	maxNameLength  = 128 // bytes
+	maxWeight      = 1000
+	maxShare       = 100    // percent
+	maxConcurrency = 100000 // requests
+	maxQueueTime   = 10 * time.Minute
 )
 
-// namePattern lets adapters be named like "hints/tohoku" and models like "qwen2.5:7b".
+// namePattern matches model names such as "qwen2.5:7b" and adapter names such as
+// "hints/tohoku".
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]*$`)
 
-// A CheckError names the cell of the table that is wrong and what it may hold.
+// A CheckError describes an invalid cell of the table and the values that are allowed in it.
 type CheckError struct {
 	Row     string `json:"row"`
 	Column  string `json:"column"`
@@ -33,12 +29,12 @@
 	Allowed string `json:"allowed"`
 }
 
-// Error returns the message shown to operators.
+// Error returns the message that is shown to operators.
 func (e CheckError) Error() string {
 	return fmt.Sprintf("table: row %q, column %s: %q is not allowed; allowed: %s", e.Row, e.Column, e.Value, e.Allowed)
 }
 
-// A checker collects the errors of one row.
+// A checker validates one row and collects its errors.
 type checker struct {
 	row  Row
 	errs []CheckError
@@ -52,7 +48,7 @@
 	c.errs = append(c.errs, e)
 }
 
-// Check returns every error in the table's rows, none for a table that may be saved.
+// Check validates all rows and returns every error found.
 func (t *Table) Check() []CheckError {
 	var errs []CheckError
 	rows := t.Rows()
@@ -90,7 +86,8 @@
 	c.require(ok && base.Kind == KindModel, "base", r.Base, "the name of a row of kind model")
 }
 
-// checkPaths refuses paths of which two services could claim the same call.
+// checkPaths validates the paths of services, which must be well-formed, not reserved and
+// unique.
 func checkPaths(rows []Row) []CheckError {
 	var errs []CheckError
 	seen := make(map[string]string)
--- a/table/column.go
+++ b/table/column.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// columnName is the column that every row must have.
+// columnName is the only mandatory column.
 const columnName = "name"
 
-// Defaults of columns that an operator leaves empty.
+// Default values of empty cells.
 const (
-	// defaultWeight makes rows of one tier equal.
 	defaultWeight = 1
-	// defaultShare is no limit, in percent.
+	// defaultShare is in percent and means no limit.
 	defaultShare = maxShare
-	// defaultQueueTime is the time that a caller of a chat waits before it gives up.
+	// defaultQueueTime is the time after which an interactive caller is assumed to give up.
 	defaultQueueTime = 10 * time.Second
 )
 
-// A column is one column of the table in its written form.
+// A column converts one field of a row to and from its text form.
 type column struct {
 	name string
-	// suffix may follow a cell's value.
+	// suffix is an optional suffix of a cell's text, such as a percent sign.
 	suffix string
-	// get returns a cell's written form; set sets it and reports whether the value could
-	// be read, or else what is allowed.
+	// get formats the field.
 	get func(r Row) string
+	// set parses the field. If value is malformed, ok is false and allowed describes the
+	// permitted values.
 	set func(r *Row, value string) (allowed string, ok bool)
 }
 
-// columns lists the table's columns in the order of its CSV form.
+// columns lists the columns in CSV order.
 var columns = []column{
 	textColumn(columnName, func(r *Row) *string { return &r.Name }),
 	textColumn("kind", func(r *Row) *string { return (*string)(&r.Kind) }),
@@ -44,7 +44,7 @@
 	textColumn("path", func(r *Row) *string { return &r.Path }),
 }
 
-// Columns lists the names of the table's columns in the order of its CSV form.
+// Columns lists the column names in CSV order.
 var Columns = columnNames()
 
 func columnNames() []string {
@@ -55,7 +55,7 @@
 	return names
 }
 
-// textColumn returns a column whose cells are text; Check says which text is allowed.
+// textColumn returns a column that accepts any text. Table.Check validates the text.
 func textColumn(name string, field func(*Row) *string) column {
 	return column{
 		name: name,
@@ -67,7 +67,7 @@
 	}
 }
 
-// numberColumn returns a column of whole numbers; an empty cell has the default.
+// numberColumn returns a column of integers. An empty cell is set to absent.
 func numberColumn(name, suffix string, absent int, field func(*Row) *int) column {
 	return column{
 		name: name, suffix: suffix,
@@ -87,7 +87,7 @@
 	}
 }
 
-// setQueueTime sets the queue time; an empty cell has the default.
+// setQueueTime parses the queue time. An empty value sets the default.
 func (r *Row) setQueueTime(value string) (string, bool) {
 	if value == "" {
 		r.QueueTime = defaultQueueTime
@@ -101,7 +101,8 @@
 	return "", true
 }
 
-// NewRow returns a row with the defaults of all columns.
+// NewRow returns a row of kind KindModel and tier TierStandard with the default weight,
+// share and queue time.
 func NewRow(name string) Row {
 	return Row{
 		Name: name, Kind: KindModel, Tier: TierStandard,
@@ -109,7 +110,7 @@
 	}
 }
 
-// Set sets a column from its written form; the error is a CheckError.
+// Set parses value and assigns it to the named column. Its errors are of type CheckError.
 func (r *Row) Set(name, value string) error {
 	value = strings.TrimSpace(value)
 	for _, c := range columns {
@@ -125,7 +126,7 @@
 	return CheckError{Row: r.Name, Column: name, Value: value, Allowed: "one of the columns " + strings.Join(Columns, ", ")}
 }
 
-// Cells returns the row's written form in the order of Columns.
+// Cells returns the text of the row's cells in the order of Columns.
 func (r Row) Cells() []string {
 	cells := make([]string, len(columns))
 	for i, c := range columns {
--- a/table/csv.go
+++ b/table/csv.go
@@ -10,11 +10,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxCSV bounds what ReadCSV reads, in bytes: some hundred times the table of 510 models
-// (docs/CAPACITY.md).
+// maxCSV is the maximum number of bytes that ReadCSV reads, about a hundred times the size
+// of the table that the system is designed for (docs/CAPACITY.md).
 const maxCSV = 8 << 20
 
-// WriteCSV writes a header and one line a row.
+// WriteCSV writes a header line and one line for each row.
 func WriteCSV(w io.Writer, rows []Row) error {
 	out := csv.NewWriter(w)
 	if err := out.Write(Columns); err != nil {
@@ -29,9 +29,10 @@
 	return eris.Wrap(out.Error(), "table: write csv")
 }
 
-// ReadCSV reads rows under a header that names the columns in any order.
+// ReadCSV reads rows below a header line that names the columns in any order.
 //
-// A cell's error is a CheckError, its row named "line N" while it has no name.
+// An invalid header or cell is reported as a CheckError. If the row has no name, the error
+// identifies it as "line N".
 func ReadCSV(r io.Reader) ([]Row, error) {
 	in := csv.NewReader(io.LimitReader(r, maxCSV))
 	header, err := in.Read()
@@ -65,8 +66,8 @@
 	}
 }
 
-// checkHeader returns an error unless the header names each column at most once, and the
-// name at all.
+// checkHeader verifies that the header has only known columns, none of them twice, and
+// includes the name column.
 func checkHeader(header []string) error {
 	seen := make(map[string]bool)
 	for _, c := range header {
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// rowOf returns the row of one line; columns that the header leaves out have their defaults.
+// rowOf parses one line. Columns missing from the header get their default values.
 func rowOf(header, cells []string, line int) (Row, error) {
 	row := NewRow(cells[slices.Index(header, columnName)])
 	if row.Name == "" {
--- a/table/csv_test.go
+++ b/table/csv_test.go
@@ -43,8 +43,7 @@
 	assert.DeepEqual(t, rows, []table.Row{want})
 }
 
-// FuzzReadCSV checks that whatever ReadCSV takes, WriteCSV writes so that it is
-// read as the same rows.
+// FuzzReadCSV checks that valid rows are unchanged after WriteCSV and ReadCSV.
 func FuzzReadCSV(f *testing.F) {
 	f.Add("name,kind,base,customer,tier,weight,share,concurrency,queue_time,path\nm,model,,guild,premium,1,100,0,1s,\n")
 	f.Add("name\n\"a\"\"b\"\n")
--- a/table/diff.go
+++ b/table/diff.go
@@ -1,7 +1,7 @@
 package table
 
-// Diff returns the changes that make a table of the old rows hold the new ones;
-// with replace it removes the rows that the new ones do not name.
+// Diff returns the changes that add or update the rows of next in a table that contains the
+// rows of old. With replace, the changes also remove the rows that next does not contain.
 func Diff(old, next []Row, replace bool) []Change {
 	byName := make(map[string]Row, len(old))
 	for _, r := range old {
--- a/table/example_test.go
+++ b/table/example_test.go
@@ -7,7 +7,7 @@
 	"rockcleat/table"
 )
 
-// A spreadsheet with a mistake is refused, with the row and the column.
+// An invalid cell is reported with its row and column.
 func ExampleReadCSV() {
 	_, err := table.ReadCSV(strings.NewReader("name,kind,tier,weight\nhint,model,premium,heavy\n"))
 	fmt.Println(err)
--- a/table/log.go
+++ b/table/log.go
@@ -14,41 +14,42 @@
 	"rockcleat/kv"
 )
 
-// headKey is the key of the table's head in the platform's key-value service.
+// headKey is the key of the head in the key-value service.
 const headKey = "table/head"
 
-// Sizes of the head's tail, in edits.
+// Lengths of the head's tail, in edits.
 const (
-	// maxEdits is the length from which on the tail is cut.
+	// maxEdits is the maximum length. A longer tail is trimmed.
 	maxEdits = 64
-	// keptEdits is the length that it is cut to.
+	// keptEdits is the length after trimming.
 	keptEdits = 32
 )
 
-// Waits between tries of a save, with doubling.
+// Exponential backoff between attempts of a save.
 const (
-	// firstRetryWait is the first one: some round trips to the service.
+	// firstRetryWait is the initial backoff, several round trips to the key-value service.
 	firstRetryWait = 20 * time.Millisecond
-	// maxRetryWait is the longest.
-	maxRetryWait = time.Second
+	maxRetryWait   = time.Second
 )
 
-// Outcomes of a save.
+// Errors of a save.
 var (
-	// ErrRowConflict says that another operator changed the row first; nothing was saved.
+	// ErrRowConflict means that a row is not at the version that the edit expects. Nothing was
+	// saved.
 	ErrRowConflict = errors.New("table: row changed by another edit")
-	// ErrInvalid says that the table would not pass its checks; nothing was saved.
+	// ErrInvalid means that the edited table failed its checks. Nothing was saved.
 	ErrInvalid = errors.New("table: checks failed")
-	// ErrSaveUnknown says that no answer came in time; the same edit may be sent again.
+	// ErrSaveUnknown means that no response arrived in time. The same edit can be saved again
+	// safely.
 	ErrSaveUnknown = errors.New("table: outcome of save unknown")
 )
 
-// An InvalidError carries the errors that made a save fail; it is an ErrInvalid.
+// An InvalidError lists the errors found in an edited table. It matches ErrInvalid.
 type InvalidError struct {
 	Errors []CheckError
 }
 
-// Error returns the first error's message and how many there are.
+// Error returns the message of the first error and the number of further ones.
 func (e *InvalidError) Error() string {
 	if len(e.Errors) == 1 {
 		return e.Errors[0].Error()
@@ -56,44 +57,47 @@
 	return fmt.Sprintf("%s (and %d more)", e.Errors[0].Error(), len(e.Errors)-1)
 }
 
-// Is makes an InvalidError an ErrInvalid.
+// Is reports whether target is ErrInvalid.
 func (e *InvalidError) Is(target error) bool { return target == ErrInvalid }
 
-// A head is the one value whose compare-and-swap decides the next version.
+// A head is the value whose compare-and-swap commits the next version.
 type head struct {
 	Version uint64 `json:"version"`
-	Base    uint64 `json:"base"`
-	Tail    []Edit `json:"tail"`
+	// Base is the version of the snapshot, 0 if there is none.
+	Base uint64 `json:"base"`
+	// Tail lists the latest edits, oldest first.
+	Tail []Edit `json:"tail"`
 }
 
-// A Validator refuses tables for reasons beyond the rows themselves, such as
-// models that do not fit the accelerators; nil stands for none.
+// A Validator checks a table beyond its own rows, for example whether its models fit the
+// accelerators. A nil Validator accepts every table.
 type Validator func(next *Table) []CheckError
 
-// A Log is the table's record in the platform's key-value service.
+// A Log stores the table in the platform's key-value service.
 //
-// The record is a head, which holds the latest edits, and a snapshot that the
-// edits start from. An edit is saved by one compare-and-swap of the head.
+// The stored form is a head, which holds the latest edits, and a snapshot to which the edits
+// apply. An edit is committed by one compare-and-swap of the head.
 type Log struct {
 	store    kv.Store
 	clock    clock.Service
 	validate Validator
 }
 
-// NewLog returns the Log in a store.
+// NewLog returns a Log in the given store. The Validator may be nil.
 func NewLog(store kv.Store, c clock.Service, v Validator) *Log {
 	return &Log{store: store, clock: c, validate: v}
 }
 
-// Load returns the table in force and the head's revision; have is the newest
-// table already known, which spares reading what it holds.
+// Load returns the stored table and the revision of its head. The argument have is the newest
+// table that the caller knows. Load applies the head's edits to it and reads a snapshot only if
+// earlier edits are missing.
 func (l *Log) Load(ctx context.Context, have *Table) (*Table, kv.Revision, error) {
 	t, _, rev, err := l.load(ctx, have)
 	return t, rev, err
 }
 
-// Watch waits for a head newer than the revision, or for at most wait, and
-// returns the table then in force with the head's revision.
+// Watch waits until the head is newer than the revision after, or until wait has passed, and
+// returns the stored table and the revision of its head.
 func (l *Log) Watch(ctx context.Context, have *Table, after kv.Revision, wait time.Duration) (*Table, kv.Revision, error) {
 	e, err := l.store.Watch(ctx, headKey, after, wait)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -106,7 +110,7 @@
 	return t, rev, err
 }
 
-// History returns the latest edits, the newest last.
+// History returns the latest edits, oldest first.
 func (l *Log) History(ctx context.Context) ([]Edit, error) {
 	e, err := l.store.Get(ctx, headKey)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -119,12 +123,11 @@
 	return h.Tail, err
 }
 
-// Save applies the edit to the table in force and returns the table with it. The error is
-// ErrRowConflict, ErrInvalid, ErrSaveUnknown or one of package kv that says that nothing was
-// saved.
+// Save applies the edit to the stored table and returns the result. Its error is ErrRowConflict,
+// ErrInvalid, ErrSaveUnknown or an error of package kv, which means that nothing was saved.
 //
-// An edit whose ID is already in the record is not applied again. While the
-// outcome of a write is unknown Save asks and tries again until ctx ends.
+// Save is idempotent for edits that are still in the head: an edit with the ID of a stored edit
+// is not applied again. If a read or write fails, Save retries until ctx ends.
 func (l *Log) Save(ctx context.Context, e Edit) (*Table, error) {
 	have := &Table{}
 	wait := firstRetryWait
@@ -146,7 +149,7 @@
 	}
 }
 
-// giveUp returns the error of a save that surely did not happen, or that of one that may have.
+// giveUp returns ErrSaveUnknown if the outcome of a write is unknown, and the last error otherwise.
 func giveUp(unknown bool, last error) error {
 	if unknown {
 		return eris.Wrap(ErrSaveUnknown, last.Error())
@@ -154,7 +157,8 @@
 	return last
 }
 
-// trySave tries a save once; retry says that it may be tried again.
+// trySave makes one attempt to save the edit. If it fails, retry reports whether another attempt may
+// succeed.
 func (l *Log) trySave(ctx context.Context, e Edit, have *Table) (t *Table, retry bool, err error) {
 	t, h, rev, err := l.load(ctx, have)
 	if err != nil {
@@ -185,7 +189,7 @@
 	return next, false, nil
 }
 
-// conflict refuses changes to rows that are not as the operator saw them.
+// conflict returns ErrRowConflict if a row is not at the version that the edit expects.
 func conflict(t *Table, e Edit) error {
 	for _, c := range e.Changes {
 		now, _ := t.Row(c.Name)
@@ -196,8 +200,8 @@
 	return nil
 }
 
-// Check returns why a table must not be saved, if anything: errors of its rows, or else those of
-// the Validator.
+// Check returns the errors that prevent a table from being saved: those of its rows, or, if there
+// are none, those of the Validator.
 func (l *Log) Check(t *Table) []CheckError {
 	errs := t.Check()
 	if len(errs) == 0 && l.validate != nil {
@@ -206,8 +210,8 @@
 	return errs
 }
 
-// append returns the head with the edit, moved onto a new snapshot when its
-// tail has grown long.
+// append returns the head with the edit appended. If the tail is then longer than maxEdits, append
+// writes a snapshot of next and trims the tail.
 func (l *Log) append(ctx context.Context, h head, e Edit, next *Table) (head, error) {
 	h.Version = e.Version
 	h.Tail = append(slices.Clone(h.Tail), e)
@@ -224,7 +228,7 @@
 	return h, nil
 }
 
-// load reads the head and returns the table in force.
+// load reads the head and returns the stored table.
 func (l *Log) load(ctx context.Context, have *Table) (*Table, head, kv.Revision, error) {
 	e, err := l.store.Get(ctx, headKey)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -236,8 +240,8 @@
 	return l.decode(ctx, e, have)
 }
 
-// decode returns the table of a head: have with the edits that it lacks, or the head's snapshot
-// with them.
+// decode returns the table that a head describes. It applies the head's edits to have or, if have
+// lacks earlier edits, to the head's snapshot.
 func (l *Log) decode(ctx context.Context, e kv.Entry, have *Table) (*Table, head, kv.Revision, error) {
 	h, err := decodeHead(e.Value)
 	if err != nil {
@@ -260,7 +264,7 @@
 	return t, h, e.Revision, nil
 }
 
-// continues reports whether the tail holds every edit after the version.
+// continues reports whether the tail contains every edit after the given version.
 func (h head) continues(version uint64) bool {
 	return len(h.Tail) > 0 && h.Tail[0].Version <= version+1
 }
--- a/table/log_test.go
+++ b/table/log_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestSaveLostAnswer loses the answers of writes that took effect: the edit is
-// in force once, also when it is sent again under its id.
+// TestSaveLostAnswer guards against an edit that is applied twice because the response of a
+// successful write was lost or the edit was saved again under its ID.
 func TestSaveLostAnswer(t *testing.T) {
 	for lost := range 4 {
 		t.Run(fmt.Sprint(lost, " lost"), func(t *testing.T) {
@@ -75,8 +75,8 @@
 	}
 }
 
-// lossyStore writes, loses the answer of the first write and lets another
-// operator act before the next call.
+// lossyStore loses the response of the first write and calls then before it returns. The
+// write takes effect if effect is set.
 type lossyStore struct {
 	kv.Store
 	effect bool
@@ -98,8 +98,8 @@
 	return 0, kv.ErrUnknown
 }
 
-// TestSaveLostAnswerThenOther lets another operator save between a write whose
-// answer was lost and the next try: the outcome is reported truly and no edit is lost.
+// TestSaveLostAnswerThenOther guards against a wrong outcome or a lost edit when another
+// operator saves between a write whose response was lost and the next attempt.
 func TestSaveLostAnswerThenOther(t *testing.T) {
 	tests := map[string]struct {
 		effect bool
@@ -137,7 +137,7 @@
 	assert.ErrorIs(t, err, table.ErrSaveUnknown)
 }
 
-// unknownStore loses every answer to a write.
+// unknownStore loses the response of every write.
 type unknownStore struct{ kv.Store }
 
 func (*unknownStore) Get(context.Context, string) (kv.Entry, error) {
@@ -147,7 +147,7 @@
 	return 0, kv.ErrUnknown
 }
 
-// TestSaveRace lets many operators edit rows of their own at once: no edit is lost.
+// TestSaveRace guards against edits lost to concurrent saves of different rows.
 func TestSaveRace(t *testing.T) {
 	_, store := standintest.KV(t)
 	const operators, edits = 4, 30
@@ -180,7 +180,8 @@
 	}
 }
 
-// TestLoadAcrossSnapshots reads the table from every version that a process may have.
+// TestLoadAcrossSnapshots checks that Load returns the same table whichever older version
+// the caller has.
 func TestLoadAcrossSnapshots(t *testing.T) {
 	_, store := standintest.KV(t)
 	l := table.NewLog(store, clocktest.Real{}, nil)
--- a/table/organisation.go
+++ b/table/organisation.go
@@ -2,32 +2,34 @@
 
 import "rockcleat/apikey"
 
-// A LimitUnit is what a limit of an organisation counts.
+// A LimitUnit is the unit in which the rate limit of an organisation is counted.
 type LimitUnit string
 
-// The units of limits.
+// Units of rate limits.
 const (
 	// UnitRequests counts each request as one.
 	UnitRequests LimitUnit = "requests"
-	// UnitTokens counts the tokens of a request's prompt and the most that it may generate.
+	// UnitTokens counts the tokens of the prompt and the maximum number of generated tokens.
 	UnitTokens LimitUnit = "tokens"
 )
 
-// A Limit bounds what an organisation may have run by all gateways together: in any span of time at most
-// PerSecond times its seconds and Burst, counted in Unit.
+// A Limit is the rate limit of an organisation across all gateways. In any period of s seconds its
+// requests may cost at most s*PerSecond + Burst units.
 type Limit struct {
 	Unit LimitUnit
-	// PerSecond is the rate, 0 for no limit.
+	// PerSecond is the rate in units per second. 0 means no limit.
 	PerSecond float64
-	Burst     float64
-	// DefaultTokens is what a request counts that names no number of tokens.
+	// Burst is in units.
+	Burst float64
+	// DefaultTokens is the cost of a request that states no number of tokens.
 	DefaultTokens float64
 }
 
-// IsLimited reports whether there is a limit.
+// IsLimited reports whether the rate is limited.
 func (l Limit) IsLimited() bool { return l.PerSecond > 0 }
 
-// Cost returns what a request counts against the limit; tokens is the number that it names, 0 if none.
+// Cost returns the cost of a request in units of the limit. The argument tokens is the number that the
+// request states, 0 if it states none.
 func (l Limit) Cost(tokens int) float64 {
 	switch {
 	case l.Unit != UnitTokens:
@@ -38,16 +40,16 @@
 	return l.DefaultTokens
 }
 
-// An Organisation is a paying customer, whose requests carry one of its keys.
+// An Organisation pays for requests. Its requests are identified by an API key.
 type Organisation struct {
 	Name string
-	// Priority, if not nil, takes the place of the route's.
+	// Priority overrides the priority of the route if it is not nil.
 	Priority *int
 	Limit    Limit
 }
 
-// WithOrganisations returns the routing with organisations and their keys: a request then needs a key,
-// unless its route is open.
+// WithOrganisations returns a copy of the routing with the given organisations and API keys. If the list
+// is not empty, requests then need a key unless their route is open.
 func (r *Routing) WithOrganisations(list []Organisation, keys *apikey.Directory) *Routing {
 	with := *r
 	with.keys = keys
@@ -58,10 +60,10 @@
 	return &with
 }
 
-// NeedsKeys reports whether there are organisations, so that requests need keys.
+// NeedsKeys reports whether requests need an API key, which is so if there are organisations.
 func (r *Routing) NeedsKeys() bool { return len(r.organisations) > 0 }
 
-// KeyHolder returns the organisation that holds a key.
+// KeyHolder returns the organisation that an API key belongs to.
 func (r *Routing) KeyHolder(k apikey.Digest) (Organisation, bool) {
 	if r.keys == nil {
 		return Organisation{}, false
@@ -73,13 +75,13 @@
 	return r.Organisation(name)
 }
 
-// Organisation returns an organisation by name.
+// Organisation returns the organisation with the given name.
 func (r *Routing) Organisation(name string) (Organisation, bool) {
 	o, ok := r.organisations[name]
 	return o, ok
 }
 
-// Organisations returns all organisations, in no order.
+// Organisations returns all organisations in unspecified order.
 func (r *Routing) Organisations() []Organisation {
 	list := make([]Organisation, 0, len(r.organisations))
 	for _, o := range r.organisations {
--- a/table/replica.go
+++ b/table/replica.go
@@ -5,15 +5,14 @@
 	"sync/atomic"
 )
 
-// A Replica is a process's copy of the table; its version only grows.
-//
-// Its zero value holds the empty table. It is safe for concurrent use.
+// A Replica is a process's copy of the table. Its version only increases. It is safe for
+// concurrent use, and its zero value holds the empty table.
 type Replica struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Table]
 }
 
-// Current returns the newest table known.
+// Current returns the newest table that the replica has received.
 func (r *Replica) Current() *Table {
 	if t := r.current.Load(); t != nil {
 		return t
@@ -21,7 +20,7 @@
 	return &Table{}
 }
 
-// Offer takes the table over if it is newer and reports whether it was.
+// Offer replaces the current table with t if t is newer, and reports whether it did.
 func (r *Replica) Offer(t *Table) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,9 +31,9 @@
 	return true
 }
 
-// Merge takes a delta over if it is newer and reports whether it was.
+// Merge applies a delta if it is newer than the current table, and reports whether it did.
 //
-// The delta must have been made for the replica's version or a lower one.
+// The delta must have been created for the replica's version or a lower one.
 func (r *Replica) Merge(d *Delta) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/table/routing.go
+++ b/table/routing.go
@@ -8,79 +8,83 @@
 	"rockcleat/apikey"
 )
 
-// A RetryPolicy says whether a request whose first send failed may be sent again.
+// A RetryPolicy determines whether a request whose first attempt failed may be sent again.
 type RetryPolicy string
 
-// The retry policies.
+// Retry policies.
 const (
-	// RetryNever is that of a request that runs at most once.
+	// RetryNever is the policy of requests that must run at most once.
 	RetryNever RetryPolicy = "never"
-	// RetryWhole is that of a request that may run any number of times.
+	// RetryWhole is the policy of idempotent requests, which may be run again from the start.
 	RetryWhole RetryPolicy = "whole"
-	// RetryResume is that of a stream that may go on at another server after its last event.
+	// RetryResume is the policy of streams that another server can resume after the last
+	// event sent.
 	RetryResume RetryPolicy = "resume"
 )
 
-// A Share is a service's part of a route's requests.
+// A Share is a service that receives a weighted part of a route's requests.
 type Share struct {
 	Service string
-	// Weight is the part, without a unit; it counts against the route's other shares.
+	// Weight is relative to the other weights of the route.
 	Weight int
 }
 
-// A Route sends the requests of a host and a path prefix to services.
+// A Route forwards the requests for a host and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Shares lists the services; one for most routes.
+	// Shares lists the services of the route, usually one.
 	Shares []Share
 	Retry  RetryPolicy
-	// Stream says that answers are server-sent events.
+	// Stream reports whether responses are streams of server-sent events.
 	Stream bool
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the maximum time to handle a request.
 	Timeout time.Duration
-	// FirstByteObjective is the time to the answer, or to a stream's first event, that
-	// callers are promised.
+	// FirstByteObjective is the service-level objective for the time to the response, or to
+	// the first event of a stream.
 	FirstByteObjective time.Duration
-	// EventGapObjective is the longest time between two events that callers are promised.
+	// EventGapObjective is the service-level objective for the time between two events.
 	EventGapObjective time.Duration
-	// Attempts is the greatest number of backend servers that may run one request.
+	// Attempts is the maximum number of backend servers that may run a request.
 	Attempts int
-	// Priority is the route's rank; 0 is the most urgent.
+	// Priority ranks the route's requests. 0 is the most urgent.
 	Priority int
-	// Open says that requests need no key.
+	// Open reports whether requests need no API key.
 	Open bool
 }
 
-// A ModelSpec is a model that an engine may hold.
+// A ModelSpec describes a model that an engine can load.
 type ModelSpec struct {
 	Name string
-	// WeightsMB is its memory on an engine.
+	// WeightsMB is the memory that the model occupies on an engine.
 	WeightsMB float64
-	// StoreLoadTime is how long it takes to load from the weight store, MemoryLoadTime
-	// from the memory of the engine's machine and DiskLoadTime from its disk.
+	// StoreLoadTime, MemoryLoadTime and DiskLoadTime are the times to load the model from
+	// the weight store, from the memory of the engine's machine and from its disk.
 	StoreLoadTime, MemoryLoadTime, DiskLoadTime time.Duration
-	// Adapters is the number of its adapters, named a1 and so on.
-	Adapters  int
+	// Adapters is the number of the model's adapters, which are named a1, a2 and so on.
+	Adapters int
+	// AdapterMB is the memory that each adapter occupies on an engine.
 	AdapterMB float64
 }
 
-// An EngineSpec says what the engines of a service can hold.
+// An EngineSpec describes the capacity of the engines of a service.
 type EngineSpec struct {
-	// CacheTokens is the memory for running requests and cached prefixes, in tokens.
+	// CacheTokens is the size of an engine's KV cache, which running requests and cached
+	// prefixes share, in tokens.
 	CacheTokens int
-	// TokensPerEvent is the number of tokens that one event of a stream carries.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
-	// WeightsMB is the memory for models and adapters of one engine.
-	WeightsMB    float64
+	// WeightsMB is the memory of one engine for models and adapters.
+	WeightsMB float64
+	// AdapterSlots is the maximum number of adapters on one engine.
 	AdapterSlots int
-	// LoadsPerSecond is the weight store's rate for all engines together.
+	// LoadsPerSecond is the rate limit of the weight store for all engines together.
 	LoadsPerSecond float64
 	Models         []ModelSpec
 }
 
-// Model returns the specification of a model by name.
+// Model returns the specification of the model with the given name.
 func (e *EngineSpec) Model(name string) (ModelSpec, bool) {
 	for _, m := range e.Models {
 		if m.Name == name {
@@ -90,45 +94,47 @@
 	return ModelSpec{}, false
 }
 
-// A Service is a set of like backend servers.
+// A Service is a set of interchangeable backend servers.
 type Service struct {
 	Name string
-	// Engine is nil for a plain service.
+	// Engine is nil for a service that does not run models.
 	Engine *EngineSpec
 }
 
-// RequestLimits bound what callers may send and how long they may take.
+// RequestLimits are the limits on the size of incoming requests and on the time to receive them. A time
+// of 0 means no limit.
 type RequestLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	// HeaderTime is the maximum time to read a request's header.
+	HeaderTime time.Duration
+	// IdleTime is the maximum time that a connection may be idle between two requests.
+	IdleTime time.Duration
 }
 
-// A Routing is one version of the operators' routes, services, limits and organisations.
-//
-// It is not to be changed after NewRouting.
+// A Routing is one version of the configured routes, services, limits and organisations.
+// It is immutable.
 type Routing struct {
 	version  uint64
 	services map[string]Service
 	limits   RequestLimits
 	hosts    map[string]*hostRoutes
 	routes   int
-	// organisations are those whose requests are served, by name; keys says who holds which key.
+	// organisations maps names to organisations.
 	organisations map[string]Organisation
-	keys          *apikey.Directory
+	// keys maps API keys to names of organisations. It may be nil.
+	keys *apikey.Directory
 }
 
-// A hostRoutes holds the routes of one host by prefix, so that a request costs a look-up for each
-// length of a prefix, not one for each route: 0.08 instead of 21 µs among 4,400 routes
-// (BenchmarkMatch).
+// A hostRoutes indexes the routes of one host by prefix. A match takes one map lookup for each
+// distinct prefix length instead of one comparison for each route.
 type hostRoutes struct {
 	byPrefix map[string]*Route
-	// lengths are those of the prefixes, each once, the longest first.
+	// lengths lists the distinct lengths of the prefixes in descending order.
 	lengths []int
 }
 
-// add adds a route; of two with one prefix the first one counts.
+// add adds a route unless there is already one with the same prefix.
 func (h *hostRoutes) add(r *Route) {
 	if _, ok := h.byPrefix[r.Prefix]; ok {
 		return
@@ -140,7 +146,7 @@
 	}
 }
 
-// match returns the route whose prefix begins the path and is longest.
+// match returns the route with the longest prefix of the path.
 func (h *hostRoutes) match(path string) (Route, bool) {
 	for _, n := range h.lengths {
 		if n > len(path) {
@@ -153,7 +159,8 @@
 	return Route{}, false
 }
 
-// NewRouting returns the routing of one version, which keeps the list of routes.
+// NewRouting returns a Routing without organisations. It retains the slice of routes, which must not
+// be changed afterwards.
 func NewRouting(version uint64, routes []Route, services []Service, limits RequestLimits) *Routing {
 	r := &Routing{
 		version:  version,
@@ -175,22 +182,22 @@
 	return r
 }
 
-// Version returns the routing's version.
+// Version returns the version of the configuration.
 func (r *Routing) Version() uint64 { return r.version }
 
-// Limits returns what callers may send.
+// Limits returns the limits on incoming requests.
 func (r *Routing) Limits() RequestLimits { return r.limits }
 
-// Len returns the number of routes.
+// Len returns the number of configured routes, including those with a duplicate prefix.
 func (r *Routing) Len() int { return r.routes }
 
-// Service returns a service by name.
+// Service returns the service with the given name.
 func (r *Routing) Service(name string) (Service, bool) {
 	s, ok := r.services[name]
 	return s, ok
 }
 
-// Services returns all services, in no order.
+// Services returns all services in unspecified order.
 func (r *Routing) Services() []Service {
 	list := make([]Service, 0, len(r.services))
 	for _, s := range r.services {
@@ -199,7 +206,8 @@
 	return list
 }
 
-// Match returns the route of the host whose prefix begins the path and is longest.
+// Match returns the host's route with the longest prefix of the path. The case of host is ignored, and
+// so is its port unless a route's host includes it.
 func (r *Routing) Match(host, path string) (Route, bool) {
 	routes := r.hosts[strings.ToLower(host)]
 	if routes == nil {
@@ -213,7 +221,9 @@
 	return routes.match(path)
 }
 
-// Pick returns the service that a request with the given random number goes to.
+// Pick selects one of the route's services in proportion to their weights, given a uniformly
+// distributed random number. It returns "" if the route has no services. If no weight is positive, it
+// returns the first service.
 func (r Route) Pick(random uint64) string {
 	total := 0
 	for _, s := range r.Shares {
--- a/table/routing_bench_test.go
+++ b/table/routing_bench_test.go
@@ -7,8 +7,8 @@
 	"rockcleat/table"
 )
 
-// BenchmarkMatch measures what finding its route costs a request, by routes of its host; the
-// path belongs to the last of them.
+// BenchmarkMatch measures Match for a host with few and with many routes. The path matches
+// the last one.
 func BenchmarkMatch(b *testing.B) {
 	for _, routes := range []int{10, 4400} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
--- a/table/routing_test.go
+++ b/table/routing_test.go
@@ -8,8 +8,7 @@
 	"rockcleat/table"
 )
 
-// TestMatch checks which route a request gets: of those of its host the one whose prefix
-// begins the path and is longest.
+// TestMatch checks that the host's route with the longest prefix of the path is selected.
 func TestMatch(t *testing.T) {
 	r := table.NewRouting(1, []table.Route{
 		{Name: "all", Host: "a.example", Prefix: "/"},
@@ -21,7 +20,7 @@
 	}, nil, table.RequestLimits{})
 	tests := map[string]struct {
 		host, path string
-		// want is the route's name, empty for none.
+		// want is the route's name, empty if no route matches.
 		want string
 	}{
 		"longest":                   {host: "a.example", path: "/x/y/1", want: "longer"},
--- a/table/row.go
+++ b/table/row.go
@@ -5,44 +5,41 @@
 	"time"
 )
 
-// A Kind says what a row names.
+// A Kind is the kind of a row.
 type Kind string
 
-// The kinds of rows.
+// Kinds of rows.
 const (
 	KindModel   Kind = "model"
 	KindAdapter Kind = "adapter"
 	KindService Kind = "service"
 )
 
-// A Tier is a paying tier.
+// A Tier is a service tier that organisations pay for.
 type Tier string
 
-// The paying tiers, the first served best.
+// Tiers in descending order of precedence.
 const (
 	TierPremium  Tier = "premium"
 	TierStandard Tier = "standard"
 	TierEconomy  Tier = "economy"
 )
 
-// Tiers lists the paying tiers in their order.
+// Tiers lists the tiers in descending order of precedence.
 var Tiers = []Tier{TierPremium, TierStandard, TierEconomy}
 
-// Kinds lists the kinds of rows.
+// Kinds lists all kinds of rows.
 var Kinds = []Kind{KindModel, KindAdapter, KindService}
 
-// Factors by which a tier's rows weigh more than an economy row of equal weight, without a
-// unit.
+// Factors by which a tier multiplies the weight of a row.
 const (
-	// premiumFactor is that of the premium tier.
-	premiumFactor = 16
-	// standardFactor is that of the standard tier.
+	premiumFactor  = 16
 	standardFactor = 4
-	// economyFactor is that of the economy tier.
-	economyFactor = 1
+	economyFactor  = 1
 )
 
-// Factor returns the tier's part in a row's weight, without a unit.
+// Factor returns the factor by which the tier multiplies the weight of a row, that of the
+// economy tier if t is unknown.
 func (t Tier) Factor() int {
 	switch t {
 	case TierPremium:
@@ -53,36 +50,37 @@
 	return economyFactor
 }
 
-// A Row is one line of the operators' table.
+// A Row configures one model, adapter or service.
 type Row struct {
-	// Name is the model, adapter or service that callers name.
+	// Name is the name by which callers request the model, adapter or service.
 	Name string `json:"name"`
 	Kind Kind   `json:"kind"`
-	// Base is the model that an adapter extends.
+	// Base is the name of the model that an adapter extends.
 	Base string `json:"base,omitempty"`
-	// Organisation is the paying organisation that the row serves; its column, key and
-	// metric label are customer.
+	// Organisation is the organisation that pays for the row. Its table column, JSON key
+	// and metric label are named customer.
 	Organisation string `json:"customer,omitempty"`
 	Tier         Tier   `json:"tier"`
-	// Weight orders rows of one tier: twice the weight, twice the tokens under load.
+	// Weight is the row's weight among rows of the same tier. Under load a row gets tokens
+	// in proportion to its weight.
 	Weight int `json:"weight"`
-	// Share is the greatest part, in percent, of a backend server's slots that the
-	// row may hold; 100 is no limit.
+	// Share is the maximum percentage of a backend server's slots that the row may
+	// occupy. 100 means no limit.
 	Share int `json:"share"`
-	// Concurrency is the greatest number of requests running at once; 0 is no limit.
+	// Concurrency is the maximum number of running requests. 0 means no limit.
 	Concurrency int `json:"concurrency,omitempty"`
-	// QueueTime is the longest time that a request may wait before it runs.
+	// QueueTime is the maximum time that a request may be queued.
 	QueueTime time.Duration `json:"queue_time"`
-	// Path is the prefix of the paths that a plain service answers.
+	// Path is the path prefix of the requests that a plain service handles.
 	Path string `json:"path,omitempty"`
-	// Version is the table version that last changed the row; it is set by Apply.
+	// Version is the table version that last changed the row. It is set by Table.Apply.
 	Version uint64 `json:"version,omitempty"`
 }
 
 // EffectiveWeight returns the row's weight multiplied by its tier's factor.
 func (r Row) EffectiveWeight() int { return max(r.Weight, 1) * r.Tier.Factor() }
 
-// sameSettings reports whether two rows differ in nothing but their version.
+// sameSettings reports whether the rows are equal apart from their versions.
 func (r Row) sameSettings(o Row) bool {
 	r.Version, o.Version = 0, 0
 	return r == o
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -14,13 +14,14 @@
 	"rockcleat/kv"
 )
 
-// snapshotPrefix is the prefix of snapshots in the platform's key-value service.
+// snapshotPrefix is the prefix of the snapshots' keys in the key-value service.
 const snapshotPrefix = "table/snapshot/"
 
-// maxSnapshot bounds an unpacked snapshot, in bytes; packed it has 1 MB at most (the brief).
+// maxSnapshot is the maximum size of a decompressed snapshot, in bytes. The key-value
+// service limits the compressed form to 1 MB.
 const maxSnapshot = 64 << 20
 
-// A snapshot is a whole table as it stands in the service, packed.
+// A snapshot is a complete table as stored in the key-value service, in gzipped JSON.
 type snapshot struct {
 	Version  uint64    `json:"version"`
 	Floor    uint64    `json:"floor"`
@@ -28,12 +29,13 @@
 	Removals []Removal `json:"removals"`
 }
 
-// snapshotKey carries the edit's ID, since two edits may compete for a version.
+// snapshotKey returns the key of a snapshot. It includes the ID of the edit because two
+// concurrent edits may write snapshots of the same version.
 func snapshotKey(version uint64, id string) string {
 	return fmt.Sprintf("%s%020d/%s", snapshotPrefix, version, id)
 }
 
-// writeSnapshot writes a table, for the edit with the given ID.
+// writeSnapshot stores a snapshot of t for the edit with the given ID.
 func (l *Log) writeSnapshot(ctx context.Context, t *Table, id string) error {
 	s := snapshot{Version: t.version, Floor: t.floor, Rows: t.Rows(), Removals: t.removals}
 	var buf bytes.Buffer
@@ -48,8 +50,8 @@
 	return err
 }
 
-// dropSnapshots removes snapshots older than the one that the head in force still starts
-// from. Errors are left: what stays is removed by a later edit.
+// dropSnapshots deletes the snapshots of versions before base, on which the stored head may
+// still be based. Errors are ignored, because a later edit deletes what is left.
 func (l *Log) dropSnapshots(ctx context.Context, base uint64) {
 	entries, err := l.store.List(ctx, snapshotPrefix)
 	if err != nil {
@@ -63,7 +65,7 @@
 	}
 }
 
-// readSnapshot reads the table that a head starts from.
+// readSnapshot reads the snapshot that a head is based on.
 func (l *Log) readSnapshot(ctx context.Context, h head) (*Table, error) {
 	i := slices.IndexFunc(h.Tail, func(e Edit) bool { return e.Version == h.Base })
 	if i < 0 {
--- a/table/table.go
+++ b/table/table.go
@@ -6,43 +6,43 @@
 	"sync"
 )
 
-// maxRemovals bounds the removals that a table remembers for deltas: twice the rows of the
-// size that we build for (docs/CAPACITY.md).
+// maxRemovals is the maximum number of removals that a table retains for deltas: twice the
+// number of rows that the system is designed for (docs/CAPACITY.md).
 const maxRemovals = 1024
 
-// A Removal records that a row was removed in a version.
+// A Removal is the tombstone of a removed row.
 type Removal struct {
-	Name    string `json:"name"`
+	Name string `json:"name"`
+	// Version is the table version that removed the row.
 	Version uint64 `json:"version"`
 }
 
-// A Table is one version of the operators' table.
-//
-// It is immutable; its zero value is the empty table of version 0.
+// A Table is one version of the configuration table. It is immutable and safe for
+// concurrent use. Its zero value is the empty table of version 0.
 type Table struct {
 	version uint64
-	// removals are all since the version floor.
+	// floor is the version after which removals is complete.
 	floor    uint64
 	rows     map[string]Row
 	removals []Removal
-	// sorted holds the rows in the order of their names, once sort has run.
+	// sorted holds the rows ordered by name. It is valid after sort has run.
 	sort   sync.Once
 	sorted []Row
 }
 
-// Version returns the table's version.
+// Version returns the table's version, 0 for the empty table.
 func (t *Table) Version() uint64 { return t.version }
 
 // Len returns the number of rows.
 func (t *Table) Len() int { return len(t.rows) }
 
-// Row returns the row of a name.
+// Row returns the row with the given name.
 func (t *Table) Row(name string) (Row, bool) {
 	r, ok := t.rows[name]
 	return r, ok
 }
 
-// Rows returns all rows in the order of their names.
+// Rows returns a copy of all rows, ordered by name.
 func (t *Table) Rows() []Row {
 	t.sort.Do(func() { t.sorted = slices.SortedFunc(maps.Values(t.rows), compareNames) })
 	return slices.Clone(t.sorted)
@@ -51,28 +51,27 @@
 // A Change sets or removes one row.
 type Change struct {
 	Name string `json:"name"`
-	// Seen is the row's version that the operator saw; 0 expects no row.
+	// Seen is the row version that the change expects, 0 if the row must not exist.
 	Seen uint64 `json:"seen"`
-	// Row is the new row; nil removes it.
+	// Row is the new row, nil to remove the row.
 	Row *Row `json:"row,omitempty"`
 }
 
-// An Edit is a set of changes that are saved together or not at all.
+// An Edit is a set of changes that is saved atomically.
 type Edit struct {
-	// ID names the edit, so that a save whose answer was lost is known from one that did
-	// not happen.
+	// ID identifies the edit. It makes Save idempotent when the response of an earlier
+	// attempt was lost.
 	ID     string `json:"id"`
 	Author string `json:"author,omitempty"`
-	// Time is when the operator saved it, in Unix seconds.
+	// Time is when the operator saved the edit, in Unix seconds.
 	Time int64 `json:"time,omitempty"`
-	// Version is the table's version with the edit; it is set by Save.
+	// Version is the table version that includes the edit. It is set by Log.Save.
 	Version uint64   `json:"version,omitempty"`
 	Changes []Change `json:"changes"`
 }
 
-// Apply returns the table with the edit's changes at the given version.
-//
-// Rows that an edit sets as they already are keep their version.
+// Apply returns a copy of the table with the edit's changes and the given version. A row
+// that the edit sets to its present settings keeps its version.
 func (t *Table) Apply(e Edit, version uint64) *Table {
 	next := &Table{
 		version:  version,
@@ -110,18 +109,20 @@
 	}
 }
 
-// A Delta carries the rows that changed between two versions.
+// A Delta holds the rows that changed between two versions.
 type Delta struct {
+	// To is the table version that the delta leads to.
 	To uint64 `json:"to"`
-	// Full says that Rows is the whole table, not a difference.
-	Full    bool      `json:"full,omitempty"`
+	// Full reports whether Rows is the complete table rather than a difference.
+	Full bool `json:"full,omitempty"`
+	// Floor is the version after which the sender's list of removals is complete.
 	Floor   uint64    `json:"floor,omitempty"`
 	Rows    []Row     `json:"rows,omitempty"`
 	Removed []Removal `json:"removed,omitempty"`
 }
 
-// Since returns what a process with the version needs to reach this table, or nil if it
-// needs nothing.
+// Since returns the delta from the given version to this table, or nil if the version is
+// not older than the table's.
 func (t *Table) Since(version uint64) *Delta {
 	if version >= t.version {
 		return nil
@@ -140,9 +141,10 @@
 	return d
 }
 
-// Merge returns the table after the delta; a delta that is not newer changes nothing.
+// Merge returns the table with the delta applied, or t itself if the delta is nil or not
+// newer than t.
 //
-// The delta must have been made by Since for the version of t or a lower one.
+// The delta must have been created by Since for the version of t or a lower one.
 func (t *Table) Merge(d *Delta) *Table {
 	if d == nil || d.To <= t.version {
 		return t
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -11,7 +11,6 @@
 	"rockcleat/table"
 )
 
-// row returns a valid row.
 func row(name string, weight int) *table.Row {
 	r := table.NewRow(name)
 	r.Weight = weight
@@ -65,8 +64,8 @@
 	}
 }
 
-// TestDeltas lets replicas that have seen any of the versions catch up from any
-// newer one, and offers them older ones too: they end equal and never go back.
+// TestDeltas checks that deltas bring a replica from any version to any newer one, and that
+// deltas of older versions do not change it.
 func TestDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := []*table.Table{{}}
