--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -16,7 +16,7 @@
 	"rockcleat/kv"
 )
 
-// owner is a shard with a goroutine that writes.
+// owner is a process that owns a shard.
 type owner struct {
 	*claim.Shard
 	held bool
@@ -31,7 +31,7 @@
 	return o
 }
 
-// run opens the shard and writes until the test ends.
+// run opens the shard and writes its records in the background until the test ends.
 func (o *owner) run(t *testing.T) *owner {
 	t.Helper()
 	assert.NilError(t, o.Open(context.Background()))
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestNextOwner lets another process take the shard over: it knows every claim,
-// and the former owner, which has not noticed, can claim nothing any more.
+// TestNextOwner guards against claims lost in a change of the owner, and against claims that the
+// previous owner accepts afterwards.
 func TestNextOwner(t *testing.T) {
 	_, store := standintest.KV(t)
 	a := newOwner(t, store, "a").run(t)
@@ -97,7 +97,7 @@
 	mustClaim(t, b.Shard, "new", "two", true)
 }
 
-// TestLapsedOwner checks that an owner whose lease has lapsed writes nothing.
+// TestLapsedOwner checks that an owner whose lease has expired records no claim.
 func TestLapsedOwner(t *testing.T) {
 	_, store := standintest.KV(t)
 	a := newOwner(t, store, "a")
@@ -114,7 +114,8 @@
 	assert.ErrorIs(t, <-result, claim.ErrNotOwner)
 }
 
-// TestLostAnswers loses answers of writes that took effect: every key is claimed once.
+// TestLostAnswers guards against a key that is claimed twice, or not at all, because the response of a
+// successful write was lost.
 func TestLostAnswers(t *testing.T) {
 	s, store := standintest.KV(t)
 	o := newOwner(t, store, "a").run(t)
@@ -136,7 +137,7 @@
 	mustClaim(t, o.Shard, "k", "two", true)
 }
 
-// TestRace lets many attempts claim the same keys: each key has one winner.
+// TestRace guards against two concurrent attempts that both claim a key.
 func TestRace(t *testing.T) {
 	_, store := standintest.KV(t)
 	o := newOwner(t, store, "a").run(t)
@@ -165,7 +166,7 @@
 	}
 }
 
-// TestWritesAreShared counts the writes of many claims at once.
+// TestWritesAreShared checks that concurrent claims are written in batches.
 func TestWritesAreShared(t *testing.T) {
 	s, store := standintest.KV(t)
 	o := newOwner(t, store, "a")
--- a/claim/record.go
+++ b/claim/record.go
@@ -6,48 +6,50 @@
 	"rockcleat/rendezvous"
 )
 
-// Outcomes of a claim besides its record.
+// Errors of a claim.
 var (
-	// ErrNotOwner says that the process does not own the shard now.
+	// ErrNotOwner means that the process does not own the shard.
 	ErrNotOwner = errors.New("claim: not the owner of the shard")
-	// ErrNotRecorded says that the claim was not recorded in time; the request must not be sent.
+	// ErrNotRecorded means that the claim was not recorded in time. The request must not be sent.
 	ErrNotRecorded = errors.New("claim: not recorded")
 )
 
 // A State is the state of a claimed request.
 type State string
 
-// The states of a record.
+// States of a record.
 const (
-	// StateClaimed: the request may have been sent.
+	// StateClaimed means that the request may have been sent.
 	StateClaimed State = "claimed"
-	// StateDone: the request was answered.
+	// StateDone means that the request was answered.
 	StateDone State = "done"
-	// StateFree: the request was surely not run; the key may be claimed anew.
+	// StateFree means that the request has not run. The key may be claimed again.
 	StateFree State = "free"
 )
 
-// An Answer is the answer to a request, as a record keeps it.
+// An Answer is the stored response to a request.
 type Answer struct {
+	// Status is the HTTP status code.
 	Status      int    `json:"status"`
 	ContentType string `json:"type,omitempty"`
-	// Body is kept only if it is short; see MaxBody.
+	// Body is empty if the response is longer than MaxBody.
 	Body []byte `json:"body,omitempty"`
-	// Whole says that Body is the whole answer.
+	// Whole reports whether Body is the complete response.
 	Whole bool `json:"whole,omitempty"`
 }
 
-// MaxBody is the longest answer that a record keeps, in bytes: a slot of several records stays
-// far below the 1 MB of a value.
+// MaxBody is the maximum size of a stored response body, in bytes. It keeps a slot of several
+// records well below the maximum size of a value, 1 MB.
 const MaxBody = 1024
 
-// A Record is the record of one key.
+// A Record is the state of one idempotency key.
 type Record struct {
 	Key string `json:"key"`
-	// Fingerprint shows whether a later request with the key is the same one.
+	// Fingerprint identifies the request's content. It reveals the use of a key for different
+	// requests.
 	Fingerprint uint64 `json:"fp"`
 	State       State  `json:"state"`
-	// Attempt names the send that the record belongs to.
+	// Attempt identifies the attempt to send the request that made the claim.
 	Attempt string `json:"attempt"`
 	// At is when the key was claimed, in Unix seconds.
 	At     int64   `json:"at"`
@@ -60,7 +62,7 @@
 	Records []Record `json:"records"`
 }
 
-// ShardOf returns the shard of a key.
+// ShardOf returns the index of the shard that a key belongs to.
 func ShardOf(key string, shards int) int {
 	return int(rendezvous.Key(key) % uint64(shards))
 }
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -15,19 +15,20 @@
 
 // Options configure a Shard.
 type Options struct {
-	// Index is the shard's number.
+	// Index is the shard's index.
 	Index int
-	// Owner names the process and its start, so that two owners' slots differ.
+	// Owner identifies this run of the process. Slots written by different owners differ in it.
 	Owner string
-	// Retention is how long records are kept at least.
+	// Retention is the minimum time for which records are kept.
 	Retention time.Duration
-	// FlushEvery is the shortest time between two writes.
+	// FlushEvery is the minimum interval between two writes.
 	FlushEvery time.Duration
-	// Held reports whether the process surely still holds the shard's lease.
+	// Held reports whether the process certainly holds the shard's lease.
 	Held func() bool
 }
 
-// A Shard is one shard in the process that owns it; it is safe for concurrent use.
+// A Shard holds the records of one shard in a process that may own it. It is safe for concurrent use,
+// except that Step must not be called concurrently with itself.
 type Shard struct {
 	store kv.Store
 	clock clock.Service
@@ -37,28 +38,30 @@
 	open bool
 	// records holds the latest record of each key.
 	records map[string]Record
-	// pending are the records for the next write, and waiters wait for it.
+	// pending holds the records for the next write. Each of the waiters receives its outcome.
 	pending []Record
 	waiters []chan error
 	// next is the number of the next slot.
-	next    uint64
+	next uint64
+	// flushed is the time of the last write.
 	flushed time.Time
 	wake    chan struct{}
 
-	// leaseID is the lease that ends the records' time, granted when it was granted.
+	// leaseID is the lease of the key-value service that limits the records' lifetime, 0 if there
+	// is none. It was granted at the time granted.
 	leaseID kv.LeaseID
 	granted time.Time
 }
 
-// NewShard returns a Shard that is closed until Open succeeds.
+// NewShard returns a Shard that rejects claims until Open succeeds.
 func NewShard(store kv.Store, c clock.Service, o Options) *Shard {
 	return &Shard{store: store, clock: c, opts: o, wake: make(chan struct{}, 1)}
 }
 
-// Wake returns a channel that has a value when records wait to be written.
+// Wake returns a channel that receives a value when records are waiting to be written.
 func (s *Shard) Wake() <-chan struct{} { return s.wake }
 
-// Due returns how long to wait until Step may write again.
+// Due returns the time until Step may write again, 0 if it may write now.
 func (s *Shard) Due() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,8 +72,8 @@
 
 func (s *Shard) slotKey(n uint64) string { return fmt.Sprintf("%s%020d", s.prefix(), n) }
 
-// Open reads the shard's records and takes its next slot, which shuts out any
-// former owner. It is to be called when the shard's lease has been acquired.
+// Open reads the shard's records and writes an empty batch to the next slot, which fences off the
+// previous owner. It must be called after the shard's lease has been acquired.
 func (s *Shard) Open(ctx context.Context) error {
 	entries, err := s.store.List(ctx, s.prefix())
 	if err != nil {
@@ -93,19 +96,19 @@
 	return nil
 }
 
-// replay returns the latest record of each key and the first empty slot.
+// replay returns the latest record of each key and the number of the first empty slot.
 func replay(entries []kv.Entry, prefix string) (map[string]Record, uint64, error) {
 	records := make(map[string]Record)
 	next := uint64(0)
 	for _, e := range entries {
 		var n uint64
 		if _, err := fmt.Sscanf(e.Key[len(prefix):], "%d", &n); err != nil {
-			return nil, 0, eris.Wrapf(err, "claim: slot %q", e.Key)
+			return nil, 0, eris.Wrapf(err, "claim: parse number of slot %q", e.Key)
 		}
 		next = max(next, n+1)
 		var b batch
 		if err := json.Unmarshal(e.Value, &b); err != nil {
-			return nil, 0, eris.Wrapf(err, "claim: slot %q", e.Key)
+			return nil, 0, eris.Wrapf(err, "claim: decode slot %q", e.Key)
 		}
 		for _, r := range b.Records {
 			records[r.Key] = r
@@ -114,14 +117,14 @@
 	return records, next, nil
 }
 
-// Close makes the shard refuse claims; it is to be called when the lease is lost.
+// Close makes the shard reject claims. It must be called when the shard's lease is lost.
 func (s *Shard) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shut()
 }
 
-// shut closes the shard and ends every wait; s.mu is held.
+// shut closes the shard and fails all waiting claims. The caller holds s.mu.
 func (s *Shard) shut() {
 	s.open = false
 	for _, w := range s.waiters {
@@ -130,18 +133,18 @@
 	s.waiters, s.pending = nil, nil
 }
 
-// IsOpen reports whether the shard takes claims.
+// IsOpen reports whether the shard accepts claims.
 func (s *Shard) IsOpen() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open
 }
 
-// Claim records that the attempt is about to send the key's request.
+// Claim records that the attempt is about to send the request with the given key.
 //
-// If the key has a record already Claim returns it with fresh false, and the
-// request must not be sent. An error says that the request must not be sent
-// and that the key may or may not be claimed by the attempt.
+// If fresh is true, the attempt holds the claim and may send the request. Otherwise the request must
+// not be sent, and r is the existing record of the key. After an error the request must not be sent
+// either; the attempt may or may not hold the claim.
 func (s *Shard) Claim(ctx context.Context, key string, fingerprint uint64, attempt string) (r Record, fresh bool, err error) {
 	s.mu.Lock()
 	if !s.open {
@@ -150,8 +153,8 @@
 	}
 	if old, ok := s.records[key]; ok && old.State != StateFree {
 		s.mu.Unlock()
-		// A former owner may have recorded this very attempt before it lost the
-		// shard; the attempt has not been sent, since its claim had no answer.
+		// A previous owner may have recorded this attempt before it lost the shard. The
+		// attempt has not been sent, because its claim was not confirmed.
 		return old, old.Attempt == attempt && old.State == StateClaimed, nil
 	}
 	r = Record{Key: key, Fingerprint: fingerprint, State: StateClaimed, Attempt: attempt, At: s.clock.Now().Unix()}
@@ -164,7 +167,7 @@
 	return r, true, nil
 }
 
-// Finish records, without waiting, the answer to a claimed request.
+// Finish queues a record of the response to a claimed request. It does not wait for the write.
 func (s *Shard) Finish(key, attempt string, a Answer) {
 	if len(a.Body) > MaxBody {
 		a.Body, a.Whole = nil, false
@@ -172,12 +175,13 @@
 	s.update(key, attempt, StateDone, &a)
 }
 
-// Release records, without waiting, that the attempt surely did not run.
+// Release queues a record that the attempt certainly did not run, which frees the key. It does not
+// wait for the write.
 func (s *Shard) Release(key, attempt string) {
 	s.update(key, attempt, StateFree, nil)
 }
 
-// update changes the record of an attempt that is still claimed.
+// update changes the record of a key if the attempt holds its claim.
 func (s *Shard) update(key, attempt string, state State, a *Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +193,8 @@
 	s.enqueue(old)
 }
 
-// enqueue puts a record into the next write; s.mu is held.
+// enqueue adds a record to the next write. The returned channel receives the outcome of the write.
+// The caller holds s.mu.
 func (s *Shard) enqueue(r Record) <-chan error {
 	s.records[r.Key] = r
 	s.pending = append(s.pending, r)
@@ -202,7 +207,7 @@
 	return w
 }
 
-// await waits for the outcome of a write.
+// await waits for the outcome of a write or for the end of ctx.
 func await(ctx context.Context, wait <-chan error) error {
 	select {
 	case err := <-wait:
--- a/claim/write.go
+++ b/claim/write.go
@@ -12,8 +12,8 @@
 	"rockcleat/kv"
 )
 
-// Step writes the pending records, if there are any and the last write is long
-// enough ago. It is to be called often, from one goroutine at a time.
+// Step writes the pending records, if there are any and Options.FlushEvery has passed since the last
+// write. It must be called regularly, by one goroutine at a time.
 func (s *Shard) Step(ctx context.Context) error {
 	now := s.clock.Now()
 	s.mu.Lock()
@@ -33,8 +33,8 @@
 	return err
 }
 
-// write fills the next slot with the records and asks again until the outcome
-// is known or ctx ends; an unknown outcome closes the shard.
+// write writes the records to the next slot. It retries until the outcome is known or ctx ends. An
+// unknown outcome closes the shard.
 func (s *Shard) write(ctx context.Context, records []Record) error {
 	value, err := json.Marshal(batch{Owner: s.opts.Owner, Records: records})
 	if err != nil {
@@ -45,9 +45,9 @@
 		s.drop(records)
 		return eris.Wrap(ErrNotRecorded, err.Error())
 	}
-	// The lease is asked after the keeper was granted: should this process pause
-	// here for so long that the next owner's slots have expired, the keeper has
-	// expired before them and the service refuses the write.
+	// The shard's lease is checked after the records' lease was granted. If the process pauses
+	// after the check until the slots of the next owner have expired, the records' lease has
+	// expired before them and the service rejects the write.
 	if !s.opts.Held() {
 		s.Close()
 		return ErrNotOwner
@@ -75,8 +75,8 @@
 	return eris.Wrap(ErrNotOwner, err.Error())
 }
 
-// settle finds out whether a slot holds the own write, whose answer was lost, or another
-// owner's.
+// settle resolves a conflict: it returns nil if the slot holds this shard's own write, whose response
+// was lost, and kv.ErrConflict if it holds another owner's.
 func (s *Shard) settle(ctx context.Context, key string, value []byte) error {
 	e, err := s.store.Get(ctx, key)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return kv.ErrConflict
 }
 
-// drop forgets fresh claims that were surely not written; what was written of
-// the key before stands.
+// drop frees the keys of claims that were certainly not written. Records of finished or released
+// requests remain in memory.
 func (s *Shard) drop(records []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,8 +105,9 @@
 	}
 }
 
-// keeper returns the lease that ends the records' time; it is replaced in time
-// for each record to be kept for the retention at least.
+// keeper returns the lease that limits the records' lifetime. A lease is granted for twice the
+// retention and used for new records for one retention period, so that each record is kept for at
+// least that period.
 func (s *Shard) keeper(ctx context.Context) (kv.LeaseID, error) {
 	now := s.clock.Now()
 	s.mu.Lock()
@@ -125,15 +126,14 @@
 	return id, nil
 }
 
-// forgetKeeper makes the next write ask for a new lease for its records.
+// forgetKeeper makes the next write request a new lease for its records.
 func (s *Shard) forgetKeeper() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseID = 0
 }
 
-// prune forgets records that have been kept for twice the retention, as the
-// service does.
+// prune removes records older than twice the retention, which the service has deleted as well.
 func (s *Shard) prune(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
