--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -1,10 +1,10 @@
-// Package ledger keeps the memory account of one backend server's accelerators.
+// Package ledger accounts for the accelerator memory of one backend server.
 //
-// Every order that may still take effect counts from before it is sent until the server has
-// reported it finished, so the sum of what is and what may come to be resident never exceeds an
-// accelerator's memory.
+// Memory is reserved for a load order before the order is sent, and until the server reports the
+// order as finished. The sum of resident models and adapters and of those that may still be loaded
+// therefore never exceeds an accelerator's memory.
 //
-// A Ledger owns the account of one server, in the agent beside it. It relies on the agent to
-// record intents in the platform's service before it sends them (Restore brings them back), and
-// on the server's reports. Without a report nothing is freed. Memory is in MiB.
+// A Ledger belongs to the agent of one server. It relies on the agent to store intents in the
+// platform's key-value service before it sends their orders, so that Restore can reload them after a
+// restart, and on the server's reports. Without a report no memory is freed. Memory is in MiB.
 package ledger
--- a/ledger/example_test.go
+++ b/ledger/example_test.go
@@ -8,7 +8,7 @@
 	"rockcleat/ledger"
 )
 
-// An order counts from before it is sent until the server is seen to have finished it.
+// Memory is reserved from before an order is sent until the server reports it as finished.
 func Example() {
 	now := time.Unix(1000, 0)
 	var l ledger.Ledger
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -12,20 +12,20 @@
 	"rockcleat/fleet"
 )
 
-// Outcomes of a reservation.
+// Errors of a reservation.
 var (
-	// ErrNoMemory says that the accelerator has not enough memory left.
-	ErrNoMemory = errors.New("ledger: not enough memory")
-	// ErrNoAccelerator says that the server has no such accelerator.
+	// ErrNoMemory means that the accelerator does not have enough free memory.
+	ErrNoMemory = errors.New("ledger: not enough free memory")
+	// ErrNoAccelerator means that the server has no such accelerator.
 	ErrNoAccelerator = errors.New("ledger: no such accelerator")
-	// ErrBusy says that an order for the same name on the server may still take effect.
-	ErrBusy = errors.New("ledger: order outstanding for this name")
+	// ErrBusy means that another order for the same name may still take effect on the server.
+	ErrBusy = errors.New("ledger: another order for the name is outstanding")
 )
 
 // An Op is the operation of an order.
 type Op string
 
-// The orders that use the ledger.
+// Operations of orders.
 const (
 	OpLoad   Op = "load"
 	OpUnload Op = "unload"
@@ -33,35 +33,39 @@
 
 // An Intent is an order that may still take effect.
 type Intent struct {
-	// ID names the order; the backend server lists it when it has finished it.
-	ID          string `json:"id"`
-	Op          Op     `json:"op"`
-	Name        string `json:"name"`
-	Base        string `json:"base,omitempty"`
-	Accelerator int    `json:"acc"`
-	MemoryMiB   int    `json:"mib"`
-	// Until is when an order that no server has listed can no longer arrive.
+	// ID identifies the order in the backend server's reports.
+	ID string `json:"id"`
+	Op Op     `json:"op"`
+	// Name is the model or adapter to load or unload.
+	Name string `json:"name"`
+	// Base is the base model of an adapter.
+	Base string `json:"base,omitempty"`
+	// Accelerator is the index of the accelerator.
+	Accelerator int `json:"acc"`
+	MemoryMiB   int `json:"mib"`
+	// Until is the time after which the order can no longer reach the server.
 	Until time.Time `json:"until"`
 }
 
-// A Report is the backend server's report on itself.
+// A Report is the state of a backend server as reported by itself.
 type Report struct {
+	// MemoryMiB is the memory of each accelerator.
 	MemoryMiB []int
 	Residents []fleet.Resident
-	// Finished lists the ids of the latest orders that were carried out or failed.
+	// Finished lists the IDs of the latest orders that were completed or have failed.
 	Finished []string
 }
 
-// A Ledger is the account of one backend server; it is not safe for concurrent use.
+// A Ledger is the memory account of one backend server. It is not safe for concurrent use.
 //
-// Its zero value knows no accelerator and so reserves nothing.
+// The zero value has no accelerators and rejects every reservation.
 type Ledger struct {
 	memory    []int
 	residents []fleet.Resident
 	intents   map[string]Intent
 }
 
-// Restore sets the intents that a former keeper of the ledger has recorded.
+// Restore replaces the intents by those that a previous process has stored.
 func (l *Ledger) Restore(intents []Intent) {
 	l.intents = make(map[string]Intent)
 	for _, i := range intents {
@@ -69,7 +73,8 @@
 	}
 }
 
-// Reserve counts an order before it is sent.
+// Reserve adds the intent of an order. It must be called before the order is sent. The errors are
+// ErrNoAccelerator, ErrBusy and ErrNoMemory.
 func (l *Ledger) Reserve(i Intent) error {
 	if i.Accelerator < 0 || i.Accelerator >= len(l.memory) {
 		return eris.Wrapf(ErrNoAccelerator, "accelerator %d of %d", i.Accelerator, len(l.memory))
@@ -78,7 +83,7 @@
 		return eris.Wrap(ErrBusy, i.Name)
 	}
 	if free := l.memory[i.Accelerator] - l.Reserved(i.Accelerator); i.Op == OpLoad && i.MemoryMiB > free {
-		return eris.Wrapf(ErrNoMemory, "%s needs %d MiB, accelerator %d has %d MiB", i.Name, i.MemoryMiB, i.Accelerator, free)
+		return eris.Wrapf(ErrNoMemory, "%s needs %d MiB, accelerator %d has %d MiB free", i.Name, i.MemoryMiB, i.Accelerator, free)
 	}
 	if l.intents == nil {
 		l.intents = make(map[string]Intent)
@@ -97,10 +102,12 @@
 	return false
 }
 
-// Cancel drops an intent whose order was surely never sent.
+// Cancel removes an intent whose order is certain not to take effect, because it was not sent or was
+// rejected.
 func (l *Ledger) Cancel(id string) { delete(l.intents, id) }
 
-// Settle applies a report and drops the intents that can no longer take effect.
+// Settle applies a report received at the time now. It removes the intents of finished orders, and of
+// expired ones unless the server is loading or unloading their name.
 func (l *Ledger) Settle(r Report, now time.Time) {
 	l.memory = slices.Clone(r.MemoryMiB)
 	l.residents = slices.Clone(r.Residents)
@@ -111,14 +118,15 @@
 	}
 }
 
-// moving reports whether the server is loading or unloading the name.
+// moving reports whether the server is loading or unloading the named model or adapter.
 func (l *Ledger) moving(name string) bool {
 	return slices.ContainsFunc(l.residents, func(r fleet.Resident) bool {
 		return r.Name == name && r.State != fleet.StateReady
 	})
 }
 
-// Reserved returns the memory in MiB that is or may come to be taken on an accelerator.
+// Reserved returns the memory of an accelerator, in MiB, that residents occupy or that outstanding loads
+// may occupy.
 func (l *Ledger) Reserved(accelerator int) int {
 	total := 0
 	for _, r := range l.residents {
@@ -134,14 +142,14 @@
 	return total
 }
 
-// holds reports whether the name is resident on an accelerator.
+// holds reports whether the named model or adapter is resident on an accelerator, in any state.
 func (l *Ledger) holds(name string, accelerator int) bool {
 	return slices.ContainsFunc(l.residents, func(r fleet.Resident) bool {
 		return r.Name == name && r.Accelerator == accelerator
 	})
 }
 
-// Accelerators returns the account of each accelerator.
+// Accelerators returns the total and reserved memory of each accelerator.
 func (l *Ledger) Accelerators() []fleet.Accelerator {
 	accs := make([]fleet.Accelerator, len(l.memory))
 	for i, m := range l.memory {
@@ -150,10 +158,10 @@
 	return accs
 }
 
-// Residents returns the residents of the last report.
+// Residents returns the residents of the last report. The caller must not modify the slice.
 func (l *Ledger) Residents() []fleet.Resident { return l.residents }
 
-// Intents returns the orders that may still take effect, in the order of their ids.
+// Intents returns the orders that may still take effect, ordered by ID.
 func (l *Ledger) Intents() []Intent {
 	return slices.SortedFunc(maps.Values(l.intents), func(a, b Intent) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// TestLoadCountsOnce checks that an order and the resident it made count once.
+// TestLoadCountsOnce guards against memory that is counted both for a load order and for the resident
+// that it creates.
 func TestLoadCountsOnce(t *testing.T) {
 	var l ledger.Ledger
 	l.Settle(report(nil), start)
@@ -81,7 +82,7 @@
 	assert.Equal(t, len(l.Intents()), 0)
 }
 
-// TestFailedLoadGivesMemoryBack checks a load that fails half-way.
+// TestFailedLoadGivesMemoryBack guards against memory that stays reserved after a load has failed.
 func TestFailedLoadGivesMemoryBack(t *testing.T) {
 	var l ledger.Ledger
 	l.Settle(report(nil), start)
