--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -11,7 +11,7 @@
 // A State is the state of a model or adapter on a backend server.
 type State string
 
-// The states of a resident; memory is taken in each of them.
+// States of a resident. It occupies memory in each of them.
 const (
 	StateLoading   State = "loading"
 	StateReady     State = "ready"
@@ -20,53 +20,62 @@
 
 // A Resident is a model or adapter on one accelerator of a backend server.
 type Resident struct {
-	Name        string `json:"name"`
-	Accelerator int    `json:"acc"`
-	State       State  `json:"state"`
-	MemoryMiB   int    `json:"mib,omitempty"`
+	Name string `json:"name"`
+	// Accelerator is the index of the accelerator.
+	Accelerator int   `json:"acc"`
+	State       State `json:"state"`
+	MemoryMiB   int   `json:"mib,omitempty"`
 }
 
-// An Accelerator is one accelerator's memory in MiB.
+// An Accelerator is the memory account of one accelerator.
 type Accelerator struct {
+	// MemoryMiB is the total memory.
 	MemoryMiB int `json:"mib"`
-	// ReservedMiB counts residents and every order that may still take effect.
+	// ReservedMiB is the memory of residents and of loads that may still take effect.
 	ReservedMiB int `json:"used"`
 }
 
-// FreeMiB returns the memory that a new order may use.
+// FreeMiB returns the memory that is not reserved.
 func (a Accelerator) FreeMiB() int { return a.MemoryMiB - a.ReservedMiB }
 
-// A Demand is a row's demand, as seen by one backend server or one cell.
+// A Demand is the demand for one row of the table at one backend server or in one cell.
 type Demand struct {
+	// Name is the name of the row.
 	Name string `json:"name"`
-	// Level is the demand in steps of a factor, so that small changes are not sent;
-	// see placement.LevelOf. Level 0 is none.
+	// Level is the demand on a logarithmic scale, so that small changes are not sent; see
+	// placement.LevelOf. 0 means no demand.
 	Level int `json:"lvl"`
-	// Version is the cell's version that last changed a cell's demand.
+	// Version is the cell version that last changed the demand. It is set in demands of cells.
 	Version uint64 `json:"v,omitempty"`
 }
 
 // A Server is the record of one backend server.
 type Server struct {
-	ID           string        `json:"id"`
-	Addr         string        `json:"addr"`
-	Hall         string        `json:"hall"`
-	Incarnation  string        `json:"inc"`
-	Services     []string      `json:"services,omitempty"`
+	ID   string `json:"id"`
+	Addr string `json:"addr"`
+	// Hall is the data hall of the server.
+	Hall string `json:"hall"`
+	// Incarnation identifies one run of the server's agent.
+	Incarnation string `json:"inc"`
+	// Services lists the plain services that the server provides.
+	Services []string `json:"services,omitempty"`
+	// Slots is the number of concurrent requests of each accelerator, or of the whole server if it
+	// provides plain services.
 	Slots        int           `json:"slots,omitempty"`
 	Accelerators []Accelerator `json:"accs,omitempty"`
 	Residents    []Resident    `json:"res,omitempty"`
-	// Demand is reported by a server's agent to its planner only; a cell's demand
-	// travels by itself, since it changes far more often than what is resident.
-	Demand  []Demand `json:"dem,omitempty"`
-	Leaving bool     `json:"leaving,omitempty"`
-	// Gone says that the server's VM has left the platform's list.
+	// Demand is set only in reports of the server's agent to its planner. The demand of a cell
+	// is sent separately, because it changes far more often than the residents.
+	Demand []Demand `json:"dem,omitempty"`
+	// Leaving reports whether the server is shutting down.
+	Leaving bool `json:"leaving,omitempty"`
+	// Gone reports whether the server's VM is no longer in the platform's list.
 	Gone bool `json:"gone,omitempty"`
-	// Version is the cell's version that last changed the record.
+	// Version is the cell version that last changed the record.
 	Version uint64 `json:"v"`
 }
 
-// Same reports whether two records differ in nothing but their versions.
+// Same reports whether the records are equal apart from their versions.
 func (s Server) Same(o Server) bool {
 	return s.ID == o.ID && s.Addr == o.Addr && s.Hall == o.Hall && s.Incarnation == o.Incarnation &&
 		s.Slots == o.Slots && s.Leaving == o.Leaving && s.Gone == o.Gone &&
@@ -81,18 +90,21 @@
 	})
 }
 
-// A CellVersion is the version of a cell that a process knows.
+// A CellVersion identifies a version of a cell's records. Versions are ordered by epoch, then by
+// number.
 type CellVersion struct {
-	Cell    string `json:"c"`
+	// Cell is the ID of the cell.
+	Cell string `json:"c"`
+	// Epoch is the lease token of the planner that wrote the version.
 	Epoch   int64  `json:"e"`
 	Version uint64 `json:"v"`
 }
 
-// A Digest lists the versions of all cells that a process knows.
+// A Digest lists the version of every cell that a process knows.
 type Digest []CellVersion
 
-// MarshalJSON writes each version as [cell, epoch, version], which is short: a
-// digest goes with every request for news.
+// MarshalJSON encodes each version as [cell, epoch, version]. The form is compact because every
+// request for deltas includes a digest.
 func (d Digest) MarshalJSON() ([]byte, error) {
 	short := make([][]any, len(d))
 	for i, v := range d {
@@ -101,7 +113,7 @@
 	return json.Marshal(short)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes the form that MarshalJSON writes.
 func (d *Digest) UnmarshalJSON(data []byte) error {
 	var short []json.RawMessage
 	if err := json.Unmarshal(data, &short); err != nil {
@@ -117,16 +129,17 @@
 	return nil
 }
 
-// A CellDelta carries the records of a cell that changed after a version.
+// A CellDelta holds the records of a cell that changed after some version, and the version that it
+// leads to.
 type CellDelta struct {
 	CellVersion
-	// Full says that records not in Servers no longer belong to the cell.
+	// Full reports whether the delta replaces all records of the cell.
 	Full    bool     `json:"full,omitempty"`
 	Servers []Server `json:"servers,omitempty"`
 	Demand  []Demand `json:"demand,omitempty"`
 }
 
-// A cell holds one cell's records.
+// A cell holds the records of one cell. servers is keyed by ID, demand by row name.
 type cell struct {
 	epoch   int64
 	version uint64
@@ -134,16 +147,16 @@
 	demand  map[string]Demand
 }
 
-// A View is a process's copy of all cells' records; it is safe for concurrent use.
-//
-// Its zero value is an empty view.
+// A View is a process's copy of the records of all cells. It is safe for concurrent use, and its zero
+// value is empty.
 type View struct {
-	mu     sync.RWMutex
-	cells  map[string]*cell
+	mu    sync.RWMutex
+	cells map[string]*cell
+	// byName maps names of rows to the servers that serve them. Its slices are never modified.
 	byName map[string][]Server
 }
 
-// Digest returns how much of each cell the view knows, in the order of cells.
+// Digest returns the version of each cell in the view, ordered by cell.
 func (v *View) Digest() Digest {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -155,7 +168,7 @@
 	return digest
 }
 
-// Since returns what a process with the given digest lacks of the view.
+// Since returns the deltas that a process with the given digest lacks.
 func (v *View) Since(digest Digest) []CellDelta {
 	known := make(map[string]CellVersion, len(digest))
 	for _, d := range digest {
@@ -186,7 +199,8 @@
 	return deltas
 }
 
-// Merge applies the deltas that are newer than the view and reports whether any was.
+// Merge applies the deltas that are newer than the view, and reports whether there were any. A delta
+// that is not full is ignored unless the view has its epoch.
 func (v *View) Merge(deltas []CellDelta) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -200,7 +214,7 @@
 	return changed
 }
 
-// mergeCell applies one delta and reports whether it was newer; the View is locked.
+// mergeCell applies one delta and reports whether it did. The caller holds v.mu.
 func (v *View) mergeCell(d CellDelta) bool {
 	if v.cells == nil {
 		v.cells = make(map[string]*cell)
@@ -227,7 +241,7 @@
 	return true
 }
 
-// index rebuilds the servers by the names that they serve.
+// index rebuilds byName. The caller holds v.mu.
 func (v *View) index() {
 	v.byName = make(map[string][]Server)
 	for _, c := range v.cells {
@@ -240,7 +254,7 @@
 	}
 }
 
-// indexServer adds a server under each name that it serves.
+// indexServer adds a server to byName for each row that it serves. The caller holds v.mu.
 func (v *View) indexServer(s Server) {
 	names := make(map[string]bool)
 	for _, r := range s.Residents {
@@ -256,14 +270,15 @@
 	}
 }
 
-// Serving returns the servers, leaving ones included, that are ready for a name.
+// Serving returns the servers that serve the named model, adapter or service, including those that
+// are leaving. The caller must not modify the slice.
 func (v *View) Serving(name string) []Server {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.byName[name]
 }
 
-// Servers returns all servers that are not gone, in the order of their ids.
+// Servers returns all servers that are not gone, ordered by ID.
 func (v *View) Servers() []Server {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -279,7 +294,7 @@
 	return all
 }
 
-// Demand returns the demand of one cell.
+// Demand returns the demand in one cell, in unspecified order.
 func (v *View) Demand(id string) []Demand {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -290,7 +305,8 @@
 	return slices.Collect(maps.Values(c.demand))
 }
 
-// Cell returns the records of one cell, gone ones included, and its version.
+// Cell returns the records of one cell, including those of servers that are gone, in unspecified
+// order, and the version of the cell.
 func (v *View) Cell(id string) ([]Server, CellVersion) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestOnTheWire checks that digests and deltas are read as they were written.
+// TestOnTheWire checks the JSON form of digests, and that digests and deltas are decoded unchanged.
 func TestOnTheWire(t *testing.T) {
 	var v fleet.View
 	d := delta(2, 5, true, srv("a", 4))
@@ -66,8 +66,7 @@
 	assert.DeepEqual(t, deltas, []fleet.CellDelta{d})
 }
 
-// TestViewsConverge lets views that each saw a part of a planner's deltas ask
-// each other in random order: they end equal.
+// TestViewsConverge checks that views which exchange deltas in random order become equal.
 func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		views := make([]fleet.View, 4)
