--- a/internal/transfer/doc.go
+++ b/internal/transfer/doc.go
@@ -1,10 +1,10 @@
-// Package transfer bounds the time of a call by its progress.
+// Package transfer cancels HTTP calls whose response stalls.
 //
-// A bound on a whole call is a bound on its size as well: whatever does not fit through the
-// link in that time is given up, begun anew from the first byte, and never arrives. Here a
-// call ends when nothing has arrived for a time, however much there is to come.
+// A timeout for a whole call also limits the size of its response: on a slow link a large
+// response would time out at every attempt. A call is therefore canceled when no data has
+// arrived for some time. A generous limit on the total time applies as well.
 //
-// It owns nothing but the timer of each call, which Watch.Stop releases. It relies on readers
-// that return what has arrived without waiting for more, as those of net/http do. A call that
-// it ends fails with context.DeadlineExceeded. Times are time.Duration.
+// The package owns only the timers of each call, which Watch.Stop releases. It relies on readers
+// that return available data without waiting for more, as those of net/http do. A call that it
+// cancels fails with context.DeadlineExceeded. Times are time.Duration.
 package transfer
--- a/internal/transfer/reader.go
+++ b/internal/transfer/reader.go
@@ -2,13 +2,13 @@
 
 import "io"
 
-// A Reader tells of each read that brings something.
+// A Reader calls a function after each read that returned data.
 type Reader struct {
 	from     io.Reader
 	progress func()
 }
 
-// NewReader returns a Reader of from that calls progress.
+// NewReader returns a Reader that reads from from and calls progress after each read that returned data.
 func NewReader(from io.Reader, progress func()) *Reader {
 	return &Reader{from: from, progress: progress}
 }
--- a/internal/transfer/watch.go
+++ b/internal/transfer/watch.go
@@ -9,11 +9,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxTime bounds a whole transfer, so that a peer that sends a byte now and then does not hold
-// its caller for ever: 12 MB through a link of 10 Mbit/s, more than any answer that is read.
+// maxTime is the maximum duration of a transfer after the time allowed for the response to begin. It
+// stops a peer that sends single bytes from blocking its caller forever. At 10 Mbit/s it suffices for
+// 12 MB.
 const maxTime = 10 * time.Second
 
-// A Watch ends a call that makes no progress.
+// A Watch cancels a call whose response does not begin in time or stalls.
 type Watch struct {
 	cancel context.CancelFunc
 	stall  time.Duration
@@ -21,9 +22,9 @@
 	last   *time.Timer
 }
 
-// Start returns a context for a call, whose answer must begin within a time, and the call's
-// Watch; Stop must be called when the call is over. Once ReadAll is called, each further read
-// must bring something within stall.
+// Start returns a context for a call and the call's Watch. The context is canceled if ReadAll has not
+// been called within begin, or if a read in ReadAll receives no data for stall. Its cause is then
+// context.DeadlineExceeded. The caller must call Stop when the call is over.
 func Start(ctx context.Context, begin, stall time.Duration) (context.Context, *Watch) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	end := func() { cancel(context.DeadlineExceeded) }
@@ -33,18 +34,18 @@
 	}
 }
 
-// Stop ends the call's context and releases its timers.
+// Stop cancels the call's context and stops its timers.
 func (w *Watch) Stop() {
 	w.timer.Stop()
 	w.last.Stop()
 	w.cancel()
 }
 
-// progress starts the time anew in which more must arrive.
+// progress restarts the stall timer.
 func (w *Watch) progress() { w.timer.Reset(w.stall) }
 
-// ReadAll reads an answer's body, up to a number of bytes. An error tells how many had arrived:
-// that tells a peer that is silent from a link that is slow.
+// ReadAll reads at most limit bytes of a response body. Its error states the number of bytes received,
+// which distinguishes an unresponsive peer from a slow link.
 func (w *Watch) ReadAll(ctx context.Context, body io.Reader, limit int64) ([]byte, error) {
 	w.progress()
 	data, err := io.ReadAll(io.LimitReader(NewReader(body, w.progress), limit))
@@ -54,8 +55,8 @@
 	return data, nil
 }
 
-// Cause returns why a call under a context failed: the context's cause if err only says that
-// the context has ended, and err otherwise.
+// Cause returns the context's cause if err is context.Canceled and the context has ended, and err
+// otherwise.
 func Cause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && errors.Is(err, context.Canceled) {
 		return cause
--- a/internal/transfer/watch_test.go
+++ b/internal/transfer/watch_test.go
@@ -16,7 +16,7 @@
 	"rockcleat/internal/transfer"
 )
 
-// A pacedBody brings one byte after each pause, until its context ends.
+// A pacedBody returns one byte after each of its pauses until ctx ends.
 type pacedBody struct {
 	ctx    context.Context
 	pauses []time.Duration
@@ -35,7 +35,7 @@
 	return copy(p[:1], "x"), nil
 }
 
-// repeat returns n times the same pause.
+// repeat returns a slice of n times d.
 func repeat(d time.Duration, n int) []time.Duration {
 	list := make([]time.Duration, n)
 	for i := range list {
@@ -44,14 +44,15 @@
 	return list
 }
 
-// TestCallsEndByProgress checks that an answer which goes on arriving is read to its end,
-// however long it takes up to a bound, and that one that stops is given up.
+// TestCallsEndByProgress checks that a slow response is read completely, and that a response is
+// canceled if it stalls or exceeds the total time.
 func TestCallsEndByProgress(t *testing.T) {
 	const begin, stall = time.Second, 200 * time.Millisecond
 	tests := map[string]struct {
 		pauses []time.Duration
-		// took is when the call ends, read what had arrived.
+		// took is the duration of the call.
 		took time.Duration
+		// read is the number of bytes received.
 		read int
 		done bool
 	}{
@@ -79,7 +80,7 @@
 	}
 }
 
-// TestCallEndsWhenNoAnswerBegins checks the bound of the time until an answer begins.
+// TestCallEndsWhenNoAnswerBegins guards against a call that waits forever for a response.
 func TestCallEndsWhenNoAnswerBegins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
