--- a/internal/inventory/doc.go
+++ b/internal/inventory/doc.go
@@ -1,7 +1,6 @@
-// Package inventory holds the client of the platform's other services: the list of VMs and the
+// Package inventory implements a client of two services of the platform: the list of VMs and the
 // catalogue of the weight store.
 //
-// It owns nothing between two calls: Changes returns what changed in the list after a version, and
-// Sizes the memory that each model and adapter takes. It does not retry; callers ask again in their
-// own time.
+// The client keeps no state between calls and does not retry. Each call ends with an error if the
+// platform does not respond, or stops sending, for some seconds.
 package inventory
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -13,19 +13,19 @@
 	"rockcleat/placement"
 )
 
-// A Role says what runs on a VM.
+// A Role is the kind of process that runs on a VM.
 type Role string
 
-// The roles of VMs.
+// Roles of VMs.
 const (
 	RoleEntry   Role = "entry"
 	RoleBackend Role = "backend"
 )
 
-// A VMState is a VM's state in the platform's list.
+// A VMState is the state of a VM in the platform's list.
 type VMState string
 
-// The states of VMs.
+// States of VMs.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
@@ -36,29 +36,31 @@
 type VM struct {
 	ID   string `json:"id"`
 	Role Role   `json:"role"`
+	// Hall is the data hall of the VM.
 	Hall string `json:"hall"`
-	// Addr is the address for requests, Control the one for the system's messages.
-	Addr    string  `json:"addr"`
+	// Addr is the address for requests of callers.
+	Addr string `json:"addr"`
+	// Control is the address for messages between processes of the system.
 	Control string  `json:"control"`
 	State   VMState `json:"state"`
 }
 
-// A VMList is the platform's list, or what changed in it since a version.
+// A VMList is the platform's list of VMs, or the entries that changed after some version.
 type VMList struct {
 	Version uint64 `json:"version"`
 	VMs     []VM   `json:"vms"`
 }
 
-// A Catalogue lists what the weight store holds.
+// A Catalogue lists the models and adapters in the weight store with their sizes.
 type Catalogue struct {
 	Sizes map[string]placement.Size `json:"sizes"`
 }
 
-// callTimeout bounds the time until the platform answers a call, and each time in which no more
-// of the answer arrives.
+// callTimeout is the maximum time until the platform responds, and the maximum time without further
+// data of the response.
 const callTimeout = 3 * time.Second
 
-// maxAnswer bounds an answer of the platform, in bytes.
+// maxAnswer is the maximum size of a response, in bytes.
 const maxAnswer = 16 << 20
 
 // A Client reads the list of VMs and the weight store's catalogue over HTTP.
@@ -68,45 +70,46 @@
 	weights string
 }
 
-// NewClient returns a Client of the services at the two base URLs.
+// NewClient returns a Client that uses c. The arguments vms and weights are the base URLs of the list
+// of VMs and of the weight store.
 func NewClient(c *http.Client, vms, weights string) *Client {
 	return &Client{http: c, vms: vms, weights: weights}
 }
 
-// Changes returns the VMs that changed in the list after the version.
+// Changes returns the entries of the list of VMs that changed after the version since.
 func (c *Client) Changes(ctx context.Context, since uint64) (VMList, error) {
 	var l VMList
 	err := c.get(ctx, c.vms+"/v1/vms?since="+strconv.FormatUint(since, 10), &l)
 	return l, err
 }
 
-// Sizes returns the memory that each model and adapter takes.
+// Sizes returns the size of each model and adapter in the weight store, by name.
 func (c *Client) Sizes(ctx context.Context) (map[string]placement.Size, error) {
 	var a Catalogue
 	err := c.get(ctx, c.weights+"/v1/weights", &a)
 	return a.Sizes, err
 }
 
-// get reads JSON from a URL into out.
+// get decodes the JSON document at a URL into out.
 func (c *Client) get(ctx context.Context, url string, out any) error {
 	ctx, watch := transfer.Start(ctx, callTimeout, callTimeout)
 	defer watch.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return eris.Wrap(err, "inventory: make request")
+		return eris.Wrap(err, "inventory: create request")
 	}
 	req.Header["User-Agent"] = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return eris.Wrap(transfer.Cause(ctx, err), "inventory: call")
+		return eris.Wrap(transfer.Cause(ctx, err), "inventory: send request")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("inventory: status %d", resp.StatusCode)
+		return eris.Errorf("inventory: request failed with HTTP status %d", resp.StatusCode)
 	}
 	data, err := watch.ReadAll(ctx, resp.Body, maxAnswer)
 	if err != nil {
-		return eris.Wrap(err, "inventory: read answer")
+		return eris.Wrap(err, "inventory: read response")
 	}
-	return eris.Wrap(json.Unmarshal(data, out), "inventory: decode answer")
+	return eris.Wrap(json.Unmarshal(data, out), "inventory: decode response")
 }
