--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,7 +1,7 @@
-// Package engine is the client side of a model engine beside an agent: its status, the fenced orders
-// that it takes, and the headers that go with a request.
+// Package engine implements the client of a model engine that runs next to an agent. It reads the
+// engine's status, sends it orders with a fencing token, and defines the headers of requests to it.
 //
-// It owns nothing between two calls. Memory is in MiB. An error other than ErrFenced leaves open
-// whether an order arrived; the agent finds out from the status (package ledger). The engines of
-// the users' platform speak otherwise, and package platform is their client.
+// The client keeps no state between calls. Memory is in MiB. After an error other than ErrFenced it is
+// unknown whether the engine has received an order; the agent learns it from the engine's status (see
+// package ledger). Package platform implements the different protocol of its platform's engines.
 package engine
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -15,86 +15,90 @@
 	"rockcleat/ledger"
 )
 
-// Paths of an engine's interface for orders.
+// Paths of an engine's API.
 const (
 	PathStatus = "/v1/engine"
 	PathOrders = "/v1/engine/orders"
 )
 
-// Headers of a request to an engine, beside those of package wire that an agent passes on.
+// Headers of requests to an engine, in addition to those of package wire that an agent forwards.
 const (
-	// HeaderAccelerator is the number of the accelerator that the request is for.
+	// HeaderAccelerator is the index of the accelerator that runs the request.
 	HeaderAccelerator = "X-Accelerator"
-	// HeaderPriority is the request's weight against others in the engine's queue.
+	// HeaderPriority is the weight of the request in the engine's queue.
 	HeaderPriority = "X-Priority"
 )
 
-// Status is what an engine reports of itself.
+// Status is the state of an engine as reported by itself.
 type Status struct {
-	// Fence is the highest fencing token of an order that the engine has taken.
+	// Fence is the highest fencing token of the orders that the engine has accepted.
 	Fence int64 `json:"fence"`
-	// Slots is the number of requests that one accelerator works on at once.
+	// Slots is the number of requests that one accelerator processes concurrently.
 	Slots int `json:"slots"`
 	// MemoryMiB is the memory of each accelerator.
 	MemoryMiB []int            `json:"memory_mib"`
 	Residents []fleet.Resident `json:"residents"`
-	// Finished holds the ids of the orders that ended last.
+	// Finished lists the IDs of the latest finished orders.
 	Finished []string `json:"finished"`
-	Running  int      `json:"running"`
+	// Running is the number of running requests.
+	Running int `json:"running"`
 }
 
-// An Order tells an engine to load or unload.
+// An Order instructs an engine to load or unload a model or adapter.
 type Order struct {
-	ID          string    `json:"id"`
-	Fence       int64     `json:"fence"`
-	Op          ledger.Op `json:"op"`
-	Name        string    `json:"name"`
-	Base        string    `json:"base,omitempty"`
-	Accelerator int       `json:"accelerator"`
-	MemoryMiB   int       `json:"memory_mib"`
+	ID string `json:"id"`
+	// Fence is the fencing token of the agent that sends the order.
+	Fence int64     `json:"fence"`
+	Op    ledger.Op `json:"op"`
+	Name  string    `json:"name"`
+	// Base is the base model of an adapter.
+	Base string `json:"base,omitempty"`
+	// Accelerator is the index of the accelerator.
+	Accelerator int `json:"accelerator"`
+	MemoryMiB   int `json:"memory_mib"`
 }
 
-// ErrFenced says that the engine has seen a higher fencing token.
-var ErrFenced = errors.New("engine: order fenced off")
+// ErrFenced means that the engine has rejected an order because it has seen a higher fencing token.
+var ErrFenced = errors.New("engine: order rejected: the engine has seen a higher fencing token")
 
-// callTimeout bounds a status call or an order.
+// callTimeout is the maximum duration of a call.
 const callTimeout = 2 * time.Second
 
-// maxStatus bounds a status answer, in bytes.
+// maxStatus is the maximum size of a status response, in bytes.
 const maxStatus = 4 << 20
 
-// A Client issues orders to one engine and reads its status.
+// A Client sends orders to one engine and reads its status.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a Client of the engine at the base URL.
+// NewClient returns a Client that calls the engine at the given base URL by means of c.
 func NewClient(base string, c *http.Client) *Client { return &Client{base: base, http: c} }
 
-// Status reads the engine's report.
+// Status returns the engine's current status.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var s Status
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+PathStatus, nil)
 	if err != nil {
-		return s, eris.Wrap(err, "engine: make request")
+		return s, eris.Wrap(err, "engine: create status request")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return s, eris.Wrap(err, "engine: status")
+		return s, eris.Wrap(err, "engine: send status request")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return s, eris.Errorf("engine: status answered %d", resp.StatusCode)
+		return s, eris.Errorf("engine: status request failed with HTTP status %d", resp.StatusCode)
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&s)
 	return s, eris.Wrap(err, "engine: decode status")
 }
 
-// Send sends an order; an error other than ErrFenced leaves open whether the
-// engine has it.
+// Send sends an order. After an error other than ErrFenced it is unknown whether the engine has
+// received the order.
 func (c *Client) Send(ctx context.Context, o Order) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -104,7 +108,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+PathOrders, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "engine: make request")
+		return eris.Wrap(err, "engine: create order request")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
@@ -118,5 +122,5 @@
 	case http.StatusConflict:
 		return ErrFenced
 	}
-	return eris.Errorf("engine: order answered %d", resp.StatusCode)
+	return eris.Errorf("engine: order failed with HTTP status %d", resp.StatusCode)
 }
