--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,6 +1,6 @@
-// Package rapidtest makes property tests draw the same cases in each run.
+// Package rapidtest makes the property tests of a package reproducible: each run draws the same cases.
 //
-// It owns nothing but the flags of package rapid that are not set by hand, and relies on being called from TestMain.
+// It sets those flags of package rapid that the command line does not set. Run must be called from TestMain.
 package rapidtest
 
 import (
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Run runs a package's tests with a fixed seed and a number of cases for each property, unless flags of rapid say
-// otherwise: more are drawn by hand (-rapid.seed, -rapid.checks). It returns the exit code.
+// Run runs a package's tests with a fixed seed and the given number of cases for each property. The flags
+// -rapid.seed and -rapid.checks override them. Run returns the exit code.
 func Run(m *testing.M, checks int) int {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": strconv.Itoa(checks)} {
