--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -19,14 +19,14 @@
 // owner is a process that owns a shard.
 type owner struct {
 	*claim.Shard
-	held bool
+	holdsLease bool
 }
 
 func newOwner(t *testing.T, store kv.Store, name string) *owner {
 	t.Helper()
-	o := &owner{held: true}
+	o := &owner{holdsLease: true}
 	o.Shard = claim.NewShard(store, clocktest.Real{}, claim.Options{
-		Owner: name, Retention: time.Minute, Held: func() bool { return o.held },
+		Owner: name, Retention: time.Minute, Held: func() bool { return o.holdsLease },
 	})
 	return o
 }
@@ -44,11 +44,11 @@
 	return o
 }
 
-func mustClaim(t *testing.T, s *claim.Shard, key, attempt string, fresh bool) claim.Record {
+func mustClaim(t *testing.T, s *claim.Shard, key, attempt string, wantClaimed bool) claim.Record {
 	t.Helper()
-	r, got, err := s.Claim(context.Background(), key, 1, attempt)
+	r, claimed, err := s.Claim(context.Background(), key, 1, attempt)
 	assert.NilError(t, err)
-	assert.Equal(t, got, fresh)
+	assert.Equal(t, claimed, wantClaimed)
 	return r
 }
 
@@ -91,18 +91,18 @@
 	assert.Equal(t, mustClaim(t, b.Shard, "claimed", "two", false).State, claim.StateClaimed)
 	r := mustClaim(t, b.Shard, "done", "two", false)
 	assert.Equal(t, string(r.Answer.Body), "paid")
-	_, fresh, err := a.Claim(context.Background(), "new", 1, "one")
+	_, claimed, err := a.Claim(context.Background(), "new", 1, "one")
 	assert.ErrorIs(t, err, claim.ErrNotOwner)
-	assert.Assert(t, !fresh)
+	assert.Assert(t, !claimed)
 	mustClaim(t, b.Shard, "new", "two", true)
 }
 
-// TestLapsedOwner checks that an owner whose lease has expired records no claim.
-func TestLapsedOwner(t *testing.T) {
+// TestOwnerWithExpiredLease checks that an owner whose lease has expired records no claim.
+func TestOwnerWithExpiredLease(t *testing.T) {
 	_, store := standintest.KV(t)
 	a := newOwner(t, store, "a")
 	assert.NilError(t, a.Open(context.Background()))
-	a.held = false
+	a.holdsLease = false
 	result := make(chan error, 1)
 	go func() {
 		_, _, err := a.Claim(context.Background(), "k", 1, "one")
@@ -126,13 +126,13 @@
 	}
 }
 
-func TestOutageRefuses(t *testing.T) {
+func TestClaimsFailDuringOutage(t *testing.T) {
 	s, store := standintest.KV(t)
 	o := newOwner(t, store, "a").run(t)
 	s.SetFaults(standin.Faults{Outage: true})
-	_, fresh, err := o.Claim(context.Background(), "k", 1, "one")
+	_, claimed, err := o.Claim(context.Background(), "k", 1, "one")
 	assert.ErrorIs(t, err, claim.ErrNotRecorded)
-	assert.Assert(t, !fresh)
+	assert.Assert(t, !claimed)
 	s.SetFaults(standin.Faults{})
 	mustClaim(t, o.Shard, "k", "two", true)
 }
@@ -150,8 +150,8 @@
 			defer wg.Done()
 			for k := range 20 {
 				key := fmt.Sprint(k)
-				_, fresh, err := o.Claim(context.Background(), key, 1, fmt.Sprint(attempt))
-				if err == nil && fresh {
+				_, claimed, err := o.Claim(context.Background(), key, 1, fmt.Sprint(attempt))
+				if err == nil && claimed {
 					mu.Lock()
 					wins[key]++
 					mu.Unlock()
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestWritesAreShared checks that concurrent claims are written in batches.
-func TestWritesAreShared(t *testing.T) {
+// TestClaimsAreBatched checks that concurrent claims are written in batches.
+func TestClaimsAreBatched(t *testing.T) {
 	s, store := standintest.KV(t)
 	o := newOwner(t, store, "a")
 	assert.NilError(t, o.Open(context.Background()))
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -41,16 +41,16 @@
 	// pending holds the records for the next write. Each of the waiters receives its outcome.
 	pending []Record
 	waiters []chan error
-	// next is the number of the next slot.
-	next uint64
-	// flushed is the time of the last write.
-	flushed time.Time
-	wake    chan struct{}
+	// nextSlotSlot is the number of the next slot.
+	nextSlot uint64
+	// lastFlush is the time of the last write.
+	lastFlush time.Time
+	wake      chan struct{}
 
 	// leaseID is the lease of the key-value service that limits the records' lifetime, 0 if there
-	// is none. It was granted at the time granted.
-	leaseID kv.LeaseID
-	granted time.Time
+	// is none. leaseGranted is the time at which it was granted.
+	leaseID      kv.LeaseID
+	leaseGranted time.Time
 }
 
 // NewShard returns a Shard that rejects claims until Open succeeds.
@@ -65,7 +65,7 @@
 func (s *Shard) Due() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.opts.FlushEvery-s.clock.Now().Sub(s.flushed), 0)
+	return max(s.opts.FlushEvery-s.clock.Now().Sub(s.lastFlush), 0)
 }
 
 func (s *Shard) prefix() string { return fmt.Sprintf("claim/%04d/", s.opts.Index) }
@@ -79,12 +79,12 @@
 	if err != nil {
 		return err
 	}
-	records, next, err := replay(entries, s.prefix())
+	records, nextSlot, err := replay(entries, s.prefix())
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.records, s.next, s.pending = records, next, nil
+	s.records, s.nextSlot, s.pending = records, nextSlot, nil
 	s.leaseID = 0
 	s.mu.Unlock()
 	if err := s.write(ctx, nil); err != nil {
@@ -99,13 +99,13 @@
 // replay returns the latest record of each key and the number of the first empty slot.
 func replay(entries []kv.Entry, prefix string) (map[string]Record, uint64, error) {
 	records := make(map[string]Record)
-	next := uint64(0)
+	nextSlot := uint64(0)
 	for _, e := range entries {
 		var n uint64
 		if _, err := fmt.Sscanf(e.Key[len(prefix):], "%d", &n); err != nil {
 			return nil, 0, eris.Wrapf(err, "claim: parse number of slot %q", e.Key)
 		}
-		next = max(next, n+1)
+		nextSlot = max(nextSlot, n+1)
 		var b batch
 		if err := json.Unmarshal(e.Value, &b); err != nil {
 			return nil, 0, eris.Wrapf(err, "claim: decode slot %q", e.Key)
@@ -114,18 +114,18 @@
 			records[r.Key] = r
 		}
 	}
-	return records, next, nil
+	return records, nextSlot, nil
 }
 
 // Close makes the shard reject claims. It must be called when the shard's lease is lost.
 func (s *Shard) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shut()
+	s.closeLocked()
 }
 
-// shut closes the shard and fails all waiting claims. The caller holds s.mu.
-func (s *Shard) shut() {
+// closeLocked closes the shard and fails all waiting claims. The caller holds s.mu.
+func (s *Shard) closeLocked() {
 	s.open = false
 	for _, w := range s.waiters {
 		w <- ErrNotOwner
@@ -142,25 +142,25 @@
 
 // Claim records that the attempt is about to send the request with the given key.
 //
-// If fresh is true, the attempt holds the claim and may send the request. Otherwise the request must
+// If claimed is true, the attempt holds the claim and may send the request. Otherwise the request must
 // not be sent, and r is the existing record of the key. After an error the request must not be sent
-// either; the attempt may or may not hold the claim.
-func (s *Shard) Claim(ctx context.Context, key string, fingerprint uint64, attempt string) (r Record, fresh bool, err error) {
+// either, and it is unknown whether the attempt holds the claim.
+func (s *Shard) Claim(ctx context.Context, key string, fingerprint uint64, attempt string) (r Record, claimed bool, err error) {
 	s.mu.Lock()
 	if !s.open {
 		s.mu.Unlock()
 		return Record{}, false, ErrNotOwner
 	}
-	if old, ok := s.records[key]; ok && old.State != StateFree {
+	if existing, ok := s.records[key]; ok && existing.State != StateFree {
 		s.mu.Unlock()
 		// A previous owner may have recorded this attempt before it lost the shard. The
 		// attempt has not been sent, because its claim was not confirmed.
-		return old, old.Attempt == attempt && old.State == StateClaimed, nil
+		return existing, existing.Attempt == attempt && existing.State == StateClaimed, nil
 	}
 	r = Record{Key: key, Fingerprint: fingerprint, State: StateClaimed, Attempt: attempt, At: s.clock.Now().Unix()}
-	wait := s.enqueue(r)
+	outcome := s.enqueue(r)
 	s.mu.Unlock()
-	if err := await(ctx, wait); err != nil {
+	if err := await(ctx, outcome); err != nil {
 		s.Release(key, attempt)
 		return Record{}, false, err
 	}
@@ -185,12 +185,12 @@
 func (s *Shard) update(key, attempt string, state State, a *Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, ok := s.records[key]
-	if !ok || !s.open || old.Attempt != attempt || old.State != StateClaimed {
+	record, ok := s.records[key]
+	if !ok || !s.open || record.Attempt != attempt || record.State != StateClaimed {
 		return
 	}
-	old.State, old.Answer = state, a
-	s.enqueue(old)
+	record.State, record.Answer = state, a
+	s.enqueue(record)
 }
 
 // enqueue adds a record to the next write. The returned channel receives the outcome of the write.
@@ -208,9 +208,9 @@
 }
 
 // await waits for the outcome of a write or for the end of ctx.
-func await(ctx context.Context, wait <-chan error) error {
+func await(ctx context.Context, outcome <-chan error) error {
 	select {
-	case err := <-wait:
+	case err := <-outcome:
 		return err
 	case <-ctx.Done():
 		return eris.Wrap(ErrNotRecorded, ctx.Err().Error())
--- a/claim/write.go
+++ b/claim/write.go
@@ -17,13 +17,13 @@
 func (s *Shard) Step(ctx context.Context) error {
 	now := s.clock.Now()
 	s.mu.Lock()
-	if !s.open || len(s.pending) == 0 || now.Sub(s.flushed) < s.opts.FlushEvery {
+	if !s.open || len(s.pending) == 0 || now.Sub(s.lastFlush) < s.opts.FlushEvery {
 		s.mu.Unlock()
 		return nil
 	}
 	records, waiters := s.pending, s.waiters
 	s.pending, s.waiters = nil, nil
-	s.flushed = now
+	s.lastFlush = now
 	s.mu.Unlock()
 	err := s.write(ctx, records)
 	for _, w := range waiters {
@@ -40,9 +40,9 @@
 	if err != nil {
 		return eris.Wrap(err, "claim: encode batch")
 	}
-	id, err := s.keeper(ctx)
+	id, err := s.recordLease(ctx)
 	if err != nil {
-		s.drop(records)
+		s.revertClaims(records)
 		return eris.Wrap(ErrNotRecorded, err.Error())
 	}
 	// The shard's lease is checked after the records' lease was granted. If the process pauses
@@ -52,14 +52,14 @@
 		s.Close()
 		return ErrNotOwner
 	}
-	key := s.slotKey(s.next)
+	key := s.slotKey(s.nextSlot)
 	for {
 		_, err = s.store.Put(ctx, kv.Write{Key: key, Value: value, Expect: kv.Absent, Lease: id})
 		if errors.Is(err, kv.ErrConflict) {
-			err = s.settle(ctx, key, value)
+			err = s.resolveConflict(ctx, key, value)
 		}
 		if err == nil {
-			s.next++
+			s.nextSlot++
 			return nil
 		}
 		if !errors.Is(err, kv.ErrUnknown) || ctx.Err() != nil {
@@ -67,17 +67,17 @@
 		}
 	}
 	if kv.IsNotWritten(err) && !errors.Is(err, kv.ErrConflict) {
-		s.forgetKeeper()
-		s.drop(records)
+		s.discardRecordLease()
+		s.revertClaims(records)
 		return eris.Wrap(ErrNotRecorded, err.Error())
 	}
 	s.Close()
 	return eris.Wrap(ErrNotOwner, err.Error())
 }
 
-// settle resolves a conflict: it returns nil if the slot holds this shard's own write, whose response
-// was lost, and kv.ErrConflict if it holds another owner's.
-func (s *Shard) settle(ctx context.Context, key string, value []byte) error {
+// resolveConflict returns nil if the slot holds this shard's own write, whose response was lost, and
+// kv.ErrConflict if it holds another owner's. If the slot cannot be read, it returns kv.ErrUnknown.
+func (s *Shard) resolveConflict(ctx context.Context, key string, value []byte) error {
 	e, err := s.store.Get(ctx, key)
 	if err != nil {
 		return eris.Wrap(kv.ErrUnknown, err.Error())
@@ -88,32 +88,32 @@
 	return kv.ErrConflict
 }
 
-// drop frees the keys of claims that were certainly not written. Records of finished or released
+// revertClaims frees the keys of claims that were certainly not written. Records of finished or released
 // requests remain in memory.
-func (s *Shard) drop(records []Record) {
+func (s *Shard) revertClaims(records []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range records {
-		now, ok := s.records[r.Key]
-		if !ok || now.Attempt != r.Attempt {
+		current, ok := s.records[r.Key]
+		if !ok || current.Attempt != r.Attempt {
 			continue
 		}
 		if r.State == StateClaimed {
-			now.State = StateFree
-			s.records[r.Key] = now
+			current.State = StateFree
+			s.records[r.Key] = current
 		}
 	}
 }
 
-// keeper returns the lease that limits the records' lifetime. A lease is granted for twice the
+// recordLease returns the lease that limits the records' lifetime. A lease is granted for twice the
 // retention and used for new records for one retention period, so that each record is kept for at
 // least that period.
-func (s *Shard) keeper(ctx context.Context) (kv.LeaseID, error) {
+func (s *Shard) recordLease(ctx context.Context) (kv.LeaseID, error) {
 	now := s.clock.Now()
 	s.mu.Lock()
-	id, granted := s.leaseID, s.granted
+	id, leaseGranted := s.leaseID, s.leaseGranted
 	s.mu.Unlock()
-	if id != 0 && now.Sub(granted) < s.opts.Retention {
+	if id != 0 && now.Sub(leaseGranted) < s.opts.Retention {
 		return id, nil
 	}
 	id, err := s.store.Grant(ctx, 2*s.opts.Retention)
@@ -121,13 +121,13 @@
 		return 0, err
 	}
 	s.mu.Lock()
-	s.leaseID, s.granted = id, now
+	s.leaseID, s.leaseGranted = id, now
 	s.mu.Unlock()
 	return id, nil
 }
 
-// forgetKeeper makes the next write request a new lease for its records.
-func (s *Shard) forgetKeeper() {
+// discardRecordLease makes the next write request a new lease for its records.
+func (s *Shard) discardRecordLease() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseID = 0
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -106,23 +106,23 @@
 // MarshalJSON encodes each version as [cell, epoch, version]. The form is compact because every
 // request for deltas includes a digest.
 func (d Digest) MarshalJSON() ([]byte, error) {
-	short := make([][]any, len(d))
+	arrays := make([][]any, len(d))
 	for i, v := range d {
-		short[i] = []any{v.Cell, v.Epoch, v.Version}
+		arrays[i] = []any{v.Cell, v.Epoch, v.Version}
 	}
-	return json.Marshal(short)
+	return json.Marshal(arrays)
 }
 
 // UnmarshalJSON decodes the form that MarshalJSON writes.
 func (d *Digest) UnmarshalJSON(data []byte) error {
-	var short []json.RawMessage
-	if err := json.Unmarshal(data, &short); err != nil {
+	var arrays []json.RawMessage
+	if err := json.Unmarshal(data, &arrays); err != nil {
 		return err
 	}
-	*d = make(Digest, len(short))
-	for i, x := range short {
+	*d = make(Digest, len(arrays))
+	for i, array := range arrays {
 		v := &(*d)[i]
-		if err := json.Unmarshal(x, &[]any{&v.Cell, &v.Epoch, &v.Version}); err != nil {
+		if err := json.Unmarshal(array, &[]any{&v.Cell, &v.Epoch, &v.Version}); err != nil {
 			return err
 		}
 	}
@@ -170,28 +170,28 @@
 
 // Since returns the deltas that a process with the given digest lacks.
 func (v *View) Since(digest Digest) []CellDelta {
-	known := make(map[string]CellVersion, len(digest))
+	peerVersions := make(map[string]CellVersion, len(digest))
 	for _, d := range digest {
-		known[d.Cell] = d
+		peerVersions[d.Cell] = d
 	}
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	var deltas []CellDelta
 	for id, c := range v.cells {
-		k := known[id]
-		if k.Epoch > c.epoch || k.Epoch == c.epoch && k.Version >= c.version {
+		peerVersion := peerVersions[id]
+		if peerVersion.Epoch > c.epoch || peerVersion.Epoch == c.epoch && peerVersion.Version >= c.version {
 			continue
 		}
-		full := k.Epoch != c.epoch
+		full := peerVersion.Epoch != c.epoch
 		d := CellDelta{CellVersion: CellVersion{Cell: id, Epoch: c.epoch, Version: c.version}, Full: full}
 		for _, s := range c.servers {
-			if full || s.Version > k.Version {
+			if full || s.Version > peerVersion.Version {
 				d.Servers = append(d.Servers, s)
 			}
 		}
-		for _, x := range c.demand {
-			if full || x.Version > k.Version {
-				d.Demand = append(d.Demand, x)
+		for _, demand := range c.demand {
+			if full || demand.Version > peerVersion.Version {
+				d.Demand = append(d.Demand, demand)
 			}
 		}
 		deltas = append(deltas, d)
@@ -209,7 +209,7 @@
 		changed = v.mergeCell(d) || changed
 	}
 	if changed {
-		v.index()
+		v.rebuildIndex()
 	}
 	return changed
 }
@@ -231,8 +231,8 @@
 		maps.Copy(next.servers, c.servers)
 		maps.Copy(next.demand, c.demand)
 	}
-	for _, x := range d.Demand {
-		next.demand[x.Name] = x
+	for _, demand := range d.Demand {
+		next.demand[demand.Name] = demand
 	}
 	for _, s := range d.Servers {
 		next.servers[s.ID] = s
@@ -241,8 +241,8 @@
 	return true
 }
 
-// index rebuilds byName. The caller holds v.mu.
-func (v *View) index() {
+// rebuildIndex computes byName from cells. The caller holds v.mu.
+func (v *View) rebuildIndex() {
 	v.byName = make(map[string][]Server)
 	for _, c := range v.cells {
 		for _, s := range c.servers {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -17,23 +17,23 @@
 	}
 }
 
-func srv(id string, version uint64) fleet.Server {
+func newServer(id string, version uint64) fleet.Server {
 	return fleet.Server{ID: id, Version: version, Services: []string{"s"}}
 }
 
 func TestMerge(t *testing.T) {
-	base := delta(2, 5, true, srv("a", 4), srv("b", 5))
+	base := delta(2, 5, true, newServer("a", 4), newServer("b", 5))
 	tests := map[string]struct {
 		delta   fleet.CellDelta
 		changed bool
 		servers int
 	}{
-		"newer version":               {delta(2, 6, false, srv("c", 6)), true, 3},
+		"newer version":               {delta(2, 6, false, newServer("c", 6)), true, 3},
 		"same again":                  {base, false, 2},
-		"older version":               {delta(2, 4, false, srv("a", 4)), false, 2},
-		"former planner":              {delta(1, 99, true, srv("a", 99)), false, 2},
-		"next planner, whole":         {delta(3, 1, true, srv("a", 1)), true, 1},
-		"next planner, only a change": {delta(3, 2, false, srv("a", 2)), false, 2},
+		"older version":               {delta(2, 4, false, newServer("a", 4)), false, 2},
+		"former planner":              {delta(1, 99, true, newServer("a", 99)), false, 2},
+		"next planner, whole":         {delta(3, 1, true, newServer("a", 1)), true, 1},
+		"next planner, only a change": {delta(3, 2, false, newServer("a", 2)), false, 2},
 		"server gone":                 {delta(2, 6, false, fleet.Server{ID: "a", Version: 6, Gone: true}), true, 1},
 	}
 	for name, tc := range tests {
@@ -47,10 +47,10 @@
 	}
 }
 
-// TestOnTheWire checks the JSON form of digests, and that digests and deltas are decoded unchanged.
-func TestOnTheWire(t *testing.T) {
+// TestJSONRoundTrip checks the JSON form of digests, and that digests and deltas are decoded unchanged.
+func TestJSONRoundTrip(t *testing.T) {
 	var v fleet.View
-	d := delta(2, 5, true, srv("a", 4))
+	d := delta(2, 5, true, newServer("a", 4))
 	d.Demand = []fleet.Demand{{Name: "m", Level: 3, Version: 5}}
 	v.Merge([]fleet.CellDelta{d})
 	data, err := json.Marshal(v.Digest())
@@ -73,7 +73,7 @@
 		views[0].Merge([]fleet.CellDelta{delta(1, 1, true)})
 		for v := uint64(2); v < 20; v++ {
 			id := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "server"))
-			views[0].Merge([]fleet.CellDelta{delta(1, v, false, srv(id, v))})
+			views[0].Merge([]fleet.CellDelta{delta(1, v, false, newServer(id, v))})
 			a := rapid.IntRange(0, 3).Draw(t, "asks")
 			b := rapid.IntRange(0, 3).Draw(t, "asked")
 			views[a].Merge(views[b].Since(views[a].Digest()))
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -64,24 +64,24 @@
 // callTimeout is the maximum duration of a call.
 const callTimeout = 2 * time.Second
 
-// maxStatus is the maximum size of a status response, in bytes.
-const maxStatus = 4 << 20
+// maxStatusBytes is the maximum size of a status response, in bytes.
+const maxStatusBytes = 4 << 20
 
 // A Client sends orders to one engine and reads its status.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
 // NewClient returns a Client that calls the engine at the given base URL by means of c.
-func NewClient(base string, c *http.Client) *Client { return &Client{base: base, http: c} }
+func NewClient(baseURL string, c *http.Client) *Client { return &Client{baseURL: baseURL, http: c} }
 
 // Status returns the engine's current status.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var s Status
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+PathStatus, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+PathStatus, nil)
 	if err != nil {
 		return s, eris.Wrap(err, "engine: create status request")
 	}
@@ -93,7 +93,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return s, eris.Errorf("engine: status request failed with HTTP status %d", resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&s)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&s)
 	return s, eris.Wrap(err, "engine: decode status")
 }
 
@@ -106,7 +106,7 @@
 	if err != nil {
 		return eris.Wrap(err, "engine: encode order")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+PathOrders, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+PathOrders, bytes.NewReader(body))
 	if err != nil {
 		return eris.Wrap(err, "engine: create order request")
 	}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -56,43 +56,43 @@
 	Sizes map[string]placement.Size `json:"sizes"`
 }
 
-// callTimeout is the maximum time until the platform responds, and the maximum time without further
-// data of the response.
-const callTimeout = 3 * time.Second
+// progressTimeout is the maximum time until the platform responds, and the maximum time without
+// further data of the response.
+const progressTimeout = 3 * time.Second
 
-// maxAnswer is the maximum size of a response, in bytes.
-const maxAnswer = 16 << 20
+// maxResponseBytes is the maximum size of a response, in bytes.
+const maxResponseBytes = 16 << 20
 
 // A Client reads the list of VMs and the weight store's catalogue over HTTP.
 type Client struct {
-	http    *http.Client
-	vms     string
-	weights string
+	http       *http.Client
+	vmsURL     string
+	weightsURL string
 }
 
-// NewClient returns a Client that uses c. The arguments vms and weights are the base URLs of the list
-// of VMs and of the weight store.
-func NewClient(c *http.Client, vms, weights string) *Client {
-	return &Client{http: c, vms: vms, weights: weights}
+// NewClient returns a Client that uses c. The arguments vmsURL and weightsURL are the base URLs of the
+// list of VMs and of the weight store.
+func NewClient(c *http.Client, vmsURL, weightsURL string) *Client {
+	return &Client{http: c, vmsURL: vmsURL, weightsURL: weightsURL}
 }
 
 // Changes returns the entries of the list of VMs that changed after the version since.
 func (c *Client) Changes(ctx context.Context, since uint64) (VMList, error) {
 	var l VMList
-	err := c.get(ctx, c.vms+"/v1/vms?since="+strconv.FormatUint(since, 10), &l)
+	err := c.get(ctx, c.vmsURL+"/v1/vms?since="+strconv.FormatUint(since, 10), &l)
 	return l, err
 }
 
 // Sizes returns the size of each model and adapter in the weight store, by name.
 func (c *Client) Sizes(ctx context.Context) (map[string]placement.Size, error) {
-	var a Catalogue
-	err := c.get(ctx, c.weights+"/v1/weights", &a)
-	return a.Sizes, err
+	var catalogue Catalogue
+	err := c.get(ctx, c.weightsURL+"/v1/weights", &catalogue)
+	return catalogue.Sizes, err
 }
 
 // get decodes the JSON document at a URL into out.
 func (c *Client) get(ctx context.Context, url string, out any) error {
-	ctx, watch := transfer.Start(ctx, callTimeout, callTimeout)
+	ctx, watch := transfer.Start(ctx, progressTimeout, progressTimeout)
 	defer watch.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -107,7 +107,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return eris.Errorf("inventory: request failed with HTTP status %d", resp.StatusCode)
 	}
-	data, err := watch.ReadAll(ctx, resp.Body, maxAnswer)
+	data, err := watch.ReadAll(ctx, resp.Body, maxResponseBytes)
 	if err != nil {
 		return eris.Wrap(err, "inventory: read response")
 	}
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -71,8 +71,8 @@
 const (
 	// bytesPerToken is a rough average for prompts.
 	bytesPerToken = 4
-	// defaultAnswer is the expected number of generated tokens if the request has no maximum.
-	defaultAnswer = 256
+	// defaultCompletionTokens is the expected number of generated tokens if the request has no maximum.
+	defaultCompletionTokens = 256
 )
 
 // PromptTokens returns an estimate of the number of tokens in the prompt.
@@ -80,11 +80,11 @@
 
 // Cost returns an estimate of the total number of tokens, prompt and completions.
 func (r Request) Cost() int {
-	answer := r.MaxTokens
-	if answer == 0 {
-		answer = defaultAnswer
+	completionTokens := r.MaxTokens
+	if completionTokens == 0 {
+		completionTokens = defaultCompletionTokens
 	}
-	return r.PromptTokens() + answer*max(r.N, 1)
+	return r.PromptTokens() + completionTokens*max(r.N, 1)
 }
 
 // A Completion is a complete response or one chunk of a stream.
--- a/internal/transfer/reader.go
+++ b/internal/transfer/reader.go
@@ -4,20 +4,20 @@
 
 // A Reader calls a function after each read that returned data.
 type Reader struct {
-	from     io.Reader
-	progress func()
+	source     io.Reader
+	onProgress func()
 }
 
-// NewReader returns a Reader that reads from from and calls progress after each read that returned data.
-func NewReader(from io.Reader, progress func()) *Reader {
-	return &Reader{from: from, progress: progress}
+// NewReader returns a Reader that reads from source.
+func NewReader(source io.Reader, onProgress func()) *Reader {
+	return &Reader{source: source, onProgress: onProgress}
 }
 
 // Read implements io.Reader.
 func (r *Reader) Read(b []byte) (int, error) {
-	n, err := r.from.Read(b)
+	n, err := r.source.Read(b)
 	if n > 0 {
-		r.progress()
+		r.onProgress()
 	}
 	return n, err
 }
--- a/internal/transfer/watch.go
+++ b/internal/transfer/watch.go
@@ -9,46 +9,46 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxTime is the maximum duration of a transfer after the time allowed for the response to begin. It
+// maxTransferTime is the maximum duration of a transfer after the time allowed for the response to begin. It
 // stops a peer that sends single bytes from blocking its caller forever. At 10 Mbit/s it suffices for
 // 12 MB.
-const maxTime = 10 * time.Second
+const maxTransferTime = 10 * time.Second
 
 // A Watch cancels a call whose response does not begin in time or stalls.
 type Watch struct {
-	cancel context.CancelFunc
-	stall  time.Duration
-	timer  *time.Timer
-	last   *time.Timer
+	cancel       context.CancelFunc
+	stallTimeout time.Duration
+	stallTimer   *time.Timer
+	totalTimer   *time.Timer
 }
 
 // Start returns a context for a call and the call's Watch. The context is canceled if ReadAll has not
-// been called within begin, or if a read in ReadAll receives no data for stall. Its cause is then
-// context.DeadlineExceeded. The caller must call Stop when the call is over.
-func Start(ctx context.Context, begin, stall time.Duration) (context.Context, *Watch) {
+// been called within responseTimeout, if ReadAll then receives no data for stallTimeout, or if the call
+// exceeds the maximum total time. Its cause is then context.DeadlineExceeded. The caller must call Stop
+// when the call is over.
+func Start(ctx context.Context, responseTimeout, stallTimeout time.Duration) (context.Context, *Watch) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	end := func() { cancel(context.DeadlineExceeded) }
+	expire := func() { cancel(context.DeadlineExceeded) }
 	return ctx, &Watch{
-		cancel: func() { cancel(context.Canceled) }, stall: stall,
-		timer: time.AfterFunc(begin, end), last: time.AfterFunc(begin+maxTime, end),
+		cancel: func() { cancel(context.Canceled) }, stallTimeout: stallTimeout,
+		stallTimer: time.AfterFunc(responseTimeout, expire), totalTimer: time.AfterFunc(responseTimeout+maxTransferTime, expire),
 	}
 }
 
 // Stop cancels the call's context and stops its timers.
 func (w *Watch) Stop() {
-	w.timer.Stop()
-	w.last.Stop()
+	w.stallTimer.Stop()
+	w.totalTimer.Stop()
 	w.cancel()
 }
 
-// progress restarts the stall timer.
-func (w *Watch) progress() { w.timer.Reset(w.stall) }
+func (w *Watch) restartStallTimer() { w.stallTimer.Reset(w.stallTimeout) }
 
 // ReadAll reads at most limit bytes of a response body. Its error states the number of bytes received,
 // which distinguishes an unresponsive peer from a slow link.
 func (w *Watch) ReadAll(ctx context.Context, body io.Reader, limit int64) ([]byte, error) {
-	w.progress()
-	data, err := io.ReadAll(io.LimitReader(NewReader(body, w.progress), limit))
+	w.restartStallTimer()
+	data, err := io.ReadAll(io.LimitReader(NewReader(body, w.restartStallTimer), limit))
 	if err != nil {
 		return data, eris.Wrapf(Cause(ctx, err), "transfer: %d bytes of the answer received", len(data))
 	}
--- a/internal/transfer/watch_test.go
+++ b/internal/transfer/watch_test.go
@@ -44,9 +44,9 @@
 	return list
 }
 
-// TestCallsEndByProgress checks that a slow response is read completely, and that a response is
+// TestStalledCallsAreCanceled checks that a slow response is read completely, and that a response is
 // canceled if it stalls or exceeds the total time.
-func TestCallsEndByProgress(t *testing.T) {
+func TestStalledCallsAreCanceled(t *testing.T) {
 	const begin, stall = time.Second, 200 * time.Millisecond
 	tests := map[string]struct {
 		pauses []time.Duration
@@ -64,11 +64,11 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began := time.Now()
+				start := time.Now()
 				ctx, watch := transfer.Start(t.Context(), begin, stall)
 				defer watch.Stop()
 				data, err := watch.ReadAll(ctx, &pacedBody{ctx: ctx, pauses: test.pauses}, 1<<20)
-				assert.Equal(t, time.Since(began), test.took)
+				assert.Equal(t, time.Since(start), test.took)
 				assert.Equal(t, len(data), test.read)
 				assert.Equal(t, err == nil, test.done, "%v", err)
 				if !test.done {
@@ -80,14 +80,14 @@
 	}
 }
 
-// TestCallEndsWhenNoAnswerBegins guards against a call that waits forever for a response.
-func TestCallEndsWhenNoAnswerBegins(t *testing.T) {
+// TestCallIsCanceledWithoutResponse guards against a call that waits forever for a response.
+func TestCallIsCanceledWithoutResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		ctx, watch := transfer.Start(t.Context(), time.Second, time.Minute)
 		defer watch.Stop()
 		<-ctx.Done()
-		assert.Equal(t, time.Since(began), time.Second)
+		assert.Equal(t, time.Since(start), time.Second)
 		assert.Assert(t, errors.Is(transfer.Cause(ctx, ctx.Err()), context.DeadlineExceeded))
 	})
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -112,14 +112,13 @@
 	l.memory = slices.Clone(r.MemoryMiB)
 	l.residents = slices.Clone(r.Residents)
 	for id, i := range l.intents {
-		if slices.Contains(r.Finished, id) || now.After(i.Until) && !l.moving(i.Name) {
+		if slices.Contains(r.Finished, id) || now.After(i.Until) && !l.isLoadingOrUnloading(i.Name) {
 			delete(l.intents, id)
 		}
 	}
 }
 
-// moving reports whether the server is loading or unloading the named model or adapter.
-func (l *Ledger) moving(name string) bool {
+func (l *Ledger) isLoadingOrUnloading(name string) bool {
 	return slices.ContainsFunc(l.residents, func(r fleet.Resident) bool {
 		return r.Name == name && r.State != fleet.StateReady
 	})
@@ -135,15 +134,15 @@
 		}
 	}
 	for _, i := range l.intents {
-		if i.Op == OpLoad && i.Accelerator == accelerator && !l.holds(i.Name, accelerator) {
+		if i.Op == OpLoad && i.Accelerator == accelerator && !l.isResident(i.Name, accelerator) {
 			total += i.MemoryMiB
 		}
 	}
 	return total
 }
 
-// holds reports whether the named model or adapter is resident on an accelerator, in any state.
-func (l *Ledger) holds(name string, accelerator int) bool {
+// isResident reports whether the named model or adapter is resident on an accelerator, in any state.
+func (l *Ledger) isResident(name string, accelerator int) bool {
 	return slices.ContainsFunc(l.residents, func(r fleet.Resident) bool {
 		return r.Name == name && r.Accelerator == accelerator
 	})
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -82,8 +82,8 @@
 	assert.Equal(t, len(l.Intents()), 0)
 }
 
-// TestFailedLoadGivesMemoryBack guards against memory that stays reserved after a load has failed.
-func TestFailedLoadGivesMemoryBack(t *testing.T) {
+// TestFailedLoadFreesMemory guards against memory that stays reserved after a load has failed.
+func TestFailedLoadFreesMemory(t *testing.T) {
 	var l ledger.Ledger
 	l.Settle(report(nil), start)
 	assert.NilError(t, l.Reserve(load("1", "a", 60)))
--- a/table/check.go
+++ b/table/check.go
@@ -98,12 +98,12 @@
 			errs = append(errs, c.errs...)
 			continue
 		}
-		well := strings.HasPrefix(r.Path, "/") && len(r.Path) > 1 && !strings.HasSuffix(r.Path, "/")
-		c.require(well, "path", r.Path, "a path such as /renewals, without a slash at its end")
+		wellFormed := strings.HasPrefix(r.Path, "/") && len(r.Path) > 1 && !strings.HasSuffix(r.Path, "/")
+		c.require(wellFormed, "path", r.Path, "a path such as /renewals, without a slash at its end")
 		reserved := r.Path == "/v1" || strings.HasPrefix(r.Path, "/v1/") || strings.HasPrefix(r.Path, "/rockcleat")
 		c.require(!reserved, "path", r.Path, "a path outside /v1 and /rockcleat, which the system answers itself")
-		other, taken := seen[r.Path]
-		c.require(!taken, "path", r.Path, "a path that no other row has; row "+other+" has it")
+		other, duplicate := seen[r.Path]
+		c.require(!duplicate, "path", r.Path, "a path that no other row has; row "+other+" has it")
 		seen[r.Path] = r.Name
 		errs = append(errs, c.errs...)
 	}
--- a/table/column.go
+++ b/table/column.go
@@ -67,14 +67,14 @@
 	}
 }
 
-// numberColumn returns a column of integers. An empty cell is set to absent.
-func numberColumn(name, suffix string, absent int, field func(*Row) *int) column {
+// numberColumn returns a column of integers. An empty cell gets the default value.
+func numberColumn(name, suffix string, defaultValue int, field func(*Row) *int) column {
 	return column{
 		name: name, suffix: suffix,
 		get: func(r Row) string { return strconv.Itoa(*field(&r)) },
 		set: func(r *Row, value string) (string, bool) {
 			if value == "" {
-				*field(r) = absent
+				*field(r) = defaultValue
 				return "", true
 			}
 			n, err := strconv.Atoi(value)
--- a/table/csv.go
+++ b/table/csv.go
@@ -10,9 +10,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxCSV is the maximum number of bytes that ReadCSV reads, about a hundred times the size
+// maxCSVBytes is the maximum number of bytes that ReadCSV reads, about a hundred times the size
 // of the table that the system is designed for (docs/CAPACITY.md).
-const maxCSV = 8 << 20
+const maxCSVBytes = 8 << 20
 
 // WriteCSV writes a header line and one line for each row.
 func WriteCSV(w io.Writer, rows []Row) error {
@@ -34,7 +34,7 @@
 // An invalid header or cell is reported as a CheckError. If the row has no name, the error
 // identifies it as "line N".
 func ReadCSV(r io.Reader) ([]Row, error) {
-	in := csv.NewReader(io.LimitReader(r, maxCSV))
+	in := csv.NewReader(io.LimitReader(r, maxCSVBytes))
 	header, err := in.Read()
 	if err != nil {
 		return nil, eris.Wrap(err, "table: read csv header")
@@ -53,13 +53,13 @@
 			return nil, eris.Wrap(err, "table: read csv")
 		}
 		line, _ := in.FieldPos(0)
-		row, err := rowOf(header, cells, line)
+		row, err := parseRow(header, cells, line)
 		if err != nil {
 			return nil, err
 		}
-		if first, twice := seen[row.Name]; twice {
+		if firstLine, duplicate := seen[row.Name]; duplicate {
 			return nil, CheckError{Row: row.Name, Column: columnName, Value: row.Name,
-				Allowed: fmt.Sprintf("each name once; lines %d and %d have it", first, line)}
+				Allowed: fmt.Sprintf("each name once; lines %d and %d have it", firstLine, line)}
 		}
 		seen[row.Name] = line
 		rows = append(rows, row)
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// rowOf parses one line. Columns missing from the header get their default values.
-func rowOf(header, cells []string, line int) (Row, error) {
+// parseRow parses one line. Columns missing from the header get their default values.
+func parseRow(header, cells []string, line int) (Row, error) {
 	row := NewRow(cells[slices.Index(header, columnName)])
 	if row.Name == "" {
 		row.Name = fmt.Sprintf("line %d", line)
--- a/table/csv_test.go
+++ b/table/csv_test.go
@@ -50,7 +50,7 @@
 	f.Add("name,queue_time\nm,-5ms\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		rows, err := table.ReadCSV(strings.NewReader(text))
-		if err != nil || len((&table.Table{}).Apply(edit(rows), 1).Check()) > 0 {
+		if err != nil || len((&table.Table{}).Apply(newEdit(rows), 1).Check()) > 0 {
 			return
 		}
 		var out bytes.Buffer
@@ -61,6 +61,6 @@
 	})
 }
 
-func edit(rows []table.Row) table.Edit {
+func newEdit(rows []table.Row) table.Edit {
 	return table.Edit{Changes: table.Diff(nil, rows, false)}
 }
--- a/table/diff.go
+++ b/table/diff.go
@@ -8,20 +8,20 @@
 		byName[r.Name] = r
 	}
 	var changes []Change
-	named := make(map[string]bool, len(next))
+	inNext := make(map[string]bool, len(next))
 	for _, r := range next {
-		named[r.Name] = true
-		was, ok := byName[r.Name]
-		if ok && was.sameSettings(r) {
+		inNext[r.Name] = true
+		previous, ok := byName[r.Name]
+		if ok && previous.equalExceptVersion(r) {
 			continue
 		}
-		changes = append(changes, Change{Name: r.Name, Seen: was.Version, Row: &r})
+		changes = append(changes, Change{Name: r.Name, Seen: previous.Version, Row: &r})
 	}
 	if !replace {
 		return changes
 	}
 	for _, r := range old {
-		if !named[r.Name] {
+		if !inNext[r.Name] {
 			changes = append(changes, Change{Name: r.Name, Seen: r.Version})
 		}
 	}
--- a/table/log.go
+++ b/table/log.go
@@ -19,17 +19,16 @@
 
 // Lengths of the head's tail, in edits.
 const (
-	// maxEdits is the maximum length. A longer tail is trimmed.
-	maxEdits = 64
-	// keptEdits is the length after trimming.
-	keptEdits = 32
+	maxTailLength = 64
+	// trimmedTailLength is the length to which a longer tail is trimmed.
+	trimmedTailLength = 32
 )
 
 // Exponential backoff between attempts of a save.
 const (
-	// firstRetryWait is the initial backoff, several round trips to the key-value service.
-	firstRetryWait = 20 * time.Millisecond
-	maxRetryWait   = time.Second
+	// initialBackoff is several round trips to the key-value service.
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
 // Errors of a save.
@@ -88,25 +87,25 @@
 	return &Log{store: store, clock: c, validate: v}
 }
 
-// Load returns the stored table and the revision of its head. The argument have is the newest
-// table that the caller knows. Load applies the head's edits to it and reads a snapshot only if
+// Load returns the stored table and the revision of its head. The argument known is the newest
+// table that the caller has. Load applies the head's edits to it and reads a snapshot only if
 // earlier edits are missing.
-func (l *Log) Load(ctx context.Context, have *Table) (*Table, kv.Revision, error) {
-	t, _, rev, err := l.load(ctx, have)
+func (l *Log) Load(ctx context.Context, known *Table) (*Table, kv.Revision, error) {
+	t, _, rev, err := l.load(ctx, known)
 	return t, rev, err
 }
 
 // Watch waits until the head is newer than the revision after, or until wait has passed, and
 // returns the stored table and the revision of its head.
-func (l *Log) Watch(ctx context.Context, have *Table, after kv.Revision, wait time.Duration) (*Table, kv.Revision, error) {
+func (l *Log) Watch(ctx context.Context, known *Table, after kv.Revision, wait time.Duration) (*Table, kv.Revision, error) {
 	e, err := l.store.Watch(ctx, headKey, after, wait)
 	if errors.Is(err, kv.ErrNotFound) {
-		return have, after, nil
+		return known, after, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	t, _, rev, err := l.decode(ctx, e, have)
+	t, _, rev, err := l.decode(ctx, e, known)
 	return t, rev, err
 }
 
@@ -129,29 +128,29 @@
 // Save is idempotent for edits that are still in the head: an edit with the ID of a stored edit
 // is not applied again. If a read or write fails, Save retries until ctx ends.
 func (l *Log) Save(ctx context.Context, e Edit) (*Table, error) {
-	have := &Table{}
-	wait := firstRetryWait
-	unknown := false
+	known := &Table{}
+	backoff := initialBackoff
+	outcomeUnknown := false
 	for {
-		t, retry, err := l.trySave(ctx, e, have)
+		t, retry, err := l.trySave(ctx, e, known)
 		if err == nil {
 			return t, nil
 		}
-		unknown = unknown || errors.Is(err, kv.ErrUnknown)
+		outcomeUnknown = outcomeUnknown || errors.Is(err, kv.ErrUnknown)
 		if !retry {
 			return nil, err
 		}
-		clock.Sleep(ctx, l.clock, wait)
+		clock.Sleep(ctx, l.clock, backoff)
 		if ctx.Err() != nil {
-			return nil, giveUp(unknown, err)
+			return nil, saveError(outcomeUnknown, err)
 		}
-		wait = min(2*wait, maxRetryWait)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// giveUp returns ErrSaveUnknown if the outcome of a write is unknown, and the last error otherwise.
-func giveUp(unknown bool, last error) error {
-	if unknown {
+// saveError returns ErrSaveUnknown if the outcome of a write is unknown, and the last error otherwise.
+func saveError(outcomeUnknown bool, last error) error {
+	if outcomeUnknown {
 		return eris.Wrap(ErrSaveUnknown, last.Error())
 	}
 	return last
@@ -159,15 +158,15 @@
 
 // trySave makes one attempt to save the edit. If it fails, retry reports whether another attempt may
 // succeed.
-func (l *Log) trySave(ctx context.Context, e Edit, have *Table) (t *Table, retry bool, err error) {
-	t, h, rev, err := l.load(ctx, have)
+func (l *Log) trySave(ctx context.Context, e Edit, known *Table) (t *Table, retry bool, err error) {
+	t, h, rev, err := l.load(ctx, known)
 	if err != nil {
 		return nil, true, err
 	}
 	if slices.ContainsFunc(h.Tail, func(o Edit) bool { return o.ID == e.ID }) {
 		return t, false, nil
 	}
-	if err := conflict(t, e); err != nil {
+	if err := checkRowVersions(t, e); err != nil {
 		return nil, false, err
 	}
 	e.Version = t.Version() + 1
@@ -175,7 +174,7 @@
 	if errs := l.Check(next); len(errs) > 0 {
 		return nil, false, &InvalidError{Errors: errs}
 	}
-	h, err = l.append(ctx, h, e, next)
+	h, err = l.appendEdit(ctx, h, e, next)
 	if err != nil {
 		return nil, true, err
 	}
@@ -189,12 +188,12 @@
 	return next, false, nil
 }
 
-// conflict returns ErrRowConflict if a row is not at the version that the edit expects.
-func conflict(t *Table, e Edit) error {
+// checkRowVersions returns ErrRowConflict if a row is not at the version that the edit expects.
+func checkRowVersions(t *Table, e Edit) error {
 	for _, c := range e.Changes {
-		now, _ := t.Row(c.Name)
-		if now.Version != c.Seen {
-			return eris.Wrapf(ErrRowConflict, "row %q is at version %d, the edit saw %d", c.Name, now.Version, c.Seen)
+		current, _ := t.Row(c.Name)
+		if current.Version != c.Seen {
+			return eris.Wrapf(ErrRowConflict, "row %q is at version %d, the edit saw %d", c.Name, current.Version, c.Seen)
 		}
 	}
 	return nil
@@ -210,48 +209,48 @@
 	return errs
 }
 
-// append returns the head with the edit appended. If the tail is then longer than maxEdits, append
+// appendEdit returns the head with the edit appended. If the tail is then longer than maxTailLength, append
 // writes a snapshot of next and trims the tail.
-func (l *Log) append(ctx context.Context, h head, e Edit, next *Table) (head, error) {
+func (l *Log) appendEdit(ctx context.Context, h head, e Edit, next *Table) (head, error) {
 	h.Version = e.Version
 	h.Tail = append(slices.Clone(h.Tail), e)
-	if len(h.Tail) <= maxEdits {
+	if len(h.Tail) <= maxTailLength {
 		return h, nil
 	}
-	old := h.Base
+	oldBase := h.Base
 	if err := l.writeSnapshot(ctx, next, e.ID); err != nil {
 		return h, err
 	}
 	h.Base = e.Version
-	h.Tail = h.Tail[len(h.Tail)-keptEdits:]
-	l.dropSnapshots(ctx, old)
+	h.Tail = h.Tail[len(h.Tail)-trimmedTailLength:]
+	l.deleteSnapshotsBefore(ctx, oldBase)
 	return h, nil
 }
 
 // load reads the head and returns the stored table.
-func (l *Log) load(ctx context.Context, have *Table) (*Table, head, kv.Revision, error) {
+func (l *Log) load(ctx context.Context, known *Table) (*Table, head, kv.Revision, error) {
 	e, err := l.store.Get(ctx, headKey)
 	if errors.Is(err, kv.ErrNotFound) {
-		return have, head{}, kv.Absent, nil
+		return known, head{}, kv.Absent, nil
 	}
 	if err != nil {
 		return nil, head{}, 0, err
 	}
-	return l.decode(ctx, e, have)
+	return l.decode(ctx, e, known)
 }
 
-// decode returns the table that a head describes. It applies the head's edits to have or, if have
+// decode returns the table that a head describes. It applies the head's edits to known or, if known
 // lacks earlier edits, to the head's snapshot.
-func (l *Log) decode(ctx context.Context, e kv.Entry, have *Table) (*Table, head, kv.Revision, error) {
+func (l *Log) decode(ctx context.Context, e kv.Entry, known *Table) (*Table, head, kv.Revision, error) {
 	h, err := decodeHead(e.Value)
 	if err != nil {
 		return nil, head{}, 0, err
 	}
-	if have.Version() >= h.Version {
-		return have, h, e.Revision, nil
+	if known.Version() >= h.Version {
+		return known, h, e.Revision, nil
 	}
-	t := have
-	if !h.continues(have.Version()) {
+	t := known
+	if !h.hasAllEditsAfter(known.Version()) {
 		if t, err = l.readSnapshot(ctx, h); err != nil {
 			return nil, head{}, 0, err
 		}
@@ -264,8 +263,8 @@
 	return t, h, e.Revision, nil
 }
 
-// continues reports whether the tail contains every edit after the given version.
-func (h head) continues(version uint64) bool {
+// hasAllEditsAfter reports whether the tail contains every edit after the given version.
+func (h head) hasAllEditsAfter(version uint64) bool {
 	return len(h.Tail) > 0 && h.Tail[0].Version <= version+1
 }
 
--- a/table/log_test.go
+++ b/table/log_test.go
@@ -16,7 +16,7 @@
 	"rockcleat/table"
 )
 
-func save(t *testing.T, l *table.Log, id string, changes ...table.Change) *table.Table {
+func mustSave(t *testing.T, l *table.Log, id string, changes ...table.Change) *table.Table {
 	t.Helper()
 	tab, err := l.Save(context.Background(), table.Edit{ID: id, Changes: changes})
 	assert.NilError(t, err)
@@ -26,17 +26,17 @@
 func TestSaveConflicts(t *testing.T) {
 	_, store := standintest.KV(t)
 	l := table.NewLog(store, clocktest.Real{}, nil)
-	save(t, l, "first", set("a", 1, 0), set("b", 1, 0))
+	mustSave(t, l, "first", rowChange("a", 1, 0), rowChange("b", 1, 0))
 	tests := map[string]struct {
 		change table.Change
 		want   error
 	}{
-		"row seen as it is":       {set("a", 2, 1), nil},
-		"row changed since":       {set("a", 3, 1), table.ErrRowConflict},
-		"other row":               {set("b", 2, 1), nil},
-		"row thought absent":      {set("b", 9, 0), table.ErrRowConflict},
+		"row seen as it is":       {rowChange("a", 2, 1), nil},
+		"row changed since":       {rowChange("a", 3, 1), table.ErrRowConflict},
+		"other row":               {rowChange("b", 2, 1), nil},
+		"row thought absent":      {rowChange("b", 9, 0), table.ErrRowConflict},
 		"removal of changed row":  {table.Change{Name: "a", Seen: 1}, table.ErrRowConflict},
-		"table that fails checks": {set("a b", 1, 0), table.ErrInvalid},
+		"table that fails checks": {rowChange("a b", 1, 0), table.ErrInvalid},
 	}
 	for _, name := range []string{
 		"row seen as it is", "row changed since", "other row", "row thought absent", "removal of changed row",
@@ -63,11 +63,11 @@
 		t.Run(fmt.Sprint(lost, " lost"), func(t *testing.T) {
 			s, store := standintest.KV(t)
 			l := table.NewLog(store, clocktest.Real{}, nil)
-			save(t, l, "first", set("a", 1, 0))
+			mustSave(t, l, "first", rowChange("a", 1, 0))
 			s.SetFaults(standin.Faults{LoseAnswers: lost})
-			tab := save(t, l, "second", set("a", 2, 1))
+			tab := mustSave(t, l, "second", rowChange("a", 2, 1))
 			assert.Equal(t, tab.Version(), uint64(2))
-			assert.Equal(t, save(t, l, "second", set("a", 2, 1)).Version(), uint64(2))
+			assert.Equal(t, mustSave(t, l, "second", rowChange("a", 2, 1)).Version(), uint64(2))
 			edits, err := l.History(context.Background())
 			assert.NilError(t, err)
 			assert.Equal(t, len(edits), 2)
@@ -79,9 +79,9 @@
 // write takes effect if effect is set.
 type lossyStore struct {
 	kv.Store
-	effect bool
-	then   func()
-	lost   bool
+	takesEffect bool
+	afterWrite  func()
+	lost        bool
 }
 
 func (s *lossyStore) Put(ctx context.Context, w kv.Write) (kv.Revision, error) {
@@ -89,12 +89,12 @@
 		return s.Store.Put(ctx, w)
 	}
 	s.lost = true
-	if s.effect {
+	if s.takesEffect {
 		if _, err := s.Store.Put(ctx, w); err != nil {
 			return 0, err
 		}
 	}
-	s.then()
+	s.afterWrite()
 	return 0, kv.ErrUnknown
 }
 
@@ -107,18 +107,18 @@
 		want   error
 		weight int
 	}{
-		"took effect, other row":    {true, set("b", 5, 0), nil, 2},
-		"no effect, other row":      {false, set("b", 5, 0), nil, 2},
-		"took effect, same row":     {true, set("a", 5, 2), nil, 5},
-		"no effect, same row first": {false, set("a", 5, 1), table.ErrRowConflict, 5},
+		"took effect, other row":    {true, rowChange("b", 5, 0), nil, 2},
+		"no effect, other row":      {false, rowChange("b", 5, 0), nil, 2},
+		"took effect, same row":     {true, rowChange("a", 5, 2), nil, 5},
+		"no effect, same row first": {false, rowChange("a", 5, 1), table.ErrRowConflict, 5},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			_, store := standintest.KV(t)
 			l := table.NewLog(store, clocktest.Real{}, nil)
-			save(t, l, "first", set("a", 1, 0))
-			lossy := &lossyStore{Store: store, effect: tc.effect, then: func() { save(t, l, "other", tc.other) }}
-			mine := table.Edit{ID: "mine", Changes: []table.Change{set("a", 2, 1)}}
+			mustSave(t, l, "first", rowChange("a", 1, 0))
+			lossy := &lossyStore{Store: store, takesEffect: tc.effect, afterWrite: func() { mustSave(t, l, "other", tc.other) }}
+			mine := table.Edit{ID: "mine", Changes: []table.Change{rowChange("a", 2, 1)}}
 			_, err := table.NewLog(lossy, clocktest.Real{}, nil).Save(context.Background(), mine)
 			assert.ErrorIs(t, err, tc.want)
 			tab, _, err := l.Load(context.Background(), &table.Table{})
@@ -129,11 +129,11 @@
 	}
 }
 
-func TestSaveUnknownIsToldAsUnknown(t *testing.T) {
+func TestSaveReportsUnknownOutcome(t *testing.T) {
 	store := &unknownStore{}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	_, err := table.NewLog(store, clocktest.Real{}, nil).Save(ctx, table.Edit{ID: "e", Changes: []table.Change{set("a", 1, 0)}})
+	_, err := table.NewLog(store, clocktest.Real{}, nil).Save(ctx, table.Edit{ID: "e", Changes: []table.Change{rowChange("a", 1, 0)}})
 	assert.ErrorIs(t, err, table.ErrSaveUnknown)
 }
 
@@ -160,7 +160,7 @@
 			seen := uint64(0)
 			for i := range edits {
 				name := fmt.Sprintf("row-%d", o)
-				e := table.Edit{ID: fmt.Sprintf("%d-%d", o, i), Changes: []table.Change{set(name, i+1, seen)}}
+				e := table.Edit{ID: fmt.Sprintf("%d-%d", o, i), Changes: []table.Change{rowChange(name, i+1, seen)}}
 				tab, err := l.Save(context.Background(), e)
 				if !assert.Check(t, err) {
 					return
@@ -188,7 +188,7 @@
 	versions := []*table.Table{{}}
 	for i := range 150 {
 		r, _ := versions[i].Row("m")
-		versions = append(versions, save(t, l, fmt.Sprint(i), set("m", i%1000+1, r.Version)))
+		versions = append(versions, mustSave(t, l, fmt.Sprint(i), rowChange("m", i%1000+1, r.Version)))
 	}
 	newest := versions[150]
 	for _, have := range versions {
--- a/table/organisation.go
+++ b/table/organisation.go
@@ -51,13 +51,13 @@
 // WithOrganisations returns a copy of the routing with the given organisations and API keys. If the list
 // is not empty, requests then need a key unless their route is open.
 func (r *Routing) WithOrganisations(list []Organisation, keys *apikey.Directory) *Routing {
-	with := *r
-	with.keys = keys
-	with.organisations = make(map[string]Organisation, len(list))
+	result := *r
+	result.keys = keys
+	result.organisations = make(map[string]Organisation, len(list))
 	for _, o := range list {
-		with.organisations[o.Name] = o
+		result.organisations[o.Name] = o
 	}
-	return &with
+	return &result
 }
 
 // NeedsKeys reports whether requests need an API key, which is so if there are organisations.
--- a/table/routing.go
+++ b/table/routing.go
@@ -130,8 +130,8 @@
 // distinct prefix length instead of one comparison for each route.
 type hostRoutes struct {
 	byPrefix map[string]*Route
-	// lengths lists the distinct lengths of the prefixes in descending order.
-	lengths []int
+	// prefixLengths lists the distinct lengths of the prefixes in descending order.
+	prefixLengths []int
 }
 
 // add adds a route unless there is already one with the same prefix.
@@ -141,14 +141,14 @@
 	}
 	h.byPrefix[r.Prefix] = r
 	longestFirst := func(a, b int) int { return b - a }
-	if i, found := slices.BinarySearchFunc(h.lengths, len(r.Prefix), longestFirst); !found {
-		h.lengths = slices.Insert(h.lengths, i, len(r.Prefix))
+	if i, found := slices.BinarySearchFunc(h.prefixLengths, len(r.Prefix), longestFirst); !found {
+		h.prefixLengths = slices.Insert(h.prefixLengths, i, len(r.Prefix))
 	}
 }
 
 // match returns the route with the longest prefix of the path.
 func (h *hostRoutes) match(path string) (Route, bool) {
-	for _, n := range h.lengths {
+	for _, n := range h.prefixLengths {
 		if n > len(path) {
 			continue
 		}
@@ -235,10 +235,10 @@
 		}
 		return r.Shares[0].Service
 	}
-	at := int(random % uint64(total))
+	remaining := int(random % uint64(total))
 	for _, s := range r.Shares {
-		at -= max(s.Weight, 0)
-		if at < 0 {
+		remaining -= max(s.Weight, 0)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
--- a/table/row.go
+++ b/table/row.go
@@ -80,8 +80,8 @@
 // EffectiveWeight returns the row's weight multiplied by its tier's factor.
 func (r Row) EffectiveWeight() int { return max(r.Weight, 1) * r.Tier.Factor() }
 
-// sameSettings reports whether the rows are equal apart from their versions.
-func (r Row) sameSettings(o Row) bool {
+// equalExceptVersion reports whether the rows are equal apart from their versions.
+func (r Row) equalExceptVersion(o Row) bool {
 	r.Version, o.Version = 0, 0
 	return r == o
 }
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -17,9 +17,9 @@
 // snapshotPrefix is the prefix of the snapshots' keys in the key-value service.
 const snapshotPrefix = "table/snapshot/"
 
-// maxSnapshot is the maximum size of a decompressed snapshot, in bytes. The key-value
+// maxSnapshotBytes is the maximum size of a decompressed snapshot, in bytes. The key-value
 // service limits the compressed form to 1 MB.
-const maxSnapshot = 64 << 20
+const maxSnapshotBytes = 64 << 20
 
 // A snapshot is a complete table as stored in the key-value service, in gzipped JSON.
 type snapshot struct {
@@ -50,9 +50,9 @@
 	return err
 }
 
-// dropSnapshots deletes the snapshots of versions before base, on which the stored head may
+// deleteSnapshotsBefore deletes the snapshots of versions before base, on which the stored head may
 // still be based. Errors are ignored, because a later edit deletes what is left.
-func (l *Log) dropSnapshots(ctx context.Context, base uint64) {
+func (l *Log) deleteSnapshotsBefore(ctx context.Context, base uint64) {
 	entries, err := l.store.List(ctx, snapshotPrefix)
 	if err != nil {
 		return
@@ -84,7 +84,7 @@
 		return nil, eris.Wrap(err, "table: unpack snapshot")
 	}
 	var s snapshot
-	if err := json.NewDecoder(io.LimitReader(z, maxSnapshot)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(z, maxSnapshotBytes)).Decode(&s); err != nil {
 		return nil, eris.Wrap(err, "table: decode snapshot")
 	}
 	t := &Table{version: s.Version, floor: s.Floor, rows: make(map[string]Row), removals: s.Removals}
--- a/table/table.go
+++ b/table/table.go
@@ -87,7 +87,7 @@
 			next.remove(c.Name, version)
 			continue
 		}
-		if old, ok := next.rows[c.Name]; ok && old.sameSettings(*c.Row) {
+		if old, ok := next.rows[c.Name]; ok && old.equalExceptVersion(*c.Row) {
 			continue
 		}
 		row := *c.Row
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -11,14 +11,14 @@
 	"rockcleat/table"
 )
 
-func row(name string, weight int) *table.Row {
+func validRow(name string, weight int) *table.Row {
 	r := table.NewRow(name)
 	r.Weight = weight
 	return &r
 }
 
-func set(name string, weight int, seen uint64) table.Change {
-	return table.Change{Name: name, Seen: seen, Row: row(name, weight)}
+func rowChange(name string, weight int, seen uint64) table.Change {
+	return table.Change{Name: name, Seen: seen, Row: validRow(name, weight)}
 }
 
 func TestCheck(t *testing.T) {
@@ -75,7 +75,7 @@
 			name := fmt.Sprintf("m%d", rapid.IntRange(0, 5).Draw(t, "row"))
 			c := table.Change{Name: name}
 			if rapid.Bool().Draw(t, "set") {
-				c.Row = row(name, i+1)
+				c.Row = validRow(name, i+1)
 			}
 			versions = append(versions, last.Apply(table.Edit{Changes: []table.Change{c}}, last.Version()+1))
 		}
@@ -92,8 +92,8 @@
 
 func TestReplicaNeverReverts(t *testing.T) {
 	var zero table.Table
-	one := zero.Apply(table.Edit{Changes: []table.Change{set("m", 1, 0)}}, 1)
-	two := one.Apply(table.Edit{Changes: []table.Change{set("m", 2, 1)}}, 2)
+	one := zero.Apply(table.Edit{Changes: []table.Change{rowChange("m", 1, 0)}}, 1)
+	two := one.Apply(table.Edit{Changes: []table.Change{rowChange("m", 2, 1)}}, 2)
 	var r table.Replica
 	assert.Assert(t, r.Offer(two))
 	assert.Assert(t, !r.Offer(one))
@@ -101,12 +101,12 @@
 	assert.Equal(t, r.Current().Version(), uint64(2))
 }
 
-func TestRemovalsBeyondMemorySendWholeTable(t *testing.T) {
-	tab := (&table.Table{}).Apply(table.Edit{Changes: []table.Change{set("keep", 1, 0), set("early", 1, 0)}}, 1)
+func TestDeltaIsFullBeyondRetainedRemovals(t *testing.T) {
+	tab := (&table.Table{}).Apply(table.Edit{Changes: []table.Change{rowChange("keep", 1, 0), rowChange("early", 1, 0)}}, 1)
 	early := tab
 	tab = tab.Apply(table.Edit{Changes: []table.Change{{Name: "early"}}}, 2)
 	for v := uint64(3); v < 2100; v += 2 {
-		tab = tab.Apply(table.Edit{Changes: []table.Change{set("x", 1, 0)}}, v)
+		tab = tab.Apply(table.Edit{Changes: []table.Change{rowChange("x", 1, 0)}}, v)
 		tab = tab.Apply(table.Edit{Changes: []table.Change{{Name: "x"}}}, v+1)
 	}
 	d := tab.Since(early.Version())
