--- a/claim/record.go
+++ b/claim/record.go
@@ -45,8 +45,8 @@
 // A Record is the state of one idempotency key.
 type Record struct {
 	Key string `json:"key"`
-	// Fingerprint identifies the request's content. It reveals the use of a key for different
-	// requests.
+	// Fingerprint identifies the request's content, so that the use of one key for different
+	// requests is detected.
 	Fingerprint uint64 `json:"fp"`
 	State       State  `json:"state"`
 	// Attempt identifies the attempt to send the request that made the claim.
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -15,7 +15,7 @@
 
 // Options configure a Shard.
 type Options struct {
-	// Index is the shard's index.
+	// Index is the number of the shard, counted from 0.
 	Index int
 	// Owner identifies this run of the process. Slots written by different owners differ in it.
 	Owner string
@@ -23,7 +23,7 @@
 	Retention time.Duration
 	// FlushEvery is the minimum interval between two writes.
 	FlushEvery time.Duration
-	// Held reports whether the process certainly holds the shard's lease.
+	// Held reports whether the process certainly still holds the shard's lease.
 	Held func() bool
 }
 
@@ -41,7 +41,7 @@
 	// pending holds the records for the next write. Each of the waiters receives its outcome.
 	pending []Record
 	waiters []chan error
-	// nextSlotSlot is the number of the next slot.
+	// nextSlot is the number of the next slot.
 	nextSlot uint64
 	// lastFlush is the time of the last write.
 	lastFlush time.Time
@@ -124,7 +124,7 @@
 	s.closeLocked()
 }
 
-// closeLocked closes the shard and fails all waiting claims. The caller holds s.mu.
+// closeLocked closes the shard and fails all waiting claims with ErrNotOwner. The caller holds s.mu.
 func (s *Shard) closeLocked() {
 	s.open = false
 	for _, w := range s.waiters {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -59,8 +59,8 @@
 	Incarnation string `json:"inc"`
 	// Services lists the plain services that the server provides.
 	Services []string `json:"services,omitempty"`
-	// Slots is the number of concurrent requests of each accelerator, or of the whole server if it
-	// provides plain services.
+	// Slots is the maximum number of concurrent requests per accelerator, or of the whole server if
+	// it provides plain services.
 	Slots        int           `json:"slots,omitempty"`
 	Accelerators []Accelerator `json:"accs,omitempty"`
 	Residents    []Resident    `json:"res,omitempty"`
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -3,5 +3,6 @@
 //
 // The client keeps no state between calls. Memory is in MiB. After an error other than ErrFenced it is
 // unknown whether the engine has received an order; the agent learns it from the engine's status (see
-// package ledger). Package platform implements the different protocol of its platform's engines.
+// package ledger). The engines of deployments that use package platform have a different protocol,
+// which that package implements.
 package engine
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -29,11 +29,11 @@
 	HeaderPriority = "X-Priority"
 )
 
-// Status is the state of an engine as reported by itself.
+// Status is an engine's report of its own state.
 type Status struct {
 	// Fence is the highest fencing token of the orders that the engine has accepted.
 	Fence int64 `json:"fence"`
-	// Slots is the number of requests that one accelerator processes concurrently.
+	// Slots is the maximum number of concurrent requests per accelerator.
 	Slots int `json:"slots"`
 	// MemoryMiB is the memory of each accelerator.
 	MemoryMiB []int            `json:"memory_mib"`
--- a/internal/transfer/watch.go
+++ b/internal/transfer/watch.go
@@ -9,12 +9,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxTransferTime is the maximum duration of a transfer after the time allowed for the response to begin. It
-// stops a peer that sends single bytes from blocking its caller forever. At 10 Mbit/s it suffices for
-// 12 MB.
+// maxTransferTime is the time that a call may take in addition to the time allowed for its response to
+// begin. It prevents a peer that sends single bytes from blocking its caller indefinitely. It suffices
+// for 12 MB at 10 Mbit/s.
 const maxTransferTime = 10 * time.Second
 
-// A Watch cancels a call whose response does not begin in time or stalls.
+// A Watch cancels the context of one call when its response does not begin in time or stalls.
 type Watch struct {
 	cancel       context.CancelFunc
 	stallTimeout time.Duration
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -47,7 +47,7 @@
 	Until time.Time `json:"until"`
 }
 
-// A Report is the state of a backend server as reported by itself.
+// A Report is a backend server's report of its own state.
 type Report struct {
 	// MemoryMiB is the memory of each accelerator.
 	MemoryMiB []int
@@ -65,7 +65,7 @@
 	intents   map[string]Intent
 }
 
-// Restore replaces the intents by those that a previous process has stored.
+// Restore replaces all intents with those that a previous process has stored.
 func (l *Ledger) Restore(intents []Intent) {
 	l.intents = make(map[string]Intent)
 	for _, i := range intents {
--- a/table/column.go
+++ b/table/column.go
@@ -55,7 +55,7 @@
 	return names
 }
 
-// textColumn returns a column that accepts any text. Table.Check validates the text.
+// textColumn returns a text column. It accepts any text, which Table.Check validates.
 func textColumn(name string, field func(*Row) *string) column {
 	return column{
 		name: name,
--- a/table/log.go
+++ b/table/log.go
@@ -209,8 +209,8 @@
 	return errs
 }
 
-// appendEdit returns the head with the edit appended. If the tail is then longer than maxTailLength, append
-// writes a snapshot of next and trims the tail.
+// appendEdit returns the head with the edit appended. If the tail is then longer than maxTailLength,
+// appendEdit also stores a snapshot of next, the table with the edit, and trims the tail.
 func (l *Log) appendEdit(ctx context.Context, h head, e Edit, next *Table) (head, error) {
 	h.Version = e.Version
 	h.Tail = append(slices.Clone(h.Tail), e)
--- a/table/log_test.go
+++ b/table/log_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// lossyStore loses the response of the first write and calls then before it returns. The
-// write takes effect if effect is set.
+// lossyStore loses the response of the first write, which takes effect only if takesEffect is set.
+// It calls afterWrite before the write returns.
 type lossyStore struct {
 	kv.Store
 	takesEffect bool
--- a/table/routing_bench_test.go
+++ b/table/routing_bench_test.go
@@ -21,7 +21,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, ok := r.Match("app.example", path); !ok {
-					b.Fatal("no route")
+					b.Fatal("Match found no route for the last prefix")
 				}
 			}
 		})
--- a/table/row.go
+++ b/table/row.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A Kind is the kind of a row.
+// A Kind is the type of object that a row configures.
 type Kind string
 
 // Kinds of rows.
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -50,8 +50,9 @@
 	return err
 }
 
-// deleteSnapshotsBefore deletes the snapshots of versions before base, on which the stored head may
-// still be based. Errors are ignored, because a later edit deletes what is left.
+// deleteSnapshotsBefore deletes the snapshots of versions before base. The snapshot of base itself
+// stays, because the stored head refers to it until the next head is written. Errors are ignored,
+// because a later edit deletes what is left.
 func (l *Log) deleteSnapshotsBefore(ctx context.Context, base uint64) {
 	entries, err := l.store.List(ctx, snapshotPrefix)
 	if err != nil {
