--- a/claim/write.go
+++ b/claim/write.go
@@ -12,18 +12,18 @@
 	"rockcleat/kv"
 )
 
-// Step writes the pending records, if there are any and the last write is long
-// enough ago. It is to be called often, from one goroutine at a time.
+// Step writes the pending records, if there are any and Options.FlushEvery has passed since the last
+// write. It must be called regularly, by one goroutine at a time.
 func (s *Shard) Step(ctx context.Context) error {
 	now := s.clock.Now()
 	s.mu.Lock()
-	if !s.open || len(s.pending) == 0 || now.Sub(s.flushed) < s.opts.FlushEvery {
+	if !s.open || len(s.pending) == 0 || now.Sub(s.lastFlush) < s.opts.FlushEvery {
 		s.mu.Unlock()
 		return nil
 	}
 	records, waiters := s.pending, s.waiters
 	s.pending, s.waiters = nil, nil
-	s.flushed = now
+	s.lastFlush = now
 	s.mu.Unlock()
 	err := s.write(ctx, records)
 	for _, w := range waiters {
@@ -33,33 +33,33 @@
 	return err
 }
 
-// write fills the next slot with the records and asks again until the outcome
-// is known or ctx ends; an unknown outcome closes the shard.
+// write writes the records to the next slot. It retries until the outcome is known or ctx ends. An
+// unknown outcome closes the shard.
 func (s *Shard) write(ctx context.Context, records []Record) error {
 	value, err := json.Marshal(batch{Owner: s.opts.Owner, Records: records})
 	if err != nil {
 		return eris.Wrap(err, "claim: encode batch")
 	}
-	id, err := s.keeper(ctx)
+	id, err := s.recordLease(ctx)
 	if err != nil {
-		s.drop(records)
+		s.revertClaims(records)
 		return eris.Wrap(ErrNotRecorded, err.Error())
 	}
-	// The lease is asked after the keeper was granted: should this process pause
-	// here for so long that the next owner's slots have expired, the keeper has
-	// expired before them and the service refuses the write.
+	// The shard's lease is checked after the records' lease was granted. If the process pauses
+	// after the check until the slots of the next owner have expired, the records' lease has
+	// expired before them and the service rejects the write.
 	if !s.opts.Held() {
 		s.Close()
 		return ErrNotOwner
 	}
-	key := s.slotKey(s.next)
+	key := s.slotKey(s.nextSlot)
 	for {
 		_, err = s.store.Put(ctx, kv.Write{Key: key, Value: value, Expect: kv.Absent, Lease: id})
 		if errors.Is(err, kv.ErrConflict) {
-			err = s.settle(ctx, key, value)
+			err = s.resolveConflict(ctx, key, value)
 		}
 		if err == nil {
-			s.next++
+			s.nextSlot++
 			return nil
 		}
 		if !errors.Is(err, kv.ErrUnknown) || ctx.Err() != nil {
@@ -67,17 +67,17 @@
 		}
 	}
 	if kv.IsNotWritten(err) && !errors.Is(err, kv.ErrConflict) {
-		s.forgetKeeper()
-		s.drop(records)
+		s.discardRecordLease()
+		s.revertClaims(records)
 		return eris.Wrap(ErrNotRecorded, err.Error())
 	}
 	s.Close()
 	return eris.Wrap(ErrNotOwner, err.Error())
 }
 
-// settle finds out whether a slot holds the own write, whose answer was lost, or another
-// owner's.
-func (s *Shard) settle(ctx context.Context, key string, value []byte) error {
+// resolveConflict returns nil if the slot holds this shard's own write, whose response was lost, and
+// kv.ErrConflict if it holds another owner's. If the slot cannot be read, it returns kv.ErrUnknown.
+func (s *Shard) resolveConflict(ctx context.Context, key string, value []byte) error {
 	e, err := s.store.Get(ctx, key)
 	if err != nil {
 		return eris.Wrap(kv.ErrUnknown, err.Error())
@@ -88,31 +88,32 @@
 	return kv.ErrConflict
 }
 
-// drop forgets fresh claims that were surely not written; what was written of
-// the key before stands.
-func (s *Shard) drop(records []Record) {
+// revertClaims frees the keys of claims that were certainly not written. Records of finished or released
+// requests remain in memory.
+func (s *Shard) revertClaims(records []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range records {
-		now, ok := s.records[r.Key]
-		if !ok || now.Attempt != r.Attempt {
+		current, ok := s.records[r.Key]
+		if !ok || current.Attempt != r.Attempt {
 			continue
 		}
 		if r.State == StateClaimed {
-			now.State = StateFree
-			s.records[r.Key] = now
+			current.State = StateFree
+			s.records[r.Key] = current
 		}
 	}
 }
 
-// keeper returns the lease that ends the records' time; it is replaced in time
-// for each record to be kept for the retention at least.
-func (s *Shard) keeper(ctx context.Context) (kv.LeaseID, error) {
+// recordLease returns the lease that limits the records' lifetime. A lease is granted for twice the
+// retention and used for new records for one retention period, so that each record is kept for at
+// least that period.
+func (s *Shard) recordLease(ctx context.Context) (kv.LeaseID, error) {
 	now := s.clock.Now()
 	s.mu.Lock()
-	id, granted := s.leaseID, s.granted
+	id, leaseGranted := s.leaseID, s.leaseGranted
 	s.mu.Unlock()
-	if id != 0 && now.Sub(granted) < s.opts.Retention {
+	if id != 0 && now.Sub(leaseGranted) < s.opts.Retention {
 		return id, nil
 	}
 	id, err := s.store.Grant(ctx, 2*s.opts.Retention)
@@ -120,20 +121,19 @@
 		return 0, err
 	}
 	s.mu.Lock()
-	s.leaseID, s.granted = id, now
+	s.leaseID, s.leaseGranted = id, now
 	s.mu.Unlock()
 	return id, nil
 }
 
-// forgetKeeper makes the next write ask for a new lease for its records.
-func (s *Shard) forgetKeeper() {
+// discardRecordLease makes the next write request a new lease for its records.
+func (s *Shard) discardRecordLease() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseID = 0
 }
 
-// prune forgets records that have been kept for twice the retention, as the
-// service does.
+// prune removes records older than twice the retention, which the service has deleted as well.
 func (s *Shard) prune(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/table/csv_test.go
+++ b/table/csv_test.go
@@ -43,15 +43,14 @@
 	assert.DeepEqual(t, rows, []table.Row{want})
 }
 
-// FuzzReadCSV checks that whatever ReadCSV takes, WriteCSV writes so that it is
-// read as the same rows.
+// FuzzReadCSV checks that valid rows are unchanged after WriteCSV and ReadCSV.
 func FuzzReadCSV(f *testing.F) {
 	f.Add("name,kind,base,customer,tier,weight,share,concurrency,queue_time,path\nm,model,,guild,premium,1,100,0,1s,\n")
 	f.Add("name\n\"a\"\"b\"\n")
 	f.Add("name,queue_time\nm,-5ms\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		rows, err := table.ReadCSV(strings.NewReader(text))
-		if err != nil || len((&table.Table{}).Apply(edit(rows), 1).Check()) > 0 {
+		if err != nil || len((&table.Table{}).Apply(newEdit(rows), 1).Check()) > 0 {
 			return
 		}
 		var out bytes.Buffer
@@ -62,6 +61,6 @@
 	})
 }
 
-func edit(rows []table.Row) table.Edit {
+func newEdit(rows []table.Row) table.Edit {
 	return table.Edit{Changes: table.Diff(nil, rows, false)}
 }
--- a/table/diff.go
+++ b/table/diff.go
@@ -1,27 +1,27 @@
 package table
 
-// Diff returns the changes that make a table of the old rows hold the new ones;
-// with replace it removes the rows that the new ones do not name.
+// Diff returns the changes that add or update the rows of next in a table that contains the
+// rows of old. With replace, the changes also remove the rows that next does not contain.
 func Diff(old, next []Row, replace bool) []Change {
 	byName := make(map[string]Row, len(old))
 	for _, r := range old {
 		byName[r.Name] = r
 	}
 	var changes []Change
-	named := make(map[string]bool, len(next))
+	inNext := make(map[string]bool, len(next))
 	for _, r := range next {
-		named[r.Name] = true
-		was, ok := byName[r.Name]
-		if ok && was.sameSettings(r) {
+		inNext[r.Name] = true
+		previous, ok := byName[r.Name]
+		if ok && previous.equalExceptVersion(r) {
 			continue
 		}
-		changes = append(changes, Change{Name: r.Name, Seen: was.Version, Row: &r})
+		changes = append(changes, Change{Name: r.Name, Seen: previous.Version, Row: &r})
 	}
 	if !replace {
 		return changes
 	}
 	for _, r := range old {
-		if !named[r.Name] {
+		if !inNext[r.Name] {
 			changes = append(changes, Change{Name: r.Name, Seen: r.Version})
 		}
 	}
