--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStoreFromACopy lets the store come back from a copy that shows an older version than is in force: no gateway
-// goes back to it, nobody takes it for a proof that nothing newer was written, and what the operators write again
-// counts.
+// TestStoreFromACopy checks that after the store was restored from a backup with an older version than is in
+// force, no gateway returns to that version or takes it for a confirmation of its own, and that later writes
+// are applied.
 func TestStoreFromACopy(t *testing.T) {
 	tests := map[string]func(f *fleet){
 		"the same version is written again": func(f *fleet) { f.write(3) },
@@ -48,13 +48,13 @@
 	}
 }
 
-// TestStartAtACopy starts a gateway while the store, come back from a copy, shows an older version: it takes the
-// newer one from another gateway, or waits for the operators to write it again.
+// TestStartAtACopy checks that a gateway that starts while a restored store shows an older version takes the
+// newer one from another gateway, or waits for the operators to rewrite it.
 func TestStartAtACopy(t *testing.T) {
 	tests := map[string]struct {
-		// alone says that no other gateway is left, settled that a leader has written since the copy.
+		// alone means that no other gateway runs, settled that a leader has written since the restore.
 		alone, settled bool
-		// within is after which time the version is in force.
+		// version is in force after the time within.
 		version uint64
 		within  time.Duration
 	}{
--- a/internal/configsync/doc.go
+++ b/internal/configsync/doc.go
@@ -1,19 +1,22 @@
-// Package configsync keeps the operators' configuration up to date in every gateway.
+// Package configsync distributes the operators' configuration to all gateways.
 //
-// A configuration may have a megabyte, which takes a second of a gateway's link, and changes may
-// come three a second. So one gateway, the leader, watches the store. Gateways tell each other
-// only which version they hold and how surely it is the newest (News); whoever learns of a newer
-// one fetches it from the gateway that holds it, as a patch of the version that it has itself
-// (Transfer): some 20 KB for 1,400 routes more, some 0.4 KB for one route changed.
+// One gateway, the leader, watches the store, because a configuration may be a megabyte in size and
+// may change several times a second. Gateways exchange only News: the version they hold and when it
+// was last known to be the newest. A gateway that learns of a newer version fetches it from the
+// gateway that holds it, as a zstd patch against the version that it holds itself (Transfer).
 //
-// It owns the bytes of the newest version and of the few before it, what is known of the newest
-// version, and the goroutine of Syncer.Run that decides each step (Syncer.next). What is in force
-// belongs to the Holder. It relies on versions that only rise, on the store's revisions, and on
-// gateways that pass News on with their reports and with the changes of the store.
+// A gateway watches the store itself when the news is older than Options.MaxAge, because the leader
+// is gone or cannot reach the store. It resumes from the revision that the last news named. After a
+// fetch that failed it reads the store next. Fetches and reads are bounded by the absence of progress,
+// not by their total duration, so that a large configuration gets through.
 //
-// When the news grows too old (the leader is gone, or does not reach the store), the gateway
-// watches the store itself, from the revision that the last news named. When a fetch fails, it
-// reads the store next. Both end when nothing arrives for a while, never because they are large.
+// The package owns the bytes of the newest version and of the few before it, what is known of the
+// newest version, and the goroutine of Syncer.Run. The configuration in force belongs to the Holder.
+// The package relies on versions that only increase, on the store's revisions, and on its callers to
+// carry News between gateways.
 //
-// Times are time.Duration; fields of messages in milliseconds end in Ms.
+// A store that is restored from a backup begins a new era (kv.Revision.Era) and may show an older
+// version than the one in force. The newer one stays in force.
+//
+// Durations are time.Duration; message fields in milliseconds end in Ms.
 package configsync
--- a/internal/configsync/fetch.go
+++ b/internal/configsync/fetch.go
@@ -10,14 +10,14 @@
 	"rockcleat/internal/telemetry"
 )
 
-// errNothingNewer says that a gateway that should hold a newer version does not.
-var errNothingNewer = eris.New("configsync: the gateway holds nothing newer")
+// errNothingNewer is returned when a peer has no newer version than this gateway.
+var errNothingNewer = eris.New("configsync: peer holds no newer version")
 
-// errBadPatch says that a patch does not fit what this gateway holds.
-var errBadPatch = eris.New("configsync: the patch does not fit")
+// errBadPatch is returned when a patch cannot be applied to the version held here.
+var errBadPatch = eris.New("configsync: patch cannot be applied to the held version")
 
-// fetch fetches the newest version from the gateway at an address: as a patch, and as a whole if
-// that does not fit. If it fails, the store is read next.
+// fetch fetches the newest version from the gateway at addr, as a patch first. If the patch does not
+// apply, it fetches the full configuration. After a failure the store is read next.
 func (s *Syncer) fetch(ctx context.Context, addr string) {
 	have := s.history.newest()
 	err := s.fetchOn(ctx, addr, have)
@@ -32,11 +32,11 @@
 	}
 	s.setFetchFailed(err != nil)
 	if err != nil {
-		s.opts.Log.Warn("configuration not fetched", zap.String("addr", addr), telemetry.Error(err))
+		s.opts.Log.Warn("fetching the configuration from a gateway failed", zap.String("addr", addr), telemetry.Error(err))
 	}
 }
 
-// fetchOn fetches a patch on a version, or all of the configuration if that is 0.
+// fetchOn fetches a patch against the version have, or the full configuration if have is 0.
 func (s *Syncer) fetchOn(ctx context.Context, addr string, have uint64) error {
 	t, err := s.opts.Peers.FetchConfig(ctx, addr, Request{Have: have})
 	s.noteTransfer(FromGateway, len(t.Patch), err)
--- a/internal/configsync/fleet_bench_test.go
+++ b/internal/configsync/fleet_bench_test.go
@@ -8,10 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkHandOn measures what handing changes on to all gateways costs, without decoding them:
-// bytes that each gateway receives, bytes that the leader sends, and processor time of all.
-// Without patches each gateway receives the value as base64 at least once a change: 1.2 MB at 4,400
-// routes, 14 MB for twelve changes; with them 0.6 KB and 7 KB.
+// BenchmarkHandOn reports the cost of distributing changes to all gateways, without decoding them:
+// the CPU time of all gateways, the bytes that the leader sends and the bytes that each gateway receives.
 func BenchmarkHandOn(b *testing.B) {
 	const storm = 12
 	for _, routes := range []int{400, 4400} {
@@ -34,8 +32,8 @@
 	}
 }
 
-// handOn hands all versions but the first, which all hold, on to a number of gateways, one after
-// the other, and returns the bytes sent.
+// handOn transfers each version after the first, which all gateways hold, to a number of gateways in
+// turn, and returns the bytes sent.
 func handOn(b *testing.B, versions [][]byte, gateways int) int {
 	var leader, other history
 	leader.add(1, versions[0])
--- a/internal/configsync/harness_test.go
+++ b/internal/configsync/harness_test.go
@@ -21,18 +21,18 @@
 	"rockcleat/kv/kvtest"
 )
 
-// Times of the tests' fleets.
+// Times of the test fleets.
 const (
 	reportEvery = 100 * time.Millisecond
 	maxAge      = time.Second
-	// settled is long enough for every step that needs no time-out.
+	// settled is long enough for all steps that involve no timeout.
 	settled = 500 * time.Millisecond
 )
 
 const testKey = "config"
 
-// errNoWay is the error of calls that do not get through.
-var errNoWay = errors.New("no way there")
+// errNoWay is the error of calls that are blocked.
+var errNoWay = errors.New("call blocked by the test")
 
 // A member is one gateway of a fleet.
 type member struct {
@@ -42,32 +42,32 @@
 	fleet  *fleet
 	// version is the one in force.
 	version atomic.Uint64
-	// fetched counts transfers by what they carried.
+	// patches and wholes count transfers with and without a base.
 	patches, wholes atomic.Int64
-	// received counts the bytes of patches that were reported.
+	// received counts the patch bytes passed to OnTransfer.
 	received atomic.Int64
 	// lists and watches count calls to the store.
 	lists, watches atomic.Int64
-	// noStore cuts the member off from the store, noPeers from fetching.
+	// noStore blocks calls to the store, noPeers those to other gateways.
 	noStore, noPeers atomic.Bool
-	// readTime is how long a value takes from the store.
+	// readTime delays each response of the store that carries a value, in nanoseconds.
 	readTime atomic.Int64
 }
 
-// A fleet is a leader and other gateways in front of a store.
+// A fleet is a set of gateways that share a store.
 type fleet struct {
 	t     *testing.T
 	store *kvtest.Store
-	// mu guards the list of members.
+	// mu guards members.
 	mu      sync.Mutex
 	members []*member
-	// leader is the index of the leading member, noLeader if nobody leads.
+	// leader is the index of the leading member, noLeader if there is none.
 	leader atomic.Int64
 }
 
 const noLeader = -1
 
-// newFleet starts a number of gateways; the first one leads.
+// newFleet starts size gateways, of which the first leads.
 func newFleet(t *testing.T, size int) *fleet {
 	f := &fleet{t: t, store: kvtest.New(clocktest.Real{})}
 	f.write(1)
@@ -79,7 +79,7 @@
 	return f
 }
 
-// join starts one more gateway, which may be cut off from the store from the start.
+// join starts one more gateway; noStore blocks its calls to the store from the start.
 func (f *fleet) join(noStore bool) *member {
 	m := &member{t: f.t, fleet: f, addr: strconv.Itoa(len(f.members))}
 	m.noStore.Store(noStore)
@@ -96,14 +96,13 @@
 	return m
 }
 
-// wait lets time pass, which in these tests takes none.
+// wait advances the test's fake clock by d.
 func (f *fleet) wait(d time.Duration) {
 	clock.Sleep(f.t.Context(), clocktest.Real{}, d)
 	synctest.Wait()
 }
 
-// reports carries reports to the leader and its replies back; without a leader gateways ask
-// each other who leads.
+// reports exchanges news every reportEvery: each member asks the leader or, without one, the next member.
 func (f *fleet) reports() {
 	for f.t.Context().Err() == nil {
 		f.reportOnce()
@@ -126,18 +125,18 @@
 	}
 }
 
-// answer answers the report of another member.
+// answer processes the report of another member and sends it m's news.
 func (m *member) answer(other *member) {
 	m.syncer.HeardVersion(other.syncer.News().Version, other.addr)
 	other.syncer.Heard(m.syncer.News(), m.addr, time.Now())
 }
 
-// write writes a version into the store.
+// write writes a version to the store.
 func (f *fleet) write(version int) {
 	f.store.Set(testKey, append([]byte(strconv.Itoa(version)+"\n"), config(0, 20, none)...))
 }
 
-// checkVersion checks that all members have a version in force.
+// checkVersion checks that version is in force on all members.
 func (f *fleet) checkVersion(version uint64) {
 	f.t.Helper()
 	for _, m := range f.members {
@@ -145,7 +144,7 @@
 	}
 }
 
-// count counts what is received from other gateways.
+// count implements Options.OnTransfer.
 func (m *member) count(from Origin, bytes int, _ error) {
 	if from == FromGateway {
 		m.received.Add(int64(bytes))
--- a/internal/configsync/history.go
+++ b/internal/configsync/history.go
@@ -7,49 +7,48 @@
 	"github.com/rotisserie/eris"
 )
 
-// keptVersions is how many versions are kept to make patches on: a gateway that is more than
-// two behind gets the whole value, 56 KB of 4,400 routes. Three of them take 3 MB of memory at
-// most.
+// keptVersions is the number of versions kept as bases for patches. A gateway that holds an older
+// version is sent the full configuration.
 const keptVersions = 3
 
 // A Request asks a gateway for its configuration.
 type Request struct {
-	// Have is the version that the asking gateway holds, 0 if none.
+	// Have is the version that the requesting gateway holds, 0 if none.
 	Have uint64 `json:"have,omitempty"`
 }
 
 // A Transfer carries a configuration from one gateway to another.
 type Transfer struct {
 	Version uint64 `json:"version"`
-	// Base is the version that Patch is made on, 0 for none.
+	// Base is the version that Patch applies to; 0 if Patch contains the full configuration.
 	Base uint64 `json:"base,omitempty"`
-	// Patch is empty if the asking gateway holds nothing older.
+	// Patch is empty if the responding gateway has no version newer than Request.Have.
 	Patch []byte `json:"patch,omitempty"`
 }
 
-// A stored is one version as the store has it.
 type stored struct {
 	version uint64
 	value   []byte
 }
 
-// A history holds the newest versions and makes transfers of them. It is safe for concurrent use.
+// A history holds the newest versions and creates transfers from them. It is safe for concurrent use.
 type history struct {
-	// newestVersion is that of the last version, 0 if there is none. It is read without the
-	// lock, which is held while a patch is made: replies to reports do not wait for that.
+	// newestVersion is the last version in versions, 0 if there is none. It is atomic so that
+	// newest does not wait for mu, which is held while a patch is made.
 	newestVersion atomic.Uint64
 
 	mu sync.Mutex
-	// versions are in rising order, the last is the newest.
+	// versions is in ascending order.
 	versions []stored
-	// patches are those made of the newest version so far, by base.
+	// patches caches the patches to the newest version, by base version.
 	patches map[uint64][]byte
 }
 
 // newest returns the newest version, 0 if there is none.
 func (h *history) newest() uint64 { return h.newestVersion.Load() }
 
-// last returns the newest version; the zero stored if there is none. The lock is held.
+// last returns the newest version with its value, or the zero value if there is none.
+// h.mu must be held.
 func (h *history) last() stored {
 	if len(h.versions) == 0 {
 		return stored{}
@@ -57,7 +56,7 @@
 	return h.versions[len(h.versions)-1]
 }
 
-// add adds a version that is newer than all others; an older one changes nothing.
+// add appends a version. It ignores one that is not newer than all others.
 func (h *history) add(version uint64, value []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,7 +71,7 @@
 	h.newestVersion.Store(version)
 }
 
-// value returns a version's bytes; empty if it is not kept. The lock is held.
+// value returns the bytes of a version, nil if it is not kept. h.mu must be held.
 func (h *history) value(version uint64) []byte {
 	for _, s := range h.versions {
 		if s.version == version {
@@ -82,8 +81,8 @@
 	return nil
 }
 
-// transfer returns what a gateway needs that holds a version. A patch is made once, however many
-// ask: making one takes some 5 ms of a whole core.
+// transfer returns what a gateway that sends r needs. Each patch is made once and cached, because
+// making one is expensive in CPU time.
 func (h *history) transfer(r Request) (Transfer, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -115,7 +114,7 @@
 	base := h.value(t.Base)
 	h.mu.Unlock()
 	if t.Base != 0 && len(base) == 0 {
-		return nil, eris.Errorf("configsync: a patch on version %d, which is not kept", t.Base)
+		return nil, eris.Errorf("configsync: base version %d of the patch is not kept", t.Base)
 	}
 	return applyPatch(base, t.Patch)
 }
--- a/internal/configsync/news.go
+++ b/internal/configsync/news.go
@@ -6,37 +6,38 @@
 	"rockcleat/kv"
 )
 
-// News is what a gateway tells another of the configuration that it holds.
+// News describes the configuration that one gateway holds, for other gateways.
 type News struct {
-	// Version is the version that it holds, 0 for none.
+	// Version is the version held, 0 if none.
 	Version uint64 `json:"version,omitempty"`
-	// Revision is a revision of the store up to which nothing newer was written; 0 if none is known.
+	// Revision is a store revision up to which no newer version was written; 0 if unknown.
 	Revision kv.Revision `json:"revision,omitempty"`
-	// AgeMs is how long ago Version surely was the newest, in milliseconds.
+	// AgeMs is the time since Version was last known to be the newest, in milliseconds.
 	AgeMs int64 `json:"age,omitempty"`
 }
 
-// unknownAge is the age of news that is not known to be true of any time: older than any that
-// is relied on.
+// unknownAge is the age sent when it is not known whether the version was ever the newest. It exceeds
+// any Options.MaxAge.
 const unknownAge = 24 * time.Hour
 
-// ageMs returns how long ago a time was, in milliseconds.
+// ageMs returns the time from t to now in milliseconds, at most unknownAge.
 func ageMs(now, t time.Time) int64 { return min(now.Sub(t), unknownAge).Milliseconds() }
 
-// A newest is the newest version that a gateway knows of, held or not.
+// A newest describes the newest version that a gateway knows of, whether or not it holds it.
 type newest struct {
 	version uint64
-	// source is where another gateway that holds it takes messages; empty if it came from the
+	// source is the peer address of a gateway that holds the version; empty if it came from the
 	// store.
 	source string
-	// Everything that was written before currentAt, and up to revision of the store, is
-	// contained in the version.
+	// The version contains everything that was written before currentAt, and up to revision of
+	// the store.
 	currentAt time.Time
 	revision  kv.Revision
 }
 
-// merge takes over what another gateway or the store says and reports whether the version is
-// newer than what was known. What is said of an older version holds of a newer one too.
+// merge applies information from another gateway or the store and reports whether it names a newer
+// version than was known. currentAt and revision advance even with information on an older version,
+// because what holds for that one holds for a newer one too.
 func (n *newest) merge(other newest) (newer bool) {
 	if other.currentAt.After(n.currentAt) {
 		n.currentAt = other.currentAt
--- a/internal/configsync/patch.go
+++ b/internal/configsync/patch.go
@@ -7,19 +7,17 @@
 
 // Sizes of configurations and patches, in bytes.
 const (
-	// maxValue bounds a configuration that is unpacked; the store's values have 1 MB at most.
+	// maxValue bounds a decompressed configuration. The store accepts values of up to 1 MB.
 	maxValue = 8 << 20
-	// patchWindow is how far back a patch may refer, so that it reaches all of a base of 1 MB
-	// and of the value after it.
+	// patchWindow is the zstd window. It covers a base of 1 MB and the value after it.
 	patchWindow = 4 << 20
-	// baseID names the base within a patch; any number but 0 does.
+	// baseID is the zstd dictionary ID of the base; any nonzero value works.
 	baseID = 1
 )
 
-// makePatch returns value, compressed with base as what is already known; base may be empty.
+// makePatch compresses value with base as the zstd dictionary; base may be empty.
 //
-// The fastest level gives the smallest patches here: 4,400 routes of 0.89 MB make 56 KB without
-// a base, 18.6 KB on 3,000 of them, and 0.4 KB on all but one (BenchmarkPatch).
+// It uses the fastest level, which also yields the smallest patches for configurations.
 func makePatch(base, value []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
@@ -36,7 +34,7 @@
 	return e.EncodeAll(value, nil), nil
 }
 
-// applyPatch returns the value that a patch makes of a base; the patch carries a checksum of it.
+// applyPatch returns the value that patch encodes against base. zstd verifies the value's checksum.
 func applyPatch(base, patch []byte) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxValue),
--- a/internal/configsync/patch_test.go
+++ b/internal/configsync/patch_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// config returns a configuration of a number of routes, of which one goes elsewhere.
+// config returns a configuration with a number of routes. The one at index moved, if any, has another service.
 func config(version, routes, moved int) []byte {
 	names := rand.New(rand.NewPCG(1, 0))
 	var b bytes.Buffer
@@ -26,16 +26,15 @@
 	return b.Bytes()
 }
 
-// none is the index of no route.
+// none is an index of no route.
 const none = -1
 
-// TestPatchGivesTheSameBytes checks that a patch restores its value, and how large patches are:
-// they are what a change costs each gateway's link.
+// TestPatchGivesTheSameBytes checks that applying a patch yields the value, and that patches stay small.
 func TestPatchGivesTheSameBytes(t *testing.T) {
 	large := config(2, 4400, none)
 	tests := map[string]struct {
 		base, value []byte
-		// most is the greatest size of the patch, in bytes.
+		// most is the maximum patch size in bytes.
 		most int
 	}{
 		"nothing known":        {value: large, most: 80_000},
@@ -57,8 +56,7 @@
 	}
 }
 
-// TestPatchOnAnotherBaseIsRefused checks that a patch on other bytes than it was made on never
-// gives a configuration.
+// TestPatchOnAnotherBaseIsRefused checks that a patch applied to a base other than its own fails.
 func TestPatchOnAnotherBaseIsRefused(t *testing.T) {
 	patch, err := makePatch(config(1, 100, none), config(2, 100, 50))
 	assert.NilError(t, err)
@@ -70,8 +68,7 @@
 	}
 }
 
-// BenchmarkPatch measures making and applying the patch of a change, by routes of the
-// configuration; bytes/op is the patch.
+// BenchmarkPatch reports the cost of making and applying patches by number of routes, and the sizes of patch and value.
 func BenchmarkPatch(b *testing.B) {
 	for _, routes := range []int{400, 4400} {
 		old, changed := config(1, routes, none), config(2, routes, routes/2)
--- a/internal/configsync/read.go
+++ b/internal/configsync/read.go
@@ -13,19 +13,17 @@
 	"rockcleat/kv"
 )
 
-// errInterrupted ends a watch of the store when there is something newer to be fetched.
-var errInterrupted = eris.New("configsync: a gateway holds a newer version")
+// errInterrupted is the cancellation cause of a store read when a peer holds a newer version.
+var errInterrupted = eris.New("configsync: read interrupted: a gateway holds a newer version")
 
-// readPause is the mean of the pause after a call to the store that failed, with jitter of half
-// to one and a half; news ends it.
+// readPause is the mean delay after a store call that failed, jittered by ±50 %. News ends it early.
 const readPause = 300 * time.Millisecond
 
-// watcherRounds is how often the watcher's watch ends within MaxAge, so that the others know how
-// old its view is.
+// watcherRounds is the number of watches that the watcher starts within MaxAge, so that others learn
+// how recent its view is before the view counts as too old.
 const watcherRounds = 3
 
-// read lists the configuration in the store, or watches for the next one if its position in
-// the store's history is known.
+// read watches the store for the next configuration, or lists it if no revision to watch from is known.
 func (s *Syncer) read(ctx context.Context) {
 	readCtx, end := s.interruptible(ctx)
 	defer end()
@@ -54,18 +52,18 @@
 	}
 }
 
-// setFetchFailed notes whether the newest version could not be fetched. After a read of the store,
-// whether it failed or not, it may be tried again: while the store is away, other gateways are the only
-// way.
+// setFetchFailed records whether fetching the newest version failed. A store read that succeeds or fails
+// clears it, so that the fetch is tried again: while the store is unreachable, other gateways are the only
+// source.
 func (s *Syncer) setFetchFailed(failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fetchFailed = failed
 }
 
-// interruptible returns a context for a read of the store, which ends when another gateway turns
-// out to hold a newer version: a patch of it is much smaller. After a fetch that failed, reads go on
-// to their end.
+// interruptible returns a context for a store read, which is cancelled when another gateway turns out to
+// hold a newer version, since a patch is much smaller than a read. After a fetch that failed, reads are
+// not interrupted.
 func (s *Syncer) interruptible(ctx context.Context) (context.Context, func()) {
 	readCtx, cancel := context.WithCancelCause(ctx)
 	s.mu.Lock()
@@ -81,7 +79,7 @@
 	}
 }
 
-// readFrom returns the revision to watch from; 0 if the store has to be listed.
+// readFrom returns the revision to watch from, 0 if the store has to be listed.
 func (s *Syncer) readFrom() kv.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,14 +93,14 @@
 	return after
 }
 
-// noteForgotten notes that the store no longer knows what came after a revision.
+// noteForgotten records that the store has compacted its history after a revision.
 func (s *Syncer) noteForgotten(after kv.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgotten = max(s.forgotten, after)
 }
 
-// list reads the configuration that the store has.
+// list reads the current configuration from the store.
 func (s *Syncer) list(ctx context.Context) error {
 	began := s.opts.Clock.Now()
 	entries, at, err := s.opts.Store.ListPrefix(ctx, s.opts.Key)
@@ -122,23 +120,25 @@
 	return nil
 }
 
-// noteListed notes that the store has been listed at a revision, from which it is watched next even if the history up
-// to there was forgotten: while nothing is written no list has a later one, and listing again would have no end.
+// noteListed records that the store was listed at a revision. The next watch starts there even if the
+// history up to that revision was compacted: without further writes every list returns the same
+// revision, and listing would repeat forever.
 func (s *Syncer) noteListed(at kv.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgotten = min(s.forgotten, at-1)
 }
 
-// copySettleTime is how long after its return from a copy the store is given until it has again what the operators
-// wrote, by a gateway that knows of nothing newer: they write it again within some two seconds.
+// copySettleTime is how long a gateway without a configuration waits, after the store was restored from
+// a backup, for the operators to rewrite what the backup lacks.
 const copySettleTime = 3 * time.Second
 
-// errUnsettled says that the store may lack what the operators wrote before it came back from a copy.
-var errUnsettled = eris.New("configsync: the store has come back from a copy and may show an older version")
+// errUnsettled is returned while a store restored from a backup may lack later writes.
+var errUnsettled = eris.New("configsync: store restored from a backup may lack later writes")
 
-// checkSettled returns an error if this gateway holds nothing and the store may show an older version than was in
-// force: old keys would open again. Another gateway may know; else the operators' next words are waited for.
+// checkSettled returns errUnsettled if this gateway holds no configuration and the restored store may
+// show an older version than was in force, which would make revoked keys valid again. The caller waits
+// for news from another gateway, for the operators to rewrite the configuration, or for copySettleTime.
 func (s *Syncer) checkSettled(ctx context.Context, era int64) error {
 	if era == 0 || s.history.newest() > 0 || s.opts.IsSettled == nil {
 		return nil
@@ -157,17 +157,16 @@
 	return nil
 }
 
-// noteShown notes the version that the store shows, 0 for none. In an era after the first it may be older than the
-// one that is held, which stays in force.
+// noteShown records the version that the store shows, 0 if none. In an era after the first it may be older
+// than the version held, which stays in force.
 func (s *Syncer) noteShown(version uint64, era int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeBehind = era > 0 && version < s.history.newest()
 }
 
-// watch waits for a configuration that was written after a revision. It is short, so that a store
-// that fell silent in the middle of it is asked again in time: a watch of 2 s would leave a gateway
-// without the configuration for 2.9 s after the store's return, by arithmetic, where 3 s are allowed.
+// watch waits for a configuration that is written after a revision. It ends within MaxAge, so that a
+// store that stops responding during a watch is called again soon after its recovery.
 func (s *Syncer) watch(ctx context.Context, after kv.Revision) error {
 	wait := s.opts.MaxAge()
 	if s.opts.IsWatcher() {
@@ -186,9 +185,8 @@
 	return nil
 }
 
-// newestOnly returns the last of the events that write the configuration: of several versions
-// only the newest is decoded, which takes 6 ms of a whole core at 4,400 routes
-// (platform.BenchmarkRouting). A configuration that is deleted stays in force.
+// newestOnly returns the last event that writes the configuration, so that intermediate versions are not
+// decoded. Deletions are ignored: a deleted configuration stays in force.
 func newestOnly(events []kv.Event) []kv.Event {
 	for i := len(events) - 1; i >= 0; i-- {
 		if !events[i].Deleted {
@@ -198,8 +196,8 @@
 	return nil
 }
 
-// take puts an entry in force and returns its version. One that cannot be decoded is logged, and the last one
-// stays.
+// take applies an entry and returns its version. An entry that cannot be decoded is logged and the
+// configuration in force stays.
 func (s *Syncer) take(e kv.Entry) uint64 {
 	if e.Key != s.opts.Key {
 		return 0
@@ -207,13 +205,13 @@
 	s.noteTransfer(FromStore, len(e.Value), nil)
 	version, err := s.hold(e.Value, FromStore)
 	if err != nil {
-		s.opts.Log.Error("configuration not understood", telemetry.Error(err))
+		s.opts.Log.Error("decoding the configuration from the store failed", telemetry.Error(err))
 	}
 	return version
 }
 
-// noteRead notes that what is held was the newest at a time, up to a revision. While the store is behind, that
-// cannot be said: only this gateway goes on from there.
+// noteRead records that the version held was the newest at the time current, and up to the revision at.
+// While the store is behind, only this gateway's own read position advances.
 func (s *Syncer) noteRead(at kv.Revision, current time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,10 +222,10 @@
 	s.merge(newest{version: s.history.newest(), currentAt: current, revision: at})
 }
 
-// restAfterCompaction waits before the store is listed because it has forgotten its history: the
-// watcher's list comes first, and its news then spares this gateway a read of the whole
-// configuration, 1.2 MB at 4,400 routes. All watches end in the same moment then. The watcher waits when
-// that happens again and again, so that no answer of the store makes it call without a pause.
+// restAfterCompaction waits before the store is listed after a compaction, which ends the watches of all
+// gateways at the same moment. The watcher lists first, and its news spares the other gateways a full
+// read. The watcher itself waits only if compactions follow each other within readPause, so that no
+// response of the store makes it call in a tight loop.
 func (s *Syncer) restAfterCompaction(ctx context.Context) {
 	now := s.opts.Clock.Now()
 	again := now.Sub(s.compactedAt) < readPause
@@ -237,7 +235,7 @@
 	}
 }
 
-// rest waits after a call that failed, until there is news.
+// rest waits after a failed call until the delay has passed or something changed.
 func (s *Syncer) rest(ctx context.Context) {
 	s.mu.Lock()
 	changed := s.changed
--- a/internal/configsync/syncer.go
+++ b/internal/configsync/syncer.go
@@ -13,15 +13,15 @@
 
 // A Holder puts configurations in force.
 type Holder interface {
-	// Offer puts a configuration in force if it is newer than the one that is, and returns its
-	// version; an error says that it cannot be decoded.
+	// Offer puts a configuration in force if it is newer than the current one, and returns its
+	// version. An error means that it cannot be decoded.
 	Offer(value []byte, from Origin) (version uint64, err error)
 }
 
-// An Origin says where a configuration came from.
+// An Origin is where a configuration came from.
 type Origin string
 
-// The origins.
+// Origins of a configuration.
 const (
 	FromStore   Origin = "store"
 	FromGateway Origin = "gateway"
@@ -32,7 +32,7 @@
 	FetchConfig(ctx context.Context, addr string, r Request) (Transfer, error)
 }
 
-// Health notes how calls to the store end.
+// Health records the outcomes of calls to the store.
 type Health interface {
 	Unreachable(err error)
 	Reachable()
@@ -41,69 +41,70 @@
 // Options configure a Syncer.
 type Options struct {
 	Store kv.PrefixStore
-	// Key is where the store has the configuration.
+	// Key is the configuration's key in the store.
 	Key    string
 	Holder Holder
 	Peers  Peers
 	Health Health
 	Clock  clock.Service
 	Log    *zap.Logger
-	// IsWatcher reports whether this gateway watches the store for the others.
+	// IsWatcher reports whether this gateway watches the store on behalf of the others.
 	IsWatcher func() bool
 	// MaxAge returns how old the news may be before this gateway watches the store itself, and
-	// bounds one such watch.
+	// the bound of one such watch.
 	MaxAge func() time.Duration
-	// IsSettled, if not nil, reports whether the store, in an era, surely has all that the operators wrote before
-	// it came back from a copy; an error says that this is not known.
+	// IsSettled, if not nil, reports whether the store, restored from a backup in the given era,
+	// again contains everything that was written before. An error means that this is unknown.
 	IsSettled func(ctx context.Context, era int64) (bool, error)
-	// StartWait, if not nil, returns how long a gateway that starts waits for the news of others
+	// StartWait, if not nil, returns how long a starting gateway waits for news from others
 	// before it reads the store.
 	StartWait func() time.Duration
-	// OnTransfer, if not nil, is called after a configuration was received, with its bytes as
-	// they were sent, or could not be.
+	// OnTransfer, if not nil, is called after each attempt to receive a configuration, with its
+	// size in bytes as sent, or the error.
 	OnTransfer func(from Origin, bytes int, err error)
-	// OnSwitch, if not nil, is called when this gateway begins to watch the store (direct), or
-	// to rely on the news of others.
+	// OnSwitch, if not nil, is called when this gateway begins to watch the store itself
+	// (direct), and when it returns to relying on news.
 	OnSwitch func(key string, direct bool)
 }
 
-// A Syncer keeps one gateway's configuration up to date. All of its methods are safe for
-// concurrent use, but Run is called once.
+// A Syncer keeps one gateway's configuration up to date. All methods are safe for concurrent
+// use, except that Run must be called only once.
 type Syncer struct {
 	opts    Options
 	history history
-	// readFromStart is when a gateway that has heard nothing yet reads the store.
+	// readFromStart is when a gateway that has received no news reads the store.
 	readFromStart time.Time
 
 	mu     sync.Mutex
 	newest newest
-	// heldCurrentAt is the latest time at which the version that is held surely was the newest.
+	// heldCurrentAt is the latest time at which the held version is known to have been the newest.
 	heldCurrentAt time.Time
-	// position is up to which revision this gateway has read the store itself.
+	// position is the revision up to which this gateway has read the store itself.
 	position kv.Revision
-	// forgotten is a revision after which the store no longer knows its history. Other gateways
-	// may name it as theirs for as long as they do not know; watching from it again and again,
-	// since it was heard again and again, kept versions from all gateways while nobody led.
+	// forgotten is a revision that the store can no longer be watched from, because it has compacted
+	// the history after it. Other gateways may keep naming that revision until they notice; watching
+	// from it again would fail each time.
 	forgotten kv.Revision
-	// storeBehind says that the store, come back from a copy, shows an older version than the one that is held:
-	// it may lack still newer ones too, so that it proves nothing of what is held.
+	// storeBehind reports whether the store, restored from a backup, shows an older version than the
+	// one held. It may lack still newer ones, so a read does not confirm that the held one is newest.
 	storeBehind bool
-	// fetchFailed says that the newest version could not be fetched from its source: the store
-	// is read next.
+	// fetchFailed reports whether fetching the newest version from its source failed. If so, the
+	// store is read next.
 	fetchFailed bool
-	// changed is closed when the next step may be another one; interrupt, if not nil, ends a
-	// watch when another gateway turns out to hold a newer version.
+	// changed is closed when the next step may differ. interrupt, if not nil, cancels the store read
+	// in progress.
 	changed   chan struct{}
 	interrupt context.CancelFunc
 
-	// The rest belongs to Run. direct says whether the last step watched the store, compactedAt is when its
-	// history was gone last, copySince is since when a copy of the store is waited for to settle.
+	// The fields below belong to Run. direct reports whether the last step other than a fetch read
+	// the store; compactedAt is when a compaction was last noticed; copySince is when this gateway
+	// began to wait for a restored store to settle.
 	direct      bool
 	compactedAt time.Time
 	copySince   time.Time
 }
 
-// New returns a Syncer that holds nothing.
+// New returns a Syncer that holds no configuration.
 func New(o Options) *Syncer {
 	s := &Syncer{opts: o, changed: make(chan struct{}), readFromStart: o.Clock.Now()}
 	if o.StartWait != nil {
@@ -112,7 +113,7 @@
 	return s
 }
 
-// News returns what this gateway tells others.
+// News returns what this gateway reports to others.
 func (s *Syncer) News() News {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +124,7 @@
 	return News{Version: held, Revision: s.newest.revision, AgeMs: ageMs(s.opts.Clock.Now(), s.newest.currentAt)}
 }
 
-// Heard takes over the news of the gateway at an address, which was asked at a time.
+// Heard processes the news in the response of the gateway at addr to a request sent at the time asked.
 func (s *Syncer) Heard(n News, addr string, asked time.Time) {
 	if n.Version == 0 {
 		return
@@ -134,8 +135,7 @@
 	s.merge(newest{version: n.Version, source: addr, currentAt: asked.Add(-age), revision: n.Revision})
 }
 
-// HeardVersion notes that the gateway at an address holds a version, whether or not it is the
-// newest.
+// HeardVersion records that the gateway at addr holds a version, which need not be the newest.
 func (s *Syncer) HeardVersion(version uint64, addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,8 +144,8 @@
 	}
 }
 
-// merge takes over what is said of the newest version. A read of the store that is under way
-// ends when there is a newer one to be fetched. The lock is held.
+// merge updates what is known of the newest version, cancels a store read in progress if a newer
+// version can be fetched, and wakes Run if its next step may differ. s.mu must be held.
 func (s *Syncer) merge(n newest) {
 	wasStale := s.freshFor() <= 0
 	newer := s.newest.merge(n)
@@ -161,8 +161,8 @@
 	}
 }
 
-// noteHeldCurrent notes until when the version that is held surely was the newest, by what was said last.
-// News of a newer version says nothing of it. The lock is held.
+// noteHeldCurrent advances heldCurrentAt by n, which has been merged. Information on a version
+// newer than the held one does not confirm the held one. s.mu must be held.
 func (s *Syncer) noteHeldCurrent(n newest) {
 	held := s.history.newest()
 	switch {
@@ -181,37 +181,38 @@
 	return b
 }
 
-// CurrentAt returns the latest time at which the configuration that is held surely was the newest: whatever
-// was written before it is in force here. It is counted from when the store was asked, by whichever gateway,
-// never from an answer. It is zero while none is held.
+// CurrentAt returns the latest time at which the held configuration is known to have been the newest:
+// whatever was written before it is in force here. It derives from the time at which a gateway sent its
+// request to the store, never from the arrival of the response. It is zero while no configuration is held.
 func (s *Syncer) CurrentAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.heldCurrentAt
 }
 
-// freshFor returns for how long the news is not too old, at most 0 if it is. The lock is held.
+// freshFor returns the time until the news is too old; it is not positive if it already is.
+// s.mu must be held.
 func (s *Syncer) freshFor() time.Duration {
 	return s.opts.MaxAge() - s.opts.Clock.Now().Sub(s.newest.currentAt)
 }
 
-// Recheck makes Run look anew at whether this gateway is the watcher.
+// Recheck makes Run call IsWatcher again.
 func (s *Syncer) Recheck() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wake()
 }
 
-// wake makes Run decide anew. The lock is held.
+// wake makes Run choose its next step again. s.mu must be held.
 func (s *Syncer) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Transfer returns the configuration for a gateway that asks for it.
+// Transfer returns the response to another gateway's request.
 func (s *Syncer) Transfer(r Request) (Transfer, error) { return s.history.transfer(r) }
 
-// Run keeps the configuration up to date until ctx ends.
+// Run keeps the configuration up to date until ctx is done.
 func (s *Syncer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		step := s.next()
@@ -227,7 +228,6 @@
 	}
 }
 
-// A stepKind is what Run does next.
 type stepKind int
 
 const (
@@ -239,19 +239,18 @@
 	stepRead
 )
 
-// A step is one step of Run.
 type step struct {
 	kind stepKind
-	// source is the address to fetch from.
+	// source is the address that stepFetch fetches from.
 	source string
-	// wait is how long to wait for changed.
+	// stepWait ends after wait, or when changed is closed.
 	wait    time.Duration
 	changed <-chan struct{}
 }
 
-// next decides the next step: a newer version is fetched from whoever holds it; the store is read
-// by the watcher, when that failed, and when the news is too old; else there is nothing to do until
-// it would be.
+// next chooses the next step. A newer version is fetched from its source. The store is read by the
+// watcher, after a failed fetch, and when the news is too old. Otherwise Run waits until the news
+// becomes too old or something changes.
 func (s *Syncer) next() step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -269,8 +268,7 @@
 	return step{kind: stepWait, wait: fresh, changed: s.changed}
 }
 
-// noteMode reports when this gateway begins to read the store itself, and when it relies on news
-// again.
+// noteMode calls OnSwitch when this gateway changes between reading the store and relying on news.
 func (s *Syncer) noteMode(k stepKind) {
 	if k == stepFetch {
 		return
@@ -282,14 +280,13 @@
 	s.direct = direct
 }
 
-// noteTransfer reports a transfer that has ended.
 func (s *Syncer) noteTransfer(from Origin, bytes int, err error) {
 	if s.opts.OnTransfer != nil {
 		s.opts.OnTransfer(from, bytes, err)
 	}
 }
 
-// hold puts a configuration in force and keeps it for other gateways; it returns the version.
+// hold puts a configuration in force, keeps it for other gateways and returns its version.
 func (s *Syncer) hold(value []byte, from Origin) (uint64, error) {
 	version, err := s.opts.Holder.Offer(value, from)
 	if err == nil {
--- a/internal/configsync/syncer_test.go
+++ b/internal/configsync/syncer_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestVersionsReachEveryGateway checks by which way a version reaches the gateways when parts of
-// the ways fail, and that no other way is used beside it.
+// TestVersionsReachEveryGateway checks the path by which a version reaches the gateways under partial
+// failures, and that no other path is used.
 func TestVersionsReachEveryGateway(t *testing.T) {
 	tests := map[string]func(f *fleet){
 		"through the leader, as a patch, without a read of the store": func(f *fleet) {
@@ -51,7 +51,7 @@
 			assert.Equal(f.t, f.members[1].lists.Load(), lists, "it goes on from where the leader's news ended")
 		},
 		"from the store when nobody leads and the history was forgotten": func(f *fleet) {
-			// What this one says of the history is out of date, and it cannot know.
+			// member 0 keeps reporting a compacted revision, because it cannot reach the store.
 			f.members[0].noStore.Store(true)
 			f.leader.Store(noLeader)
 			f.write(2)
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestNewsAges checks that a gateway watches the store itself once the leader's view is older than
-// what is relied on, and no longer when it is not.
+// TestNewsAges checks that a gateway watches the store itself while the leader's news is too old, and
+// not otherwise.
 func TestNewsAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
@@ -180,8 +180,8 @@
 	})
 }
 
-// TestNewsOfAGatewayThatIsBehind checks that a gateway which knows of a newer version than it
-// holds does not call its own the newest.
+// TestNewsOfAGatewayThatIsBehind checks that a gateway that knows of a newer version than it holds does
+// not report its own as the newest.
 func TestNewsOfAGatewayThatIsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
