--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,13 +15,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ErrInvalid is the kind of every error in a settings file.
+// ErrInvalid matches every Error, by errors.Is.
 var ErrInvalid = errors.New("config: invalid settings")
 
-// settingsMode keeps the secret from other users.
+// settingsMode is owner-only, because the settings contain the secret.
 const settingsMode = 0o600
 
-// maxFile bounds a settings file, in bytes.
+// maxFile is the number of bytes of a settings file that Read reads.
 const maxFile = 1 << 20
 
 // A Problem is one error in a settings file.
@@ -37,12 +37,12 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Reason)
 }
 
-// An Error carries all problems of a file; it is an ErrInvalid.
+// An Error contains all problems of a settings file. It matches ErrInvalid.
 type Error struct {
 	Problems []Problem
 }
 
-// Error returns the problems, one a line.
+// Error returns the problems, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -51,18 +51,18 @@
 	return strings.Join(lines, "\n")
 }
 
-// Is makes an Error an ErrInvalid.
+// Is reports whether target is ErrInvalid.
 func (e *Error) Is(target error) bool { return target == ErrInvalid }
 
-// Settings are the settings of one role.
+// Settings are the settings of one process: Gateway, Entry or Agent.
 type Settings interface {
-	// setDefaults fills in what a file may leave out.
+	// setDefaults sets the values of the keys that a file may omit.
 	setDefaults()
-	// check reports what is wrong to the checker.
+	// check adds invalid values to the checker.
 	check(c *checker)
 }
 
-// Write writes settings to a file that Read can read.
+// Write writes settings to a file in the form that Read accepts.
 func Write(file string, s Settings) error {
 	data, err := yaml.Marshal(s)
 	if err != nil {
@@ -85,10 +85,10 @@
 	return Parse(file, data, into)
 }
 
-// Defaults sets what a settings file may leave out.
+// Defaults sets the values of the keys that a settings file may omit.
 func Defaults(s Settings) { s.setDefaults() }
 
-// Parse checks settings that have been read from the named file.
+// Parse decodes and checks settings; file is the name used in errors.
 func Parse(file string, data []byte, into Settings) error {
 	Defaults(into)
 	c := &checker{file: file}
@@ -116,7 +116,7 @@
 	problems []Problem
 }
 
-// require records a problem with the key, such as "planner.cell_size", unless ok.
+// require adds a problem with a key, such as "planner.cell_size", unless ok.
 func (c *checker) require(ok bool, key, reason string) {
 	if ok {
 		return
@@ -124,7 +124,7 @@
 	c.problems = append(c.problems, Problem{File: c.file, Line: c.line(key), Key: key, Reason: reason})
 }
 
-// line returns the line of a key, or of the nearest part of it that is there.
+// line returns the line of a key, that of its nearest enclosing key if it is absent, or 1.
 func (c *checker) line(key string) int {
 	node, line := c.root, 1
 	for _, part := range strings.Split(key, ".") {
@@ -137,7 +137,7 @@
 	return line
 }
 
-// find returns the key of a name in a mapping, and its value.
+// find returns the key node and the value node of a name in a mapping, or nil.
 func find(m *yaml.Node, name string) (key, value *yaml.Node) {
 	if m == nil || m.Kind != yaml.MappingNode {
 		return nil, nil
@@ -150,13 +150,13 @@
 	return nil, nil
 }
 
-// Patterns of the decoder's messages.
+// Patterns of the YAML decoder's error messages.
 var (
 	unknownField = regexp.MustCompile(`line (\d+): field (\S+) not found`)
 	otherError   = regexp.MustCompile(`line (\d+): (.*)`)
 )
 
-// decodeError turns the decoder's messages into problems.
+// decodeError adds the problems that a YAML decoder's error describes.
 func (c *checker) decodeError(err error) {
 	messages := []string{err.Error()}
 	var typed *yaml.TypeError
@@ -168,7 +168,7 @@
 	}
 }
 
-// problemOf turns one message of the decoder into a problem.
+// problemOf parses one error message of the YAML decoder.
 func (c *checker) problemOf(message string) Problem {
 	if m := unknownField.FindStringSubmatch(message); m != nil {
 		return Problem{File: c.file, Line: lineNumber(m[1]), Key: m[2], Reason: "unknown key"}
@@ -179,8 +179,8 @@
 	return Problem{File: c.file, Line: 1, Key: "file", Reason: message}
 }
 
-// lineNumber reads a line number that matched as digits; one too large for an int counts as 1,
-// the line of errors that have none.
+// lineNumber parses a string of digits. It returns 1, the line of problems without one, if the number
+// does not fit into an int.
 func lineNumber(digits string) int {
 	n, err := strconv.Atoi(digits)
 	if err != nil {
@@ -189,10 +189,10 @@
 	return n
 }
 
-// A Duration is a time.Duration written like 1500ms or 30s.
+// A Duration is a time.Duration that is written with a unit, such as 1500ms or 30s.
 type Duration time.Duration
 
-// UnmarshalYAML reads a duration and refuses numbers without a unit.
+// UnmarshalYAML implements yaml.Unmarshaler. It rejects nonzero numbers without a unit.
 func (d *Duration) UnmarshalYAML(n *yaml.Node) error {
 	v, err := time.ParseDuration(n.Value)
 	if err != nil {
@@ -202,8 +202,8 @@
 	return nil
 }
 
-// MarshalYAML writes a duration as UnmarshalYAML reads it.
+// MarshalYAML implements yaml.Marshaler.
 func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
 
-// Std returns the duration as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	"rockcleat/internal/config"
 )
 
-// TestExamples checks that the commented examples are valid.
+// TestExamples checks that the settings files in examples are valid.
 func TestExamples(t *testing.T) {
 	tests := map[string]config.Settings{"entry.yaml": &config.Entry{}, "agent.yaml": &config.Agent{}, "agent-service.yaml": &config.Agent{}, "gateway.yaml": &config.Gateway{}}
 	for name, into := range tests {
@@ -24,8 +24,7 @@
 	}
 }
 
-// TestTemplate fills the platform's template as the platform does, with and without the bounds that not every
-// deployment has.
+// TestTemplate checks the gateway's deployment template, filled in with and without the optional bounds.
 func TestTemplate(t *testing.T) {
 	tests := map[string]struct {
 		given      bool
@@ -54,7 +53,7 @@
 	}
 }
 
-// fillSection keeps or drops what the template holds for a value that may not be given.
+// fillSection keeps or removes the template's section for an optional value.
 func fillSection(t *testing.T, text, name string, given bool) string {
 	t.Helper()
 	before, rest, ok := strings.Cut(text, "{{#"+name+"}}")
@@ -67,7 +66,7 @@
 	return before + section + after
 }
 
-// fill fills the template's values; limits are those of keys and quotas.
+// fill replaces the template's placeholders. limits adds the values for keys and quotas.
 func fill(t *testing.T, text string, limits bool) string {
 	t.Helper()
 	values := map[string]string{
@@ -91,7 +90,7 @@
 	return text
 }
 
-// TestGatewayErrors checks that each error names file, line and key.
+// TestGatewayErrors checks that each error names the file and the key.
 func TestGatewayErrors(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("..", "..", "examples", "gateway.yaml"))
 	assert.NilError(t, err)
@@ -149,8 +148,7 @@
 	}
 }
 
-// FuzzParse checks that no settings file stops the process, and that what is
-// written is read as the same.
+// FuzzParse checks that Parse never panics, and that Read returns the settings that Write wrote.
 func FuzzParse(f *testing.F) {
 	f.Add("id: a\nhall: b\n")
 	f.Add("planner: {cell_size: 3}\n")
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -4,29 +4,29 @@
 
 // Retry are the settings of the retry budget that all gateways share.
 type Retry struct {
-	// Window is the span that retries are counted over.
+	// Window is the sliding window that retries are counted in.
 	Window Duration `yaml:"window"`
-	// Ratio is the number of retries for each request, Fixed those beside them.
+	// Ratio is the number of retries allowed per request, Fixed the number allowed in addition.
 	Ratio float64 `yaml:"ratio"`
 	Fixed float64 `yaml:"fixed"`
 }
 
-// Quota are the settings of the limits of organisations: what an organisation may have run beyond its limit in
-// any window before the limit counts as broken.
+// Quota are the settings of the tolerance of organisations' limits: how far an organisation may exceed its
+// limit in any Window.
 type Quota struct {
 	Window Duration `yaml:"window"`
-	// Over is a part of what the limit allows in the window, Slack a number in the limit's unit beside it.
+	// Over is relative to what the limit allows in the window; Slack is a further amount in the limit's unit.
 	Over  float64 `yaml:"over"`
 	Slack float64 `yaml:"slack"`
 }
 
 // Gateway are the settings of a gateway.
 type Gateway struct {
-	// ID names the VM, Hall is the data hall that it is in.
+	// ID is the VM's name, Hall the data hall that it is in.
 	ID   string `yaml:"id"`
 	Hall string `yaml:"hall"`
-	// Listen is the address for callers, ReadyListen the one for the balancer,
-	// PeerListen the one for other gateways, MetricsListen the one for metrics.
+	// Listen is the address for callers, ReadyListen the one for the load balancer's readiness checks,
+	// PeerListen the one for other gateways, MetricsListen the one for metrics, which may be empty.
 	Listen        string `yaml:"listen"`
 	ReadyListen   string `yaml:"ready_listen"`
 	PeerListen    string `yaml:"peer_listen"`
@@ -34,49 +34,49 @@
 	// Store is the address of the platform's store.
 	Store string `yaml:"store"`
 	Log   Log    `yaml:"log"`
-	// FirstStart says that the whole system starts for the first time.
+	// FirstStart states that the whole system starts for the first time.
 	FirstStart bool `yaml:"first_start"`
 	// Grace is the time from the signal to stop until the process is killed.
 	Grace Duration `yaml:"grace"`
-	// LeaseTTL is the time after which another gateway may lead.
+	// LeaseTTL is the time to live of the leader's lease, after which another gateway may lead.
 	LeaseTTL Duration `yaml:"lease_ttl"`
-	// WatchTime bounds one watch of the store, so that a dead one is noticed.
+	// WatchTime bounds one watch of the store, so that a dead connection is noticed.
 	WatchTime Duration `yaml:"watch_time"`
-	// StoreTimeout bounds one other call to the store, EngineTimeout one to an engine.
+	// StoreTimeout bounds any other call to the store, EngineTimeout a call to an engine.
 	StoreTimeout  Duration `yaml:"store_timeout"`
 	EngineTimeout Duration `yaml:"engine_timeout"`
-	// IdleTime is how long connections to backend servers are kept unused.
+	// IdleTime is how long idle connections to backend servers are kept.
 	IdleTime Duration `yaml:"idle_time"`
 	// BodyTime bounds the reading of a request's body.
 	BodyTime Duration `yaml:"body_time"`
 	// Gateways is the number of gateways to assume until they have been counted.
 	Gateways int `yaml:"gateways"`
-	// Seeds are the peer_listen addresses of a few gateways, which may be down or of no use: one that
-	// starts asks them before the store.
+	// Seeds are the PeerListen addresses of some gateways, which may be down. A starting gateway
+	// contacts them before it reads the store.
 	Seeds      []string   `yaml:"seeds"`
 	Retry      Retry      `yaml:"retry"`
 	Quarantine Quarantine `yaml:"quarantine"`
 	Quota      Quota      `yaml:"quota"`
-	// RevokeTime is the time after which a key that the operators took away opens nothing, on any gateway
-	// and whatever is down; 0 for no such bound.
+	// RevokeTime is the time within which every gateway rejects a key that operators revoked, whatever
+	// has failed; 0 for no such bound.
 	RevokeTime Duration `yaml:"revoke_time"`
 }
 
-// Defaults of the gateway's settings. The platform's template sets grace, lease_ttl and retry
-// (deploy/gateway.yaml).
+// Defaults of the gateway's settings. The deployment template deploy/gateway.yaml sets grace, lease_ttl
+// and retry.
 const (
 	defaultGrace = 8 * time.Second
-	// defaultGatewayLease is three times that between two renewals (lease.renewalsPerTTL).
+	// defaultGatewayLease is three renewal intervals (lease.renewalsPerTTL).
 	defaultGatewayLease = 3 * time.Second
-	// defaultWatchTime is how long a dead watch goes unnoticed.
+	// defaultWatchTime is the longest that a dead watch goes unnoticed.
 	defaultWatchTime = 2 * time.Second
-	// defaultStoreTimeout is less than the time between two renewals of the lease.
+	// defaultStoreTimeout is less than the lease's renewal interval.
 	defaultStoreTimeout  = 900 * time.Millisecond
 	defaultEngineTimeout = 700 * time.Millisecond
 	defaultIdleTime      = 1500 * time.Millisecond
 	defaultBodyTime      = 5 * time.Second
 	defaultGateways      = 6
-	// The default budget allows one retry for ten requests and ten beside them in a window.
+	// By default, one retry per ten requests and ten more are allowed in a window.
 	defaultRetryWindow = 10 * time.Second
 	defaultRetryRatio  = 0.1
 	defaultRetryFixed  = 10
--- a/internal/config/quarantine.go
+++ b/internal/config/quarantine.go
@@ -6,22 +6,20 @@
 	"rockcleat/quarantine"
 )
 
-// Quarantine are the settings of the quarantine of requests under which backend servers end.
+// Quarantine are the settings of the quarantine of requests under which backend servers have ended.
 type Quarantine struct {
-	// Ends is the number of servers that may end under copies of one request before it is refused.
+	// Ends is the number of servers that have to end under copies of a request before it is refused.
 	Ends int `yaml:"ends"`
-	// Hold is how long it is refused at first; each further end doubles that.
+	// Hold is how long the request is refused at first. It doubles with each further server that ends.
 	Hold Duration `yaml:"hold"`
 }
 
-// Bounds of these settings.
+// Bounds of the quarantine settings.
 const (
-	// minQuarantineEnds is the least number of ends: with one, every request that runs at a server when it
-	// ends would be refused.
+	// minQuarantineEnds is above 1, because one server's end affects every request that it was running.
 	minQuarantineEnds = 2
-	// maxQuarantineEnds is the number of ends that a record keeps.
+	// maxQuarantineEnds is the number of ends that a record stores.
 	maxQuarantineEnds = 8
-	// minQuarantineHold and maxQuarantineHold bound the time.
 	minQuarantineHold = time.Second
 	maxQuarantineHold = 24 * time.Hour
 )
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,80 +16,80 @@
 	Format string `yaml:"format"`
 }
 
-// Process are the settings that every daemon has.
+// Process are the settings that entry and agent have in common.
 type Process struct {
-	// ID names the VM as the platform's list does.
+	// ID is the VM's name in the platform's list.
 	ID string `yaml:"id"`
 	// Hall is the data hall that the VM is in.
 	Hall string `yaml:"hall"`
-	// Listen is the address for requests; ControlListen the one for the system's
-	// own messages, operators, health and metrics.
+	// Listen is the address for requests; ControlListen the one for other processes, operators,
+	// health and metrics.
 	Listen        string `yaml:"listen"`
 	ControlListen string `yaml:"control_listen"`
-	// Secret is shared by all processes and operators.
+	// Secret is the shared secret of all processes and operators.
 	Secret string `yaml:"secret"`
 	// KV is the base URL of the platform's key-value service.
 	KV  string `yaml:"kv"`
 	Log Log    `yaml:"log"`
-	// LeaveTime is how long a process that stops still answers new requests, so
-	// that those who send them learn of it.
+	// LeaveTime is how long a stopping process still accepts requests, so that their senders
+	// learn of the shutdown.
 	LeaveTime Duration `yaml:"leave_time"`
-	// DrainTime bounds the wait for requests in progress after that.
+	// DrainTime bounds the wait for requests in progress after LeaveTime.
 	DrainTime Duration `yaml:"drain_time"`
 }
 
 // Planner are the settings of the planner role.
 type Planner struct {
-	// CellSize is the greatest number of backend servers in a cell.
+	// CellSize is the maximum number of backend servers in a cell.
 	CellSize int `yaml:"cell_size"`
-	// ExchangeEvery is the time between two exchanges with one agent.
+	// ExchangeEvery is the interval between two exchanges with an agent.
 	ExchangeEvery Duration `yaml:"exchange_every"`
-	// Headroom is the part of an accelerator's slots that a replica is planned to fill.
+	// Headroom is the planned utilisation of a replica: a fraction of an accelerator's slots.
 	Headroom float64 `yaml:"headroom"`
-	// Hold is how long a replica stays after demand no longer justifies it.
+	// Hold is how long a replica is kept after demand no longer justifies it.
 	Hold Duration `yaml:"hold"`
-	// MaxLoads is the number of loads that the weight store bears at once.
+	// MaxLoads is the maximum number of concurrent loads from the weight store.
 	MaxLoads int `yaml:"max_loads"`
-	// LoadsPerSecond is the weight store's rate.
+	// LoadsPerSecond is the maximum rate at which loads from the weight store start.
 	LoadsPerSecond float64 `yaml:"loads_per_second"`
-	// LeaseTTL is the time after which another entry may take over a cell.
+	// LeaseTTL is the time to live of a cell's lease, after which another entry may take it over.
 	LeaseTTL Duration `yaml:"lease_ttl"`
 }
 
-// Claims are the settings of the records of requests that may not be repeated.
+// Claims are the settings of the records of requests that must not be repeated.
 type Claims struct {
-	// Shards is the number of parts that the records are divided into.
+	// Shards is the number of shards of the records.
 	Shards int `yaml:"shards"`
-	// Retention is how long a record is kept.
+	// Retention is the minimum time for which a record is kept.
 	Retention Duration `yaml:"retention"`
-	// WritesPerSecond is the part of the platform's write rate that all shards share.
+	// WritesPerSecond is the share of the platform's write rate that all shards together may use.
 	WritesPerSecond float64 `yaml:"writes_per_second"`
-	// LeaseTTL is the time after which another entry may take over a shard.
+	// LeaseTTL is the time to live of a shard's lease, after which another entry may take it over.
 	LeaseTTL Duration `yaml:"lease_ttl"`
 }
 
-// Limits bound what one process holds.
+// Limits are the bounds on a process's requests and the timeout for agents that stop responding.
 type Limits struct {
-	// BodyBytes is the longest request body.
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64 `yaml:"body_bytes"`
-	// InFlight is the greatest number of requests at once.
+	// InFlight is the maximum number of concurrent requests.
 	InFlight int `yaml:"in_flight"`
 	// BodyTime bounds the reading of a request body.
 	BodyTime Duration `yaml:"body_time"`
-	// SilentTime is how long an agent may be silent before it counts as lost; an
-	// agent gives a sign of life four times in it. It is the same on all processes.
+	// SilentTime is the time without a message after which an agent counts as lost. Agents send a
+	// heartbeat four times within it. It must be the same on all processes.
 	SilentTime Duration `yaml:"silent_time"`
 }
 
 // Entry are the settings of an entry daemon.
 type Entry struct {
 	Process `yaml:",inline"`
-	// VMs and Weights are the base URLs of the platform's list and weight store.
+	// VMs and Weights are the base URLs of the platform's list of VMs and of its weight store.
 	VMs     string `yaml:"vms"`
 	Weights string `yaml:"weights"`
-	// VMsEvery is the time between two looks at the platform's list of VMs.
+	// VMsEvery is the interval between two requests for the list of VMs.
 	VMsEvery Duration `yaml:"vms_every"`
-	// SyncEvery is the time between two exchanges of state with another entry.
+	// SyncEvery is the interval between two state exchanges with another entry.
 	SyncEvery  Duration   `yaml:"sync_every"`
 	Planner    Planner    `yaml:"planner"`
 	Claims     Claims     `yaml:"claims"`
@@ -97,18 +97,18 @@
 	Limits     Limits     `yaml:"limits"`
 }
 
-// Backend are the settings of the backend server that an agent stands beside.
+// Backend are the settings of the backend server that an agent runs beside.
 type Backend struct {
-	// URL is the backend server's base.
+	// URL is the backend server's base URL.
 	URL string `yaml:"url"`
-	// Kind is engine or service.
+	// Kind is BackendEngine or BackendService.
 	Kind string `yaml:"kind"`
-	// Services are the table rows that a plain service answers.
+	// Services are the table rows that a plain service serves.
 	Services []string `yaml:"services"`
-	// OrderLifetime is how long an order may be on its way before it can no longer
-	// take effect.
+	// OrderLifetime is the time after which an order that is still in transit can no longer take
+	// effect.
 	OrderLifetime Duration `yaml:"order_lifetime"`
-	// Slots is the number of calls that a plain service takes at once.
+	// Slots is the maximum number of concurrent calls to a plain service.
 	Slots int `yaml:"slots"`
 }
 
@@ -116,10 +116,10 @@
 type Agent struct {
 	Process `yaml:",inline"`
 	Backend Backend `yaml:"backend"`
-	// VMs is the base URL of the platform's list, which the agent reads only when no
-	// planner speaks to it; it may be absent.
+	// VMs is the base URL of the platform's list of VMs, which the agent reads only while no planner
+	// contacts it; it may be empty.
 	VMs string `yaml:"vms"`
-	// MaxWaiting bounds the waiting requests.
+	// MaxWaiting is the maximum number of waiting requests.
 	MaxWaiting int    `yaml:"max_waiting"`
 	Limits     Limits `yaml:"limits"`
 }
@@ -165,7 +165,7 @@
 	a.Backend = Backend{Kind: BackendEngine, OrderLifetime: Duration(30 * time.Second), Slots: 16}
 }
 
-// minSecret is the shortest secret, in bytes.
+// minSecret is the minimum length of a secret, in bytes.
 const minSecret = 16
 
 func (p *Process) check(c *checker) {
@@ -183,7 +183,7 @@
 	c.between(p.DrainTime, time.Second, time.Hour, "drain_time")
 }
 
-// between records a problem with the key unless the duration is from low to high.
+// between adds a problem with a key unless low <= d <= high.
 func (c *checker) between(d Duration, low, high time.Duration, key string) {
 	c.require(d.Std() >= low && d.Std() <= high, key, "must be from "+low.String()+" to "+high.String())
 }
@@ -238,7 +238,7 @@
 	c.require(a.MaxWaiting >= 1 && a.MaxWaiting <= 100000, "max_waiting", "must be from 1 to 100000")
 }
 
-// isAddr reports whether s is an IP number and a port.
+// isAddr reports whether s has the form IP:PORT with a literal IP address.
 func isAddr(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil || net.ParseIP(host) == nil {
