--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -17,36 +17,36 @@
 	"rockcleat/internal/transfer"
 )
 
-// maxMessage bounds a message between the system's processes, in bytes.
+// maxMessage is the number of bytes that are read of a response's body.
 const maxMessage = 16 << 20
 
-// ErrNotSent says that a message did not leave the process.
+// ErrNotSent is returned when no connection could be made, so that nothing was sent.
 var ErrNotSent = errors.New("wire: not sent")
 
-// A StatusError is an answer with a status other than 200.
+// A StatusError is a response with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   []byte
 }
 
-// Error returns the status with the start of the body.
+// Error returns the status and the first 200 characters of the body.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("wire: status %d: %.200s", e.Status, strings.TrimSpace(string(e.Body)))
 }
 
-// A Client sends messages between the system's processes with the shared secret.
+// A Client exchanges JSON messages with other processes of the system, authorized by the shared secret.
 type Client struct {
 	http   *http.Client
 	secret string
 }
 
-// NewClient returns a Client whose calls a transport carries, mostly a NewTransport; secret is
-// empty where processes share none.
+// NewClient returns a Client that uses the transport t, usually a NewTransport. secret is empty if the
+// processes share none.
 func NewClient(secret string, t http.RoundTripper) *Client {
 	return &Client{http: &http.Client{Transport: t}, secret: secret}
 }
 
-// Get reads JSON from http://ADDR/PATH into out.
+// Get requests http://ADDR/PATH and decodes the JSON response into out.
 func (c *Client) Get(ctx context.Context, addr, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return c.do(req, out, readWhole)
 }
 
-// Post sends in as JSON to http://ADDR/PATH and decodes the answer into out, if that is not nil.
+// Post sends in as JSON to http://ADDR/PATH and decodes the response into out, unless out is nil.
 func (c *Client) Post(ctx context.Context, addr, path string, in, out any) error {
 	req, err := newPost(ctx, addr, path, in)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return c.do(req, out, readWhole)
 }
 
-// PostWithin is Post, bounded by progress: the answer must begin within a time and then go on
-// without a pause that is longer.
+// PostWithin is Post with a bound on stalls instead of the total duration: neither the response's start
+// nor the wait for more of its body may take longer than pause.
 func (c *Client) PostWithin(ctx context.Context, pause time.Duration, addr, path string, in, out any) error {
 	ctx, watch := transfer.Start(ctx, pause, pause)
 	defer watch.Stop()
@@ -78,7 +78,7 @@
 	})
 }
 
-// newPost returns a request that sends in as JSON to http://ADDR/PATH.
+// newPost returns a request that posts in as JSON to http://ADDR/PATH.
 func newPost(ctx context.Context, addr, path string, in any) (*http.Request, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -92,14 +92,14 @@
 	return req, nil
 }
 
-// readWhole reads an answer's body.
+// readWhole reads a response's body, up to maxMessage bytes.
 func readWhole(body io.Reader) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(body, maxMessage))
 }
 
-// do sends a request and decodes the answer that read returns.
+// do sends a request and decodes the response body that read returns.
 func (c *Client) do(req *http.Request, out any, read func(body io.Reader) ([]byte, error)) error {
-	// An absent User-Agent spares some 25 bytes of each control message.
+	// Omitting the User-Agent header makes each message smaller.
 	req.Header["User-Agent"] = nil
 	if c.secret != "" {
 		req.Header.Set("Authorization", "Bearer "+c.secret)
@@ -122,7 +122,7 @@
 	return eris.Wrap(json.Unmarshal(data, out), "wire: decode answer")
 }
 
-// sendError returns the error of a call: ErrNotSent if nothing was sent.
+// sendError wraps the error of a call, with ErrNotSent if nothing was sent.
 func sendError(err error) error {
 	if IsNotSent(err) {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -130,7 +130,7 @@
 	return eris.Wrap(err, "wire: call")
 }
 
-// Authorized reports whether a request carries the shared secret.
+// Authorized reports whether a request carries the shared secret. The comparison takes constant time.
 func Authorized(r *http.Request, secret string) bool {
 	got := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return subtle.ConstantTimeCompare([]byte(got), []byte(secret)) == 1
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -12,8 +12,8 @@
 	"rockcleat/internal/wire"
 )
 
-// TestSendOnce breaks a kept connection under a request with an Idempotency-Key
-// and no body, which net/http by itself would send again.
+// TestSendOnce checks that a request with an Idempotency-Key and no body is not sent again when its
+// reused connection breaks, as net/http does by default.
 func TestSendOnce(t *testing.T) {
 	tests := map[string]struct {
 		sendOnce bool
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,13 +1,12 @@
-// Package wire holds the messages and headers that rockcleat's processes exchange, and the means
-// to send, count and authorize them.
+// Package wire defines the messages and headers that rockcleat's processes exchange, and sends,
+// counts and authorizes them.
 //
-// It owns the form of what goes between processes: Client sends messages between entries, agents
-// and operators with their shared secret, Failure is an answer that is not the backend server's
-// own, and Traffic counts bytes with an allowance for TCP and IP. NewTransport and
-// NewDirectTransport are the transports of all HTTP clients. Names are the headers of the users'
-// platform, which package platform sets. The package decides nothing: who is called, how often
-// and what an answer means is up to the caller.
+// Client sends messages between entries, agents and operators with their shared secret. Failure is a
+// response that does not come from a backend server. Traffic counts bytes, with an allowance for TCP
+// and IP headers. NewTransport and NewDirectTransport return the transports of all HTTP clients. Names
+// are the headers of the users' platform, which package platform sets. Callers choose whom to call and
+// how often, and interpret the responses.
 //
-// Errors are ErrNotSent if nothing left the process, a *StatusError for an answer other than
-// 200, and otherwise leave open whether the message arrived.
+// Calls return ErrNotSent if nothing was sent and a *StatusError for a response with a status other
+// than 200. After any other error it is unknown whether the message arrived.
 package wire
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -6,7 +6,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// An ErrorBody is the error object that clients of the OpenAI API expect.
+// An ErrorBody is the error object of the OpenAI API.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -19,16 +19,16 @@
 	Code    string `json:"code"`
 }
 
-// Types of errors as clients of the OpenAI API know them.
+// Error types of the OpenAI API.
 const (
 	TypeInvalidRequest = "invalid_request_error"
 	TypeOverloaded     = "overloaded_error"
 	TypeServer         = "server_error"
 )
 
-// A Failure is an answer of an entry or agent that is not the backend server's own, in the form
-// that clients of the OpenAI API expect. A gateway refuses in the form of the users' platform
-// instead, as plain text (package gateway).
+// A Failure is an error response of an entry or agent itself, rather than of the backend server, in the
+// form of the OpenAI API. Gateways send plain text in the form of the users' platform instead
+// (package gateway).
 type Failure struct {
 	Status     int
 	Outcome    Outcome
@@ -39,12 +39,12 @@
 	RetryAfter time.Duration
 }
 
-// Body returns the failure's error object.
+// Body returns the error object.
 func (f Failure) Body() ErrorBody {
 	return ErrorBody{Error: ErrorDetail{Message: f.Message, Type: f.Type, Code: f.Code, Param: f.Param}}
 }
 
-// Write sends the failure as the answer.
+// Write sends the response.
 func (f Failure) Write(c echo.Context) error {
 	h := c.Response().Header()
 	h.Set(HeaderOutcome, string(f.Outcome))
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -8,7 +8,7 @@
 	"rockcleat/table"
 )
 
-// Paths of the interfaces between the system's own processes and for operators.
+// Paths of the interfaces between processes and for operators.
 const (
 	PathExchange    = "/rockcleat/v1/exchange"
 	PathSync        = "/rockcleat/v1/sync"
@@ -25,113 +25,114 @@
 	PathMetrics     = "/rockcleat/metrics"
 )
 
-// A ConcurrencyGrant is the part of a row's concurrency that an agent may use.
+// A ConcurrencyGrant is the share of a row's concurrency that an agent may use.
 type ConcurrencyGrant struct {
 	Row string `json:"row"`
 	Max int    `json:"max"`
 }
 
-// A Nudge asks a planner to exchange messages with a backend server's agent at
-// once, because something has changed there that cannot wait.
+// A Nudge asks a planner to exchange messages with a backend server's agent without waiting for the
+// next regular exchange, because of an urgent change there.
 type Nudge struct {
 	Server string `json:"server"`
 }
 
-// An Exchange is what a cell's planner sends to one of the cell's agents.
+// An Exchange is the message of a cell's planner to one of the cell's agents.
 type Exchange struct {
-	// From is the planner's control address.
+	// From is the planner's control address. Token is the fencing token of its lease.
 	From  string `json:"from"`
 	Cell  string `json:"cell"`
 	Token int64  `json:"token"`
-	// Incarnation is the agent's incarnation that the planner knows, empty at first;
-	// orders and grants are for that incarnation only.
+	// Incarnation is the agent's incarnation known to the planner, empty at first. Orders and
+	// grants apply to that incarnation only.
 	Incarnation string `json:"inc,omitempty"`
-	// Seen is the agent's record version that the planner has.
+	// Seen is the version of the agent's record that the planner has.
 	Seen uint64 `json:"seen,omitempty"`
-	// TableVersion is the planner's; an agent with a newer table ignores the orders.
+	// TableVersion is the planner's table version; an agent with a newer table ignores the orders.
 	TableVersion uint64       `json:"version"`
 	Table        *table.Delta `json:"table,omitempty"`
-	// Leaving is what the platform's list of VMs says of the server in version List.
+	// Leaving reports whether version List of the platform's list of VMs marks the server as leaving.
 	Leaving bool   `json:"leaving,omitempty"`
 	List    uint64 `json:"list,omitempty"`
-	// Lapsed tells that the planner's lease has lapsed: it has no orders, and the
-	// grants stay as they are.
+	// Lapsed reports that the planner's lease has expired. The message then contains no orders, and
+	// the agent keeps its grants.
 	Lapsed bool `json:"lapsed,omitempty"`
-	// Pauses is the count of the agent's pauses that the planner knows.
+	// Pauses is the number of the agent's pauses known to the planner.
 	Pauses int                `json:"pauses,omitempty"`
 	Orders []placement.Order  `json:"orders,omitempty"`
 	Grants []ConcurrencyGrant `json:"grants,omitempty"`
-	// Quarantine tells of requests under which backend servers have ended.
+	// Quarantine lists requests under which backend servers have ended.
 	Quarantine quarantine.Message `json:"quarantine,omitzero"`
 }
 
-// An ExchangeAnswer is the agent's answer to an Exchange.
+// An ExchangeAnswer is the agent's response to an Exchange.
 type ExchangeAnswer struct {
 	Incarnation string `json:"inc"`
-	// Token is the highest planner's token that the agent knows; an Exchange with a
-	// lower one had no effect.
+	// Token is the highest token of a planner that the agent has seen. An Exchange with a lower one
+	// had no effect.
 	Token        int64  `json:"token"`
 	TableVersion uint64 `json:"table"`
 	RecordSeen   uint64 `json:"seen"`
-	// Pauses counts how often the agent's process was paused.
+	// Pauses is the number of times that the agent's process was paused.
 	Pauses int `json:"pauses,omitempty"`
-	// Server is the agent's record; absent if the planner has seen it.
+	// Server is the agent's record; nil if the planner already has it.
 	Server *fleet.Server      `json:"server,omitempty"`
 	Grants []ConcurrencyGrant `json:"grants,omitempty"`
-	// Quarantine is what is new for the planner of requests under which the server has ended.
+	// Quarantine lists requests under which the server has ended and that are new to the planner.
 	Quarantine *quarantine.Reply `json:"quarantine,omitempty"`
 }
 
-// A SyncRequest asks an entry for what the sender lacks.
+// A SyncRequest asks an entry for the state that the sender lacks.
 type SyncRequest struct {
 	From  string       `json:"from"`
 	Table uint64       `json:"table"`
 	Cells fleet.Digest `json:"cells,omitempty"`
-	// TableOnly tells that the sender needs no servers' records.
+	// TableOnly excludes the servers' records from the response.
 	TableOnly bool `json:"table_only,omitempty"`
-	// Quarantine tells of requests under which backend servers have ended.
+	// Quarantine lists requests under which backend servers have ended.
 	Quarantine quarantine.Message `json:"quarantine,omitzero"`
 }
 
-// A SyncAnswer is the answer to a SyncRequest.
+// A SyncAnswer is the response to a SyncRequest.
 type SyncAnswer struct {
 	Table *table.Delta      `json:"table,omitempty"`
 	Cells []fleet.CellDelta `json:"cells,omitempty"`
-	// TableVersion is the answering process's own.
+	// TableVersion is the responding process's table version.
 	TableVersion uint64 `json:"version"`
-	// Quarantine is what is new for the sender of such requests.
+	// Quarantine lists requests under which servers have ended and that are new to the sender of the
+	// SyncRequest.
 	Quarantine *quarantine.Reply `json:"quarantine,omitempty"`
 }
 
-// A ClaimRequest asks a shard's owner for a claim or records its end.
+// A ClaimRequest asks a shard's owner for a claim, or records that the claimed request has finished.
 type ClaimRequest struct {
 	Key         string `json:"key"`
 	Fingerprint uint64 `json:"fp"`
 	Attempt     string `json:"attempt"`
-	// Free tells, on the finish path, that the attempt surely did not run.
+	// Free states that the attempt did not run; it is used only with PathClaimFinish.
 	Free   bool          `json:"free,omitempty"`
 	Answer *claim.Answer `json:"answer,omitempty"`
 }
 
-// A ClaimAnswer is the owner's answer to a claim.
+// A ClaimAnswer is the shard owner's response to a claim.
 type ClaimAnswer struct {
 	Fresh  bool         `json:"fresh"`
 	Record claim.Record `json:"record"`
 }
 
-// A SaveRequest asks an entry to save an edit.
+// A SaveRequest asks an entry to save an edit of the table.
 type SaveRequest struct {
 	Edit table.Edit `json:"edit"`
 }
 
-// A SaveAnswer tells the version that holds the edit, or why none does.
+// A SaveAnswer contains the version that includes the edit, or the reason why it was not saved.
 type SaveAnswer struct {
 	Version uint64             `json:"version,omitempty"`
 	Errors  []table.CheckError `json:"errors,omitempty"`
 	Message string             `json:"message,omitempty"`
 }
 
-// A TableAnswer is the whole table of one version.
+// A TableAnswer contains all rows of one table version.
 type TableAnswer struct {
 	Version uint64      `json:"version"`
 	Rows    []table.Row `json:"rows"`
@@ -142,7 +143,7 @@
 	Edits []table.Edit `json:"edits"`
 }
 
-// A VMStatus is what an entry knows of one VM.
+// A VMStatus is an entry's view of one VM.
 type VMStatus struct {
 	ID           string `json:"id"`
 	Role         string `json:"role"`
@@ -154,7 +155,7 @@
 	Running      int    `json:"running"`
 }
 
-// A VersionAnswer is the part of any process's status that an entry asks for.
+// A VersionAnswer is the part of a process's status that entries request from it.
 type VersionAnswer struct {
 	TableVersion uint64 `json:"table_version"`
 	Waiting      int    `json:"waiting"`
@@ -170,11 +171,11 @@
 	VMs          []VMStatus     `json:"vms,omitempty"`
 	Servers      []fleet.Server `json:"servers,omitempty"`
 	Waiting      int            `json:"requests_in_progress"`
-	// ControlBytes is what control has sent and received so far, headers included.
+	// ControlBytes is the number of bytes that the control connections have carried, headers included.
 	ControlBytes int64 `json:"control_bytes"`
 }
 
-// A Decision is one decision with its reason, for operators to ask for.
+// A Decision is one decision of an entry with its reason, for operators.
 type Decision struct {
 	Time   int64  `json:"time_ms"`
 	Kind   string `json:"kind"`
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -1,32 +1,31 @@
 package wire
 
-// Names are the headers of the interface between callers, gateway and backend
-// servers; a platform sets its own.
+// Names are the header names of the interface between callers, gateways and backend servers.
 type Names struct {
-	// RequestID names a request; an answer carries its request's back.
+	// RequestID identifies a request; its response carries the same value.
 	RequestID string
-	// Deadline is how long the sender waits, in milliseconds.
+	// Deadline is the time that the sender waits for the response, in milliseconds.
 	Deadline string
-	// Signature is set on whole answers by backend servers.
+	// Signature is set by backend servers on complete responses.
 	Signature string
-	// Expect names the run of the backend server that a request is meant for.
+	// Expect identifies the instance (process run) of the backend server that a request is meant for.
 	Expect string
-	// ServerLimit is set on answers by backend servers in need: how many requests a second they take from
-	// all senders together.
+	// ServerLimit is set by overloaded backend servers on responses: the number of requests per second that
+	// they accept from all senders together.
 	ServerLimit string
-	// NotRun is set on answers to requests that were not run.
+	// NotRun is set on responses to requests that were not run.
 	NotRun string
-	// Model is the model, with an adapter after a slash.
+	// Model is the model's name, followed by a slash and the adapter's name if there is one.
 	Model string
-	// Tokens is the number of prompt tokens and, after a comma, the most to generate.
+	// Tokens is the number of prompt tokens and, after a comma, the maximum to generate.
 	Tokens string
 	// Prefix lists the parts of a prompt as ID:TOKENS, separated by commas.
 	Prefix string
-	// Priority is the request's rank at the engine; 0 goes first.
+	// Priority is the request's priority at the engine; 0 is the highest.
 	Priority string
-	// Organisation names the organisation whose key the request came with.
+	// Organisation is the organisation that the request's key belongs to.
 	Organisation string
-	// Reserved are further headers of requests that only the system may set: callers' are
-	// never passed on.
+	// Reserved are further request headers that only the system may set. Those of callers are
+	// removed.
 	Reserved []string
 }
--- a/internal/wire/probe.go
+++ b/internal/wire/probe.go
@@ -9,40 +9,41 @@
 	"rockcleat/clock"
 )
 
-// Finding out whether a server has ended.
+// Parameters of a Probe.
 const (
-	// connectTimeout bounds an attempt to connect.
+	// connectTimeout bounds one connection attempt.
 	connectTimeout = 300 * time.Millisecond
-	// connectPause is the pause between two attempts: a process that ends closes what it has open one after
-	// the other.
+	// connectPause is the delay between two attempts. A process that exits closes its sockets one after
+	// another, so its listener may still be open at the first attempt.
 	connectPause = 100 * time.Millisecond
-	// ConnectAttempts is the number of attempts.
+	// ConnectAttempts is the maximum number of attempts.
 	ConnectAttempts = 2
 )
 
-// A ProbeResult is what a probe of a server has found out.
+// A ProbeResult is the result of a Probe.
 type ProbeResult int
 
-// The results of a probe.
+// Results of a Probe.
 const (
-	// ServerUnknown: there was no answer in time.
+	// ServerUnknown means that the connection attempt neither succeeded nor was refused.
 	ServerUnknown ProbeResult = iota
-	// ServerLives: it takes connections.
+	// ServerLives means that the server accepts connections.
 	ServerLives
-	// ServerEnded: nobody listens at its address.
+	// ServerEnded means that connections to the server's address are refused.
 	ServerEnded
 )
 
-// A Probe finds out whether a server lives, by connecting to it.
+// A Probe determines whether a server still accepts connections.
 type Probe struct {
 	Clock clock.Service
-	// Connect connects to an address and closes the connection; TryConnect does.
+	// Connect connects to an address and closes the connection, as TryConnect does.
 	Connect func(ctx context.Context, addr string) error
 	// BeforeAttempt, if not nil, is called before each attempt.
 	BeforeAttempt func()
 }
 
-// Run tries to connect to an address until it is refused, and returns the result of the last attempt.
+// Run makes up to ConnectAttempts attempts to connect to addr, stops when one is refused, and returns the
+// result of the last one.
 func (p Probe) Run(ctx context.Context, addr string) (result ProbeResult) {
 	for i := range ConnectAttempts {
 		if i > 0 {
@@ -72,7 +73,7 @@
 	return ServerUnknown
 }
 
-// TryConnect connects to an address and closes the connection at once.
+// TryConnect connects to addr and closes the connection.
 func TryConnect(ctx context.Context, addr string) error {
 	conn, err := NewDialer().DialContext(ctx, "tcp", addr)
 	if err != nil {
--- a/internal/wire/quarantine.go
+++ b/internal/wire/quarantine.go
@@ -2,21 +2,21 @@
 
 import "rockcleat/quarantine"
 
-// PathQuarantine is where a gateway or an entry shows operators the requests under which servers have ended, and
-// lets them lift a quarantine.
+// PathQuarantine is the path at which operators list the requests under which servers have ended, and lift
+// quarantines, on a gateway or an entry.
 const PathQuarantine = "/v1/quarantine"
 
-// A QuarantineList is a gateway's answer to an operator who asks for these requests.
+// A QuarantineList is the response to an operator who lists these requests.
 type QuarantineList struct {
 	Items []quarantine.Item `json:"items"`
 }
 
-// A QuarantineLift asks a gateway to void the ends under one request.
+// A QuarantineLift asks a gateway or an entry to discard the ends recorded for one request.
 type QuarantineLift struct {
 	Key quarantine.Key `json:"key"`
 }
 
-// A QuarantineLifted is the answer: Known says that there were ends under the request.
+// A QuarantineLifted is the response; Known reports whether ends were recorded for the request.
 type QuarantineLifted struct {
 	Known bool `json:"known"`
 }
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -6,23 +6,22 @@
 	"sync/atomic"
 )
 
-// A Traffic counts the bytes that connections carry, HTTP headers included.
-//
-// Its zero value is ready to use.
+// A Traffic counts the bytes that connections carry, HTTP headers included. The zero value is ready to
+// use. It is safe for concurrent use.
 type Traffic struct {
 	bytes    atomic.Int64
 	segments atomic.Int64
 }
 
-// segmentOverhead is what each read or write of a connection adds on the wire, in
-// bytes: the TCP and IP headers of a segment and of its acknowledgement.
+// segmentOverhead approximates the bytes that each read or write adds on the wire: the TCP and IP headers
+// of one segment and of its acknowledgement.
 const segmentOverhead = 2 * 52
 
-// WireBytes returns the bytes sent and received so far, with an allowance for TCP
-// and IP headers and acknowledgements.
+// WireBytes returns the number of bytes sent and received, with an allowance for TCP and IP headers
+// and acknowledgements.
 func (t *Traffic) WireBytes() int64 { return t.bytes.Load() + segmentOverhead*t.segments.Load() }
 
-// count counts one read or write.
+// count adds one read or write of n bytes.
 func (t *Traffic) count(n int) {
 	t.bytes.Add(int64(n))
 	if n > 0 {
@@ -30,7 +29,7 @@
 	}
 }
 
-// Dial is a dial function whose connections are counted.
+// Dial returns a dial function for d whose connections are counted.
 func (t *Traffic) Dial(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, addr)
@@ -41,12 +40,11 @@
 	}
 }
 
-// Listen returns a listener whose connections are counted.
+// Listen wraps l so that the connections it accepts are counted.
 func (t *Traffic) Listen(l net.Listener) net.Listener {
 	return &countedListener{Listener: l, traffic: t}
 }
 
-// A countedListener counts the bytes of the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	traffic *Traffic
@@ -60,7 +58,6 @@
 	return &countedConn{Conn: c, traffic: l.traffic}, nil
 }
 
-// A countedConn counts the bytes of one connection.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -13,32 +13,32 @@
 
 // Connections between the system's processes.
 const (
-	// dialTimeout bounds the time to connect.
 	dialTimeout = time.Second
-	// idleTimeout is how long a connection is kept unused.
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 90 * time.Second
-	// idlePerProcess bounds the idle connections kept to one process.
+	// idlePerProcess is the maximum number of idle connections to one process.
 	idlePerProcess = 64
 )
 
-// Connections to servers that are spoken to directly.
+// Connections to servers that are called directly.
 const (
-	// directDialTimeout bounds the time to connect.
 	directDialTimeout = 600 * time.Millisecond
-	// unackedTime bounds how long bytes sent may go unacknowledged.
+	// unackedTime is how long sent data may stay unacknowledged before the connection is closed
+	// (TCP_USER_TIMEOUT).
 	unackedTime = 2 * time.Second
-	// probeAfter is the idle time before the first probe, probeInterval that between two;
-	// after probeCount of them without an answer the connection ends.
+	// probeAfter is the idle time before the first TCP keep-alive probe, probeInterval the time between
+	// probes; the connection is closed after probeCount probes without an acknowledgement.
 	probeAfter    = time.Second
 	probeInterval = 500 * time.Millisecond
 	probeCount    = 3
-	// directIdlePerServer bounds the idle connections kept to one server.
+	// directIdlePerServer is the maximum number of idle connections to one server.
 	directIdlePerServer = 48
-	// directBuffer is the size of a connection's read and write buffers, in bytes.
+	// directBuffer is the size of a connection's read buffer and of its write buffer, in bytes.
 	directBuffer = 2 << 10
 )
 
-// NewDialer returns a dialer whose connections notice a silent machine in a few seconds.
+// NewDialer returns a dialer whose connections fail within a few seconds when the peer's machine stops
+// responding.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: directDialTimeout,
@@ -47,15 +47,15 @@
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
-				// A machine that refuses the option only notices later.
+				// Without the option a dead peer is only noticed later.
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTime.Milliseconds()))
 			})
 		},
 	}
 }
 
-// NewDirectTransport returns the transport towards servers that are spoken to
-// directly; connections are kept while idle for the given time.
+// NewDirectTransport returns the transport for servers that are called directly. Idle connections are kept
+// for the duration idle.
 func NewDirectTransport(idle time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:         NewDialer().DialContext,
@@ -67,7 +67,7 @@
 	}
 }
 
-// NewTransport returns the transport used towards other processes.
+// NewTransport returns the transport for other processes of the system. Its traffic is counted by t.
 func NewTransport(t *Traffic) *http.Transport {
 	return &http.Transport{
 		DialContext:         t.Dial(&net.Dialer{Timeout: dialTimeout}),
@@ -77,19 +77,19 @@
 	}
 }
 
-// IsNotSent reports whether an error of an HTTP client says that no
-// connection could be made, so that nothing was sent.
+// IsNotSent reports whether an HTTP client's error means that no connection could be made, so that
+// nothing was sent.
 func IsNotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// SendOnce makes a request one that the transport never sends twice by itself.
+// SendOnce prevents the transport of net/http from retrying a request by itself.
 //
-// The transport of net/http repeats a request on a new connection when a kept
-// one breaks, if the body can be had again and the method or a header named
-// Idempotency-Key in its canonical spelling says that it may. That header means
-// the opposite here, so it is sent in lower case, which is the same to HTTP.
+// That transport resends a request when a reused connection breaks, if the body can be read again and
+// the request has an idempotent method or a header with the canonical name Idempotency-Key. Here that
+// header marks requests that must not be repeated, so it is sent in lower case, which is equivalent in
+// HTTP.
 func SendOnce(r *http.Request) {
 	r.GetBody = nil
 	if v, ok := r.Header[HeaderIdempotencyKey]; ok {
