--- a/internal/telemetry/errors.go
+++ b/internal/telemetry/errors.go
@@ -2,8 +2,8 @@
 
 import "go.uber.org/zap"
 
-// Error returns the field of an error's text alone; zap's own field adds the
-// stack that eris keeps, which is most of a line.
+// Error returns a log field with the error's text. Unlike zap.Error it omits the stack trace that eris
+// records.
 func Error(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -14,17 +14,17 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// maxRoutes bounds the routes that figures are kept for; the rest count as "other".
+// maxRoutes bounds the number of distinct route and organisation label values; further ones count as
+// otherRoute.
 const maxRoutes = 64
 
-// otherRoute is the route of figures beyond maxRoutes.
 const otherRoute = "other"
 
-// gatewayBuckets are the bounds of the gateway's histograms, in seconds: fewer
-// than elsewhere, since the process has little memory.
+// gatewayBuckets are the bucket bounds of the gateway's histograms, in seconds. There are fewer than in
+// secondsBuckets, to save memory.
 var gatewayBuckets = []float64{0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 15}
 
-// GatewayMetrics are a gateway's instruments; docs/METRICS.md lists them.
+// GatewayMetrics are the instruments of a gateway; docs/METRICS.md lists them. They are safe for concurrent use.
 type GatewayMetrics struct {
 	handler  http.Handler
 	requests metric.Int64Counter
@@ -33,15 +33,15 @@
 	sends    metric.Int64Counter
 	calls    metric.Int64Counter
 	places   metric.Int64Counter
-	// transfers and bytes are those of configurations.
+	// transfers and bytes count the transfers of configurations.
 	transfers metric.Int64Counter
 	bytes     metric.Int64Counter
 	ends      metric.Int64Counter
-	// serverLimits counts the limits that servers named, changed and ended.
+	// serverLimits counts the limits that servers announced, changed and ended.
 	serverLimits metric.Int64Counter
 	// permits counts the requests for permits at servers with limits.
 	permits metric.Int64Counter
-	// limits counts requests by organisation and what its limit said, spent what they cost.
+	// limits counts requests by organisation and outcome of its limit; spent sums their cost.
 	limits metric.Int64Counter
 	spent  metric.Float64Counter
 
@@ -50,10 +50,10 @@
 	sets   map[attributeKey]metric.MeasurementOption
 }
 
-// attributeKey names a set of attributes that is made once.
+// An attributeKey identifies a cached set of one or two attributes.
 type attributeKey struct{ a, b string }
 
-// NewGatewayMetrics returns instruments whose values Handler shows.
+// NewGatewayMetrics returns a gateway's instruments; Handler exposes their values.
 func NewGatewayMetrics() (*GatewayMetrics, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprom.New(otelprom.WithRegisterer(registry), otelprom.WithoutScopeInfo(), otelprom.WithoutTargetInfo())
@@ -90,11 +90,11 @@
 	return h
 }
 
-// Handler returns the handler that shows the figures as text.
+// Handler returns the handler that Prometheus scrapes.
 func (m *GatewayMetrics) Handler() http.Handler { return m.handler }
 
-// Ended counts a request of a route by its outcome, with the times to its first
-// byte and its end in seconds; first is 0 if there was no byte.
+// Ended counts a request of a route by its outcome, and records the times from its arrival to the first
+// byte and to the end of the response, in seconds. first is 0 if no byte was sent.
 func (m *GatewayMetrics) Ended(route, outcome string, first, total float64) {
 	ctx := context.Background()
 	route = m.bounded(route)
@@ -106,7 +106,7 @@
 	}
 }
 
-// Sent counts a send to a backend server; retry says that it was not the first.
+// Sent counts a request sent to a backend server; retry means that it was sent before.
 func (m *GatewayMetrics) Sent(service string, retry bool) {
 	kind := "first"
 	if retry {
@@ -115,8 +115,8 @@
 	m.sends.Add(context.Background(), 1, m.set("service", service, "kind", kind))
 }
 
-// Admissions counts what other gateways answered when they were asked for admission at
-// their engines: granted, denied, or nothing.
+// Admissions counts the responses of other gateways to requests for admission at their engines: granted,
+// denied, or none (silent).
 func (m *GatewayMetrics) Admissions(granted, denied, silent int) {
 	ctx := context.Background()
 	m.places.Add(ctx, int64(granted), m.set("result", "granted", "", ""))
@@ -124,8 +124,8 @@
 	m.places.Add(ctx, int64(silent), m.set("result", "silent", "", ""))
 }
 
-// ConfigTransfer counts a transfer of the configuration from the store or another gateway, with
-// its bytes; err says that it failed.
+// ConfigTransfer counts a transfer of the configuration from the store or another gateway, and its size
+// in bytes. err is not nil if it failed.
 func (m *GatewayMetrics) ConfigTransfer(from string, bytes int, err error) {
 	ctx := context.Background()
 	result := "complete"
@@ -136,23 +136,23 @@
 	m.bytes.Add(ctx, int64(bytes), m.set("from", from, "", ""))
 }
 
-// ServerEnded counts the end of a backend server of a service under requests.
+// ServerEnded counts a backend server of a service that ended while it ran requests.
 func (m *GatewayMetrics) ServerEnded(service string) {
 	m.ends.Add(context.Background(), 1, m.set("service", service, "", ""))
 }
 
-// ServerLimit counts a limit that a backend server has named, changed or ended, by state.
+// ServerLimit counts a limit that a backend server announced, changed or ended, by state.
 func (m *GatewayMetrics) ServerLimit(state string) {
 	m.serverLimits.Add(context.Background(), 1, m.set("state", state, "", ""))
 }
 
-// Permit counts a request for a permit at a backend server with a limit, by what it brought.
+// Permit counts a request for a permit at a backend server with a limit, by outcome.
 func (m *GatewayMetrics) Permit(outcome string) {
 	m.permits.Add(context.Background(), 1, m.set("outcome", outcome, "", ""))
 }
 
-// Charged counts a request that was charged to an organisation's limit, by what that said, with its cost in the
-// limit's unit.
+// Charged counts a request that was charged to an organisation's limit, by outcome. Requests inside the
+// limit also add their cost, in the limit's unit.
 func (m *GatewayMetrics) Charged(organisation, outcome string, cost float64) {
 	ctx := context.Background()
 	organisation = m.bounded(organisation)
@@ -162,12 +162,12 @@
 	}
 }
 
-// StoreCall counts a call to the platform's store.
+// StoreCall counts a call to the platform's store by kind.
 func (m *GatewayMetrics) StoreCall(kind string) {
 	m.calls.Add(context.Background(), 1, m.set("kind", kind, "", ""))
 }
 
-// bounded returns the route, or otherRoute if there are too many.
+// bounded returns the label value route, or otherRoute once there are maxRoutes others.
 func (m *GatewayMetrics) bounded(route string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,7 +181,7 @@
 	return route
 }
 
-// set returns one or two attributes, made once.
+// set returns a cached set of one or two attributes. name2 is empty if there is one.
 func (m *GatewayMetrics) set(name, value, name2, value2 string) metric.MeasurementOption {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/telemetry/sink.go
+++ b/internal/telemetry/sink.go
@@ -13,19 +13,19 @@
 	"rockcleat/internal/config"
 )
 
-// Bounds of a Sink.
+// Parameters of a Sink.
 const (
-	// sinkBytes is what a Sink holds at most.
+	// sinkBytes is the capacity of a Sink's buffer, in bytes.
 	sinkBytes = 256 << 10
-	// sinkEvery is how long a line waits to be written with others.
+	// sinkEvery is how long the first line of a batch waits for further ones.
 	sinkEvery = 200 * time.Millisecond
-	// sinkCloseTime bounds the last writing.
+	// sinkCloseTime bounds the wait for the last write in Close.
 	sinkCloseTime = 200 * time.Millisecond
 )
 
-// A Sink takes log lines, holds a bounded number of bytes and writes them from
-// one goroutine, so that a writer that blocks never blocks who logs. Lines that
-// find no room are dropped and counted, and the count is written when there is room.
+// A Sink buffers log lines and writes them from one goroutine, so that a blocked writer never blocks the
+// logging goroutines. Lines that do not fit into the buffer are dropped and counted; the count is written
+// with the next batch. A Sink is safe for concurrent use.
 type Sink struct {
 	out io.Writer
 
@@ -44,7 +44,7 @@
 	return s
 }
 
-// Write takes a line or drops it; it never blocks on the output and never fails.
+// Write buffers a line or drops it. It never blocks on the output and never returns an error.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,17 +59,17 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; lines are written by and by.
+// Sync implements zapcore.WriteSyncer. It does nothing: lines are written in the background.
 func (s *Sink) Sync() error { return nil }
 
-// Dropped returns the number of lines dropped since the last count was written.
+// Dropped returns the number of lines dropped since the count was last written.
 func (s *Sink) Dropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dropped
 }
 
-// Close writes what is held, if the output takes it in time; it is called once.
+// Close writes the buffered lines and waits up to sinkCloseTime for that. It must be called only once.
 func (s *Sink) Close() {
 	s.mu.Lock()
 	close(s.closing)
@@ -80,7 +80,7 @@
 	}
 }
 
-// signal wakes run.
+// signal wakes run. It does not block.
 func (s *Sink) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -88,7 +88,7 @@
 	}
 }
 
-// run writes what is held some time after the first line of it came.
+// run writes the buffered lines in batches until Close.
 func (s *Sink) run() {
 	defer close(s.ended)
 	for {
@@ -103,10 +103,10 @@
 	}
 }
 
-// write writes what is held. There is nowhere left to report that it failed.
+// write writes the buffered lines. An error is ignored, because there is nowhere to report it.
 func (s *Sink) write() { _, _ = s.out.Write(s.take()) }
 
-// gather waits for lines to be written with the first one.
+// gather waits for further lines of the batch.
 func (s *Sink) gather() {
 	timer := time.NewTimer(sinkEvery)
 	defer timer.Stop()
@@ -116,7 +116,6 @@
 	}
 }
 
-// isClosing reports whether Close has been called.
 func (s *Sink) isClosing() bool {
 	select {
 	case <-s.closing:
@@ -126,7 +125,7 @@
 	}
 }
 
-// take returns what is held, with the count of dropped lines.
+// take empties the buffer and returns its content, followed by the count of dropped lines if there are any.
 func (s *Sink) take() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +138,7 @@
 	return b
 }
 
-// NewSinkLogger returns a logger of JSON lines into a sink.
+// NewSinkLogger returns a logger that writes JSON lines to s.
 func NewSinkLogger(l config.Log, s *Sink, role, id string) (*zap.Logger, error) {
 	level, err := zapcore.ParseLevel(l.Level)
 	if err != nil {
--- a/internal/telemetry/sink_test.go
+++ b/internal/telemetry/sink_test.go
@@ -14,7 +14,7 @@
 	"rockcleat/internal/telemetry"
 )
 
-// A buffer is a writer that can be read while it is written.
+// A buffer is a bytes.Buffer that is safe for concurrent use.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -44,8 +44,8 @@
 	assert.Equal(t, lines[99], "line 99")
 }
 
-// TestSinkFullPipe fills a pipe that nobody reads: who logs goes on, what has no
-// room is counted, and the count is logged when the pipe is read again.
+// TestSinkFullPipe checks that a blocked output does not block Write, and that the number of dropped lines
+// is written once the output is read again.
 func TestSinkFullPipe(t *testing.T) {
 	r, w := io.Pipe()
 	s := telemetry.NewSink(w)
@@ -60,7 +60,7 @@
 	var out buffer
 	go func() { _, _ = io.Copy(&out, r) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		// A further line makes the sink write again after what had blocked.
+		// Another line wakes the sink after the blocked write.
 		_, _ = s.Write([]byte("after\n"))
 		if strings.Contains(out.String(), "log lines dropped") && strings.Contains(out.String(), "after") {
 			return poll.Success()
@@ -71,7 +71,7 @@
 	assert.NilError(t, w.Close())
 }
 
-// TestSinkStorm writes from many goroutines at once.
+// TestSinkStorm checks that lines written concurrently are not interleaved.
 func TestSinkStorm(t *testing.T) {
 	var out buffer
 	s := telemetry.NewSink(&out)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -17,7 +17,7 @@
 	"rockcleat/internal/config"
 )
 
-// NewLogger returns the log that the settings describe.
+// NewLogger returns a logger with the level and format of the settings.
 func NewLogger(l config.Log, role, id string) (*zap.Logger, error) {
 	c := zap.NewProductionConfig()
 	if l.Format == "console" {
@@ -37,7 +37,7 @@
 	return log.With(zap.String("role", role), zap.String("vm", id)), nil
 }
 
-// Metrics are a process's instruments; docs/METRICS.md lists them.
+// Metrics are the instruments of an entry or agent; docs/METRICS.md lists them.
 type Metrics struct {
 	handler  http.Handler
 	provider *sdk.MeterProvider
@@ -52,13 +52,13 @@
 	kvCalls    metric.Int64Counter
 }
 
-// secondsBuckets are the bounds of the latency histograms, in seconds; 0.34 is
-// the objective of the first token (docs/CAPACITY.md).
+// secondsBuckets are the bucket bounds of the latency histograms, in seconds. 0.34 is the objective for the
+// first token (docs/CAPACITY.md).
 var secondsBuckets = []float64{
 	0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.34, 0.5, 1, 2, 5, 10, 30, 60, 300,
 }
 
-// NewMetrics returns instruments whose values Handler shows.
+// NewMetrics returns the instruments of an entry or agent; Handler exposes their values.
 func NewMetrics() (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
@@ -74,7 +74,7 @@
 	return m, m.makeInstruments()
 }
 
-// makeInstruments makes the instruments under the names of docs/METRICS.md.
+// makeInstruments creates the instruments that docs/METRICS.md lists.
 func (m *Metrics) makeInstruments() error {
 	b := &builder{meter: m.provider.Meter("rockcleat")}
 	m.requests = b.counter("rockcleat.requests", "Requests by outcome, tier and customer.")
@@ -88,20 +88,19 @@
 	return b.err
 }
 
-// A builder makes instruments and keeps the first error.
+// A builder creates instruments and keeps the first error.
 type builder struct {
 	meter metric.Meter
 	err   error
 }
 
-// counter makes a counter.
 func (b *builder) counter(name, text string) metric.Int64Counter {
 	c, err := b.meter.Int64Counter(name, metric.WithDescription(text))
 	b.keep(err)
 	return c
 }
 
-// seconds makes a histogram of times.
+// seconds creates a histogram of durations.
 func (b *builder) seconds(name, text string) metric.Float64Histogram {
 	h, err := b.meter.Float64Histogram(name, metric.WithDescription(text), metric.WithUnit("s"),
 		metric.WithExplicitBucketBoundaries(secondsBuckets...))
@@ -109,23 +108,23 @@
 	return h
 }
 
-// keep keeps the first error.
+// keep records err unless an earlier one was recorded.
 func (b *builder) keep(err error) {
 	if b.err == nil && err != nil {
 		b.err = eris.Wrap(err, "telemetry: make instrument")
 	}
 }
 
-// Handler returns the handler that Prometheus reads.
+// Handler returns the handler that Prometheus scrapes.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// A Class names whose request a measurement belongs to.
+// A Class is the tier and organisation of a request.
 type Class struct {
 	Tier         string
 	Organisation string
 }
 
-// attributes returns the labels of a class, with more; the label customer is the organisation.
+// attributes returns the labels of a class and more. The label customer is the organisation.
 func (c Class) attributes(more ...attribute.KeyValue) metric.MeasurementOption {
 	all := append(more, attribute.String("tier", c.Tier), attribute.String("customer", c.Organisation))
 	return metric.WithAttributes(all...)
@@ -136,35 +135,35 @@
 	m.requests.Add(context.Background(), 1, c.attributes(attribute.String("outcome", outcome)))
 }
 
-// FirstToken records the time to the first byte of an answer, in seconds.
+// FirstToken records the time from a request's arrival to the first byte of its response, in seconds.
 func (m *Metrics) FirstToken(c Class, seconds float64) {
 	m.firstToken.Record(context.Background(), seconds, c.attributes())
 }
 
-// Duration records the time to the end of an answer, in seconds.
+// Duration records the time from a request's arrival to the end of its response, in seconds.
 func (m *Metrics) Duration(c Class, seconds float64) {
 	m.duration.Record(context.Background(), seconds, c.attributes())
 }
 
-// Queue records the time that a request waited, in seconds.
+// Queue records the time that a request waited at its agent, in seconds.
 func (m *Metrics) Queue(c Class, seconds float64) {
 	m.queue.Record(context.Background(), seconds, c.attributes())
 }
 
-// Retry counts a request sent to a further backend server.
+// Retry counts a request that was sent to a further backend server.
 func (m *Metrics) Retry(c Class) { m.retries.Add(context.Background(), 1, c.attributes()) }
 
-// Denied counts a message refused for its secret.
+// Denied counts a message on a path that was refused for a missing or wrong secret.
 func (m *Metrics) Denied(path string) {
 	m.denied.Add(context.Background(), 1, metric.WithAttributes(attribute.String("path", path)))
 }
 
-// Order counts an order to the backend server.
+// Order counts an order to the backend server, by operation and result.
 func (m *Metrics) Order(op, result string) {
 	m.orders.Add(context.Background(), 1, metric.WithAttributes(attribute.String("op", op), attribute.String("result", result)))
 }
 
-// KVCall counts a call to the platform's key-value service.
+// KVCall counts a call to the platform's key-value service by kind.
 func (m *Metrics) KVCall(kind string) {
 	m.kvCalls.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind)))
 }
