--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -11,13 +11,13 @@
 	"rockcleat/quarantine"
 )
 
-// A Router takes handlers; an echo.Echo and an echo.Group do.
+// A Router registers handlers, as echo.Echo and echo.Group do.
 type Router interface {
 	GET(path string, h echo.HandlerFunc, m ...echo.MiddlewareFunc) *echo.Route
 	POST(path string, h echo.HandlerFunc, m ...echo.MiddlewareFunc) *echo.Route
 }
 
-// LogQuarantine logs the begin or the end of a request's quarantine, as of now.
+// LogQuarantine logs that a request's quarantine began or ended, at the time now.
 func LogQuarantine(log *zap.Logger, c quarantine.Change, now time.Time) {
 	if c.State == quarantine.Began {
 		log.Warn("request quarantined", zap.Stringer("digest", c.Key), zap.Strings("servers", c.Servers),
@@ -27,7 +27,8 @@
 	log.Info("quarantine ended", zap.Stringer("digest", c.Key), zap.String("reason", string(c.State)))
 }
 
-// RegisterQuarantine lets operators list the requests under which servers have ended, and lift a quarantine.
+// RegisterQuarantine registers the handlers by which operators list the requests under which servers have
+// ended, and lift a quarantine.
 func RegisterQuarantine(r Router, t *quarantine.Table) {
 	r.GET(wire.PathQuarantine, func(c echo.Context) error {
 		return c.JSON(http.StatusOK, wire.QuarantineList{Items: t.List()})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -15,7 +15,7 @@
 	"rockcleat/internal/wire"
 )
 
-// Times of a connection.
+// Timeouts of a connection.
 const (
 	// headerTime bounds the reading of a request's header.
 	headerTime = 10 * time.Second
@@ -23,7 +23,7 @@
 	keepTime = 2 * time.Minute
 )
 
-// NewRouter returns a router that prints nothing at its start.
+// NewRouter returns an echo router without startup messages.
 func NewRouter() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -31,14 +31,15 @@
 	return e
 }
 
-// A Listener is one HTTP server on one address.
+// A Listener is an HTTP server on one address.
 type Listener struct {
 	http *http.Server
 	net  net.Listener
 	log  *zap.Logger
 }
 
-// Listen binds the address; Serve starts answering. Bytes are counted by t.
+// Listen binds addr for the handler h. t counts the bytes of its connections. Requests are accepted once
+// Serve is called.
 func Listen(addr string, h http.Handler, t *wire.Traffic, log *zap.Logger) (*Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -56,22 +57,22 @@
 // Addr returns the bound address.
 func (l *Listener) Addr() string { return l.net.Addr().String() }
 
-// Serve answers requests until Shutdown or Close.
+// Serve handles requests until Shutdown or Close.
 func (l *Listener) Serve() {
 	if err := l.http.Serve(l.net); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		l.log.Error("listener failed", zap.String("addr", l.Addr()), zap.Error(err))
 	}
 }
 
-// Shutdown stops accepting and waits, until ctx ends, for the requests in progress.
+// Shutdown stops accepting connections and waits for the requests in progress until ctx is done.
 func (l *Listener) Shutdown(ctx context.Context) error {
 	return eris.Wrap(l.http.Shutdown(ctx), "server: shutdown")
 }
 
-// Close drops all connections.
+// Close closes the listener and all connections.
 func (l *Listener) Close() error { return eris.Wrap(l.http.Close(), "server: close") }
 
-// RequireSecret returns middleware that refuses and counts requests without the secret.
+// RequireSecret returns middleware that refuses and counts requests without the shared secret.
 func RequireSecret(secret string, m *telemetry.Metrics) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
@@ -88,17 +89,17 @@
 	}
 }
 
-// A Readiness reports whether a process should get requests; reason says why not.
+// A Readiness reports whether a process may receive requests, and the reason if not.
 type Readiness func() (ready bool, reason string)
 
-// RegisterHealth adds the paths for health, readiness and metrics.
+// RegisterHealth registers the handlers for health, readiness and metrics.
 func RegisterHealth(e *echo.Echo, ready Readiness, m *telemetry.Metrics) {
 	e.GET(wire.PathHealth, func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	e.GET(wire.PathReady, ready.Answer)
 	e.GET(wire.PathMetrics, echo.WrapHandler(m.Handler()))
 }
 
-// Answer tells the balancer whether to send requests.
+// Answer handles a readiness check of the load balancer: it responds with 200, or with 503 and the reason.
 func (r Readiness) Answer(c echo.Context) error {
 	ok, reason := r()
 	if !ok {
