--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStoreFromACopy checks that after the store was restored from a backup with an older version than is in
+// TestStoreRestoredFromBackup checks that after the store was restored from a backup with an older version than is in
 // force, no gateway returns to that version or takes it for a confirmation of its own, and that later writes
 // are applied.
-func TestStoreFromACopy(t *testing.T) {
+func TestStoreRestoredFromBackup(t *testing.T) {
 	tests := map[string]func(f *fleet){
 		"the same version is written again": func(f *fleet) { f.write(3) },
 		"a newer version is written":        func(f *fleet) { f.write(4) },
@@ -26,19 +26,19 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 5)
-				copied := f.store.Copy()
+				backup := f.store.Copy()
 				f.write(3)
-				f.wait(settled)
+				f.wait(settleTime)
 				f.checkVersion(3)
-				f.store.Restore(copied)
+				f.store.Restore(backup)
 				restored := time.Now()
 				f.wait(2 * maxAge)
 				f.checkVersion(3)
 				for _, m := range f.members {
-					assert.Assert(t, m.syncer.CurrentAt().Before(restored.Add(time.Millisecond)), "%s: %v after, behind %v", m.addr, m.syncer.CurrentAt().Sub(restored), m.syncer.storeBehind)
+					assert.Assert(t, m.syncer.CurrentAt().Before(restored.Add(time.Millisecond)), "%s: %v after, behind %v", m.addr, m.syncer.CurrentAt().Sub(restored), m.syncer.storeOutdated)
 				}
 				test(f)
-				f.wait(maxAge + 2*settled)
+				f.wait(maxAge + 2*settleTime)
 				f.checkVersion(max(3, f.members[0].version.Load()))
 				for _, m := range f.members {
 					assert.Assert(t, m.syncer.CurrentAt().After(restored.Add(2*maxAge)), "it is proved again")
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestStartAtACopy checks that a gateway that starts while a restored store shows an older version takes the
+// TestStartWithRestoredStore checks that a gateway that starts while a restored store shows an older version takes the
 // newer one from another gateway, or waits for the operators to rewrite it.
-func TestStartAtACopy(t *testing.T) {
+func TestStartWithRestoredStore(t *testing.T) {
 	tests := map[string]struct {
 		// alone means that no other gateway runs, settled that a leader has written since the restore.
 		alone, settled bool
@@ -58,18 +58,18 @@
 		version uint64
 		within  time.Duration
 	}{
-		"beside others":               {version: 3, within: settled},
-		"alone":                       {alone: true, version: 1, within: copySettleTime + settled},
-		"alone, the store is settled": {alone: true, settled: true, version: 1, within: settled},
+		"beside others":               {version: 3, within: settleTime},
+		"alone":                       {alone: true, version: 1, within: settleTimeout + settleTime},
+		"alone, the store is settled": {alone: true, settled: true, version: 1, within: settleTime},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 3)
-				copied := f.store.Copy()
+				backup := f.store.Copy()
 				f.write(3)
-				f.wait(settled)
-				f.store.Restore(copied)
+				f.wait(settleTime)
+				f.store.Restore(backup)
 				if test.alone {
 					f.leader.Store(noLeader)
 					f.members = nil
--- a/internal/configsync/fetch.go
+++ b/internal/configsync/fetch.go
@@ -10,8 +10,8 @@
 	"rockcleat/internal/telemetry"
 )
 
-// errNothingNewer is returned when a peer has no newer version than this gateway.
-var errNothingNewer = eris.New("configsync: peer holds no newer version")
+// errNoNewerVersion is returned when a peer has no newer version than this gateway.
+var errNoNewerVersion = eris.New("configsync: peer holds no newer version")
 
 // errBadPatch is returned when a patch cannot be applied to the version held here.
 var errBadPatch = eris.New("configsync: patch cannot be applied to the held version")
@@ -20,15 +20,15 @@
 // apply, it fetches the full configuration. After a failure the store is read next.
 func (s *Syncer) fetch(ctx context.Context, addr string) {
 	have := s.history.newest()
-	err := s.fetchOn(ctx, addr, have)
+	err := s.fetchWithBase(ctx, addr, have)
 	if errors.Is(err, errBadPatch) {
-		err = s.fetchOn(ctx, addr, 0)
+		err = s.fetchWithBase(ctx, addr, 0)
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	if err == nil && s.history.newest() == have {
-		err = errNothingNewer
+		err = errNoNewerVersion
 	}
 	s.setFetchFailed(err != nil)
 	if err != nil {
@@ -36,26 +36,26 @@
 	}
 }
 
-// fetchOn fetches a patch against the version have, or the full configuration if have is 0.
-func (s *Syncer) fetchOn(ctx context.Context, addr string, have uint64) error {
-	t, err := s.opts.Peers.FetchConfig(ctx, addr, Request{Have: have})
-	s.noteTransfer(FromGateway, len(t.Patch), err)
+// fetchWithBase fetches a patch against the version base, or the full configuration if base is 0.
+func (s *Syncer) fetchWithBase(ctx context.Context, addr string, base uint64) error {
+	t, err := s.opts.Peers.FetchConfig(ctx, addr, Request{Have: base})
+	s.reportTransfer(FromGateway, len(t.Patch), err)
 	if err != nil {
 		return err
 	}
 	if len(t.Patch) == 0 {
-		return errNothingNewer
+		return errNoNewerVersion
 	}
-	value, err := s.history.restore(t)
+	value, err := s.history.apply(t)
 	if err != nil {
 		return eris.Wrap(errBadPatch, err.Error())
 	}
-	version, err := s.hold(value, FromGateway)
+	version, err := s.apply(value, FromGateway)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.merge(newest{version: version, source: addr})
+	s.merge(knownVersion{version: version, source: addr})
 	return nil
 }
--- a/internal/configsync/fleet_bench_test.go
+++ b/internal/configsync/fleet_bench_test.go
@@ -8,21 +8,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkHandOn reports the cost of distributing changes to all gateways, without decoding them:
+// BenchmarkDistribute reports the cost of distributing changes to all gateways, without decoding them:
 // the CPU time of all gateways, the bytes that the leader sends and the bytes that each gateway receives.
-func BenchmarkHandOn(b *testing.B) {
-	const storm = 12
+func BenchmarkDistribute(b *testing.B) {
+	const burst = 12
 	for _, routes := range []int{400, 4400} {
-		versions := make([][]byte, storm+1)
+		versions := make([][]byte, burst+1)
 		for i := range versions {
 			versions[i] = config(i+1, routes, i)
 		}
 		for _, gateways := range []int{24, 340} {
-			for name, changes := range map[string]int{"one change": 1, "a storm of twelve": storm} {
+			for name, changes := range map[string]int{"one change": 1, "a storm of twelve": burst} {
 				b.Run(fmt.Sprintf("%s/%d routes/%d gateways", name, routes, gateways), func(b *testing.B) {
 					sent := 0
 					for b.Loop() {
-						sent = handOn(b, versions[:changes+1], gateways)
+						sent = distribute(b, versions[:changes+1], gateways)
 					}
 					b.ReportMetric(float64(sent), "bytes_sent")
 					b.ReportMetric(float64(sent)/float64(gateways), "bytes_received")
@@ -32,9 +32,9 @@
 	}
 }
 
-// handOn transfers each version after the first, which all gateways hold, to a number of gateways in
+// distribute transfers each version after the first, which all gateways hold, to a number of gateways in
 // turn, and returns the bytes sent.
-func handOn(b *testing.B, versions [][]byte, gateways int) int {
+func distribute(b *testing.B, versions [][]byte, gateways int) int {
 	var leader, other history
 	leader.add(1, versions[0])
 	other.add(1, versions[0])
@@ -48,7 +48,7 @@
 			message, err := json.Marshal(t)
 			assert.NilError(b, err)
 			sent += len(message)
-			restored, err := other.restore(t)
+			restored, err := other.apply(t)
 			assert.NilError(b, err)
 			assert.Equal(b, len(restored), len(value))
 		}
--- a/internal/configsync/harness_test.go
+++ b/internal/configsync/harness_test.go
@@ -25,14 +25,14 @@
 const (
 	reportEvery = 100 * time.Millisecond
 	maxAge      = time.Second
-	// settled is long enough for all steps that involve no timeout.
-	settled = 500 * time.Millisecond
+	// settleTime is long enough for all steps that involve no timeout.
+	settleTime = 500 * time.Millisecond
 )
 
 const testKey = "config"
 
-// errNoWay is the error of calls that are blocked.
-var errNoWay = errors.New("call blocked by the test")
+// errBlocked is the error of calls that are blocked.
+var errBlocked = errors.New("call blocked by the test")
 
 // A member is one gateway of a fleet.
 type member struct {
@@ -42,8 +42,8 @@
 	fleet  *fleet
 	// version is the one in force.
 	version atomic.Uint64
-	// patches and wholes count transfers with and without a base.
-	patches, wholes atomic.Int64
+	// patches and fullTransfers count fetches answered with and without a base.
+	patches, fullTransfers atomic.Int64
 	// received counts the patch bytes passed to OnTransfer.
 	received atomic.Int64
 	// lists and watches count calls to the store.
@@ -75,7 +75,7 @@
 		f.join(false)
 	}
 	go f.reports()
-	f.wait(settled)
+	f.wait(settleTime)
 	return f
 }
 
@@ -133,7 +133,7 @@
 
 // write writes a version to the store.
 func (f *fleet) write(version int) {
-	f.store.Set(testKey, append([]byte(strconv.Itoa(version)+"\n"), config(0, 20, none)...))
+	f.store.Set(testKey, append([]byte(strconv.Itoa(version)+"\n"), config(0, 20, noRoute)...))
 }
 
 // checkVersion checks that version is in force on all members.
@@ -165,7 +165,7 @@
 // FetchConfig implements Peers.
 func (m *member) FetchConfig(_ context.Context, addr string, r Request) (Transfer, error) {
 	if m.noPeers.Load() {
-		return Transfer{}, errNoWay
+		return Transfer{}, errBlocked
 	}
 	i, err := strconv.Atoi(addr)
 	assert.NilError(m.t, err)
@@ -176,7 +176,7 @@
 	if t.Base != 0 {
 		m.patches.Add(1)
 	} else {
-		m.wholes.Add(1)
+		m.fullTransfers.Add(1)
 	}
 	return t, err
 }
@@ -185,7 +185,7 @@
 func (m *member) ListPrefix(ctx context.Context, prefix string) ([]kv.Entry, kv.Revision, error) {
 	m.lists.Add(1)
 	if m.noStore.Load() {
-		return nil, 0, errNoWay
+		return nil, 0, errBlocked
 	}
 	clock.Sleep(ctx, clocktest.Real{}, time.Duration(m.readTime.Load()))
 	if ctx.Err() != nil {
@@ -200,14 +200,14 @@
 ) ([]kv.Event, kv.Revision, error) {
 	m.watches.Add(1)
 	if m.noStore.Load() {
-		return nil, 0, errNoWay
+		return nil, 0, errBlocked
 	}
 	events, at, err := m.fleet.store.WatchPrefix(ctx, prefix, after, wait)
 	if len(events) > 0 {
 		clock.Sleep(ctx, clocktest.Real{}, time.Duration(m.readTime.Load()))
 	}
 	if m.noStore.Load() {
-		return nil, 0, errNoWay
+		return nil, 0, errBlocked
 	}
 	if ctx.Err() != nil {
 		return nil, 0, ctx.Err()
--- a/internal/configsync/history.go
+++ b/internal/configsync/history.go
@@ -7,9 +7,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// keptVersions is the number of versions kept as bases for patches. A gateway that holds an older
+// historySize is the number of versions kept as bases for patches. A gateway that holds an older
 // version is sent the full configuration.
-const keptVersions = 3
+const historySize = 3
 
 // A Request asks a gateway for its configuration.
 type Request struct {
@@ -26,7 +26,7 @@
 	Patch []byte `json:"patch,omitempty"`
 }
 
-type stored struct {
+type storedVersion struct {
 	version uint64
 	value   []byte
 }
@@ -39,7 +39,7 @@
 
 	mu sync.Mutex
 	// versions is in ascending order.
-	versions []stored
+	versions []storedVersion
 	// patches caches the patches to the newest version, by base version.
 	patches map[uint64][]byte
 }
@@ -49,9 +49,9 @@
 
 // last returns the newest version with its value, or the zero value if there is none.
 // h.mu must be held.
-func (h *history) last() stored {
+func (h *history) last() storedVersion {
 	if len(h.versions) == 0 {
-		return stored{}
+		return storedVersion{}
 	}
 	return h.versions[len(h.versions)-1]
 }
@@ -63,9 +63,9 @@
 	if version <= h.last().version {
 		return
 	}
-	h.versions = append(h.versions, stored{version: version, value: value})
-	if len(h.versions) > keptVersions {
-		h.versions = append([]stored(nil), h.versions[len(h.versions)-keptVersions:]...)
+	h.versions = append(h.versions, storedVersion{version: version, value: value})
+	if len(h.versions) > historySize {
+		h.versions = append([]storedVersion(nil), h.versions[len(h.versions)-historySize:]...)
 	}
 	h.patches = make(map[uint64][]byte)
 	h.newestVersion.Store(version)
@@ -108,8 +108,8 @@
 	return t, nil
 }
 
-// restore returns the configuration that a transfer carries.
-func (h *history) restore(t Transfer) ([]byte, error) {
+// apply returns the configuration that a transfer carries.
+func (h *history) apply(t Transfer) ([]byte, error) {
 	h.mu.Lock()
 	base := h.value(t.Base)
 	h.mu.Unlock()
--- a/internal/configsync/news.go
+++ b/internal/configsync/news.go
@@ -23,8 +23,8 @@
 // ageMs returns the time from t to now in milliseconds, at most unknownAge.
 func ageMs(now, t time.Time) int64 { return min(now.Sub(t), unknownAge).Milliseconds() }
 
-// A newest describes the newest version that a gateway knows of, whether or not it holds it.
-type newest struct {
+// A knownVersion describes the newest version that a gateway knows of, whether or not it holds it.
+type knownVersion struct {
 	version uint64
 	// source is the peer address of a gateway that holds the version; empty if it came from the
 	// store.
@@ -38,7 +38,7 @@
 // merge applies information from another gateway or the store and reports whether it names a newer
 // version than was known. currentAt and revision advance even with information on an older version,
 // because what holds for that one holds for a newer one too.
-func (n *newest) merge(other newest) (newer bool) {
+func (n *knownVersion) merge(other knownVersion) (newer bool) {
 	if other.currentAt.After(n.currentAt) {
 		n.currentAt = other.currentAt
 	}
--- a/internal/configsync/patch_test.go
+++ b/internal/configsync/patch_test.go
@@ -26,21 +26,21 @@
 	return b.Bytes()
 }
 
-// none is an index of no route.
-const none = -1
+// noRoute is not the index of any route.
+const noRoute = -1
 
 // TestPatchGivesTheSameBytes checks that applying a patch yields the value, and that patches stay small.
 func TestPatchGivesTheSameBytes(t *testing.T) {
-	large := config(2, 4400, none)
+	large := config(2, 4400, noRoute)
 	tests := map[string]struct {
 		base, value []byte
 		// most is the maximum patch size in bytes.
 		most int
 	}{
 		"nothing known":        {value: large, most: 80_000},
-		"1,400 routes more":    {base: config(1, 3000, none), value: large, most: 26_000},
+		"1,400 routes more":    {base: config(1, 3000, noRoute), value: large, most: 26_000},
 		"one route moved":      {base: large, value: config(3, 4400, 2000), most: 1000},
-		"1,400 routes removed": {base: large, value: config(3, 3000, none), most: 1000},
+		"1,400 routes removed": {base: large, value: config(3, 3000, noRoute), most: 1000},
 		"nothing in common":    {base: bytes.Repeat([]byte("x"), 1000), value: []byte("something else"), most: 100},
 		"first value is empty": {value: []byte{}, most: 100},
 	}
@@ -58,9 +58,9 @@
 
 // TestPatchOnAnotherBaseIsRefused checks that a patch applied to a base other than its own fails.
 func TestPatchOnAnotherBaseIsRefused(t *testing.T) {
-	patch, err := makePatch(config(1, 100, none), config(2, 100, 50))
+	patch, err := makePatch(config(1, 100, noRoute), config(2, 100, 50))
 	assert.NilError(t, err)
-	for name, base := range map[string][]byte{"another": config(1, 100, 7), "shorter": config(1, 50, none), "none": nil} {
+	for name, base := range map[string][]byte{"another": config(1, 100, 7), "shorter": config(1, 50, noRoute), "none": nil} {
 		t.Run(name, func(t *testing.T) {
 			_, err := applyPatch(base, patch)
 			assert.Assert(t, err != nil)
@@ -71,7 +71,7 @@
 // BenchmarkPatch reports the cost of making and applying patches by number of routes, and the sizes of patch and value.
 func BenchmarkPatch(b *testing.B) {
 	for _, routes := range []int{400, 4400} {
-		old, changed := config(1, routes, none), config(2, routes, routes/2)
+		old, changed := config(1, routes, noRoute), config(2, routes, routes/2)
 		for name, base := range map[string][]byte{"whole": nil, "changed": old} {
 			b.Run(fmt.Sprintf("make/%s/%d", name, routes), func(b *testing.B) {
 				size := 0
--- a/internal/configsync/read.go
+++ b/internal/configsync/read.go
@@ -16,19 +16,19 @@
 // errInterrupted is the cancellation cause of a store read when a peer holds a newer version.
 var errInterrupted = eris.New("configsync: read interrupted: a gateway holds a newer version")
 
-// readPause is the mean delay after a store call that failed, jittered by ±50 %. News ends it early.
-const readPause = 300 * time.Millisecond
+// retryDelay is the mean delay after a store call that failed, jittered by ±50 %. News ends it early.
+const retryDelay = 300 * time.Millisecond
 
-// watcherRounds is the number of watches that the watcher starts within MaxAge, so that others learn
+// watchesPerMaxAge is the number of watches that the watcher starts within MaxAge, so that others learn
 // how recent its view is before the view counts as too old.
-const watcherRounds = 3
+const watchesPerMaxAge = 3
 
 // read watches the store for the next configuration, or lists it if no revision to watch from is known.
 func (s *Syncer) read(ctx context.Context) {
 	readCtx, end := s.interruptible(ctx)
 	defer end()
 	var err error
-	after := s.readFrom()
+	after := s.watchFrom()
 	if after > 0 {
 		err = s.watch(readCtx, after)
 	} else {
@@ -40,14 +40,14 @@
 		s.setFetchFailed(false)
 	case ctx.Err() != nil, errors.Is(context.Cause(readCtx), errInterrupted):
 	case errors.Is(err, errUnsettled):
-		s.rest(ctx)
+		s.backOff(ctx)
 	case errors.Is(err, kv.ErrCompacted):
-		s.noteForgotten(after)
-		s.restAfterCompaction(ctx)
+		s.noteCompacted(after)
+		s.backOffAfterCompaction(ctx)
 	default:
-		s.noteTransfer(FromStore, 0, err)
+		s.reportTransfer(FromStore, 0, err)
 		s.opts.Health.Unreachable(err)
-		s.rest(ctx)
+		s.backOff(ctx)
 		s.setFetchFailed(false)
 	}
 }
@@ -79,25 +79,25 @@
 	}
 }
 
-// readFrom returns the revision to watch from, 0 if the store has to be listed.
-func (s *Syncer) readFrom() kv.Revision {
+// watchFrom returns the revision to watch from, 0 if the store has to be listed.
+func (s *Syncer) watchFrom() kv.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	after := s.position
-	if s.history.newest() >= s.newest.version {
-		after = max(after, s.newest.revision)
+	after := s.readRevision
+	if s.history.newest() >= s.known.version {
+		after = max(after, s.known.revision)
 	}
-	if after <= s.forgotten {
+	if after <= s.compactedRevision {
 		return 0
 	}
 	return after
 }
 
-// noteForgotten records that the store has compacted its history after a revision.
-func (s *Syncer) noteForgotten(after kv.Revision) {
+// noteCompacted records that the store has compacted its history after a revision.
+func (s *Syncer) noteCompacted(after kv.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = max(s.forgotten, after)
+	s.compactedRevision = max(s.compactedRevision, after)
 }
 
 // list reads the current configuration from the store.
@@ -110,11 +110,11 @@
 	if err := s.checkSettled(ctx, at.Era()); err != nil {
 		return err
 	}
-	shown := uint64(0)
+	storeVersion := uint64(0)
 	for _, e := range entries {
-		shown = max(shown, s.take(e))
+		storeVersion = max(storeVersion, s.applyEntry(e))
 	}
-	s.noteShown(shown, at.Era())
+	s.noteStoreVersion(storeVersion, at.Era())
 	s.noteListed(at)
 	s.noteRead(at, began)
 	return nil
@@ -126,19 +126,19 @@
 func (s *Syncer) noteListed(at kv.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = min(s.forgotten, at-1)
+	s.compactedRevision = min(s.compactedRevision, at-1)
 }
 
-// copySettleTime is how long a gateway without a configuration waits, after the store was restored from
+// settleTimeout is how long a gateway without a configuration waits, after the store was restored from
 // a backup, for the operators to rewrite what the backup lacks.
-const copySettleTime = 3 * time.Second
+const settleTimeout = 3 * time.Second
 
 // errUnsettled is returned while a store restored from a backup may lack later writes.
 var errUnsettled = eris.New("configsync: store restored from a backup may lack later writes")
 
 // checkSettled returns errUnsettled if this gateway holds no configuration and the restored store may
 // show an older version than was in force, which would make revoked keys valid again. The caller waits
-// for news from another gateway, for the operators to rewrite the configuration, or for copySettleTime.
+// for news from another gateway, for the operators to rewrite the configuration, or for settleTimeout.
 func (s *Syncer) checkSettled(ctx context.Context, era int64) error {
 	if era == 0 || s.history.newest() > 0 || s.opts.IsSettled == nil {
 		return nil
@@ -148,21 +148,21 @@
 		return err
 	}
 	now := s.opts.Clock.Now()
-	if s.copySince.IsZero() {
-		s.copySince = now
+	if s.settlingSince.IsZero() {
+		s.settlingSince = now
 	}
-	if !settled && now.Sub(s.copySince) < copySettleTime {
+	if !settled && now.Sub(s.settlingSince) < settleTimeout {
 		return errUnsettled
 	}
 	return nil
 }
 
-// noteShown records the version that the store shows, 0 if none. In an era after the first it may be older
+// noteStoreVersion records the version that the store shows, 0 if none. In an era after the first it may be older
 // than the version held, which stays in force.
-func (s *Syncer) noteShown(version uint64, era int64) {
+func (s *Syncer) noteStoreVersion(version uint64, era int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storeBehind = era > 0 && version < s.history.newest()
+	s.storeOutdated = era > 0 && version < s.history.newest()
 }
 
 // watch waits for a configuration that is written after a revision. It ends within MaxAge, so that a
@@ -170,7 +170,7 @@
 func (s *Syncer) watch(ctx context.Context, after kv.Revision) error {
 	wait := s.opts.MaxAge()
 	if s.opts.IsWatcher() {
-		wait /= watcherRounds
+		wait /= watchesPerMaxAge
 	}
 	began := s.opts.Clock.Now()
 	events, at, err := s.opts.Store.WatchPrefix(ctx, s.opts.Key, after, wait)
@@ -178,16 +178,16 @@
 		return err
 	}
 	current := kv.WatchedUntil(began, wait, len(events) > 0, s.opts.Clock.Now())
-	for _, e := range newestOnly(events) {
-		s.noteShown(s.take(e.Entry), at.Era())
+	for _, e := range lastWrite(events) {
+		s.noteStoreVersion(s.applyEntry(e.Entry), at.Era())
 	}
 	s.noteRead(at, current)
 	return nil
 }
 
-// newestOnly returns the last event that writes the configuration, so that intermediate versions are not
+// lastWrite returns the last event that writes the configuration, so that intermediate versions are not
 // decoded. Deletions are ignored: a deleted configuration stays in force.
-func newestOnly(events []kv.Event) []kv.Event {
+func lastWrite(events []kv.Event) []kv.Event {
 	for i := len(events) - 1; i >= 0; i-- {
 		if !events[i].Deleted {
 			return events[i : i+1]
@@ -196,14 +196,14 @@
 	return nil
 }
 
-// take applies an entry and returns its version. An entry that cannot be decoded is logged and the
+// applyEntry applies an entry and returns its version. An entry that cannot be decoded is logged and the
 // configuration in force stays.
-func (s *Syncer) take(e kv.Entry) uint64 {
+func (s *Syncer) applyEntry(e kv.Entry) uint64 {
 	if e.Key != s.opts.Key {
 		return 0
 	}
-	s.noteTransfer(FromStore, len(e.Value), nil)
-	version, err := s.hold(e.Value, FromStore)
+	s.reportTransfer(FromStore, len(e.Value), nil)
+	version, err := s.apply(e.Value, FromStore)
 	if err != nil {
 		s.opts.Log.Error("decoding the configuration from the store failed", telemetry.Error(err))
 	}
@@ -211,34 +211,34 @@
 }
 
 // noteRead records that the version held was the newest at the time current, and up to the revision at.
-// While the store is behind, only this gateway's own read position advances.
+// While the store shows an older version, only readRevision advances.
 func (s *Syncer) noteRead(at kv.Revision, current time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.position = at
-	if s.storeBehind {
+	s.readRevision = at
+	if s.storeOutdated {
 		return
 	}
-	s.merge(newest{version: s.history.newest(), currentAt: current, revision: at})
+	s.merge(knownVersion{version: s.history.newest(), currentAt: current, revision: at})
 }
 
-// restAfterCompaction waits before the store is listed after a compaction, which ends the watches of all
+// backOffAfterCompaction waits before the store is listed after a compaction, which ends the watches of all
 // gateways at the same moment. The watcher lists first, and its news spares the other gateways a full
-// read. The watcher itself waits only if compactions follow each other within readPause, so that no
+// read. The watcher itself waits only if compactions follow each other within retryDelay, so that no
 // response of the store makes it call in a tight loop.
-func (s *Syncer) restAfterCompaction(ctx context.Context) {
+func (s *Syncer) backOffAfterCompaction(ctx context.Context) {
 	now := s.opts.Clock.Now()
-	again := now.Sub(s.compactedAt) < readPause
-	s.compactedAt = now
+	again := now.Sub(s.lastCompaction) < retryDelay
+	s.lastCompaction = now
 	if again || !s.opts.IsWatcher() {
-		s.rest(ctx)
+		s.backOff(ctx)
 	}
 }
 
-// rest waits after a failed call until the delay has passed or something changed.
-func (s *Syncer) rest(ctx context.Context) {
+// backOff waits after a failed call until the delay has passed or something changed.
+func (s *Syncer) backOff(ctx context.Context) {
 	s.mu.Lock()
 	changed := s.changed
 	s.mu.Unlock()
-	clock.Await(ctx, s.opts.Clock, changed, readPause/2+rand.N(readPause))
+	clock.Await(ctx, s.opts.Clock, changed, retryDelay/2+rand.N(retryDelay))
 }
--- a/internal/configsync/syncer.go
+++ b/internal/configsync/syncer.go
@@ -38,7 +38,7 @@
 	Reachable()
 }
 
-// Options configure a Syncer.
+// Options contains the settings and dependencies of a Syncer.
 type Options struct {
 	Store kv.PrefixStore
 	// Key is the configuration's key in the store.
@@ -75,19 +75,19 @@
 	// readFromStart is when a gateway that has received no news reads the store.
 	readFromStart time.Time
 
-	mu     sync.Mutex
-	newest newest
+	mu    sync.Mutex
+	known knownVersion
 	// heldCurrentAt is the latest time at which the held version is known to have been the newest.
 	heldCurrentAt time.Time
-	// position is the revision up to which this gateway has read the store itself.
-	position kv.Revision
-	// forgotten is a revision that the store can no longer be watched from, because it has compacted
+	// readRevision is the revision up to which this gateway has read the store itself.
+	readRevision kv.Revision
+	// compactedRevision is a revision that the store can no longer be watched from, because it has compacted
 	// the history after it. Other gateways may keep naming that revision until they notice; watching
 	// from it again would fail each time.
-	forgotten kv.Revision
-	// storeBehind reports whether the store, restored from a backup, shows an older version than the
+	compactedRevision kv.Revision
+	// storeOutdated reports whether the store, restored from a backup, shows an older version than the
 	// one held. It may lack still newer ones, so a read does not confirm that the held one is newest.
-	storeBehind bool
+	storeOutdated bool
 	// fetchFailed reports whether fetching the newest version from its source failed. If so, the
 	// store is read next.
 	fetchFailed bool
@@ -97,11 +97,11 @@
 	interrupt context.CancelFunc
 
 	// The fields below belong to Run. direct reports whether the last step other than a fetch read
-	// the store; compactedAt is when a compaction was last noticed; copySince is when this gateway
+	// the store; lastCompaction is when a compaction was last noticed; settlingSince is when this gateway
 	// began to wait for a restored store to settle.
-	direct      bool
-	compactedAt time.Time
-	copySince   time.Time
+	direct         bool
+	lastCompaction time.Time
+	settlingSince  time.Time
 }
 
 // New returns a Syncer that holds no configuration.
@@ -118,10 +118,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.history.newest()
-	if held < s.newest.version {
+	if held < s.known.version {
 		return News{Version: held, AgeMs: unknownAge.Milliseconds()}
 	}
-	return News{Version: held, Revision: s.newest.revision, AgeMs: ageMs(s.opts.Clock.Now(), s.newest.currentAt)}
+	return News{Version: held, Revision: s.known.revision, AgeMs: ageMs(s.opts.Clock.Now(), s.known.currentAt)}
 }
 
 // Heard processes the news in the response of the gateway at addr to a request sent at the time asked.
@@ -132,23 +132,23 @@
 	age := time.Duration(n.AgeMs) * time.Millisecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.merge(newest{version: n.Version, source: addr, currentAt: asked.Add(-age), revision: n.Revision})
+	s.merge(knownVersion{version: n.Version, source: addr, currentAt: asked.Add(-age), revision: n.Revision})
 }
 
 // HeardVersion records that the gateway at addr holds a version, which need not be the newest.
 func (s *Syncer) HeardVersion(version uint64, addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if version > s.newest.version {
-		s.merge(newest{version: version, source: addr})
+	if version > s.known.version {
+		s.merge(knownVersion{version: version, source: addr})
 	}
 }
 
 // merge updates what is known of the newest version, cancels a store read in progress if a newer
 // version can be fetched, and wakes Run if its next step may differ. s.mu must be held.
-func (s *Syncer) merge(n newest) {
-	wasStale := s.freshFor() <= 0
-	newer := s.newest.merge(n)
+func (s *Syncer) merge(n knownVersion) {
+	wasStale := s.untilStale() <= 0
+	newer := s.known.merge(n)
 	if newer {
 		s.fetchFailed = false
 	}
@@ -156,19 +156,19 @@
 	if newer && n.source != "" && s.interrupt != nil {
 		s.interrupt()
 	}
-	if newer || wasStale && s.freshFor() > 0 {
+	if newer || wasStale && s.untilStale() > 0 {
 		s.wake()
 	}
 }
 
 // noteHeldCurrent advances heldCurrentAt by n, which has been merged. Information on a version
 // newer than the held one does not confirm the held one. s.mu must be held.
-func (s *Syncer) noteHeldCurrent(n newest) {
+func (s *Syncer) noteHeldCurrent(n knownVersion) {
 	held := s.history.newest()
 	switch {
 	case held == 0:
-	case held >= s.newest.version:
-		s.heldCurrentAt = later(s.heldCurrentAt, s.newest.currentAt)
+	case held >= s.known.version:
+		s.heldCurrentAt = later(s.heldCurrentAt, s.known.currentAt)
 	case held >= n.version:
 		s.heldCurrentAt = later(s.heldCurrentAt, n.currentAt)
 	}
@@ -190,10 +190,10 @@
 	return s.heldCurrentAt
 }
 
-// freshFor returns the time until the news is too old; it is not positive if it already is.
+// untilStale returns the time until the news is too old; it is not positive if it already is.
 // s.mu must be held.
-func (s *Syncer) freshFor() time.Duration {
-	return s.opts.MaxAge() - s.opts.Clock.Now().Sub(s.newest.currentAt)
+func (s *Syncer) untilStale() time.Duration {
+	return s.opts.MaxAge() - s.opts.Clock.Now().Sub(s.known.currentAt)
 }
 
 // Recheck makes Run call IsWatcher again.
@@ -216,7 +216,7 @@
 func (s *Syncer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		step := s.next()
-		s.noteMode(step.kind)
+		s.reportMode(step.kind)
 		switch step.kind {
 		case stepFetch:
 			s.fetch(ctx, step.source)
@@ -254,22 +254,22 @@
 func (s *Syncer) next() step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	missing := s.history.newest() < s.newest.version
-	if missing && s.newest.source != "" && !s.fetchFailed {
-		return step{kind: stepFetch, source: s.newest.source}
+	missing := s.history.newest() < s.known.version
+	if missing && s.known.source != "" && !s.fetchFailed {
+		return step{kind: stepFetch, source: s.known.source}
 	}
-	if left := s.readFromStart.Sub(s.opts.Clock.Now()); left > 0 && s.newest.version == 0 && !s.opts.IsWatcher() {
+	if left := s.readFromStart.Sub(s.opts.Clock.Now()); left > 0 && s.known.version == 0 && !s.opts.IsWatcher() {
 		return step{kind: stepWait, wait: left, changed: s.changed}
 	}
-	fresh := s.freshFor()
-	if missing || fresh <= 0 || s.opts.IsWatcher() {
+	remaining := s.untilStale()
+	if missing || remaining <= 0 || s.opts.IsWatcher() {
 		return step{kind: stepRead}
 	}
-	return step{kind: stepWait, wait: fresh, changed: s.changed}
+	return step{kind: stepWait, wait: remaining, changed: s.changed}
 }
 
-// noteMode calls OnSwitch when this gateway changes between reading the store and relying on news.
-func (s *Syncer) noteMode(k stepKind) {
+// reportMode calls OnSwitch when this gateway changes between reading the store and relying on news.
+func (s *Syncer) reportMode(k stepKind) {
 	if k == stepFetch {
 		return
 	}
@@ -280,14 +280,14 @@
 	s.direct = direct
 }
 
-func (s *Syncer) noteTransfer(from Origin, bytes int, err error) {
+func (s *Syncer) reportTransfer(from Origin, bytes int, err error) {
 	if s.opts.OnTransfer != nil {
 		s.opts.OnTransfer(from, bytes, err)
 	}
 }
 
-// hold puts a configuration in force, keeps it for other gateways and returns its version.
-func (s *Syncer) hold(value []byte, from Origin) (uint64, error) {
+// apply puts a configuration in force, keeps it for other gateways and returns its version.
+func (s *Syncer) apply(value []byte, from Origin) (uint64, error) {
 	version, err := s.opts.Holder.Offer(value, from)
 	if err == nil {
 		s.history.add(version, value)
