--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,11 +18,11 @@
 // ErrInvalid matches every Error, by errors.Is.
 var ErrInvalid = errors.New("config: invalid settings")
 
-// settingsMode is owner-only, because the settings contain the secret.
-const settingsMode = 0o600
+// settingsFileMode is owner-only, because the settings contain the secret.
+const settingsFileMode = 0o600
 
-// maxFile is the number of bytes of a settings file that Read reads.
-const maxFile = 1 << 20
+// maxFileSize is the number of bytes that Read reads of a settings file; any further ones are ignored.
+const maxFileSize = 1 << 20
 
 // A Problem is one error in a settings file.
 type Problem struct {
@@ -54,7 +54,7 @@
 // Is reports whether target is ErrInvalid.
 func (e *Error) Is(target error) bool { return target == ErrInvalid }
 
-// Settings are the settings of one process: Gateway, Entry or Agent.
+// Settings is implemented by the settings of each process: Gateway, Entry or Agent.
 type Settings interface {
 	// setDefaults sets the values of the keys that a file may omit.
 	setDefaults()
@@ -68,7 +68,7 @@
 	if err != nil {
 		return eris.Wrap(err, "config: encode settings")
 	}
-	return eris.Wrap(os.WriteFile(file, data, settingsMode), "config: write settings")
+	return eris.Wrap(os.WriteFile(file, data, settingsFileMode), "config: write settings")
 }
 
 // Read reads and checks a settings file.
@@ -78,7 +78,7 @@
 		return eris.Wrap(err, "config: open settings")
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, maxFile))
+	data, err := io.ReadAll(io.LimitReader(f, maxFileSize))
 	if err != nil {
 		return eris.Wrap(err, "config: read settings")
 	}
@@ -95,7 +95,7 @@
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
 	if err := dec.Decode(into); err != nil && !errors.Is(err, io.EOF) {
-		c.decodeError(err)
+		c.addDecodeError(err)
 		return &Error{Problems: c.problems}
 	}
 	var doc yaml.Node
@@ -128,7 +128,7 @@
 func (c *checker) line(key string) int {
 	node, line := c.root, 1
 	for _, part := range strings.Split(key, ".") {
-		name, value := find(node, part)
+		name, value := findKey(node, part)
 		if name == nil {
 			break
 		}
@@ -137,8 +137,8 @@
 	return line
 }
 
-// find returns the key node and the value node of a name in a mapping, or nil.
-func find(m *yaml.Node, name string) (key, value *yaml.Node) {
+// findKey returns the key node and the value node of a name in a mapping, or nil.
+func findKey(m *yaml.Node, name string) (key, value *yaml.Node) {
 	if m == nil || m.Kind != yaml.MappingNode {
 		return nil, nil
 	}
@@ -152,28 +152,28 @@
 
 // Patterns of the YAML decoder's error messages.
 var (
-	unknownField = regexp.MustCompile(`line (\d+): field (\S+) not found`)
-	otherError   = regexp.MustCompile(`line (\d+): (.*)`)
+	unknownFieldPattern = regexp.MustCompile(`line (\d+): field (\S+) not found`)
+	otherErrorPattern   = regexp.MustCompile(`line (\d+): (.*)`)
 )
 
-// decodeError adds the problems that a YAML decoder's error describes.
-func (c *checker) decodeError(err error) {
+// addDecodeError adds the problems that a YAML decoder's error describes.
+func (c *checker) addDecodeError(err error) {
 	messages := []string{err.Error()}
 	var typed *yaml.TypeError
 	if errors.As(err, &typed) {
 		messages = typed.Errors
 	}
 	for _, m := range messages {
-		c.problems = append(c.problems, c.problemOf(m))
+		c.problems = append(c.problems, c.parseMessage(m))
 	}
 }
 
-// problemOf parses one error message of the YAML decoder.
-func (c *checker) problemOf(message string) Problem {
-	if m := unknownField.FindStringSubmatch(message); m != nil {
+// parseMessage parses one error message of the YAML decoder.
+func (c *checker) parseMessage(message string) Problem {
+	if m := unknownFieldPattern.FindStringSubmatch(message); m != nil {
 		return Problem{File: c.file, Line: lineNumber(m[1]), Key: m[2], Reason: "unknown key"}
 	}
-	if m := otherError.FindStringSubmatch(message); m != nil {
+	if m := otherErrorPattern.FindStringSubmatch(message); m != nil {
 		return Problem{File: c.file, Line: lineNumber(m[1]), Key: "value", Reason: m[2]}
 	}
 	return Problem{File: c.file, Line: 1, Key: "file", Reason: message}
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Retry are the settings of the retry budget that all gateways share.
+// Retry contains the settings of the retry budget that all gateways share.
 type Retry struct {
 	// Window is the sliding window that retries are counted in.
 	Window Duration `yaml:"window"`
@@ -11,7 +11,7 @@
 	Fixed float64 `yaml:"fixed"`
 }
 
-// Quota are the settings of the tolerance of organisations' limits: how far an organisation may exceed its
+// Quota contains the settings of the tolerance for organisations' limits: how far an organisation may exceed its
 // limit in any Window.
 type Quota struct {
 	Window Duration `yaml:"window"`
@@ -20,7 +20,7 @@
 	Slack float64 `yaml:"slack"`
 }
 
-// Gateway are the settings of a gateway.
+// Gateway contains the settings of a gateway.
 type Gateway struct {
 	// ID is the VM's name, Hall the data hall that it is in.
 	ID   string `yaml:"id"`
@@ -66,8 +66,8 @@
 // and retry.
 const (
 	defaultGrace = 8 * time.Second
-	// defaultGatewayLease is three renewal intervals (lease.renewalsPerTTL).
-	defaultGatewayLease = 3 * time.Second
+	// defaultGatewayLeaseTTL is three renewal intervals (lease.renewalsPerTTL).
+	defaultGatewayLeaseTTL = 3 * time.Second
 	// defaultWatchTime is the longest that a dead watch goes unnoticed.
 	defaultWatchTime = 2 * time.Second
 	// defaultStoreTimeout is less than the lease's renewal interval.
@@ -85,7 +85,7 @@
 func (g *Gateway) setDefaults() {
 	*g = Gateway{
 		Log:   Log{Level: "info", Format: "json"},
-		Grace: Duration(defaultGrace), LeaseTTL: Duration(defaultGatewayLease), WatchTime: Duration(defaultWatchTime),
+		Grace: Duration(defaultGrace), LeaseTTL: Duration(defaultGatewayLeaseTTL), WatchTime: Duration(defaultWatchTime),
 		StoreTimeout: Duration(defaultStoreTimeout), EngineTimeout: Duration(defaultEngineTimeout),
 		IdleTime: Duration(defaultIdleTime), BodyTime: Duration(defaultBodyTime), Gateways: defaultGateways,
 		Retry: Retry{Window: Duration(defaultRetryWindow), Ratio: defaultRetryRatio, Fixed: defaultRetryFixed},
--- a/internal/config/quarantine.go
+++ b/internal/config/quarantine.go
@@ -6,7 +6,7 @@
 	"rockcleat/quarantine"
 )
 
-// Quarantine are the settings of the quarantine of requests under which backend servers have ended.
+// Quarantine contains the settings of the quarantine of requests under which backend servers have ended.
 type Quarantine struct {
 	// Ends is the number of servers that have to end under copies of a request before it is refused.
 	Ends int `yaml:"ends"`
@@ -30,5 +30,5 @@
 
 func (q *Quarantine) check(c *checker) {
 	c.require(q.Ends >= minQuarantineEnds && q.Ends <= maxQuarantineEnds, "quarantine.ends", "must be from 2 to 8")
-	c.between(q.Hold, minQuarantineHold, maxQuarantineHold, "quarantine.hold")
+	c.requireBetween(q.Hold, minQuarantineHold, maxQuarantineHold, "quarantine.hold")
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Log are the settings of a process's log.
+// Log contains the settings of a process's log.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `yaml:"level"`
@@ -16,7 +16,7 @@
 	Format string `yaml:"format"`
 }
 
-// Process are the settings that entry and agent have in common.
+// Process contains the settings that entry and agent have in common.
 type Process struct {
 	// ID is the VM's name in the platform's list.
 	ID string `yaml:"id"`
@@ -38,7 +38,7 @@
 	DrainTime Duration `yaml:"drain_time"`
 }
 
-// Planner are the settings of the planner role.
+// Planner contains the settings of the planner role.
 type Planner struct {
 	// CellSize is the maximum number of backend servers in a cell.
 	CellSize int `yaml:"cell_size"`
@@ -56,7 +56,7 @@
 	LeaseTTL Duration `yaml:"lease_ttl"`
 }
 
-// Claims are the settings of the records of requests that must not be repeated.
+// Claims contains the settings of the records of requests that must not be repeated.
 type Claims struct {
 	// Shards is the number of shards of the records.
 	Shards int `yaml:"shards"`
@@ -68,7 +68,7 @@
 	LeaseTTL Duration `yaml:"lease_ttl"`
 }
 
-// Limits are the bounds on a process's requests and the timeout for agents that stop responding.
+// Limits contains the bounds on a process's requests and the timeout for agents that stop responding.
 type Limits struct {
 	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64 `yaml:"body_bytes"`
@@ -81,7 +81,7 @@
 	SilentTime Duration `yaml:"silent_time"`
 }
 
-// Entry are the settings of an entry daemon.
+// Entry contains the settings of an entry daemon.
 type Entry struct {
 	Process `yaml:",inline"`
 	// VMs and Weights are the base URLs of the platform's list of VMs and of its weight store.
@@ -97,13 +97,13 @@
 	Limits     Limits     `yaml:"limits"`
 }
 
-// Backend are the settings of the backend server that an agent runs beside.
+// Backend contains the settings of the backend server that an agent runs beside.
 type Backend struct {
 	// URL is the backend server's base URL.
 	URL string `yaml:"url"`
 	// Kind is BackendEngine or BackendService.
 	Kind string `yaml:"kind"`
-	// Services are the table rows that a plain service serves.
+	// Services are the table rows that a plain service handles.
 	Services []string `yaml:"services"`
 	// OrderLifetime is the time after which an order that is still in transit can no longer take
 	// effect.
@@ -112,7 +112,7 @@
 	Slots int `yaml:"slots"`
 }
 
-// Agent are the settings of an agent daemon.
+// Agent contains the settings of an agent daemon.
 type Agent struct {
 	Process `yaml:",inline"`
 	Backend Backend `yaml:"backend"`
@@ -179,20 +179,20 @@
 	levels := []string{"debug", "info", "warn", "error"}
 	c.require(slices.Contains(levels, p.Log.Level), "log.level", "must be debug, info, warn or error")
 	c.require(p.Log.Format == "json" || p.Log.Format == "console", "log.format", "must be json or console")
-	c.between(p.LeaveTime, 0, time.Minute, "leave_time")
-	c.between(p.DrainTime, time.Second, time.Hour, "drain_time")
+	c.requireBetween(p.LeaveTime, 0, time.Minute, "leave_time")
+	c.requireBetween(p.DrainTime, time.Second, time.Hour, "drain_time")
 }
 
-// between adds a problem with a key unless low <= d <= high.
-func (c *checker) between(d Duration, low, high time.Duration, key string) {
+// requireBetween adds a problem with a key unless low <= d <= high.
+func (c *checker) requireBetween(d Duration, low, high time.Duration, key string) {
 	c.require(d.Std() >= low && d.Std() <= high, key, "must be from "+low.String()+" to "+high.String())
 }
 
 func (l *Limits) check(c *checker) {
 	c.require(l.BodyBytes >= 1024 && l.BodyBytes <= 1<<30, "limits.body_bytes", "must be from 1024 to 1073741824")
 	c.require(l.InFlight >= 1 && l.InFlight <= 1000000, "limits.in_flight", "must be from 1 to 1000000")
-	c.between(l.BodyTime, 100*time.Millisecond, 10*time.Minute, "limits.body_time")
-	c.between(l.SilentTime, 100*time.Millisecond, 10*time.Minute, "limits.silent_time")
+	c.requireBetween(l.BodyTime, 100*time.Millisecond, 10*time.Minute, "limits.body_time")
+	c.requireBetween(l.SilentTime, 100*time.Millisecond, 10*time.Minute, "limits.silent_time")
 }
 
 func (e *Entry) check(c *checker) {
@@ -200,8 +200,8 @@
 	e.Limits.check(c)
 	c.require(isURL(e.VMs), "vms", "must be a URL, such as http://10.0.0.2:7001")
 	c.require(isURL(e.Weights), "weights", "must be a URL, such as http://10.0.0.2:7002")
-	c.between(e.VMsEvery, 50*time.Millisecond, time.Minute, "vms_every")
-	c.between(e.SyncEvery, 50*time.Millisecond, 10*time.Second, "sync_every")
+	c.requireBetween(e.VMsEvery, 50*time.Millisecond, time.Minute, "vms_every")
+	c.requireBetween(e.SyncEvery, 50*time.Millisecond, 10*time.Second, "sync_every")
 	e.Planner.check(c)
 	e.Claims.check(c)
 	e.Quarantine.check(c)
@@ -209,19 +209,19 @@
 
 func (p *Planner) check(c *checker) {
 	c.require(p.CellSize >= 1 && p.CellSize <= 48, "planner.cell_size", "must be from 1 to 48")
-	c.between(p.ExchangeEvery, 50*time.Millisecond, 10*time.Second, "planner.exchange_every")
+	c.requireBetween(p.ExchangeEvery, 50*time.Millisecond, 10*time.Second, "planner.exchange_every")
 	c.require(p.Headroom > 0 && p.Headroom <= 1, "planner.headroom", "must be above 0 and at most 1")
-	c.between(p.Hold, 0, time.Hour, "planner.hold")
+	c.requireBetween(p.Hold, 0, time.Hour, "planner.hold")
 	c.require(p.MaxLoads >= 1 && p.MaxLoads <= 1000, "planner.max_loads", "must be from 1 to 1000")
 	c.require(p.LoadsPerSecond > 0, "planner.loads_per_second", "must be above 0")
-	c.between(p.LeaseTTL, 500*time.Millisecond, time.Minute, "planner.lease_ttl")
+	c.requireBetween(p.LeaseTTL, 500*time.Millisecond, time.Minute, "planner.lease_ttl")
 }
 
-func (l *Claims) check(c *checker) {
-	c.require(l.Shards >= 1 && l.Shards <= 256, "claims.shards", "must be from 1 to 256")
-	c.between(l.Retention, time.Second, 24*time.Hour, "claims.retention")
-	c.require(l.WritesPerSecond > 0, "claims.writes_per_second", "must be above 0")
-	c.between(l.LeaseTTL, 500*time.Millisecond, time.Minute, "claims.lease_ttl")
+func (cl *Claims) check(c *checker) {
+	c.require(cl.Shards >= 1 && cl.Shards <= 256, "claims.shards", "must be from 1 to 256")
+	c.requireBetween(cl.Retention, time.Second, 24*time.Hour, "claims.retention")
+	c.require(cl.WritesPerSecond > 0, "claims.writes_per_second", "must be above 0")
+	c.requireBetween(cl.LeaseTTL, 500*time.Millisecond, time.Minute, "claims.lease_ttl")
 }
 
 func (a *Agent) check(c *checker) {
@@ -229,11 +229,11 @@
 	a.Limits.check(c)
 	c.require(a.VMs == "" || isURL(a.VMs), "vms", "must be a URL, such as http://10.0.0.2:7001")
 	c.require(isURL(a.Backend.URL), "backend.url", "must be a URL, such as http://127.0.0.1:9000")
-	known := a.Backend.Kind == BackendEngine || a.Backend.Kind == BackendService
-	c.require(known, "backend.kind", "must be engine or service")
-	named := a.Backend.Kind != BackendService || len(a.Backend.Services) > 0
-	c.require(named, "backend.services", "must name the table rows that the service answers")
-	c.between(a.Backend.OrderLifetime, 100*time.Millisecond, 10*time.Minute, "backend.order_lifetime")
+	validKind := a.Backend.Kind == BackendEngine || a.Backend.Kind == BackendService
+	c.require(validKind, "backend.kind", "must be engine or service")
+	hasServices := a.Backend.Kind != BackendService || len(a.Backend.Services) > 0
+	c.require(hasServices, "backend.services", "must name the table rows that the service answers")
+	c.requireBetween(a.Backend.OrderLifetime, 100*time.Millisecond, 10*time.Minute, "backend.order_lifetime")
 	c.require(a.Backend.Slots >= 1, "backend.slots", "must be at least 1")
 	c.require(a.MaxWaiting >= 1 && a.MaxWaiting <= 100000, "max_waiting", "must be from 1 to 100000")
 }
