--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -17,8 +17,8 @@
 	"rockcleat/internal/transfer"
 )
 
-// maxMessage is the number of bytes that are read of a response's body.
-const maxMessage = 16 << 20
+// maxMessageSize is the number of bytes that are read of a response's body.
+const maxMessageSize = 16 << 20
 
 // ErrNotSent is returned when no connection could be made, so that nothing was sent.
 var ErrNotSent = errors.New("wire: not sent")
@@ -52,7 +52,7 @@
 	if err != nil {
 		return eris.Wrap(err, "wire: make request")
 	}
-	return c.do(req, out, readWhole)
+	return c.do(req, out, readBody)
 }
 
 // Post sends in as JSON to http://ADDR/PATH and decodes the response into out, unless out is nil.
@@ -61,20 +61,20 @@
 	if err != nil {
 		return err
 	}
-	return c.do(req, out, readWhole)
+	return c.do(req, out, readBody)
 }
 
 // PostWithin is Post with a bound on stalls instead of the total duration: neither the response's start
-// nor the wait for more of its body may take longer than pause.
-func (c *Client) PostWithin(ctx context.Context, pause time.Duration, addr, path string, in, out any) error {
-	ctx, watch := transfer.Start(ctx, pause, pause)
+// nor the wait for more of its body may take longer than maxStall.
+func (c *Client) PostWithin(ctx context.Context, maxStall time.Duration, addr, path string, in, out any) error {
+	ctx, watch := transfer.Start(ctx, maxStall, maxStall)
 	defer watch.Stop()
 	req, err := newPost(ctx, addr, path, in)
 	if err != nil {
 		return err
 	}
 	return c.do(req, out, func(body io.Reader) ([]byte, error) {
-		return watch.ReadAll(ctx, body, maxMessage)
+		return watch.ReadAll(ctx, body, maxMessageSize)
 	})
 }
 
@@ -92,9 +92,9 @@
 	return req, nil
 }
 
-// readWhole reads a response's body, up to maxMessage bytes.
-func readWhole(body io.Reader) ([]byte, error) {
-	return io.ReadAll(io.LimitReader(body, maxMessage))
+// readBody reads a response's body, up to maxMessageSize bytes.
+func readBody(body io.Reader) ([]byte, error) {
+	return io.ReadAll(io.LimitReader(body, maxMessageSize))
 }
 
 // do sends a request and decodes the response body that read returns.
@@ -106,7 +106,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return sendError(transfer.Cause(req.Context(), err))
+		return wrapSendError(transfer.Cause(req.Context(), err))
 	}
 	defer resp.Body.Close()
 	data, err := read(resp.Body)
@@ -122,8 +122,8 @@
 	return eris.Wrap(json.Unmarshal(data, out), "wire: decode answer")
 }
 
-// sendError wraps the error of a call, with ErrNotSent if nothing was sent.
-func sendError(err error) error {
+// wrapSendError wraps the error of a call, with ErrNotSent if nothing was sent.
+func wrapSendError(err error) error {
 	if IsNotSent(err) {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
--- a/internal/wire/probe.go
+++ b/internal/wire/probe.go
@@ -13,9 +13,9 @@
 const (
 	// connectTimeout bounds one connection attempt.
 	connectTimeout = 300 * time.Millisecond
-	// connectPause is the delay between two attempts. A process that exits closes its sockets one after
+	// connectRetryDelay is the delay between two attempts. A process that exits closes its sockets one after
 	// another, so its listener may still be open at the first attempt.
-	connectPause = 100 * time.Millisecond
+	connectRetryDelay = 100 * time.Millisecond
 	// ConnectAttempts is the maximum number of attempts.
 	ConnectAttempts = 2
 )
@@ -47,7 +47,7 @@
 func (p Probe) Run(ctx context.Context, addr string) (result ProbeResult) {
 	for i := range ConnectAttempts {
 		if i > 0 {
-			clock.Sleep(ctx, p.Clock, connectPause)
+			clock.Sleep(ctx, p.Clock, connectRetryDelay)
 		}
 		if p.BeforeAttempt != nil {
 			p.BeforeAttempt()
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -16,25 +16,25 @@
 	dialTimeout = time.Second
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 90 * time.Second
-	// idlePerProcess is the maximum number of idle connections to one process.
-	idlePerProcess = 64
+	// maxIdlePerProcess is the maximum number of idle connections to one process.
+	maxIdlePerProcess = 64
 )
 
 // Connections to servers that are called directly.
 const (
 	directDialTimeout = 600 * time.Millisecond
-	// unackedTime is how long sent data may stay unacknowledged before the connection is closed
+	// unackedTimeout is how long sent data may stay unacknowledged before the connection is closed
 	// (TCP_USER_TIMEOUT).
-	unackedTime = 2 * time.Second
-	// probeAfter is the idle time before the first TCP keep-alive probe, probeInterval the time between
-	// probes; the connection is closed after probeCount probes without an acknowledgement.
-	probeAfter    = time.Second
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 3
-	// directIdlePerServer is the maximum number of idle connections to one server.
-	directIdlePerServer = 48
-	// directBuffer is the size of a connection's read buffer and of its write buffer, in bytes.
-	directBuffer = 2 << 10
+	unackedTimeout = 2 * time.Second
+	// keepAliveIdle is the idle time before the first TCP keep-alive probe, keepAliveInterval the time between
+	// probes; the connection is closed after keepAliveCount probes without an acknowledgement.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
+	// maxDirectIdlePerServer is the maximum number of idle connections to one server.
+	maxDirectIdlePerServer = 48
+	// directBufferSize is the size of a connection's read buffer and of its write buffer, in bytes.
+	directBufferSize = 2 << 10
 )
 
 // NewDialer returns a dialer whose connections fail within a few seconds when the peer's machine stops
@@ -43,12 +43,12 @@
 	return &net.Dialer{
 		Timeout: directDialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeInterval, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
 				// Without the option a dead peer is only noticed later.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTime.Milliseconds()))
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 			})
 		},
 	}
@@ -59,11 +59,11 @@
 func NewDirectTransport(idle time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:         NewDialer().DialContext,
-		MaxIdleConnsPerHost: directIdlePerServer,
+		MaxIdleConnsPerHost: maxDirectIdlePerServer,
 		IdleConnTimeout:     idle,
 		DisableCompression:  true,
-		WriteBufferSize:     directBuffer,
-		ReadBufferSize:      directBuffer,
+		WriteBufferSize:     directBufferSize,
+		ReadBufferSize:      directBufferSize,
 	}
 }
 
@@ -71,7 +71,7 @@
 func NewTransport(t *Traffic) *http.Transport {
 	return &http.Transport{
 		DialContext:         t.Dial(&net.Dialer{Timeout: dialTimeout}),
-		MaxIdleConnsPerHost: idlePerProcess,
+		MaxIdleConnsPerHost: maxIdlePerProcess,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
