--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -14,11 +14,11 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// maxRoutes bounds the number of distinct route and organisation label values; further ones count as
-// otherRoute.
-const maxRoutes = 64
+// maxLabelValues bounds the number of distinct route and organisation label values; further ones count as
+// otherLabel.
+const maxLabelValues = 64
 
-const otherRoute = "other"
+const otherLabel = "other"
 
 // gatewayBuckets are the bucket bounds of the gateway's histograms, in seconds. There are fewer than in
 // secondsBuckets, to save memory.
@@ -26,32 +26,32 @@
 
 // GatewayMetrics are the instruments of a gateway; docs/METRICS.md lists them. They are safe for concurrent use.
 type GatewayMetrics struct {
-	handler  http.Handler
-	requests metric.Int64Counter
-	first    metric.Float64Histogram
-	total    metric.Float64Histogram
-	sends    metric.Int64Counter
-	calls    metric.Int64Counter
-	places   metric.Int64Counter
-	// transfers and bytes count the transfers of configurations.
-	transfers metric.Int64Counter
-	bytes     metric.Int64Counter
-	ends      metric.Int64Counter
+	handler    http.Handler
+	requests   metric.Int64Counter
+	firstByte  metric.Float64Histogram
+	duration   metric.Float64Histogram
+	sends      metric.Int64Counter
+	storeCalls metric.Int64Counter
+	admissions metric.Int64Counter
+	// configTransfers and configBytes count the transfers of configurations and their bytes.
+	configTransfers metric.Int64Counter
+	configBytes     metric.Int64Counter
+	serverEnds      metric.Int64Counter
 	// serverLimits counts the limits that servers announced, changed and ended.
 	serverLimits metric.Int64Counter
 	// permits counts the requests for permits at servers with limits.
 	permits metric.Int64Counter
-	// limits counts requests by organisation and outcome of its limit; spent sums their cost.
-	limits metric.Int64Counter
-	spent  metric.Float64Counter
+	// charges counts requests by organisation and outcome of its limit; spent sums the cost of those inside it.
+	charges metric.Int64Counter
+	spent   metric.Float64Counter
 
-	mu     sync.Mutex
-	routes map[string]bool
-	sets   map[attributeKey]metric.MeasurementOption
+	mu            sync.Mutex
+	labelValues   map[string]bool
+	attributeSets map[attributeKey]metric.MeasurementOption
 }
 
 // An attributeKey identifies a cached set of one or two attributes.
-type attributeKey struct{ a, b string }
+type attributeKey struct{ first, second string }
 
 // NewGatewayMetrics returns a gateway's instruments; Handler exposes their values.
 func NewGatewayMetrics() (*GatewayMetrics, error) {
@@ -61,32 +61,32 @@
 		return nil, eris.Wrap(err, "telemetry: prometheus exporter")
 	}
 	m := &GatewayMetrics{
-		handler: promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}),
-		routes:  make(map[string]bool), sets: make(map[attributeKey]metric.MeasurementOption),
+		handler:     promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}),
+		labelValues: make(map[string]bool), attributeSets: make(map[attributeKey]metric.MeasurementOption),
 	}
-	b := &builder{meter: sdk.NewMeterProvider(sdk.WithReader(exporter)).Meter("rockcleat")}
+	b := &instrumentBuilder{meter: sdk.NewMeterProvider(sdk.WithReader(exporter)).Meter("rockcleat")}
 	m.requests = b.counter("rockcleat.gateway.requests", "Requests by route and outcome.")
-	m.first = m.histogram(b, "rockcleat.gateway.first_byte", "Time from a request's arrival to the first byte of its answer.")
-	m.total = m.histogram(b, "rockcleat.gateway.duration", "Time from a request's arrival to the end of its answer.")
+	m.firstByte = m.histogram(b, "rockcleat.gateway.first_byte", "Time from a request's arrival to the first byte of its answer.")
+	m.duration = m.histogram(b, "rockcleat.gateway.duration", "Time from a request's arrival to the end of its answer.")
 	m.sends = b.counter("rockcleat.gateway.sends", "Requests sent to backend servers.")
-	m.calls = b.counter("rockcleat.gateway.store_calls", "Calls to the platform's store by kind.")
-	m.places = b.counter("rockcleat.gateway.places", "Places at engines asked of other gateways, by result.")
-	m.transfers = b.counter("rockcleat.gateway.config_transfers", "Transfers of the configuration, by origin and result.")
-	m.bytes = b.counter("rockcleat.gateway.config_bytes", "Bytes of configurations received, as they were sent, by origin.")
-	m.ends = b.counter("rockcleat.gateway.server_ends", "Backend servers that ended under requests, by service.")
+	m.storeCalls = b.counter("rockcleat.gateway.store_calls", "Calls to the platform's store by kind.")
+	m.admissions = b.counter("rockcleat.gateway.places", "Places at engines asked of other gateways, by result.")
+	m.configTransfers = b.counter("rockcleat.gateway.config_transfers", "Transfers of the configuration, by origin and result.")
+	m.configBytes = b.counter("rockcleat.gateway.config_bytes", "Bytes of configurations received, as they were sent, by origin.")
+	m.serverEnds = b.counter("rockcleat.gateway.server_ends", "Backend servers that ended under requests, by service.")
 	m.serverLimits = b.counter("rockcleat.gateway.server_limits", "Limits that backend servers named for themselves, by what became of them.")
 	m.permits = b.counter("rockcleat.gateway.permits", "Permits asked for sends to backend servers that named limits, by result.")
-	m.limits = b.counter("rockcleat.gateway.limits", "Requests of organisations with a limit, by what it said.")
+	m.charges = b.counter("rockcleat.gateway.limits", "Requests of organisations with a limit, by what it said.")
 	spent, err := b.meter.Float64Counter("rockcleat.gateway.spent", metric.WithDescription("What requests inside limits have cost, in the limit's unit."))
-	b.keep(err)
+	b.recordError(err)
 	m.spent = spent
 	return m, b.err
 }
 
-func (m *GatewayMetrics) histogram(b *builder, name, text string) metric.Float64Histogram {
-	h, err := b.meter.Float64Histogram(name, metric.WithDescription(text), metric.WithUnit("s"),
+func (m *GatewayMetrics) histogram(b *instrumentBuilder, name, description string) metric.Float64Histogram {
+	h, err := b.meter.Float64Histogram(name, metric.WithDescription(description), metric.WithUnit("s"),
 		metric.WithExplicitBucketBoundaries(gatewayBuckets...))
-	b.keep(err)
+	b.recordError(err)
 	return h
 }
 
@@ -97,12 +97,12 @@
 // byte and to the end of the response, in seconds. first is 0 if no byte was sent.
 func (m *GatewayMetrics) Ended(route, outcome string, first, total float64) {
 	ctx := context.Background()
-	route = m.bounded(route)
-	byOutcome := m.set("route", route, "outcome", outcome)
+	route = m.boundedLabel(route)
+	byOutcome := m.attributeSet("route", route, "outcome", outcome)
 	m.requests.Add(ctx, 1, byOutcome)
-	m.total.Record(ctx, total, byOutcome)
+	m.duration.Record(ctx, total, byOutcome)
 	if first > 0 {
-		m.first.Record(ctx, first, m.set("route", route, "", ""))
+		m.firstByte.Record(ctx, first, m.attributeSet("route", route, "", ""))
 	}
 }
 
@@ -112,16 +112,16 @@
 	if retry {
 		kind = "repeat"
 	}
-	m.sends.Add(context.Background(), 1, m.set("service", service, "kind", kind))
+	m.sends.Add(context.Background(), 1, m.attributeSet("service", service, "kind", kind))
 }
 
 // Admissions counts the responses of other gateways to requests for admission at their engines: granted,
 // denied, or none (silent).
 func (m *GatewayMetrics) Admissions(granted, denied, silent int) {
 	ctx := context.Background()
-	m.places.Add(ctx, int64(granted), m.set("result", "granted", "", ""))
-	m.places.Add(ctx, int64(denied), m.set("result", "denied", "", ""))
-	m.places.Add(ctx, int64(silent), m.set("result", "silent", "", ""))
+	m.admissions.Add(ctx, int64(granted), m.attributeSet("result", "granted", "", ""))
+	m.admissions.Add(ctx, int64(denied), m.attributeSet("result", "denied", "", ""))
+	m.admissions.Add(ctx, int64(silent), m.attributeSet("result", "silent", "", ""))
 }
 
 // ConfigTransfer counts a transfer of the configuration from the store or another gateway, and its size
@@ -132,61 +132,61 @@
 	if err != nil {
 		result = "failed"
 	}
-	m.transfers.Add(ctx, 1, m.set("from", from, "result", result))
-	m.bytes.Add(ctx, int64(bytes), m.set("from", from, "", ""))
+	m.configTransfers.Add(ctx, 1, m.attributeSet("from", from, "result", result))
+	m.configBytes.Add(ctx, int64(bytes), m.attributeSet("from", from, "", ""))
 }
 
 // ServerEnded counts a backend server of a service that ended while it ran requests.
 func (m *GatewayMetrics) ServerEnded(service string) {
-	m.ends.Add(context.Background(), 1, m.set("service", service, "", ""))
+	m.serverEnds.Add(context.Background(), 1, m.attributeSet("service", service, "", ""))
 }
 
 // ServerLimit counts a limit that a backend server announced, changed or ended, by state.
 func (m *GatewayMetrics) ServerLimit(state string) {
-	m.serverLimits.Add(context.Background(), 1, m.set("state", state, "", ""))
+	m.serverLimits.Add(context.Background(), 1, m.attributeSet("state", state, "", ""))
 }
 
 // Permit counts a request for a permit at a backend server with a limit, by outcome.
 func (m *GatewayMetrics) Permit(outcome string) {
-	m.permits.Add(context.Background(), 1, m.set("outcome", outcome, "", ""))
+	m.permits.Add(context.Background(), 1, m.attributeSet("outcome", outcome, "", ""))
 }
 
 // Charged counts a request that was charged to an organisation's limit, by outcome. Requests inside the
 // limit also add their cost, in the limit's unit.
 func (m *GatewayMetrics) Charged(organisation, outcome string, cost float64) {
 	ctx := context.Background()
-	organisation = m.bounded(organisation)
-	m.limits.Add(ctx, 1, m.set("customer", organisation, "outcome", outcome))
+	organisation = m.boundedLabel(organisation)
+	m.charges.Add(ctx, 1, m.attributeSet("customer", organisation, "outcome", outcome))
 	if outcome == "inside" {
-		m.spent.Add(ctx, cost, m.set("customer", organisation, "", ""))
+		m.spent.Add(ctx, cost, m.attributeSet("customer", organisation, "", ""))
 	}
 }
 
 // StoreCall counts a call to the platform's store by kind.
 func (m *GatewayMetrics) StoreCall(kind string) {
-	m.calls.Add(context.Background(), 1, m.set("kind", kind, "", ""))
+	m.storeCalls.Add(context.Background(), 1, m.attributeSet("kind", kind, "", ""))
 }
 
-// bounded returns the label value route, or otherRoute once there are maxRoutes others.
-func (m *GatewayMetrics) bounded(route string) string {
+// boundedLabel returns value, or otherLabel if value is new and maxLabelValues others are in use.
+func (m *GatewayMetrics) boundedLabel(value string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.routes[route] {
-		return route
+	if m.labelValues[value] {
+		return value
 	}
-	if len(m.routes) >= maxRoutes {
-		return otherRoute
+	if len(m.labelValues) >= maxLabelValues {
+		return otherLabel
 	}
-	m.routes[route] = true
-	return route
+	m.labelValues[value] = true
+	return value
 }
 
-// set returns a cached set of one or two attributes. name2 is empty if there is one.
-func (m *GatewayMetrics) set(name, value, name2, value2 string) metric.MeasurementOption {
+// attributeSet returns a cached set of one or two attributes. name2 is empty if there is one.
+func (m *GatewayMetrics) attributeSet(name, value, name2, value2 string) metric.MeasurementOption {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	key := attributeKey{a: name + "=" + value, b: name2 + "=" + value2}
-	if s, ok := m.sets[key]; ok {
+	key := attributeKey{first: name + "=" + value, second: name2 + "=" + value2}
+	if s, ok := m.attributeSets[key]; ok {
 		return s
 	}
 	list := []attribute.KeyValue{attribute.String(name, value)}
@@ -194,6 +194,6 @@
 		list = append(list, attribute.String(name2, value2))
 	}
 	s := metric.WithAttributeSet(attribute.NewSet(list...))
-	m.sets[key] = s
+	m.attributeSets[key] = s
 	return s
 }
--- a/internal/telemetry/sink.go
+++ b/internal/telemetry/sink.go
@@ -15,12 +15,12 @@
 
 // Parameters of a Sink.
 const (
-	// sinkBytes is the capacity of a Sink's buffer, in bytes.
-	sinkBytes = 256 << 10
-	// sinkEvery is how long the first line of a batch waits for further ones.
-	sinkEvery = 200 * time.Millisecond
-	// sinkCloseTime bounds the wait for the last write in Close.
-	sinkCloseTime = 200 * time.Millisecond
+	// sinkCapacity is the capacity of a Sink's buffer, in bytes.
+	sinkCapacity = 256 << 10
+	// sinkBatchDelay is how long the first line of a batch waits for further ones.
+	sinkBatchDelay = 200 * time.Millisecond
+	// sinkCloseTimeout bounds the wait for the last write in Close.
+	sinkCloseTimeout = 200 * time.Millisecond
 )
 
 // A Sink buffers log lines and writes them from one goroutine, so that a blocked writer never blocks the
@@ -34,12 +34,12 @@
 	dropped int
 	wake    chan struct{}
 	closing chan struct{}
-	ended   chan struct{}
+	done    chan struct{}
 }
 
 // NewSink returns a Sink that writes to out until Close.
 func NewSink(out io.Writer) *Sink {
-	s := &Sink{out: out, wake: make(chan struct{}, 1), closing: make(chan struct{}), ended: make(chan struct{})}
+	s := &Sink{out: out, wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -48,7 +48,7 @@
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isClosing() || len(s.buf)+len(line) > sinkBytes {
+	if s.isClosing() || len(s.buf)+len(line) > sinkCapacity {
 		s.dropped++
 		return len(line), nil
 	}
@@ -69,14 +69,14 @@
 	return s.dropped
 }
 
-// Close writes the buffered lines and waits up to sinkCloseTime for that. It must be called only once.
+// Close writes the buffered lines and waits up to sinkCloseTimeout for that. It must be called only once.
 func (s *Sink) Close() {
 	s.mu.Lock()
 	close(s.closing)
 	s.mu.Unlock()
 	select {
-	case <-s.ended:
-	case <-time.After(sinkCloseTime):
+	case <-s.done:
+	case <-time.After(sinkCloseTimeout):
 	}
 }
 
@@ -90,25 +90,25 @@
 
 // run writes the buffered lines in batches until Close.
 func (s *Sink) run() {
-	defer close(s.ended)
+	defer close(s.done)
 	for {
 		select {
 		case <-s.wake:
-			s.gather()
-			s.write()
+			s.awaitBatch()
+			s.flush()
 		case <-s.closing:
-			s.write()
+			s.flush()
 			return
 		}
 	}
 }
 
-// write writes the buffered lines. An error is ignored, because there is nowhere to report it.
-func (s *Sink) write() { _, _ = s.out.Write(s.take()) }
+// flush writes the buffered lines. An error is ignored, because there is nowhere to report it.
+func (s *Sink) flush() { _, _ = s.out.Write(s.drain()) }
 
-// gather waits for further lines of the batch.
-func (s *Sink) gather() {
-	timer := time.NewTimer(sinkEvery)
+// awaitBatch waits for further lines of the batch.
+func (s *Sink) awaitBatch() {
+	timer := time.NewTimer(sinkBatchDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -125,8 +125,8 @@
 	}
 }
 
-// take empties the buffer and returns its content, followed by the count of dropped lines if there are any.
-func (s *Sink) take() []byte {
+// drain empties the buffer and returns its content, followed by the count of dropped lines if there are any.
+func (s *Sink) drain() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.buf
--- a/internal/telemetry/sink_test.go
+++ b/internal/telemetry/sink_test.go
@@ -71,8 +71,8 @@
 	assert.NilError(t, w.Close())
 }
 
-// TestSinkStorm checks that lines written concurrently are not interleaved.
-func TestSinkStorm(t *testing.T) {
+// TestSinkConcurrentWrites checks that lines written concurrently are not interleaved.
+func TestSinkConcurrentWrites(t *testing.T) {
 	var out buffer
 	s := telemetry.NewSink(&out)
 	var wg sync.WaitGroup
@@ -86,7 +86,7 @@
 	wg.Wait()
 	s.Close()
 	for _, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
-		whole := line == "a line of the storm that is about as long as others are"
-		assert.Assert(t, whole || strings.Contains(line, "log lines dropped"), "broken line %q", line)
+		intact := line == "a line of the storm that is about as long as others are"
+		assert.Assert(t, intact || strings.Contains(line, "log lines dropped"), "broken line %q", line)
 	}
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -42,14 +42,14 @@
 	handler  http.Handler
 	provider *sdk.MeterProvider
 
-	requests   metric.Int64Counter
-	firstToken metric.Float64Histogram
-	duration   metric.Float64Histogram
-	queue      metric.Float64Histogram
-	retries    metric.Int64Counter
-	denied     metric.Int64Counter
-	orders     metric.Int64Counter
-	kvCalls    metric.Int64Counter
+	requests     metric.Int64Counter
+	firstToken   metric.Float64Histogram
+	duration     metric.Float64Histogram
+	queueTime    metric.Float64Histogram
+	retries      metric.Int64Counter
+	unauthorized metric.Int64Counter
+	orders       metric.Int64Counter
+	kvCalls      metric.Int64Counter
 }
 
 // secondsBuckets are the bucket bounds of the latency histograms, in seconds. 0.34 is the objective for the
@@ -76,40 +76,40 @@
 
 // makeInstruments creates the instruments that docs/METRICS.md lists.
 func (m *Metrics) makeInstruments() error {
-	b := &builder{meter: m.provider.Meter("rockcleat")}
+	b := &instrumentBuilder{meter: m.provider.Meter("rockcleat")}
 	m.requests = b.counter("rockcleat.requests", "Requests by outcome, tier and customer.")
-	m.firstToken = b.seconds("rockcleat.first_token", "Time from a request's arrival to the first byte of its answer.")
-	m.duration = b.seconds("rockcleat.request_duration", "Time from a request's arrival to the end of its answer.")
-	m.queue = b.seconds("rockcleat.queue_time", "Time that a request waited at its agent before it ran.")
+	m.firstToken = b.histogram("rockcleat.first_token", "Time from a request's arrival to the first byte of its answer.")
+	m.duration = b.histogram("rockcleat.request_duration", "Time from a request's arrival to the end of its answer.")
+	m.queueTime = b.histogram("rockcleat.queue_time", "Time that a request waited at its agent before it ran.")
 	m.retries = b.counter("rockcleat.retries", "Requests sent to a further backend server.")
-	m.denied = b.counter("rockcleat.unauthorized", "Messages refused for a wrong or missing secret.")
+	m.unauthorized = b.counter("rockcleat.unauthorized", "Messages refused for a wrong or missing secret.")
 	m.orders = b.counter("rockcleat.orders", "Orders to the backend server by kind and result.")
 	m.kvCalls = b.counter("rockcleat.kv_calls", "Calls to the platform's key-value service by kind.")
 	return b.err
 }
 
-// A builder creates instruments and keeps the first error.
-type builder struct {
+// An instrumentBuilder creates instruments and keeps the first error.
+type instrumentBuilder struct {
 	meter metric.Meter
 	err   error
 }
 
-func (b *builder) counter(name, text string) metric.Int64Counter {
-	c, err := b.meter.Int64Counter(name, metric.WithDescription(text))
-	b.keep(err)
+func (b *instrumentBuilder) counter(name, description string) metric.Int64Counter {
+	c, err := b.meter.Int64Counter(name, metric.WithDescription(description))
+	b.recordError(err)
 	return c
 }
 
-// seconds creates a histogram of durations.
-func (b *builder) seconds(name, text string) metric.Float64Histogram {
-	h, err := b.meter.Float64Histogram(name, metric.WithDescription(text), metric.WithUnit("s"),
+// histogram creates a histogram of durations.
+func (b *instrumentBuilder) histogram(name, description string) metric.Float64Histogram {
+	h, err := b.meter.Float64Histogram(name, metric.WithDescription(description), metric.WithUnit("s"),
 		metric.WithExplicitBucketBoundaries(secondsBuckets...))
-	b.keep(err)
+	b.recordError(err)
 	return h
 }
 
-// keep records err unless an earlier one was recorded.
-func (b *builder) keep(err error) {
+// recordError records err unless an earlier one was recorded.
+func (b *instrumentBuilder) recordError(err error) {
 	if b.err == nil && err != nil {
 		b.err = eris.Wrap(err, "telemetry: make instrument")
 	}
@@ -147,7 +147,7 @@
 
 // Queue records the time that a request waited at its agent, in seconds.
 func (m *Metrics) Queue(c Class, seconds float64) {
-	m.queue.Record(context.Background(), seconds, c.attributes())
+	m.queueTime.Record(context.Background(), seconds, c.attributes())
 }
 
 // Retry counts a request that was sent to a further backend server.
@@ -155,7 +155,7 @@
 
 // Denied counts a message on a path that was refused for a missing or wrong secret.
 func (m *Metrics) Denied(path string) {
-	m.denied.Add(context.Background(), 1, metric.WithAttributes(attribute.String("path", path)))
+	m.unauthorized.Add(context.Background(), 1, metric.WithAttributes(attribute.String("path", path)))
 }
 
 // Order counts an order to the backend server, by operation and result.
