--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,10 +17,10 @@
 
 // Timeouts of a connection.
 const (
-	// headerTime bounds the reading of a request's header.
-	headerTime = 10 * time.Second
-	// keepTime is how long an idle connection is kept.
-	keepTime = 2 * time.Minute
+	// headerTimeout bounds the reading of a request's header.
+	headerTimeout = 10 * time.Second
+	// idleTimeout is how long an idle connection is kept.
+	idleTimeout = 2 * time.Minute
 )
 
 // NewRouter returns an echo router without startup messages.
@@ -47,8 +47,8 @@
 	}
 	s := &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       keepTime,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
 		ErrorLog:          zap.NewStdLog(log),
 	}
 	return &Listener{http: s, net: t.Listen(l), log: log}, nil
