--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -34,13 +34,13 @@
 	case wire.OutcomeAnswered:
 		return d.pass(s, resp, watch)
 	}
-	return d.lost(s, eris.Errorf("entry: agent answered %d without a known outcome", resp.StatusCode))
+	return d.lost(s, eris.Errorf("entry: agent response with status %d has no known outcome", resp.StatusCode))
 }
 
-// hopHeaders are the headers of one connection, which are not passed on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{"Connection", "Transfer-Encoding", "Upgrade", "Te", "Trailer"}
 
-// request makes the request to an agent.
+// request returns the request to the agent of s.
 func (d *delivery) request(ctx context.Context, s fleet.Server) *http.Request {
 	in := d.c.Request()
 	out := in.Clone(ctx)
@@ -71,7 +71,7 @@
 	return out
 }
 
-// note notes what an agent says of itself on each answer.
+// note records the load and the leaving state that an agent states in the header of each response.
 func (d *delivery) note(s fleet.Server, h http.Header) {
 	now := d.proxy.clock.Now()
 	if load, err := strconv.Atoi(h.Get(wire.HeaderLoad)); err == nil {
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -17,45 +17,45 @@
 	"rockcleat/table"
 )
 
-// Bounds of callers' requests.
+// Limits of clients' requests.
 const (
-	// maxKey is the longest Idempotency-Key, in bytes.
+	// maxKey is the maximum length of an Idempotency-Key, in bytes.
 	maxKey = 255
-	// prefixBytes is how much of a prompt decides which servers share its cache
-	// (docs/design/0004).
+	// prefixBytes is the length of the start of a prompt whose hash selects the server, so that
+	// requests with the same start reach the same prefix cache.
 	prefixBytes = 512
-	// retrySoon is when to come back after a refusal that gives no time of its own.
+	// retrySoon is the Retry-After of refusals that have none of their own.
 	retrySoon = time.Second
 )
 
-// A call is one caller's request on its way.
+// A call is one client request in progress.
 type call struct {
 	id   string
 	row  table.Row
 	body []byte
-	// tokens is the expected cost.
+	// tokens is the expected cost, in tokens.
 	tokens int
-	// prefix is the hash of the start of the prompt.
+	// prefix is the hash of the table row's name and the start of the prompt.
 	prefix uint64
-	// stream says that the caller asks for a stream of events.
+	// stream reports whether the client asked for an event stream.
 	stream  bool
 	arrived time.Time
-	// repeatable says that the request may be sent again although it may have run.
+	// repeatable reports whether the request may be sent again after it may have run.
 	repeatable bool
-	// key is the scoped Idempotency-Key, empty if there is none.
+	// key is the Idempotency-Key prefixed with the row's name; empty if there is none.
 	key string
-	// digest is the same for all copies of the request, set once the row is known.
+	// digest identifies all copies of the request. It is set once the row is known.
 	digest quarantine.Key
-	// answer collects the answer for the record of a request with a key.
+	// answer collects the response for the claim record; nil if the request has no key.
 	answer *answerRecord
 }
 
-// class returns what the call counts for in the metrics.
+// class returns the labels of the call's metrics.
 func (c *call) class() telemetry.Class {
 	return telemetry.Class{Tier: string(c.row.Tier), Organisation: c.row.Organisation}
 }
 
-// newCall reads the request's body and names it.
+// newCall assigns the request's id, checks its key and reads its body.
 func (p *proxy) newCall(c echo.Context) (*call, *wire.Failure) {
 	req := c.Request()
 	x := &call{id: req.Header.Get(wire.HeaderRequestID), arrived: p.clock.Now()}
@@ -83,27 +83,27 @@
 	return x, nil
 }
 
-// errTooLong says that a request's body is longer than the limit.
-var errTooLong = errors.New("entry: body too long")
+// errTooLong is returned if a request body exceeds the size limit.
+var errTooLong = errors.New("entry: request body exceeds the size limit")
 
-// readBody reads the body within its limits of length and time.
+// readBody reads the request body within the limits of size and time.
 func (p *proxy) readBody(c echo.Context) ([]byte, error) {
 	rc := http.NewResponseController(c.Response().Writer)
 	if err := rc.SetReadDeadline(clock.SystemDeadline(p.limits.BodyTime.Std())); err != nil {
-		return nil, eris.Wrap(err, "entry: set deadline")
+		return nil, eris.Wrap(err, "entry: set read deadline")
 	}
 	limit := p.limits.BodyBytes
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, limit+1))
 	if err != nil {
-		return nil, eris.Wrap(err, "entry: read body")
+		return nil, eris.Wrap(err, "entry: read request body")
 	}
 	if int64(len(body)) > limit {
 		return nil, errTooLong
 	}
-	return body, eris.Wrap(rc.SetReadDeadline(time.Time{}), "entry: clear deadline")
+	return body, eris.Wrap(rc.SetReadDeadline(time.Time{}), "entry: clear read deadline")
 }
 
-// badRequest returns a refusal of a request that is wrong.
+// badRequest returns a failure with status 400; callers may replace the status.
 func badRequest(code, param, message string) *wire.Failure {
 	return &wire.Failure{
 		Status: http.StatusBadRequest, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
--- a/internal/entry/claim_calls.go
+++ b/internal/entry/claim_calls.go
@@ -17,19 +17,19 @@
 	"rockcleat/lease"
 )
 
-// errNoOwner says that no entry owns a shard now.
-var errNoOwner = errors.New("entry: no owner of the claim's shard")
+// errNoOwner is returned while no entry owns a claim shard.
+var errNoOwner = errors.New("entry: claim shard has no owner")
 
-// An ownerRecord is the owner of a shard as last read.
+// An ownerRecord is a cached owner of a shard.
 type ownerRecord struct {
 	addr string
 	at   time.Time
 }
 
-// shardOf returns the shard of a key.
+// shardOf returns the index of the shard of a key.
 func (c *claims) shardOf(key string) int { return claim.ShardOf(key, len(c.shards)) }
 
-// claim asks the owner of the key's shard.
+// claim claims the key of r at the entry that owns its shard.
 func (c *claims) claim(ctx context.Context, r wire.ClaimRequest) (wire.ClaimAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -42,14 +42,14 @@
 	return a, err
 }
 
-// claimHere claims a key of a shard that this entry owns.
+// claimHere claims a key of shard i, which this entry owns.
 func (c *claims) claimHere(ctx context.Context, i int, r wire.ClaimRequest) (wire.ClaimAnswer, error) {
 	rec, fresh, err := c.shards[i].Claim(ctx, r.Key, r.Fingerprint, r.Attempt)
 	return wire.ClaimAnswer{Record: rec, Fresh: fresh}, err
 }
 
-// finish records the end of a claimed request. What is lost here leaves the key
-// claimed, so that the request is never sent again.
+// finish records the end of a claimed request. If that fails the key stays claimed, so the request
+// is never sent again.
 func (c *claims) finish(r wire.ClaimRequest) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.ctx), claimTimeout)
 	defer cancel()
@@ -59,12 +59,11 @@
 		return
 	}
 	if err := c.callOwner(ctx, i, wire.PathClaimFinish, r, nil); err != nil {
-		c.log.Warn("end of a claimed request not recorded", zap.String("attempt", r.Attempt), zap.Error(err))
+		c.log.Warn("recording the end of a claimed request failed", zap.String("attempt", r.Attempt), zap.Error(err))
 	}
 }
 
-// finishHere records in memory at once and in the platform's service with the
-// shard's next write.
+// finishHere updates the record in memory; the shard's next write stores it.
 func (c *claims) finishHere(i int, r wire.ClaimRequest) {
 	if r.Free || r.Answer == nil {
 		c.shards[i].Release(r.Key, r.Attempt)
@@ -73,8 +72,8 @@
 	c.shards[i].Finish(r.Key, r.Attempt, *r.Answer)
 }
 
-// callOwner sends a message to the entry that owns the shard, and once more if
-// it has changed hands.
+// callOwner posts a message to the entry that owns the shard. It tries again, after reading the
+// lease anew, if the shard's owner has changed.
 func (c *claims) callOwner(ctx context.Context, i int, path string, in, out any) error {
 	for try := range ownerTries {
 		addr, err := c.owner(ctx, i, try > 0)
@@ -89,15 +88,16 @@
 	return errNoOwner
 }
 
-// isNotOwner reports whether a call surely had no effect because the callee is
-// gone or owns the shard no more.
+// isNotOwner reports whether a call certainly had no effect: it was not sent, or the callee does
+// not own the shard.
 func isNotOwner(err error) bool {
 	var s *wire.StatusError
 	return errors.Is(err, wire.ErrNotSent) || errors.As(err, &s) && s.Status == http.StatusMisdirectedRequest
 }
 
-// owner returns the address of the shard's owner: the one last read, or what the lease says if none
-// was read or the last one was asked in vain.
+// owner returns the address of the shard's owner. It returns the cached owner, unless there is
+// none, or again is set and the cached one is older than ownerMemory; then it reads the shard's
+// lease.
 func (c *claims) owner(ctx context.Context, i int, again bool) (string, error) {
 	c.mu.Lock()
 	o, ok := c.owners[i]
@@ -114,7 +114,7 @@
 	}
 	var r lease.Record
 	if err := json.Unmarshal(entry.Value, &r); err != nil {
-		return "", eris.Wrap(err, "entry: decode lease")
+		return "", eris.Wrap(err, "entry: decode lease record")
 	}
 	c.mu.Lock()
 	c.owners[i] = ownerRecord{addr: r.Addr, at: c.clock.Now()}
@@ -122,7 +122,7 @@
 	return r.Addr, nil
 }
 
-// serveClaim answers another entry's claim.
+// serveClaim handles a claim forwarded by another entry.
 func (c *claims) serveClaim(ec echo.Context) error {
 	return c.serveOwned(ec, func(i int, r wire.ClaimRequest) error {
 		a, err := c.claimHere(ec.Request().Context(), i, r)
@@ -136,7 +136,7 @@
 	})
 }
 
-// serveFinish records the end of another entry's claimed request.
+// serveFinish handles the end of a claimed request, forwarded by another entry.
 func (c *claims) serveFinish(ec echo.Context) error {
 	return c.serveOwned(ec, func(i int, r wire.ClaimRequest) error {
 		c.finishHere(i, r)
@@ -144,7 +144,8 @@
 	})
 }
 
-// serveOwned passes another entry's message on with the key's shard, if this entry owns it.
+// serveOwned decodes a message of another entry and passes it to serve if this entry owns the key's
+// shard; otherwise it responds with status 421.
 func (c *claims) serveOwned(ec echo.Context, serve func(shard int, r wire.ClaimRequest) error) error {
 	var r wire.ClaimRequest
 	if err := ec.Bind(&r); err != nil {
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -12,18 +12,18 @@
 	"rockcleat/rendezvous"
 )
 
-// An answerRecord collects the start of an answer for the claim's record.
+// An answerRecord collects a response for the claim record.
 type answerRecord struct {
 	answer claim.Answer
 	length int
 }
 
-// begin keeps the status and the type.
+// begin records the status and the content type.
 func (a *answerRecord) begin(status int, contentType string) {
 	a.answer.Status, a.answer.ContentType = status, contentType
 }
 
-// write keeps a piece of the body, up to the longest that a record holds.
+// write appends to the body, up to claim.MaxBody bytes.
 func (a *answerRecord) write(b []byte) {
 	a.length += len(b)
 	if a.length <= claim.MaxBody {
@@ -31,7 +31,7 @@
 	}
 }
 
-// record returns what is kept of the answer.
+// record returns the response to store, without a body if it exceeds claim.MaxBody.
 func (a *answerRecord) record() *claim.Answer {
 	r := a.answer
 	r.Whole = a.length <= claim.MaxBody
@@ -41,13 +41,14 @@
 	return &r
 }
 
-// runClaimed sends a request that may not be repeated, if its key is free.
+// runClaimed claims the request's key and forwards the request if the key is free. Otherwise it
+// responds from the existing record.
 func (p *proxy) runClaimed(c echo.Context, x *call) error {
 	fingerprint := rendezvous.Key(c.Request().Method + "\x00" + c.Request().URL.RequestURI() + "\x00" + string(x.body))
 	r := wire.ClaimRequest{Key: x.key, Fingerprint: fingerprint, Attempt: uuid.NewString()}
 	a, err := p.claims.claim(c.Request().Context(), r)
 	if err != nil {
-		p.log.Warn("claim not recorded", zap.String("request", x.id), zap.Error(err))
+		p.log.Warn("claim failed; request not run", zap.String("request", x.id), zap.Error(err))
 		p.claims.finish(wire.ClaimRequest{Key: x.key, Attempt: r.Attempt, Free: true})
 		p.metrics.Request(x.class(), string(wire.OutcomeNotRun))
 		return wire.Failure{
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// replay answers a request whose key has a record already.
+// replay responds to a request whose key already has a record.
 func (p *proxy) replay(c echo.Context, x *call, r claim.Record, fingerprint uint64) error {
 	if r.Fingerprint != fingerprint {
 		f := badRequest("key_reused", wire.HeaderIdempotencyKey, "the Idempotency-Key was used for another request")
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -17,26 +17,26 @@
 	"rockcleat/lease"
 )
 
-// Times and counts of claims.
+// Timeouts and limits of claims.
 const (
-	// claimTimeout bounds one claim, one write of records and one step of a lease.
+	// claimTimeout bounds one claim, one write of a shard's records and one lease operation.
 	claimTimeout = 2 * time.Second
-	// ownerMemory is how long an owner just read from the store is not read again.
+	// ownerMemory is the minimum age of a cached owner before a retry reads the lease again.
 	ownerMemory = 500 * time.Millisecond
-	// ownerTries is how many owners are called for one claim: a shard may change hands once.
+	// ownerTries is the maximum number of calls per claim. The second one covers a change of the
+	// owner.
 	ownerTries = 2
-	// claimLeasePart divides the lease's length into the time between two renewals.
+	// claimLeasePart is the number of lease renewals per TTL.
 	claimLeasePart = 3
-	// claimContenders is the number of entries that contend for one shard: its owner and
-	// one to take over.
+	// claimContenders is the number of entries that contend for one shard: its owner and a standby.
 	claimContenders = 2
 )
 
-// claimsOptions are what claims are made of.
+// claimsOptions are the dependencies and settings of claims.
 type claimsOptions struct {
-	// ctx ends with the entry, after its last request.
+	// ctx is canceled when the entry stops, after its last request.
 	ctx context.Context
-	// id is the entry's, addr that of its control listener.
+	// id is the entry's id, addr the address of its control listener.
 	id, addr string
 	settings config.Claims
 	store    kv.Store
@@ -46,8 +46,8 @@
 	members  *members
 }
 
-// claims is the entry's side of the records of requests that may not be
-// repeated: the shards that it owns and the way to those that others own.
+// claims manages the claim records of requests that must not run twice. It holds the shards that
+// this entry owns and calls the owners of the others.
 type claims struct {
 	claimsOptions
 	shards  []*claim.Shard
@@ -58,8 +58,8 @@
 	owners map[int]ownerRecord
 }
 
-// newClaims returns claims that own no shard until start. All shards together write no more
-// often than the settings allow.
+// newClaims returns claims that own no shard until start. Each shard's write interval is set so
+// that all shards together stay within the configured write rate.
 func newClaims(o claimsOptions) *claims {
 	s := o.settings
 	c := &claims{claimsOptions: o, owners: make(map[int]ownerRecord)}
@@ -77,11 +77,10 @@
 	return c
 }
 
-// leaseName is the name of a shard's lease.
 func leaseName(shard int) string { return fmt.Sprintf("claim/%d", shard) }
 
-// start starts a goroutine for each shard, so that a slow write of one holds up
-// no other.
+// start starts the lease renewal and one goroutine per shard, so that a slow write delays no other
+// shard.
 func (c *claims) start() {
 	every := c.settings.LeaseTTL.Std() / claimLeasePart
 	c.stops = append(c.stops, c.clock.Subscribe(every, func(time.Time) { c.stepLeases() }))
@@ -91,8 +90,8 @@
 	go c.stepLeases()
 }
 
-// run writes the shard's records when there are some, no more often than the
-// shard's part of the write rate allows.
+// run writes the records of shard i whenever some are pending, within the shard's share of the
+// write rate.
 func (c *claims) run(i int) {
 	for {
 		select {
@@ -105,7 +104,7 @@
 	}
 }
 
-// flush writes the records of a shard that is owned.
+// flush writes the pending records of shard i if this entry owns it.
 func (c *claims) flush(i int) {
 	if !c.shards[i].IsOpen() {
 		return
@@ -113,12 +112,12 @@
 	ctx, cancel := context.WithTimeout(c.ctx, claimTimeout)
 	defer cancel()
 	if err := c.shards[i].Step(ctx); err != nil {
-		c.log.Warn("claims not recorded", zap.Int("shard", i), zap.Error(err))
+		c.log.Warn("writing claim records failed", zap.Int("shard", i), zap.Error(err))
 	}
 }
 
-// stepLeases renews and contends for the shards' leases and opens or closes the
-// shards with them.
+// stepLeases renews the leases held and contends for those that this entry is ranked for. It opens
+// or closes each shard accordingly.
 func (c *claims) stepLeases() {
 	entries := c.members.Entries()
 	for i, h := range c.holders {
@@ -130,15 +129,16 @@
 	}
 }
 
-// stepLease renews or contends for a shard's lease and opens or closes the shard with it. A shard
-// closes as soon as its lease may have lapsed, since two owners would let one key run twice; a cell
-// (package planner) stays until another entry can hold it, since its agents compare tokens.
+// stepLease renews or contends for the lease of shard i and opens or closes the shard accordingly.
+// A shard is closed as soon as its lease may have expired, since with two owners a request could
+// run twice. The planner, in contrast, keeps a cell until another entry can hold its lease, because
+// agents compare fencing tokens.
 func (c *claims) stepLease(i int, h *lease.Holder) {
 	ctx, cancel := context.WithTimeout(c.ctx, claimTimeout)
 	defer cancel()
 	before, _ := h.Held()
 	if err := h.Step(ctx); err != nil {
-		c.log.Debug("claim lease not renewed", zap.Int("shard", i), zap.Error(err))
+		c.log.Debug("renewing or acquiring a claim lease failed", zap.Int("shard", i), zap.Error(err))
 	}
 	token, held := h.Held()
 	switch {
@@ -146,12 +146,12 @@
 		c.shards[i].Close()
 	case token != before || !c.shards[i].IsOpen():
 		if err := c.shards[i].Open(ctx); err != nil {
-			c.log.Warn("claim shard not opened", zap.Int("shard", i), zap.Error(err))
+			c.log.Warn("opening a claim shard failed", zap.Int("shard", i), zap.Error(err))
 		}
 	}
 }
 
-// stop writes what is pending and releases the leases.
+// stop writes the pending records and releases the leases.
 func (c *claims) stop(ctx context.Context) {
 	for _, stop := range c.stops {
 		stop()
@@ -160,7 +160,7 @@
 		c.flush(i)
 		c.shards[i].Close()
 		if err := h.Release(ctx); err != nil {
-			c.log.Warn("lease not given back", zap.String("lease", h.Name()), zap.Error(err))
+			c.log.Warn("releasing a claim lease failed", zap.String("lease", h.Name()), zap.Error(err))
 		}
 	}
 }
--- a/internal/entry/decisions.go
+++ b/internal/entry/decisions.go
@@ -7,16 +7,16 @@
 	"rockcleat/internal/wire"
 )
 
-// maxDecisions bounds the decisions kept for operators.
+// maxDecisions is the maximum number of decisions kept for operators.
 const maxDecisions = 512
 
-// decisions keeps the latest decisions of an entry; its zero value is empty.
+// decisions keeps the latest decisions of an entry. Its zero value is empty.
 type decisions struct {
 	mu  sync.Mutex
 	all []wire.Decision
 }
 
-// Record keeps a decision and drops the oldest if there are too many.
+// Record adds a decision and drops the oldest above maxDecisions.
 func (d *decisions) Record(x wire.Decision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -26,7 +26,7 @@
 	}
 }
 
-// latest returns the decisions about a name, or all for an empty name.
+// latest returns the decisions about name, oldest first, or all if name is empty.
 func (d *decisions) latest(name string) []wire.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,24 +1,25 @@
-// Package entry is the process behind the platform's balancer that callers and operators speak to,
-// where requests go through an agent beside each backend server.
+// Package entry implements the process that serves clients and operators, behind the platform's
+// load balancer. It forwards clients' requests to the agents of backend servers.
 //
-// An Entry joins parts that each own their state:
+// An Entry consists of these parts, each of which owns its state:
 //
-//   - proxy: callers' requests in progress, the load of each server as this entry knows it and the
-//     retry budget; a call is one request, a delivery the loop that tries servers;
-//   - claims: the shards of the records of requests that may not be repeated, and the way to the
-//     entries that own the others;
-//   - syncer: the spreading of the table and the servers' records between entries;
-//   - operators: what operators read and save, and decisions, the latest of them;
+//   - proxy: the client requests in progress, the load of each server as known to this entry, and
+//     the retry budget. A call is one request, a delivery the loop that tries servers for it;
+//   - claims: the claim records of requests with an Idempotency-Key, in the shards that this entry
+//     owns, and the calls to the entries that own the other shards;
+//   - syncer: the replication of the table and the servers' records between entries;
+//   - operators: the API for operators, and decisions, the latest of the entry's decisions;
 //   - members: the platform's list of VMs;
-//   - quarantine: the requests under which servers have ended, from the agents through the planners
-//     and from other entries (package quarantine);
-//   - package planner: the cells whose lease this entry holds.
+//   - quarantine: the requests during which servers have crashed, as reported by agents through the
+//     planners and by other entries (package quarantine);
+//   - planner: the cells whose lease this entry holds (package planner).
 //
-// The table in force and the view of servers are shared by all parts and safe for that. Nothing of
-// an Entry must last: the table, the claims and the leases are in the platform's key-value service.
-// While that is away an Entry serves from its last table and view; claims of shards whose lease has
-// lapsed are refused as not run.
+// All parts share the table in force and the view of the servers, both of which are safe for
+// concurrent use. An Entry stores nothing on disk: the table, the claim records and the leases are in
+// the platform's key-value service. While that service is unavailable an Entry continues to serve
+// with its last table and view. It refuses requests that need a claim in a shard whose lease has
+// expired; these are not run.
 //
-// Callers get one of three outcomes: answered, not run or unknown (wire.Outcome). A request is sent
-// again after it was surely not run, or if it may be repeated.
+// Each response has one of three outcomes: answered, not run or unknown (wire.Outcome). A request is
+// sent again if it certainly did not run, or if it may be repeated.
 package entry
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -22,7 +22,7 @@
 	"rockcleat/table"
 )
 
-// Options are what an Entry is made of.
+// Options are the settings and dependencies of an Entry.
 type Options struct {
 	Settings config.Entry
 	Store    kv.Store
@@ -30,43 +30,42 @@
 	Clock    clock.Service
 	Log      *zap.Logger
 	Metrics  *telemetry.Metrics
-	// Traffic counts the bytes of control; the clients of the platform share it.
+	// Traffic counts the bytes of control traffic. The platform's clients share it.
 	Traffic *wire.Traffic
 }
 
-// An Entry is the process that callers and operators speak to.
+// An Entry is the process that serves clients and operators.
 type Entry struct {
 	settings config.Entry
 	clock    clock.Service
 	log      *zap.Logger
 	metrics  *telemetry.Metrics
-	// replica is the table in force, view the servers' records; both are shared by the parts.
+	// replica holds the table in force and view the records of the servers. All parts share both.
 	replica   table.Replica
 	view      fleet.View
 	decisions decisions
 	members   *members
-	// quarantine holds the requests under which backend servers have ended.
+	// quarantine holds the requests during which backend servers have crashed.
 	quarantine *quarantine.Table
 	planner    *planner.Planner
 	sync       *syncer
 	claims     *claims
 	operators  *operators
 	proxy      *proxy
-	// traffic counts the bytes of control, proxied those of callers' requests.
+	// traffic counts the bytes of control traffic, proxied those of clients' requests.
 	traffic  *wire.Traffic
 	proxied  wire.Traffic
 	requests *server.Listener
 	control  *server.Listener
 	leaving  atomic.Bool
-	// stops end the subscriptions to the clock.
+	// stops cancel the clock subscriptions.
 	stops []func()
-	// ctx ends with the entry, after its last request.
+	// ctx is canceled when the entry stops, after its last request.
 	ctx  context.Context
 	done context.CancelFunc
 }
 
-// New returns an Entry that does nothing until Start. Its parts are made from those that need no
-// other up to the proxy.
+// New returns an Entry that is idle until Start.
 func New(o Options) *Entry {
 	s := o.Settings
 	e := &Entry{settings: s, clock: o.Clock, log: o.Log, metrics: o.Metrics, traffic: o.Traffic}
@@ -105,7 +104,7 @@
 	return e
 }
 
-// Start binds the listeners and starts the entry's systems.
+// Start binds the listeners and starts the background tasks.
 func (e *Entry) Start() error {
 	var err error
 	if e.requests, err = server.Listen(e.settings.Listen, e.proxy.router(), &e.proxied, e.log); err != nil {
@@ -127,7 +126,6 @@
 	return nil
 }
 
-// controlRouter returns the handler of the control listener.
 func (e *Entry) controlRouter() http.Handler {
 	r := server.NewRouter()
 	server.RegisterHealth(r, e.ready, e.metrics)
@@ -141,7 +139,7 @@
 	return r
 }
 
-// nudge makes the planner exchange messages with a server's agent at once.
+// nudge handles an agent's request for an immediate exchange with its planner.
 func (e *Entry) nudge(c echo.Context) error {
 	var n wire.Nudge
 	if err := c.Bind(&n); err != nil {
@@ -151,18 +149,18 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// subscribe calls f every interval until the entry halts.
+// subscribe calls f at the given interval until the entry stops.
 func (e *Entry) subscribe(every time.Duration, f func(time.Time)) {
 	e.stops = append(e.stops, e.clock.Subscribe(every, f))
 }
 
-// Addr returns the address for callers.
+// Addr returns the address of the listener for clients.
 func (e *Entry) Addr() string { return e.requests.Addr() }
 
-// ControlAddr returns the address for control messages and operators.
+// ControlAddr returns the address of the listener for control messages and operators.
 func (e *Entry) ControlAddr() string { return e.control.Addr() }
 
-// stepMembers follows the platform's list and forgets servers that are gone.
+// stepMembers updates the list of VMs and drops the load of servers that are gone.
 func (e *Entry) stepMembers() {
 	e.members.step(e.ctx)
 	live := make(map[string]bool)
@@ -172,7 +170,8 @@
 	e.proxy.routes.Forget(live)
 }
 
-// ready reports whether the entry should get requests from the balancer.
+// ready reports whether the load balancer should send requests to this entry, and the reason if
+// not.
 func (e *Entry) ready() (bool, string) {
 	switch {
 	case e.leaving.Load():
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -12,22 +12,23 @@
 	"rockcleat/internal/openai"
 )
 
-// maxEvent is the longest event of a stream, in bytes.
+// maxEvent is the maximum length of an event, in bytes.
 const maxEvent = 1 << 20
 
-// Marks of a stream's events.
+// Syntax of event streams.
 var (
 	dataPrefix = []byte("data:")
 	doneMark   = []byte("[DONE]")
 )
 
-// Errors of a stream that does not end as it should.
+// Errors of incomplete or invalid event streams.
 var (
-	errCut      = errors.New("entry: stream ended before its end mark")
-	errTooLarge = errors.New("entry: event too long")
+	errCut      = errors.New("entry: event stream ended without [DONE]")
+	errTooLarge = errors.New("entry: event exceeds the size limit")
 )
 
-// readEvent reads one event with the empty line after it.
+// readEvent reads one event, including the empty line that ends it. It returns errCut if the stream
+// ends first and errTooLarge if the event exceeds maxEvent.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -43,7 +44,7 @@
 			return nil, errCut
 		}
 		if err != nil {
-			return nil, eris.Wrap(err, "entry: read stream")
+			return nil, eris.Wrap(err, "entry: read event stream")
 		}
 		if bytes.HasSuffix(event, []byte("\n\n")) || bytes.HasSuffix(event, []byte("\n\r\n")) || len(bytes.TrimSpace(event)) == 0 {
 			return event, nil
@@ -51,7 +52,7 @@
 	}
 }
 
-// dataOf returns an event's data, nil if it has none.
+// dataOf returns the first data field of an event, or nil if there is none.
 func dataOf(event []byte) []byte {
 	for line := range bytes.Lines(event) {
 		if bytes.HasPrefix(line, dataPrefix) {
@@ -61,10 +62,10 @@
 	return nil
 }
 
-// isDone reports whether an event is a stream's end mark.
+// isDone reports whether an event is the [DONE] event that ends a stream.
 func isDone(event []byte) bool { return bytes.Equal(dataOf(event), doneMark) }
 
-// carriesToken reports whether an event carries text of the answer.
+// carriesToken reports whether an event carries text of the completion.
 func carriesToken(event []byte) bool {
 	data := dataOf(event)
 	if data == nil {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -13,46 +13,47 @@
 	"rockcleat/route"
 )
 
-// Bounds of the sending of one request.
+// Limits of forwarding one request.
 const (
-	// maxTries bounds the servers that it is sent to.
+	// maxTries is the maximum number of servers that a request is sent to.
 	maxTries = 4
-	// arrivalPoll is the time between two looks for a server that is to arrive.
+	// arrivalPoll is the interval at which a waiting request checks for an available server.
 	arrivalPoll = 20 * time.Millisecond
-	// maxArrival bounds the wait for it.
+	// maxArrival is the maximum time that a request waits for an available server.
 	maxArrival = 10 * time.Second
 )
 
-// A delivery is the state of passing one call's answer to its caller.
+// A delivery forwards one call to servers, one after another, and returns the response to the
+// client.
 type delivery struct {
 	proxy *proxy
 	c     echo.Context
 	x     *call
 	// out is the outcome, empty until the call is over.
 	out wire.Outcome
-	// begun says that the answer's header has been sent to the caller.
+	// begun reports whether the response header has been sent to the client.
 	begun bool
-	// tokens is the number of streamed tokens that the caller has.
+	// tokens is the number of tokens that have been streamed to the client.
 	tokens int
-	// refusal is the best refusal so far.
+	// refusal is the refusal to return if no other server accepts the request.
 	refusal *wire.Failure
-	// tried holds the incarnation of each server that was tried.
+	// tried maps the id of each server tried to its incarnation at the time.
 	tried map[string]string
-	// mayHaveRun says that a server was lost that may have run the request.
+	// mayHaveRun reports whether the request may have run on a server that was then lost.
 	mayHaveRun bool
-	// refusedByLeaver says that a server refused because it is leaving.
+	// refusedByLeaver reports whether a server refused the request because it is leaving.
 	refusedByLeaver bool
-	// finish is called with the outcome, before the caller has the end of the answer.
+	// finish is called with the outcome before the end of the response is sent to the client.
 	finish func(wire.Outcome)
 }
 
-// forward answers a call that needs no claim.
+// forward serves a call that needs no claim.
 func (p *proxy) forward(c echo.Context, x *call) {
 	p.forwardThen(c, x, func(wire.Outcome) {})
 }
 
-// forwardThen answers a call and passes its outcome to finish before the caller has the end of the
-// answer.
+// forwardThen serves a call. It calls finish with the outcome before the end of the response is
+// sent to the client.
 func (p *proxy) forwardThen(c echo.Context, x *call, finish func(wire.Outcome)) {
 	d := &delivery{proxy: p, c: c, x: x, tried: make(map[string]string), finish: finish}
 	x.digest = digestOf(c.Request(), x.row.Name, x.body)
@@ -67,7 +68,7 @@
 			break
 		}
 		if try > 0 && !p.budget.Allow() {
-			p.log.Warn("retry budget used up", zap.String("request", x.id))
+			p.log.Warn("retry budget exhausted", zap.String("request", x.id))
 			break
 		}
 		if try > 0 {
@@ -81,8 +82,8 @@
 	d.giveUp()
 }
 
-// next chooses the server to try. It waits for one, within the row's queue time, while one may
-// arrive.
+// next returns the server to try next. While one may become available, it waits for up to the
+// smaller of the row's queue time and maxArrival.
 func (d *delivery) next() (fleet.Server, bool) {
 	since := d.x.arrived
 	if d.mayHaveRun {
@@ -104,9 +105,9 @@
 	}
 }
 
-// mayArrive reports whether waiting for a server is worth it: the model is being loaded and no
-// server refused for lack of capacity, or a server was lost under the request, so that its model
-// is loaded elsewhere.
+// mayArrive reports whether a server may become available soon: the model is being loaded and no
+// server refused for lack of capacity, or a server was lost during the request, so that the model
+// will be loaded on another.
 func (d *delivery) mayArrive() bool {
 	if d.mayHaveRun {
 		return true
@@ -114,9 +115,8 @@
 	return d.proxy.arriving(d.x.row.Name) && (len(d.tried) == 0 || d.refusedByLeaver)
 }
 
-// choose returns the best server not yet tried. One that is leaving is chosen
-// only when no other has the model or adapter; it decides itself whether it
-// still takes the request.
+// choose returns the best server not yet tried. A leaving server is chosen only if no other serves
+// the row. It may still refuse the request.
 func (d *delivery) choose() (fleet.Server, bool) {
 	servers := slices.DeleteFunc(slices.Clone(d.proxy.view.Serving(d.x.row.Name)), func(s fleet.Server) bool {
 		return d.tried[s.ID] == s.Incarnation
@@ -137,7 +137,8 @@
 	return servers[i], true
 }
 
-// leaving reports whether a server leaves, by its own word, its record or the platform's list.
+// leaving reports whether a server is leaving according to its responses, its record or the
+// platform's list of VMs.
 func (d *delivery) leaving(s fleet.Server) bool {
 	return s.Leaving || d.proxy.members.isLeaving(s.ID) || d.proxy.routes.Leaving(s.ID, s.Incarnation)
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -16,7 +16,7 @@
 	Changes(ctx context.Context, since uint64) (inventory.VMList, error)
 }
 
-// members follows the platform's list of VMs.
+// members caches the platform's list of VMs. It is safe for concurrent use.
 type members struct {
 	// self is the id of this entry.
 	self   string
@@ -28,19 +28,19 @@
 	vms     map[string]inventory.VM
 }
 
-// newMembers returns members that know no VM until the first step.
+// newMembers returns members without VMs.
 func newMembers(self string, l vmLister, log *zap.Logger) *members {
 	return &members{self: self, lister: l, log: log, vms: make(map[string]inventory.VM)}
 }
 
-// step applies what has changed; a list that cannot be read stays as it was.
+// step reads the changes since the last read. If that fails the list stays as it was.
 func (m *members) step(ctx context.Context) {
 	m.mu.Lock()
 	since := m.version
 	m.mu.Unlock()
 	l, err := m.lister.Changes(ctx, since)
 	if err != nil {
-		m.log.Warn("list of VMs not read", zap.Error(err))
+		m.log.Warn("reading the list of VMs failed", zap.Error(err))
 		return
 	}
 	m.mu.Lock()
@@ -65,7 +65,7 @@
 	return m.version
 }
 
-// all returns every listed VM.
+// all returns all listed VMs, ordered by id.
 func (m *members) all() []inventory.VM {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,7 +77,7 @@
 	return vms
 }
 
-// Entries returns the ids of the live entries and this one.
+// Entries returns the ids of the live entries, including this one.
 func (m *members) Entries() []string {
 	ids := []string{m.self}
 	for _, vm := range m.peers() {
@@ -86,19 +86,19 @@
 	return ids
 }
 
-// peers returns the other live entries.
+// peers returns the VMs of the other live entries.
 func (m *members) peers() []inventory.VM {
 	return slices.DeleteFunc(m.all(), func(vm inventory.VM) bool {
 		return vm.Role != inventory.RoleEntry || vm.State != inventory.VMLive || vm.ID == m.self
 	})
 }
 
-// Backends returns the backend servers' VMs, leaving ones included.
+// Backends returns the VMs of backend servers, including leaving ones.
 func (m *members) Backends() []inventory.VM {
 	return slices.DeleteFunc(m.all(), func(vm inventory.VM) bool { return vm.Role != inventory.RoleBackend })
 }
 
-// isLeaving reports whether the list says that a VM is leaving.
+// isLeaving reports whether a VM is listed as leaving.
 func (m *members) isLeaving(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -18,21 +18,21 @@
 	"rockcleat/table"
 )
 
-// Bounds of the operators' interface.
+// Limits of the operators' API.
 const (
 	// saveTimeout bounds the saving of an edit.
 	saveTimeout = 10 * time.Second
-	// statusTimeout bounds the question to one VM for its table version, and statusAtOnce is
-	// how many are asked at once.
+	// statusTimeout bounds the query of one VM's table version. statusAtOnce is the maximum number
+	// of concurrent queries.
 	statusTimeout = time.Second
 	statusAtOnce  = 32
 )
 
-// stateSilent is the state shown of a VM that does not answer.
+// stateSilent is the reported state of a VM that does not respond.
 const stateSilent = "silent"
 
-// operators answers operators: it shows, checks and saves the table, and shows what this entry
-// knows of the system.
+// operators serves the operators' API: it reads, checks and saves the table and reports the state
+// known to this entry.
 type operators struct {
 	id        string
 	replica   *table.Replica
@@ -42,13 +42,13 @@
 	members   *members
 	decisions *decisions
 	peers     *wire.Client
-	// inFlight returns the number of callers' requests in progress.
+	// inFlight returns the number of client requests in progress.
 	inFlight func() int64
 	traffic  *wire.Traffic
 	log      *zap.Logger
 }
 
-// register adds the operators' paths.
+// register adds the routes of the operators' API.
 func (o *operators) register(r *echo.Group) {
 	r.GET(wire.PathTable, o.showTable)
 	r.POST(wire.PathTable, o.saveTable)
@@ -58,17 +58,18 @@
 	r.GET(wire.PathDecisions, o.showDecisions)
 }
 
-// showTable answers with the saved table, or with the one in force here while the service is out.
+// showTable responds with the saved table, or with the table in force at this entry if the
+// key-value service is unavailable.
 func (o *operators) showTable(c echo.Context) error {
 	t, _, err := o.tableLog.Load(c.Request().Context(), o.replica.Current())
 	if err != nil {
-		o.log.Warn("table not read, the one in force is shown", zap.Error(err))
+		o.log.Warn("loading the saved table failed; returning the table in force", zap.Error(err))
 		t = o.replica.Current()
 	}
 	return c.JSON(http.StatusOK, wire.TableAnswer{Version: t.Version(), Rows: t.Rows()})
 }
 
-// saveTable saves an edit and puts the table in force here.
+// saveTable saves an edit and puts the resulting table in force at this entry.
 func (o *operators) saveTable(c echo.Context) error {
 	var r wire.SaveRequest
 	if err := c.Bind(&r); err != nil {
@@ -85,7 +86,7 @@
 	return c.JSON(http.StatusOK, wire.SaveAnswer{Version: t.Version()})
 }
 
-// notSaved answers that an edit was refused or that its outcome is unknown.
+// notSaved responds that an edit was refused or that its outcome is unknown.
 func (o *operators) notSaved(c echo.Context, err error) error {
 	a := wire.SaveAnswer{Message: err.Error()}
 	var invalid *table.InvalidError
@@ -101,7 +102,8 @@
 	return c.JSON(http.StatusServiceUnavailable, a)
 }
 
-// checkTable says what saving an edit would do, without saving it.
+// checkTable validates an edit without saving it. It responds with the version of the table in
+// force.
 func (o *operators) checkTable(c echo.Context) error {
 	var r wire.SaveRequest
 	if err := c.Bind(&r); err != nil {
@@ -115,8 +117,8 @@
 	return c.JSON(http.StatusOK, wire.SaveAnswer{Version: now.Version()})
 }
 
-// tableCheck returns a check that refuses tables whose models do not all fit the accelerators
-// known.
+// tableCheck returns a validator that rejects tables whose models do not all fit on the known
+// accelerators. It accepts every table while the sizes or the accelerators are unknown.
 func tableCheck(view *fleet.View, p *planner.Planner) table.Validator {
 	return func(next *table.Table) []table.CheckError {
 		sizes := p.Sizes()
@@ -132,7 +134,7 @@
 	}
 }
 
-// history answers with the latest edits.
+// history responds with the latest edits.
 func (o *operators) history(c echo.Context) error {
 	edits, err := o.tableLog.History(c.Request().Context())
 	if err != nil {
@@ -141,14 +143,15 @@
 	return c.JSON(http.StatusOK, wire.HistoryAnswer{Edits: edits})
 }
 
-// showDecisions answers with the latest decisions, or those about one row.
+// showDecisions responds with the latest decisions, or with those about the row given by the
+// parameter name.
 func (o *operators) showDecisions(c echo.Context) error {
 	a := wire.DecisionsAnswer{Entry: o.id, Decisions: o.decisions.latest(c.QueryParam("name"))}
 	return c.JSON(http.StatusOK, a)
 }
 
-// status answers with this entry's view and, if asked, the table version that
-// each VM says it has.
+// status responds with this entry's state. The parameter brief omits the servers and VMs. The
+// parameter versions adds the table version that each VM reports.
 func (o *operators) status(c echo.Context) error {
 	a := wire.StatusAnswer{
 		Entry: o.id, TableVersion: o.replica.Current().Version(), Cells: o.planner.Held(),
@@ -170,8 +173,8 @@
 	return c.JSON(http.StatusOK, a)
 }
 
-// askVersions asks every VM for its table version, a few at once; one that does
-// not answer keeps version 0.
+// askVersions queries every VM for its table version. The version of a VM that does not respond
+// stays 0.
 func (o *operators) askVersions(ctx context.Context, out []wire.VMStatus, vms []inventory.VM) {
 	slots := make(chan struct{}, statusAtOnce)
 	var wg sync.WaitGroup
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -9,8 +9,7 @@
 	"rockcleat/internal/wire"
 )
 
-// keepRefusal remembers an agent's refusal, the one with the shortest time to
-// come back before others.
+// keepRefusal records an agent's refusal unless an earlier one has a shorter Retry-After.
 func (d *delivery) keepRefusal(resp *http.Response) {
 	f := &wire.Failure{
 		Status: resp.StatusCode, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
@@ -23,7 +22,8 @@
 	}
 }
 
-// failed handles a call that got no answer's header and reports whether it is over.
+// failed handles an attempt that returned no complete response and reports whether the call is
+// over.
 func (d *delivery) failed(s fleet.Server, err error) bool {
 	if d.c.Request().Context().Err() != nil {
 		return d.abandoned()
@@ -40,10 +40,11 @@
 	return d.lost(s, err)
 }
 
-// lost handles a server that may have run the request and reports whether the
-// call is over: one that may be repeated goes on elsewhere.
+// lost handles the loss of a server that may have run the request and reports whether the call is
+// over. A repeatable request continues on another server, except after part of a response that is
+// not a stream has been sent.
 func (d *delivery) lost(s fleet.Server, err error) bool {
-	d.proxy.log.Warn("backend server lost", zap.String("request", d.x.id), zap.String("server", s.ID),
+	d.proxy.log.Warn("backend server lost during a request", zap.String("request", d.x.id), zap.String("server", s.ID),
 		zap.Int("tokens", d.tokens), zap.Error(err))
 	d.proxy.routes.Avoid(s.ID, d.proxy.clock.Now())
 	d.mayHaveRun = true
@@ -58,11 +59,10 @@
 	return true
 }
 
-// answer sends an answer of the entry's own. It fails if the caller has gone, and then there is
-// nobody to report it to.
+// answer responds with a failure. A write error is ignored: the client has disconnected.
 func (d *delivery) answer(f wire.Failure) { _ = f.Write(d.c) }
 
-// unknown is the answer to a request that may have run and is not sent again.
+// unknown returns the failure of a request that may have run and is not sent again.
 func (d *delivery) unknown() wire.Failure {
 	return wire.Failure{
 		Status: http.StatusBadGateway, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer, Code: "backend_lost",
@@ -70,13 +70,13 @@
 	}
 }
 
-// abandoned ends a call whose caller has gone.
+// abandoned ends a call whose client has disconnected. It returns true: the call is over.
 func (d *delivery) abandoned() bool {
 	d.end(wire.OutcomeUnknown)
 	return true
 }
 
-// giveUp ends a call for which no server is left to try, or no retry.
+// giveUp ends a call for which no server or no retry is left.
 func (d *delivery) giveUp() {
 	if d.c.Request().Context().Err() != nil {
 		d.abandoned()
@@ -104,7 +104,8 @@
 	d.answer(*d.refusal)
 }
 
-// end counts the outcome and passes it on to finish. A request that has run whole ends no server.
+// end records the outcome and passes it to finish; only the first call has an effect. An answered
+// request is cleared of the crashes recorded for it.
 func (d *delivery) end(o wire.Outcome) {
 	if d.out != "" {
 		return
--- a/internal/entry/proxy.go
+++ b/internal/entry/proxy.go
@@ -22,14 +22,15 @@
 	"rockcleat/table"
 )
 
-// A proxy serves callers' requests: it reads each whole, sends it to the agent of a backend server,
-// once more elsewhere where that is safe, and passes the answer on.
+// A proxy serves clients' requests. It reads each request completely, forwards it to the agent of a
+// backend server, retries on another server where that is safe, and returns the response.
 type proxy struct {
 	limits config.Limits
 	secret string
-	// controlAddr returns the address at which agents reach this entry.
+	// controlAddr returns the address of this entry's control listener, which agents connect to.
 	controlAddr func() string
-	// ready reports whether the balancer should send requests, leaving whether the entry stops.
+	// ready reports whether the load balancer should send requests to this entry. leaving reports
+	// whether the entry is stopping.
 	ready     server.Readiness
 	leaving   func() bool
 	replica   *table.Replica
@@ -38,19 +39,19 @@
 	claims    *claims
 	decisions *decisions
 	agents    *http.Client
-	// quarantine is asked before each send.
+	// quarantine is checked before each attempt.
 	quarantine *quarantine.Table
 	clock      clock.Service
 	log        *zap.Logger
 	metrics    *telemetry.Metrics
-	// routes holds the load of each server, budget the retries of this entry.
+	// routes holds the load of each server, budget the retry budget of this entry.
 	routes route.Table
 	budget retry.Budget
-	// inFlight counts the requests in progress.
+	// inFlight is the number of client requests in progress.
 	inFlight atomic.Int64
 }
 
-// router returns the handler of callers' requests.
+// router returns the handler of clients' requests.
 func (p *proxy) router() http.Handler {
 	r := server.NewRouter()
 	r.GET(wire.PathReady, p.ready.Answer)
@@ -61,7 +62,7 @@
 	return r
 }
 
-// limited bounds the requests in progress.
+// limited rejects requests above the limit of requests in progress.
 func (p *proxy) limited(f echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		n := p.inFlight.Add(1)
@@ -79,7 +80,7 @@
 	}
 }
 
-// listModels answers with the models of the table.
+// listModels responds with the models and adapters of the table.
 func (p *proxy) listModels(c echo.Context) error {
 	l := openai.ModelList{Object: "list", Data: []openai.Model{}}
 	for _, r := range p.replica.Current().Rows() {
@@ -92,7 +93,7 @@
 	return c.JSON(http.StatusOK, l)
 }
 
-// serveModel answers a completion request.
+// serveModel handles a completion request.
 func (p *proxy) serveModel(c echo.Context) error {
 	x, f := p.newCall(c)
 	if f != nil {
@@ -115,7 +116,7 @@
 	return p.run(c, x)
 }
 
-// serveService answers a call to a plain service.
+// serveService handles a request to a plain service.
 func (p *proxy) serveService(c echo.Context) error {
 	row, ok := serviceFor(p.replica.Current(), c.Request().URL.Path)
 	if !ok {
@@ -133,7 +134,8 @@
 	return p.run(c, x)
 }
 
-// serviceFor returns the service row with the longest path that the call's path is under.
+// serviceFor returns the service row with the longest path that is a prefix of the request's path,
+// in whole segments.
 func serviceFor(t *table.Table, path string) (table.Row, bool) {
 	var best table.Row
 	for _, r := range t.Rows() {
@@ -145,7 +147,7 @@
 	return best, best.Path != ""
 }
 
-// run answers a call, through its claim if it has a key.
+// run serves a call, with a claim if it has an Idempotency-Key.
 func (p *proxy) run(c echo.Context, x *call) error {
 	if x.key != "" {
 		x.key = x.row.Name + "\x00" + x.key
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -9,22 +9,23 @@
 	"rockcleat/quarantine"
 )
 
-// quarantineSweep is the time between two looks for quarantines that are over.
+// quarantineSweep is the interval at which expired quarantines are removed.
 const quarantineSweep = time.Second
 
-// quarantineChanged logs the begin or the end of a request's quarantine.
+// quarantineChanged logs the start or end of a request's quarantine.
 func (e *Entry) quarantineChanged(c quarantine.Change) { server.LogQuarantine(e.log, c, e.clock.Now()) }
 
-// digestOf returns what copies of a request have in common: its row, its caller's credentials, and what it
-// asks for.
+// digestOf returns the key that identifies copies of a request: its row, the client's credentials,
+// the method, the target and the body.
 func digestOf(r *http.Request, row string, body []byte) quarantine.Key {
 	return quarantine.KeyOf(quarantine.Request{
 		Caller: r.Header.Get("Authorization"), Method: r.Method, Host: row, Target: r.URL.RequestURI(), Body: body,
 	})
 }
 
-// quarantined returns the refusal of a call that is in quarantine: servers have ended under copies of it,
-// and no entry sends it until that is over.
+// quarantined reports whether the call is in quarantine, and returns the failure to respond with.
+// Backend servers have crashed during copies of such a request, so no entry sends it until the
+// quarantine ends.
 func (d *delivery) quarantined() (wire.Failure, bool) {
 	until, held := d.proxy.quarantine.Until(d.x.digest)
 	return wire.Failure{
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -9,25 +9,24 @@
 	"rockcleat/clock"
 )
 
-// A stallTimer cancels an attempt whose server sends nothing for too long.
+// A stallTimer cancels an attempt after a time without data from the server.
 type stallTimer struct {
 	limit time.Duration
 	timer clock.Timer
 }
 
-// newStallTimer starts the time.
+// newStallTimer starts a timer that calls cancel after limit.
 func newStallTimer(c clock.Service, limit time.Duration, cancel func()) *stallTimer {
 	return &stallTimer{limit: limit, timer: c.AfterFunc(limit, cancel)}
 }
 
-// progress starts the time anew.
+// progress restarts the timer.
 func (s *stallTimer) progress() { s.timer.Reset(s.limit) }
 
-// stop ends the timer.
 func (s *stallTimer) stop() { s.timer.Stop() }
 
-// trace makes the agent's interim responses, which show that it is alive while the request
-// waits or runs, count as progress.
+// trace returns a context whose requests restart the timer on each interim response. An agent sends
+// these as heartbeats while the request waits or runs.
 func (s *stallTimer) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -9,8 +9,9 @@
 	"rockcleat/clock"
 )
 
-// Stop turns readiness off, gives roles back, answers new requests for the leave
-// time, lets requests end until ctx does, and closes.
+// Stop reports the entry as not ready, releases the planner's leases and continues to accept
+// requests for the leave time. It then waits for the requests in progress until ctx is done,
+// releases the claim shards and closes the listeners.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.leaving.Store(true)
 	e.log.Info("leaving", zap.Int64("requests", e.proxy.inFlight.Load()))
@@ -20,8 +21,8 @@
 	e.claims.stop(ctx)
 	e.halt()
 	if err != nil {
-		e.log.Error("requests cut by the end of the drain time", zap.Error(err))
-		// What is left is cut; an error of closing changes nothing of that.
+		e.log.Error("drain time exceeded; dropping the remaining requests", zap.Error(err))
+		// The remaining requests are dropped in any case, so the error is ignored.
 		_ = e.requests.Close()
 	}
 	if cerr := e.control.Close(); cerr != nil {
@@ -30,7 +31,7 @@
 	return eris.Wrap(err, "entry: stop")
 }
 
-// halt ends everything that goes on in the background.
+// halt stops the background tasks.
 func (e *Entry) halt() {
 	e.done()
 	for _, stop := range e.stops {
--- a/internal/entry/stream_copy.go
+++ b/internal/entry/stream_copy.go
@@ -14,29 +14,29 @@
 	"rockcleat/internal/wire"
 )
 
-// heldAnswer is the longest answer that is read whole before any of it is passed on, so that one
-// cut before its end can be had elsewhere; in bytes.
+// heldAnswer is the size below which a response is read completely before any of it is sent to the
+// client, in bytes. Until then the request can be retried if the response is incomplete.
 const heldAnswer = 1 << 20
 
-// pass gives an answer to the caller and reports whether the call is over.
+// pass copies the response to the client and reports whether the call is over.
 func (d *delivery) pass(s fleet.Server, resp *http.Response, w *stallTimer) bool {
 	if d.x.stream && isStream(resp.Header) {
 		return d.passStream(s, resp, w)
 	}
 	if d.begun {
-		// A resumed stream that is answered by something else cannot go on.
-		return d.lost(s, eris.Errorf("entry: stream resumed with status %d", resp.StatusCode))
+		// A stream cannot continue with a response that is not a stream.
+		return d.lost(s, eris.Errorf("entry: resumed stream got a response with status %d that is not a stream", resp.StatusCode))
 	}
 	return d.passWhole(s, resp, w)
 }
 
-// isStream reports whether an answer is a stream of events.
+// isStream reports whether a response is an event stream.
 func isStream(h http.Header) bool {
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// passWhole gives an answer that is not a stream of events. One that is short
-// is read whole first; its outcome is recorded before the caller has it.
+// passWhole copies a response that is not an event stream. A response shorter than heldAnswer is
+// read completely first, and its outcome is recorded before it is sent.
 func (d *delivery) passWhole(s fleet.Server, resp *http.Response, w *stallTimer) bool {
 	r := transfer.NewReader(resp.Body, w.progress)
 	held, err := io.ReadAll(io.LimitReader(r, heldAnswer))
@@ -60,7 +60,7 @@
 	return true
 }
 
-// collect keeps the start of the answer for the record of a request with a key.
+// collect adds part of the response to the claim record, if the request has a key.
 func (d *delivery) collect(resp *http.Response, b []byte) {
 	if d.x.answer == nil {
 		return
@@ -69,12 +69,12 @@
 	d.x.answer.write(b)
 }
 
-// ownHeaders are the headers of an agent's answer that are not passed on to callers.
+// ownHeaders are the headers of an agent's response that are not copied to the client.
 var ownHeaders = []string{
 	wire.HeaderLoad, wire.HeaderLeaving, wire.HeaderTableVersion, "Connection", "Transfer-Encoding", "Date",
 }
 
-// begin sends the answer's header to the caller.
+// begin sends the response header to the client, once.
 func (d *delivery) begin(resp *http.Response) {
 	if d.begun {
 		return
@@ -96,14 +96,14 @@
 	d.c.Response().WriteHeader(resp.StatusCode)
 }
 
-// write gives a piece of the answer to the caller; a caller that has gone shows
-// in the request's context.
+// write sends part of the response to the client. A write error is ignored: the request's context
+// is canceled when the client disconnects.
 func (d *delivery) write(b []byte) {
 	_, _ = d.c.Response().Write(b)
 	d.c.Response().Flush()
 }
 
-// A writerFunc is a function as an io.Writer.
+// A writerFunc adapts a function to io.Writer.
 type writerFunc func([]byte)
 
 // Write implements io.Writer.
@@ -112,9 +112,8 @@
 	return len(b), nil
 }
 
-// passStream gives the events of a stream to the caller. Only an event that is
-// whole is passed on, so a stream cut anywhere can go on elsewhere from the
-// token after the last one given.
+// passStream copies the events of a stream to the client. Only complete events are sent, so that
+// after an interruption another server can continue the stream with the next token.
 func (d *delivery) passStream(s fleet.Server, resp *http.Response, w *stallTimer) bool {
 	r := bufio.NewReader(transfer.NewReader(resp.Body, w.progress))
 	for {
@@ -136,8 +135,7 @@
 	}
 }
 
-// streamBroken handles a stream without its end mark and reports whether the
-// call is over.
+// streamBroken handles a stream that ended without [DONE] and reports whether the call is over.
 func (d *delivery) streamBroken(s fleet.Server, err error) bool {
 	if d.c.Request().Context().Err() != nil {
 		return d.abandoned()
@@ -150,8 +148,8 @@
 	return d.lost(s, err)
 }
 
-// cutStream tells the caller by an error event, and by dropping the connection
-// without an end mark, that the answer is not whole.
+// cutStream ends an incomplete stream. It sends an error event and closes the connection without
+// [DONE].
 func (d *delivery) cutStream() {
 	d.end(wire.OutcomeUnknown)
 	f := d.unknown()
--- a/internal/entry/stream_copy_test.go
+++ b/internal/entry/stream_copy_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// FuzzReadEvent checks that the events read are the stream, in order, up to
-// where it was cut, and that none of them can be taken for the end mark falsely.
+// FuzzReadEvent checks that the events read are a prefix of the stream, in order, and that no event
+// with text is taken for the end of the stream.
 func FuzzReadEvent(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[{\"delta\":{\"content\":\"x\"}}]}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("\n\n\n"))
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -19,30 +19,30 @@
 	"rockcleat/table"
 )
 
-// Times and counts of the spreading of state. docs/CAPACITY.md has its traffic.
+// Timeouts and limits of the synchronization between entries.
 const (
-	// syncTimeout bounds the time until another entry answers, and each time in which no more
-	// of its answer arrives: an answer may carry the whole table.
+	// syncTimeout bounds the time until another entry starts to respond, and then each pause in its
+	// response. It does not bound the whole response, which may contain the full table.
 	syncTimeout = 2 * time.Second
-	// tableWait is how long one watch of the table waits.
+	// tableWait is the timeout of one watch of the table.
 	tableWait = 20 * time.Second
-	// staleAfter is how long an entry without news from another one goes before it reads the
+	// staleAfter is the time without a response from another entry after which an entry watches the
 	// table itself.
 	staleAfter = 4 * time.Second
-	// watchPause is the time between two looks whether to watch, and before the next watch
-	// after one that failed.
+	// watchPause is the interval of the checks whether to watch the table, and the delay after a
+	// failed watch.
 	watchPause = 500 * time.Millisecond
-	// watchers is the number of entries that watch the table although they plan no cell.
+	// watchers is the number of entries that watch the table even if they plan no cell.
 	watchers = 4
 )
 
-// tableKey is the key of the ranking for watching the table.
+// tableKey is the key by which entries are ranked for watching the table.
 const tableKey = "table"
 
-// A syncer spreads the table and the servers' records between entries, by asking one other
-// entry at random for what is new on each tick.
+// A syncer replicates the table, the servers' records and the quarantined requests between entries.
+// At each interval it pulls changes from another entry chosen at random.
 type syncer struct {
-	// ctx ends with the entry.
+	// ctx is canceled when the entry stops.
 	ctx        context.Context
 	id         string
 	replica    *table.Replica
@@ -56,17 +56,18 @@
 	log        *zap.Logger
 
 	mu sync.Mutex
-	// lastSync is when another entry last answered, revision the store's at the last watch.
+	// lastSync is the time of the last response from another entry. revision is the revision of the
+	// table's key at the last watch.
 	lastSync time.Time
 	revision kv.Revision
-	// running says that an exchange is under way.
+	// running reports whether an exchange is in progress.
 	running bool
-	// links exchange what is in quarantine with each other entry, by id. They belong to the exchange that
-	// is under way.
+	// links holds the quarantine exchange with each other entry, by id. Only the exchange in
+	// progress accesses it.
 	links map[string]*quarantine.Link
 }
 
-// step asks one other entry for what is new.
+// step starts an exchange unless one is in progress.
 func (s *syncer) step() {
 	s.mu.Lock()
 	if s.running {
@@ -78,7 +79,7 @@
 	go s.exchange()
 }
 
-// exchange asks an entry chosen at random for what is new.
+// exchange pulls changes from another entry chosen at random.
 func (s *syncer) exchange() {
 	defer func() {
 		s.mu.Lock()
@@ -94,14 +95,14 @@
 	link := s.link(peer.ID)
 	err := s.peers.PostWithin(s.ctx, syncTimeout, peer.Control, wire.PathSync, s.request(link.Message(peer.ID)), &a)
 	if err != nil {
-		s.log.Debug("no answer from entry", zap.String("peer", peer.ID), zap.Error(err))
+		s.log.Debug("sync with another entry failed", zap.String("peer", peer.ID), zap.Error(err))
 		return
 	}
 	link.Apply(a.Quarantine)
 	s.apply(a)
 }
 
-// link returns the exchange with another entry.
+// link returns the quarantine exchange with another entry.
 func (s *syncer) link(id string) *quarantine.Link {
 	l := s.links[id]
 	if l == nil {
@@ -111,14 +112,14 @@
 	return l
 }
 
-// request says what this entry has.
+// request returns a request that states the versions this entry has.
 func (s *syncer) request(m quarantine.Message) wire.SyncRequest {
 	return wire.SyncRequest{
 		From: s.id, Table: s.replica.Current().Version(), Cells: s.view.Digest(), Quarantine: m,
 	}
 }
 
-// apply applies another entry's answer.
+// apply merges another entry's response.
 func (s *syncer) apply(a wire.SyncAnswer) {
 	if s.replica.Merge(a.Table) {
 		s.log.Info("table in force", zap.Uint64("version", s.replica.Current().Version()), zap.String("from", "entry"))
@@ -129,7 +130,7 @@
 	s.lastSync = s.clock.Now()
 }
 
-// answer gives another entry what it lacks.
+// answer handles another entry's request with the changes that it lacks.
 func (s *syncer) answer(c echo.Context) error {
 	var r wire.SyncRequest
 	if err := c.Bind(&r); err != nil {
@@ -144,8 +145,8 @@
 	return c.JSON(http.StatusOK, a)
 }
 
-// watchTable follows the table in the platform's service, if this entry is one
-// that should or is cut off from the others.
+// watchTable follows the table in the platform's key-value service while shouldWatch reports that
+// this entry should.
 func (s *syncer) watchTable() {
 	for s.ctx.Err() == nil {
 		if !s.shouldWatch() {
@@ -153,17 +154,17 @@
 			continue
 		}
 		if err := s.watchOnce(); err != nil {
-			s.log.Debug("table not watched", zap.Error(err))
+			s.log.Debug("watching the table failed", zap.Error(err))
 			s.pause()
 		}
 	}
 }
 
-// pause waits before the next look at the table.
 func (s *syncer) pause() { clock.Sleep(s.ctx, s.clock, watchPause) }
 
-// shouldWatch reports whether the entry is to watch the table: few entries do, and the others
-// learn of changes from them.
+// shouldWatch reports whether this entry should watch the table. Entries do so that have no table
+// yet, plan a cell, rank among the first watchers or have not heard from other entries for
+// staleAfter. All others receive changes from them.
 func (s *syncer) shouldWatch() bool {
 	if s.replica.Current().Version() == 0 || len(s.planner.Held()) > 0 {
 		return true
@@ -176,7 +177,7 @@
 	return s.clock.Now().Sub(s.lastSync) > staleAfter
 }
 
-// watchOnce waits for a newer table than the one in force.
+// watchOnce waits for a table newer than the one in force and puts it in force.
 func (s *syncer) watchOnce() error {
 	have := s.replica.Current()
 	s.mu.Lock()
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// offer puts a table in force if it is newer.
+// offer puts a table in force if it is newer than the current one.
 func (s *syncer) offer(t *table.Table) {
 	if s.replica.Offer(t) {
 		s.log.Info("table in force", zap.Uint64("version", t.Version()), zap.String("from", "kv"))
