--- a/internal/planner/cell.go
+++ b/internal/planner/cell.go
@@ -16,55 +16,57 @@
 	"rockcleat/quarantine"
 )
 
-// Times of a cell's planning; docs/CAPACITY.md says what they cost.
+// Intervals and timeouts of planning a cell.
 const (
-	// planEvery is the time between two plans after the cell's own records have changed.
+	// planEvery is the minimum interval between plans while the cell's records change or orders are
+	// pending.
 	planEvery = 500 * time.Millisecond
-	// idlePlanEvery is the time between other plans.
+	// idlePlanEvery is the maximum interval between plans.
 	idlePlanEvery = 2 * time.Second
-	// busyEvery is the time between two exchanges with an agent that is loading or
-	// unloading, or has an order.
+	// busyEvery is the maximum interval between exchanges with an agent that is loading or
+	// unloading, has a pending order or lacks the current table.
 	busyEvery = 500 * time.Millisecond
-	// orderMemory is how long an order counts whose effect is not seen.
+	// orderMemory is the time after which an order without a visible effect is no longer counted.
 	orderMemory = 10 * time.Second
-	// goneAfter is the number of exchange intervals without an answer after which a
-	// backend server counts as gone.
+	// goneAfter is the number of exchange intervals without a response after which a backend server
+	// counts as gone.
 	goneAfter = 2
-	// goneGrace is added to it, for a short interval.
+	// goneGrace is added to the time given by goneAfter, for short exchange intervals.
 	goneGrace = time.Second
 )
 
-// A peer is the planner's account of one agent.
+// A peer is the planner's state of one agent.
 type peer struct {
 	id string
 	vm inventory.VM
-	// record and demand are the agent's last, known says that there are any, and seen is
-	// the record's version.
+	// record and demand are those that the agent last reported, and seen is the version of the
+	// record. known reports whether the agent has responded to this planner.
 	record fleet.Server
 	demand []fleet.Demand
 	known  bool
 	seen   uint64
-	// pauses is the agent's count of its pauses, table its version of the table.
+	// pauses is the agent's count of pauses of its process, table the version of its table.
 	pauses int
 	table  uint64
-	// lastSent and lastOK are when an exchange last began and succeeded, since is when
-	// the agent joined the cell.
+	// lastSent is the start of the last exchange, lastOK the end of the last successful one, and
+	// since the time at which the agent joined the cell.
 	lastSent, lastOK, since time.Time
-	// inFlight says that an exchange is under way, urgent that the next one is due.
+	// inFlight reports whether an exchange is in progress, urgent whether the next one is due at
+	// once.
 	inFlight, urgent bool
-	// orders go with the next exchange.
+	// orders are sent with the next exchange.
 	orders []placement.Order
-	// quarantine exchanges with the agent.
+	// quarantine exchanges quarantined requests with the agent.
 	quarantine *quarantine.Link
 }
 
-// A pendingOrder is an order issued whose effect has not been seen.
+// A pendingOrder is an issued order whose effect is not visible yet in the server's record.
 type pendingOrder struct {
 	order placement.Order
 	at    time.Time
 }
 
-// A cellPlanner plans one cell while its lease is held.
+// A cellPlanner plans one cell while this entry holds the cell's lease.
 type cellPlanner struct {
 	*Planner
 	id     string
@@ -73,20 +75,20 @@
 	plan   *placement.Planner
 	loads  *rate.Limiter
 
-	// superseded tells that an agent knows a newer planner.
+	// superseded reports whether an agent knows a planner with a newer token.
 	superseded atomic.Bool
 
 	mu      sync.Mutex
 	peers   map[string]*peer
 	pending []pendingOrder
 	grants  *grantBook
-	// version is the cell's, planned what it was at the last plan.
+	// version is the cell's version, planned the version at the last plan.
 	version, planned uint64
 	lastPlan         time.Time
 }
 
-// newCellPlanner begins to plan a cell with the records that its last planner published, so
-// that requests go on being routed.
+// newCellPlanner returns a cellPlanner for a lease just acquired. It republishes the previous
+// planner's records under its own epoch, so that requests are routed without interruption.
 func newCellPlanner(p *Planner, id string, h *lease.Holder, token lease.Token) *cellPlanner {
 	c := &cellPlanner{
 		Planner: p, id: id, holder: h, token: token, peers: make(map[string]*peer), grants: newGrantBook(), version: 1,
@@ -106,9 +108,9 @@
 	return c
 }
 
-// step starts the exchanges that are due and makes a plan when it is time. While
-// the lease has lapsed, because the service is out, it sends no orders and no
-// grants, but the table and the records go on travelling.
+// step starts the exchanges and the plan that are due. While the lease has expired because the
+// key-value service is unavailable, exchanges contain no orders and no grants, but the table and
+// the records are still exchanged.
 func (c *cellPlanner) step(now time.Time, servers []string, vms map[string]inventory.VM) {
 	if c.superseded.Load() {
 		return
@@ -128,7 +130,7 @@
 	}
 }
 
-// planInterval returns the time between two plans; c.mu is held.
+// planInterval returns the time between two plans. c.mu must be held.
 func (c *cellPlanner) planInterval() time.Duration {
 	if c.planned != c.version || len(c.pending) > 0 {
 		return planEvery
@@ -136,7 +138,7 @@
 	return min(idlePlanEvery, c.Settings.ExchangeEvery.Std())
 }
 
-// nudge makes the next exchange with the server due, if it is of the cell.
+// nudge makes the next exchange with the server due if the server is in the cell.
 func (c *cellPlanner) nudge(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +147,7 @@
 	}
 }
 
-// interval returns the time between two exchanges with the agent.
+// interval returns the time between two exchanges with the agent. c.mu must be held.
 func (c *cellPlanner) interval(p *peer) time.Duration {
 	switch {
 	case p.urgent:
@@ -156,13 +158,14 @@
 	return c.Settings.ExchangeEvery.Std()
 }
 
-// busy reports whether the agent loads or unloads, or has an order; c.mu is held.
+// busy reports whether the agent is loading or unloading or has a pending order. c.mu must be held.
 func (c *cellPlanner) busy(p *peer) bool {
 	moving := slices.ContainsFunc(p.record.Residents, func(r fleet.Resident) bool { return r.State != fleet.StateReady })
 	return moving || slices.ContainsFunc(c.pending, func(o pendingOrder) bool { return o.order.Server == p.id })
 }
 
-// syncPeers makes the peers those of the cell; c.mu is held.
+// syncPeers adds the peers of servers that have joined the cell, updates those of present servers
+// and removes those of servers that have left. c.mu must be held.
 func (c *cellPlanner) syncPeers(now time.Time, servers []string, vms map[string]inventory.VM) {
 	for _, id := range servers {
 		vm, listed := vms[id]
@@ -191,7 +194,8 @@
 	}
 }
 
-// markGone marks a server gone that has not answered for long; c.mu is held.
+// markGone publishes that a server is gone if it has not responded within the limit. c.mu must be
+// held.
 func (c *cellPlanner) markGone(p *peer, now time.Time) {
 	last := p.lastOK
 	if last.IsZero() {
@@ -199,19 +203,19 @@
 	}
 	limit := goneAfter*c.Settings.ExchangeEvery.Std() + goneGrace
 	if now.Sub(last) > limit && !p.record.Gone {
-		c.Log.Warn("backend server does not answer", zap.String("server", p.id), zap.String("cell", c.id))
+		c.Log.Warn("backend server does not respond", zap.String("server", p.id), zap.String("cell", c.id))
 		c.publishGone(p)
 	}
 }
 
-// publishGone publishes that a server is gone; c.mu is held.
+// publishGone publishes that a server is gone. c.mu must be held.
 func (c *cellPlanner) publishGone(p *peer) {
 	p.record.ID = p.id
 	p.record.Gone = true
 	c.publish(p.record)
 }
 
-// publish makes a record known under the cell's next version; c.mu is held.
+// publish publishes a record under the cell's next version. c.mu must be held.
 func (c *cellPlanner) publish(s fleet.Server) {
 	c.version++
 	s.Version = c.version
@@ -221,7 +225,7 @@
 	}})
 }
 
-// complete reports whether every agent of the cell has reported its grants; c.mu is held.
+// complete reports whether every agent of the cell has reported its grants. c.mu must be held.
 func (c *cellPlanner) complete() bool {
 	for id := range c.peers {
 		if !c.grants.knows(id) {
@@ -231,7 +235,7 @@
 	return true
 }
 
-// settled reports whether every server has answered or counts as gone; c.mu is held.
+// settled reports whether every server has responded or counts as gone. c.mu must be held.
 func (c *cellPlanner) settled() bool {
 	for _, p := range c.peers {
 		if !p.known && !p.record.Gone {
--- a/internal/planner/cells.go
+++ b/internal/planner/cells.go
@@ -14,18 +14,18 @@
 	"rockcleat/kv"
 )
 
-// cellsKey is the key of the division into cells.
+// cellsKey is the key of the cell list in the key-value service.
 const cellsKey = "cells"
 
-// A Cell is one cell and the backend servers that belong to it.
+// A Cell is a group of backend servers that is planned as a unit.
 type Cell struct {
 	ID      string   `json:"id"`
 	Servers []string `json:"servers"`
 }
 
-// A cellList is the value of cellsKey.
+// A cellList is the value stored under cellsKey.
 type cellList struct {
-	// Next numbers the next new cell, so that no id is used twice.
+	// Next is the number of the next new cell. It only grows, so no cell id is used twice.
 	Next  int    `json:"next"`
 	Cells []Cell `json:"cells"`
 }
@@ -36,8 +36,8 @@
 	return l, eris.Wrap(err, "planner: decode cells")
 }
 
-// fit returns the list with every listed backend server in one cell and no
-// other; changed says whether it differs from l.
+// fit returns the list with each backend server in vms assigned to exactly one cell, and all other
+// servers and empty cells removed. changed reports whether the result differs from l.
 func (l cellList) fit(vms []inventory.VM, size int) (next cellList, changed bool) {
 	present := make(map[string]bool)
 	for _, vm := range vms {
@@ -67,15 +67,15 @@
 	return next, changed
 }
 
-// inHalls returns the VMs hall by hall, so that new cells keep to one hall
-// where they can.
+// inHalls returns the VMs ordered by data hall, so that a new cell is filled from one hall where
+// possible.
 func inHalls(vms []inventory.VM) []inventory.VM {
 	return slices.SortedFunc(slices.Values(vms), func(a, b inventory.VM) int {
 		return cmp.Or(cmp.Compare(a.Hall, b.Hall), cmp.Compare(a.ID, b.ID))
 	})
 }
 
-// add puts a server into the emptiest cell with room, or into a new one.
+// add assigns a server to the cell with the fewest servers if it has room, else to a new cell.
 func (l *cellList) add(id string, size int) {
 	best := -1
 	for i, c := range l.Cells {
@@ -91,8 +91,8 @@
 	l.Cells[best].Servers = append(l.Cells[best].Servers, id)
 }
 
-// updateCells makes the recorded division fit the VMs; losing a race against
-// another entry is no error.
+// updateCells assigns the VMs to cells and stores the list if it has changed. It returns nil if
+// another entry has changed the list at the same time.
 func updateCells(ctx context.Context, store kv.Store, vms []inventory.VM, size int) error {
 	e, err := store.Get(ctx, cellsKey)
 	if err != nil && !errors.Is(err, kv.ErrNotFound) {
--- a/internal/planner/exchange.go
+++ b/internal/planner/exchange.go
@@ -14,8 +14,8 @@
 	"rockcleat/placement"
 )
 
-// send starts one exchange, with orders and grants only if the lease is held;
-// c.mu is held.
+// send starts an exchange with an agent. The message contains orders and grants only if the lease
+// is held. c.mu must be held.
 func (c *cellPlanner) send(p *peer, held bool, now time.Time) {
 	t := c.Replica.Current()
 	x := wire.Exchange{
@@ -37,7 +37,7 @@
 	go c.exchange(p, x)
 }
 
-// servers returns the peers' records; c.mu is held.
+// servers returns the records of the known peers. c.mu must be held.
 func (c *cellPlanner) servers() []fleet.Server {
 	var all []fleet.Server
 	for _, p := range c.peers {
@@ -48,7 +48,7 @@
 	return all
 }
 
-// exchange sends one message and applies the answer.
+// exchange sends one message and applies the response.
 func (c *cellPlanner) exchange(p *peer, x wire.Exchange) {
 	ctx, cancel := context.WithTimeout(c.ctx, callTimeout)
 	defer cancel()
@@ -59,7 +59,7 @@
 	defer c.mu.Unlock()
 	p.inFlight = false
 	if err != nil {
-		c.Log.Debug("no answer from agent", zap.String("server", p.id), zap.Error(err))
+		c.Log.Debug("exchange with agent failed", zap.String("server", p.id), zap.Error(err))
 		return
 	}
 	if a.Token > int64(c.token) {
@@ -70,7 +70,7 @@
 	c.apply(p, a, now)
 }
 
-// apply applies an agent's answer; c.mu is held.
+// apply applies an agent's response. c.mu must be held.
 func (c *cellPlanner) apply(p *peer, a wire.ExchangeAnswer, now time.Time) {
 	p.quarantine.Apply(a.Quarantine)
 	first := !p.known
@@ -85,12 +85,13 @@
 		}
 		return
 	}
-	// A table that the agent lacks and orders for a new incarnation are sent at once.
+	// The first message contains no table, and an agent ignores orders addressed to a previous
+	// incarnation. The next message follows at once in both cases.
 	p.urgent = p.urgent || first || a.Incarnation != p.record.Incarnation
 	p.seen = a.RecordSeen
 	next := *a.Server
 	p.demand, next.Demand = next.Demand, nil
-	// The platform's list has the address of the server.
+	// The address in the platform's list of VMs overrides the reported one.
 	next.Addr = p.vm.Addr
 	if !next.Same(p.record) {
 		p.record = next
@@ -99,14 +100,15 @@
 	c.dropVisible(p)
 }
 
-// dropVisible forgets the orders whose effect shows in the server's record; c.mu is held.
+// dropVisible removes the pending orders whose effect is visible in the server's record. c.mu must
+// be held.
 func (c *cellPlanner) dropVisible(p *peer) {
 	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool {
 		return o.order.Server == p.id && isVisible(p.record, o.order)
 	})
 }
 
-// isVisible reports whether the effect of an order shows in a server's record.
+// isVisible reports whether the effect of an order is visible in a server's record.
 func isVisible(s fleet.Server, o placement.Order) bool {
 	i := slices.IndexFunc(s.Residents, func(r fleet.Resident) bool {
 		return r.Name == o.Name && r.Accelerator == o.Accelerator
--- a/internal/planner/grants.go
+++ b/internal/planner/grants.go
@@ -10,17 +10,17 @@
 	"rockcleat/table"
 )
 
-// A grantBook divides rows' concurrency among a cell's agents so that the sum
-// of what the agents may believe to have never exceeds a row's limit.
+// A grantBook divides the concurrency limits of rows among a cell's agents. For each row the sum of
+// the grants that the agents may hold never exceeds the limit.
 type grantBook struct {
-	// believed holds, by agent and row, the most that the agent may believe to
-	// have; an agent that is missing has not reported yet.
+	// believed maps an agent and a row to the largest grant that the agent may hold. Agents that
+	// have not reported yet are missing.
 	believed map[string]map[string]int
 }
 
 func newGrantBook() *grantBook { return &grantBook{believed: make(map[string]map[string]int)} }
 
-// report sets the grants that an agent reports.
+// report replaces an agent's grants by those that it has reported.
 func (b *grantBook) report(agent string, grants []wire.ConcurrencyGrant) {
 	has := make(map[string]int)
 	for _, g := range grants {
@@ -29,23 +29,24 @@
 	b.believed[agent] = has
 }
 
-// sending counts grants that are about to be sent and may or may not arrive.
+// sending records grants before they are sent. Since the message may be lost, the larger of the old
+// and the new grant counts until the agent reports.
 func (b *grantBook) sending(agent string, grants []wire.ConcurrencyGrant) {
 	for _, g := range grants {
 		b.believed[agent][g.Row] = max(b.believed[agent][g.Row], g.Max)
 	}
 }
 
-// forget drops an agent whose VM has left the platform's list.
+// forget removes an agent that has left the cell.
 func (b *grantBook) forget(agent string) { delete(b.believed, agent) }
 
-// knows reports whether the agent has reported.
+// knows reports whether the agent has reported its grants.
 func (b *grantBook) knows(agent string) bool {
 	_, ok := b.believed[agent]
 	return ok
 }
 
-// others returns the most of a row that all agents but one may believe to have.
+// others returns the sum of the grants of a row that all other agents may hold.
 func (b *grantBook) others(agent, row string) int {
 	sum := 0
 	for id, has := range b.believed {
@@ -56,9 +57,9 @@
 	return sum
 }
 
-// next returns the grants to send to an agent: its part of each limited row
-// that it serves, within the room that the others' parts leave. While an agent of the
-// cell has not reported no grant rises.
+// next returns the grants to send to an agent: for each limited row that it serves, an even share
+// of the cell's part, reduced to what the other agents' grants leave. A grant increases only if
+// complete reports that all agents of the cell have reported.
 func (b *grantBook) next(agent string, rows []table.Row, servers []fleet.Server, part partOf, complete bool) []wire.ConcurrencyGrant {
 	var grants []wire.ConcurrencyGrant
 	for _, r := range rows {
@@ -82,10 +83,11 @@
 	return grants
 }
 
-// partOf returns the part of a limit that falls to the cell.
+// A partOf returns the cell's part of a limit.
 type partOf func(limit int) int
 
-// cellPart divides a limit evenly over the cells, the first ones getting the rest.
+// cellPart divides limits evenly among the cells. The first cells in the order of ids get one more
+// where a limit does not divide evenly.
 func cellPart(cell string, cells []string) partOf {
 	sorted := slices.Sorted(slices.Values(cells))
 	i := max(slices.Index(sorted, cell), 0)
@@ -99,8 +101,8 @@
 	}
 }
 
-// share returns an agent's even part of a limit among the servers that are
-// ready for the row.
+// share returns an agent's even share of a limit among the servers that are ready to serve the row,
+// or 0 if the agent's server is not one of them.
 func share(agent, row string, limit int, servers []fleet.Server) int {
 	ready := make(map[string]bool)
 	for _, s := range servers {
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -14,7 +14,8 @@
 	"rockcleat/table"
 )
 
-// makePlan decides on orders and queues them for the servers' next exchanges; c.mu is held.
+// makePlan computes the orders for the cell and queues them for the next exchanges. c.mu must be
+// held.
 func (c *cellPlanner) makePlan(now time.Time) {
 	sizes := c.Sizes()
 	if len(sizes) == 0 || !c.settled() || c.Replica.Current().Version() == 0 {
@@ -41,7 +42,7 @@
 	}
 }
 
-// slotsOf returns demands in busy slots by row.
+// slotsOf converts demands from levels to busy slots, by row.
 func slotsOf(demand []fleet.Demand) map[string]float64 {
 	slots := make(map[string]float64)
 	for _, d := range demand {
@@ -50,11 +51,11 @@
 	return slots
 }
 
-// demandStep is by how many levels a row's demand must change to be published: 1.7 times.
+// demandStep is the minimum change of a row's demand level that is published.
 const demandStep = 2
 
-// publishDemand adds up the agents' demand, publishes what has changed much, and
-// returns the sums; c.mu is held.
+// publishDemand returns the sum of the agents' demand by row, in busy slots, and publishes the rows
+// whose level has changed by at least demandStep, has risen from 0 or has ended. c.mu must be held.
 func (c *cellPlanner) publishDemand() map[string]float64 {
 	own := make(map[string]float64)
 	for _, p := range c.peers {
@@ -90,7 +91,7 @@
 	return own
 }
 
-// placeable returns the rows that the weight store holds.
+// placeable returns the rows whose weights are in the weight store, and all service rows.
 func placeable(t *table.Table, sizes map[string]placement.Size) []table.Row {
 	return slices.DeleteFunc(t.Rows(), func(r table.Row) bool {
 		_, ok := sizes[r.Name]
@@ -98,7 +99,8 @@
 	})
 }
 
-// issue queues an order for its server's next exchange; c.mu is held.
+// issue queues an order for the server's next exchange, records it as a decision and adds it to the
+// pending orders. c.mu must be held.
 func (c *cellPlanner) issue(o placement.Order, now time.Time) {
 	p, ok := c.peers[o.Server]
 	if !ok {
@@ -110,11 +112,12 @@
 	c.Recorder.Record(wire.Decision{
 		Time: now.UnixMilli(), Kind: string(o.Op), Name: o.Name, Server: o.Server, Reason: o.Reason,
 	})
-	c.Log.Info("order", zap.String("op", string(o.Op)), zap.String("name", o.Name), zap.String("server", o.Server),
+	c.Log.Info("order issued", zap.String("op", string(o.Op)), zap.String("name", o.Name), zap.String("server", o.Server),
 		zap.Int("accelerator", o.Accelerator), zap.String("reason", o.Reason))
 }
 
-// withPending returns the records as they will be when the orders issued have taken effect; c.mu is held.
+// withPending returns the records, ordered by id, with the pending orders applied. c.mu must be
+// held.
 func (c *cellPlanner) withPending(servers []fleet.Server) []fleet.Server {
 	byID := make(map[string]*fleet.Server, len(servers))
 	for i := range servers {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -24,50 +24,50 @@
 	"rockcleat/table"
 )
 
-// contenders is the number of entries that contend for one cell, so that one of them is there
-// when two have failed.
+// contenders is the number of entries that contend for one cell. A cell is still planned if all but
+// one of them have failed.
 const contenders = 3
 
-// Intervals of the planner's systems; docs/CAPACITY.md says what they cost.
+// Intervals and timeouts of the planner.
 const (
-	// leaseDivisor is how often a held lease is renewed in its ttl.
+	// leaseDivisor is the number of lease renewals per TTL.
 	leaseDivisor = 3
-	// cellsWait is how long one watch of the cells waits.
+	// cellsWait is the timeout of one watch of the cell list.
 	cellsWait = 20 * time.Second
-	// sizesEvery is the time between two reads of the weight store's catalogue.
+	// sizesEvery is the interval at which the weight store's catalogue is read.
 	sizesEvery = 30 * time.Second
-	// callTimeout bounds a call to the service or to an agent.
+	// callTimeout bounds one call to the key-value service or to an agent.
 	callTimeout = 2 * time.Second
-	// retryWait is the pause after a call that failed.
+	// retryWait is the delay after a failed call.
 	retryWait = 500 * time.Millisecond
 )
 
 // Members lists the VMs.
 type Members interface {
-	// Entries returns the ids of the live entries, this one included.
+	// Entries returns the ids of the live entries, including this one.
 	Entries() []string
-	// Backends returns the backend servers' VMs that are not gone.
+	// Backends returns the VMs of backend servers, including leaving ones.
 	Backends() []inventory.VM
-	// Version returns the version of the platform's list that this is.
+	// Version returns the version of the list that the other methods refer to.
 	Version() uint64
 }
 
-// A Catalogue has the sizes of models and adapters.
+// A Catalogue returns the sizes of models and adapters, by name.
 type Catalogue interface {
 	Sizes(ctx context.Context) (map[string]placement.Size, error)
 }
 
-// An Agents sends messages to agents.
+// Agents posts messages to agents.
 type Agents interface {
 	Post(ctx context.Context, addr, path string, in, out any) error
 }
 
-// A Recorder keeps decisions for operators.
+// A Recorder stores decisions for operators.
 type Recorder interface {
 	Record(d wire.Decision)
 }
 
-// Options are what a Planner is made of.
+// Options are the settings and dependencies of a Planner.
 type Options struct {
 	ID        string
 	Addr      string
@@ -80,12 +80,12 @@
 	View      *fleet.View
 	Replica   *table.Replica
 	Recorder  Recorder
-	// Quarantine holds the requests under which backend servers have ended.
+	// Quarantine holds the requests during which backend servers have crashed.
 	Quarantine *quarantine.Table
 	Log        *zap.Logger
 }
 
-// A Planner plays the planner role for the cells that an entry holds.
+// A Planner plans the cells whose lease an entry holds.
 type Planner struct {
 	Options
 	stops  []func()
@@ -94,24 +94,26 @@
 	wg     sync.WaitGroup
 
 	mu sync.Mutex
-	// cells is the division as last read, sizes the catalogue.
+	// cells is the cell list as last read, sizes the weight store's catalogue.
 	cells []Cell
 	sizes map[string]placement.Size
-	// holders contend for cells' leases; active plan the cells that are held.
+	// holders contend for the leases of cells. active holds the planners of the cells whose lease
+	// is held. The keys are cell ids.
 	holders map[string]*lease.Holder
 	active  map[string]*cellPlanner
-	// misfitSince is since when the division has not fitted the VMs; zero if it does.
+	// misfitSince is the time since which the cell list has not matched the VMs; zero while it
+	// does.
 	misfitSince time.Time
 }
 
-// New returns a Planner that holds nothing until Start.
+// New returns a Planner that is idle until Start.
 func New(o Options) *Planner {
 	p := &Planner{Options: o, holders: make(map[string]*lease.Holder), active: make(map[string]*cellPlanner)}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
-// Start starts the planner's systems.
+// Start starts the background tasks.
 func (p *Planner) Start() {
 	p.wg.Add(2)
 	go p.watchCells()
@@ -125,12 +127,13 @@
 	p.stepLeases()
 }
 
-// tick is how often each held cell looks for work.
+// tick returns the interval at which the held cells are checked for due exchanges and plans.
 func (p *Planner) tick() time.Duration {
 	return min(p.Settings.ExchangeEvery.Std()/4, 250*time.Millisecond)
 }
 
-// Stop ends the systems and releases the leases, so that others take over at once.
+// Stop stops the background tasks and releases the leases, so that other entries can acquire them
+// at once.
 func (p *Planner) Stop(ctx context.Context) {
 	p.Halt()
 	p.mu.Lock()
@@ -138,12 +141,12 @@
 	p.mu.Unlock()
 	for _, h := range holders {
 		if err := h.Release(ctx); err != nil {
-			p.Log.Warn("lease not released, it ends by its ttl", zap.String("lease", h.Name()), zap.Error(err))
+			p.Log.Warn("releasing a cell lease failed; it expires after its TTL", zap.String("lease", h.Name()), zap.Error(err))
 		}
 	}
 }
 
-// Halt ends the systems without releasing anything, as a crash would.
+// Halt stops the background tasks without releasing the leases.
 func (p *Planner) Halt() {
 	p.cancel()
 	for _, stop := range p.stops {
@@ -152,7 +155,7 @@
 	p.wg.Wait()
 }
 
-// Held returns the ids of the cells planned here.
+// Held returns the ids of the cells planned by this entry, in order.
 func (p *Planner) Held() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +169,7 @@
 	return p.sizes
 }
 
-// watchCells follows the division into cells.
+// watchCells follows the cell list in the key-value service.
 func (p *Planner) watchCells() {
 	defer p.wg.Done()
 	var revision kv.Revision
@@ -174,7 +177,7 @@
 		e, err := p.Store.Watch(p.ctx, cellsKey, revision, cellsWait)
 		if err != nil {
 			if !errors.Is(err, kv.ErrNotFound) {
-				p.Log.Debug("cells not watched", zap.Error(err))
+				p.Log.Debug("watching the cell list failed", zap.Error(err))
 				p.wait(retryWait)
 			}
 			continue
@@ -184,7 +187,7 @@
 		}
 		l, err := decodeCells(e.Value)
 		if err != nil {
-			p.Log.Error("cells unreadable", zap.Error(err))
+			p.Log.Error("decoding the cell list failed", zap.Error(err))
 			p.wait(cellsWait)
 			continue
 		}
@@ -196,13 +199,13 @@
 	}
 }
 
-// readSizes follows the weight store's catalogue.
+// readSizes reads the weight store's catalogue periodically.
 func (p *Planner) readSizes() {
 	defer p.wg.Done()
 	for p.ctx.Err() == nil {
 		sizes, err := p.Catalogue.Sizes(p.ctx)
 		if err != nil {
-			p.Log.Debug("catalogue of the weight store not read", zap.Error(err))
+			p.Log.Debug("reading the weight store's catalogue failed", zap.Error(err))
 			p.wait(retryWait)
 			continue
 		}
@@ -215,7 +218,7 @@
 
 func (p *Planner) wait(d time.Duration) { clock.Sleep(p.ctx, p.Clock, d) }
 
-// Rank returns how many of the entries come before this one for a key.
+// Rank returns the number of other entries that precede self in the rendezvous ranking for key.
 func Rank(self string, entries []string, key string) int {
 	h := rendezvous.Key(key)
 	own := rendezvous.Weight(self, h)
@@ -228,8 +231,8 @@
 	return rank
 }
 
-// stepCells makes the division fit the VMs, if this entry is the one to do it:
-// the entry ranked n-th waits n seconds for those before it.
+// stepCells updates the cell list if it does not match the VMs. The entry with rank n waits n
+// seconds first, so that usually only one entry writes.
 func (p *Planner) stepCells() {
 	vms := p.Members.Backends()
 	p.mu.Lock()
@@ -249,12 +252,11 @@
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 	defer cancel()
 	if err := updateCells(ctx, p.Store, vms, p.Settings.CellSize); err != nil {
-		p.Log.Warn("cells not updated", zap.Error(err))
+		p.Log.Warn("updating the cell list failed", zap.Error(err))
 	}
 }
 
-// stepLeases renews the leases held and contends for those that this entry is
-// ranked for.
+// stepLeases renews the leases held and contends for those that this entry is ranked for.
 func (p *Planner) stepLeases() {
 	entries := p.Members.Entries()
 	p.mu.Lock()
@@ -270,7 +272,8 @@
 	p.dropUnlisted(listed)
 }
 
-// holder returns the cell's lease holder, a new one if this entry should contend.
+// holder returns the lease holder of a cell. It creates one if contend is set and returns nil if
+// this entry neither holds the lease nor should contend for it.
 func (p *Planner) holder(cell string, contend bool) *lease.Holder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -292,13 +295,13 @@
 	return h
 }
 
-// stepLease renews or contends for one cell's lease, and begins or ends to plan the cell.
+// stepLease renews or contends for the lease of a cell and starts or stops planning it accordingly.
 func (p *Planner) stepLease(cell string, h *lease.Holder) {
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 	defer cancel()
 	err := h.Step(ctx)
 	if err != nil {
-		p.Log.Debug("lease not renewed", zap.String("cell", cell), zap.Error(err))
+		p.Log.Debug("renewing or acquiring a cell lease failed", zap.String("cell", cell), zap.Error(err))
 	}
 	token, held := h.Held()
 	p.mu.Lock()
@@ -307,18 +310,18 @@
 	switch {
 	case held && !ok:
 		p.active[cell] = newCellPlanner(p, cell, h, token)
-		p.Log.Info("planning cell", zap.String("cell", cell), zap.Int64("token", int64(token)))
+		p.Log.Info("started planning cell", zap.String("cell", cell), zap.Int64("token", int64(token)))
 	case held && c.token != token:
 		p.active[cell] = newCellPlanner(p, cell, h, token)
 	case !held && ok && (err == nil || c.superseded.Load()):
-		// While the service does not answer the cell stays: nobody else can hold it
-		// either, and the table and the records still have to travel.
+		// After an error of the key-value service the cell stays active: no other entry can acquire
+		// the lease either, and the table and the records must still be exchanged.
 		delete(p.active, cell)
-		p.Log.Info("no longer planning cell", zap.String("cell", cell))
+		p.Log.Info("stopped planning cell", zap.String("cell", cell))
 	}
 }
 
-// dropUnlisted gives up cells that are no longer in the division.
+// dropUnlisted stops planning the cells that are no longer listed.
 func (p *Planner) dropUnlisted(listed map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -330,7 +333,7 @@
 	}
 }
 
-// Nudge makes the next exchange with a backend server due.
+// Nudge makes the next exchange with a backend server due at once.
 func (p *Planner) Nudge(server string) {
 	p.mu.Lock()
 	active := slices.Collect(maps.Values(p.active))
@@ -340,7 +343,7 @@
 	}
 }
 
-// stepPlans lets each held cell exchange messages and plan.
+// stepPlans runs the due exchanges and plans of each held cell.
 func (p *Planner) stepPlans(now time.Time) {
 	p.mu.Lock()
 	active := slices.Collect(maps.Values(p.active))
@@ -359,7 +362,7 @@
 	}
 }
 
-// cellIDs returns the ids of all cells.
+// cellIDs returns the ids of all cells, in order.
 func (p *Planner) cellIDs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -15,9 +15,8 @@
 	"rockcleat/table"
 )
 
-// TestGrants moves grants about while messages and answers are lost, agents are
-// slow to give back what they use, and planners follow each other: the sum of
-// what agents believe never exceeds the row's limit.
+// TestGrants checks that the sum of the grants that agents use never exceeds a row's limit while
+// messages and responses are lost, requests outlast their grants and planners are replaced.
 func TestGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 10
@@ -56,7 +55,7 @@
 	})
 }
 
-// servers returns the agents' servers, of which some have the row ready.
+// servers returns a server for each agent; whether the row is ready on it is random.
 func servers(t *rapid.T, ids []string) []fleet.Server {
 	var all []fleet.Server
 	for _, id := range ids {
@@ -108,8 +107,7 @@
 	}
 }
 
-// TestUpdateCellsRace lets two entries divide different lists: the second sees
-// the first one's division and no cell id is used twice.
+// TestUpdateCellsRace checks that updates with different lists of VMs never use a cell id twice.
 func TestUpdateCellsRace(t *testing.T) {
 	_, store := standintest.KV(t)
 	ctx := context.Background()
