--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -24,50 +24,51 @@
 	"rockcleat/table"
 )
 
-// Intervals of the agent's systems.
+// Intervals of the agent's background tasks.
 const (
-	// statusEvery is the time between two reports of the engine.
+	// statusEvery is the interval at which the engine's status is read.
 	statusEvery = 100 * time.Millisecond
-	// queueEvery is how late a request may be refused that has waited too long.
+	// queueEvery is the interval at which the queue is processed. A request whose queue time has
+	// passed is refused at most this much too late.
 	queueEvery = 20 * time.Millisecond
-	// demandEvery is the time between two observations of demand.
+	// demandEvery is the interval at which demand is sampled.
 	demandEvery = 250 * time.Millisecond
-	// armEvery is the time between two tries to get a fencing token.
+	// armEvery is the interval between attempts to acquire a fencing token.
 	armEvery = 500 * time.Millisecond
-	// unloadEvery is the time between two looks for copies that have drained.
+	// unloadEvery is the interval at which draining copies are checked for running requests.
 	unloadEvery = 100 * time.Millisecond
 )
 
-// An Engine is what the agent needs of a model engine.
+// An Engine is the model engine as used by the agent.
 type Engine interface {
-	// Status reads the engine's report.
+	// Status returns the engine's status.
 	Status(ctx context.Context) (engine.Status, error)
-	// Send sends an order.
+	// Send sends an order to load or unload.
 	Send(ctx context.Context, o engine.Order) error
 }
 
 // A VMLister reads the platform's list of VMs.
 type VMLister interface {
-	// Changes returns the VMs that changed in the list after the version.
+	// Changes returns the VMs that have changed since the given version of the list.
 	Changes(ctx context.Context, since uint64) (inventory.VMList, error)
 }
 
-// Options are what an Agent is made of.
+// Options are the settings and dependencies of an Agent.
 type Options struct {
 	Settings config.Agent
 	Store    kv.Store
 	Engine   Engine
-	// VMs reads the platform's list; nil is none. An agent needs it only when no
-	// planner speaks to it.
+	// VMs reads the platform's list of VMs; may be nil. The agent uses it only to find an entry
+	// after a time without contact with a planner.
 	VMs     VMLister
 	Clock   clock.Service
 	Log     *zap.Logger
 	Metrics *telemetry.Metrics
-	// Traffic counts the bytes of control; the clients of the platform share it.
+	// Traffic counts the bytes of control traffic. The platform's clients share it.
 	Traffic *wire.Traffic
 }
 
-// An Agent is the process beside one backend server.
+// An Agent is the process that runs beside one backend server and controls access to it.
 type Agent struct {
 	settings config.Agent
 	engine   Engine
@@ -75,30 +76,31 @@
 	clock    clock.Service
 	log      *zap.Logger
 	metrics  *telemetry.Metrics
-	// incarnation names this life of the agent; mu guards it.
+	// incarnation identifies this run of the agent, or the part of it since the agent last revoked
+	// its leaving. Guarded by mu.
 	incarnation string
-	// backend sends requests to the backend server, peers messages to entries.
+	// backend sends requests to the backend server, peers sends messages to entries.
 	backend *http.Client
 	peers   *wire.Client
 	replica table.Replica
-	// traffic counts the bytes of control, proxied those of requests.
+	// traffic counts the bytes of control traffic, proxied those of requests.
 	traffic  *wire.Traffic
 	proxied  wire.Traffic
 	requests *server.Listener
 	control  *server.Listener
-	// ends are those of the backend server under requests, quarantine holds them.
+	// ends detects crashes of the backend server during requests, quarantine holds those requests.
 	ends       *serverEnds
 	quarantine *quarantine.Table
-	// record is what lasts of the agent; ordering guards it.
+	// record is the agent's record in the key-value service. Guarded by ordering.
 	record *record
-	// stops end the subscriptions to the clock.
+	// stops cancel the clock subscriptions.
 	stops []func()
-	// ordering makes the handling of orders one at a time.
+	// ordering serializes the handling of orders. It is locked before mu.
 	ordering sync.Mutex
-	// catching says that the table is being asked of an entry.
+	// catching reports whether a table is being fetched from an entry.
 	catching atomic.Bool
 
-	// mu guards the parts below.
+	// mu guards the fields below.
 	mu         sync.Mutex
 	work       workload
 	server     serverState
@@ -106,7 +108,7 @@
 	contact    contact
 }
 
-// New returns an Agent that does nothing until Start.
+// New returns an Agent that is idle until Start.
 func New(o Options) *Agent {
 	a := &Agent{
 		settings:    o.Settings,
@@ -137,10 +139,10 @@
 	return a
 }
 
-// isService reports whether the backend server is a plain service.
+// isService reports whether the backend server is a plain service without a model engine.
 func (a *Agent) isService() bool { return a.settings.Backend.Kind == config.BackendService }
 
-// Start binds the listeners and starts the agent's systems.
+// Start binds the listeners and starts the background tasks.
 func (a *Agent) Start() error {
 	var err error
 	if a.requests, err = server.Listen(a.settings.Listen, a.requestRouter(), &a.proxied, a.log); err != nil {
@@ -165,32 +167,33 @@
 	return nil
 }
 
-// subscribe calls f every interval until the agent stops.
+// subscribe calls f at the given interval until the agent stops.
 func (a *Agent) subscribe(every time.Duration, f func(time.Time)) {
 	a.stops = append(a.stops, a.clock.Subscribe(every, f))
 }
 
-// Addr returns the address for requests.
+// Addr returns the address of the listener for requests.
 func (a *Agent) Addr() string { return a.requests.Addr() }
 
-// ControlAddr returns the address for control messages.
+// ControlAddr returns the address of the listener for control messages.
 func (a *Agent) ControlAddr() string { return a.control.Addr() }
 
-// Stop leaves, answers requests for the leave time, lets what runs end until ctx
-// does, and closes.
+// Stop leaves for good, keeps responding for twice the leave time, waits for the requests in
+// progress until ctx is done, and closes the listeners.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.LeaveForGood("planned stop")
-	// One leave time to take what has nowhere else to go, one to refuse the rest
-	// with an answer.
+	// During the first leave time the agent still accepts requests that no other server can run.
+	// During the second one it refuses all requests, so that clients get a response rather than a
+	// connection error.
 	clock.Sleep(ctx, a.clock, 2*a.settings.LeaveTime.Std())
 	err := a.requests.Shutdown(ctx)
 	for _, stop := range a.stops {
 		stop()
 	}
 	if err != nil {
-		a.log.Error("requests cut by the end of the drain time", zap.Error(err))
+		a.log.Error("drain time exceeded; dropping the remaining requests", zap.Error(err))
 		if cerr := a.requests.Close(); cerr != nil {
-			a.log.Error("listener for requests not closed", zap.Error(cerr))
+			a.log.Error("closing the request listener failed", zap.Error(cerr))
 		}
 	}
 	if cerr := a.control.Close(); cerr != nil {
@@ -199,7 +202,8 @@
 	return eris.Wrap(err, "agent: stop")
 }
 
-// Close drops everything at once, as a crash would; errors of the listeners need nothing done.
+// Close stops the background tasks and closes the listeners without waiting for requests. Errors of
+// the listeners are ignored.
 func (a *Agent) Close() {
 	for _, stop := range a.stops {
 		stop()
@@ -208,7 +212,8 @@
 	_ = a.control.Close()
 }
 
-// stepQueue refuses what has waited too long and starts what can run.
+// stepQueue refuses the waiting requests that cannot run or have exceeded their queue time, and
+// starts those for which slots are free.
 func (a *Agent) stepQueue(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -28,7 +28,7 @@
 
 const secret = "test-secret-0123456789"
 
-// fakeEngine keeps the orders that it is given.
+// fakeEngine records the orders sent to it.
 type fakeEngine struct {
 	status engine.Status
 	orders []engine.Order
@@ -49,7 +49,7 @@
 	store  kv.Store
 }
 
-// newFixture returns an agent that is not started: the test calls its systems.
+// newFixture returns an agent that is not started; the tests call its background tasks.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	s, store := standintest.KV(t)
@@ -72,7 +72,7 @@
 	return f
 }
 
-// arm takes the server over and reads its report.
+// arm acquires the fencing token and reads the engine's status.
 func (f *fixture) arm() {
 	f.stepArm(f.clock.Now())
 	f.clock.Advance(time.Millisecond)
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestSuperseded lets a second agent take the server over: the first issues no
-// more orders and leaves, and the second counts the first one's order.
+// TestSuperseded checks that an agent issues no more orders and leaves after another one has taken
+// over its server, and that the other one accounts for the first one's order.
 func TestSuperseded(t *testing.T) {
 	first := newFixture(t)
 	first.arm()
@@ -133,8 +133,8 @@
 	assert.Assert(t, second.engine.orders[0].Fence > first.engine.orders[0].Fence)
 }
 
-// TestLostRecordAnswer loses the answer of the record's write: the order is not
-// given then, but is given when the planner asks again.
+// TestLostRecordAnswer checks that an order is not sent if the response to the write of its intent
+// is lost, and is sent when the planner repeats it.
 func TestLostRecordAnswer(t *testing.T) {
 	f := newFixture(t)
 	f.arm()
@@ -147,7 +147,7 @@
 	assert.Assert(t, !f.membership.leaving)
 }
 
-// TestUnloadWaitsForRequests keeps a copy until its requests have ended.
+// TestUnloadWaitsForRequests checks that a copy is unloaded only after its requests have ended.
 func TestUnloadWaitsForRequests(t *testing.T) {
 	f := newFixture(t)
 	f.engine.status.Residents = []fleet.Resident{{Name: "a", State: fleet.StateReady, MemoryMiB: 60}}
@@ -204,7 +204,7 @@
 	}
 }
 
-// listenFor gives the agent its addresses and returns its control handler.
+// listenFor starts the agent on local addresses and returns its control handler.
 func listenFor(t *testing.T, f *fixture) http.Handler {
 	t.Helper()
 	f.settings.Listen, f.settings.ControlListen = "127.0.0.1:0", "127.0.0.1:0"
@@ -213,7 +213,7 @@
 	return f.controlRouter()
 }
 
-// TestFormerPlanner checks that a lower token changes nothing.
+// TestFormerPlanner checks that a message with a lower token has no effect.
 func TestFormerPlanner(t *testing.T) {
 	f := newFixture(t)
 	h := listenFor(t, f)
@@ -228,8 +228,8 @@
 	assert.DeepEqual(t, a.Grants, grants)
 }
 
-// TestListChangesItsMind tells an agent by an old list that it leaves, as when its
-// VM was replaced under the same name: a later list keeps it, its own stop does not.
+// TestListChangesItsMind checks that an agent listed as leaving stays if a later list does not list
+// it as leaving, unless the agent itself is stopping.
 func TestListChangesItsMind(t *testing.T) {
 	tests := map[string]struct {
 		later   wire.Exchange
@@ -260,8 +260,8 @@
 	}
 }
 
-// TestPausedAgent checks that an agent that was paused takes new work only when
-// a planner that knows of the pause has spoken to it.
+// TestPausedAgent checks that after a pause an agent refuses new requests until it receives a
+// planner's message sent after the pause.
 func TestPausedAgent(t *testing.T) {
 	f := newFixture(t)
 	h := listenFor(t, f)
--- a/internal/agent/catchup.go
+++ b/internal/agent/catchup.go
@@ -14,14 +14,13 @@
 	"rockcleat/internal/wire"
 )
 
-// catchUpTimeout bounds the reading of the list of VMs, and the time until an entry that is
-// asked for a newer table answers, as each time in which no more of it arrives.
+// catchUpTimeout bounds the reading of the list of VMs. It also bounds the time until an entry
+// starts to respond to a request for a newer table, and then each pause in its response.
 const catchUpTimeout = time.Second
 
-// catchUp gets a newer table from the entry whose request names one. So an agent
-// has the table also when no planner can speak to it, as after its start
-// while the platform's service is out. An agent with a table of its own does not
-// let the request wait for it.
+// catchUp fetches the table from the entry that sent the request if the entry's version is newer.
+// So the agent gets a table even if no planner contacts it. The request waits for the table only if
+// the agent has none.
 func (a *Agent) catchUp(req *http.Request) {
 	version, err := strconv.ParseUint(req.Header.Get(wire.HeaderTableVersion), 10, 64)
 	own := a.replica.Current().Version()
@@ -36,19 +35,19 @@
 	a.askTable(addr)
 }
 
-// Times of an agent that no planner speaks to.
+// Intervals of an agent that no planner contacts.
 const (
-	// orphanEvery is the time between two looks.
+	// orphanEvery is the interval of the checks for contact with a planner.
 	orphanEvery = time.Second
-	// orphanAfter is the time without an exchange after which it asks an entry for the
-	// table by itself. It is longer than the longest time between two exchanges (10 s,
-	// docs/CAPACITY.md), and short enough for an edit to be in force here within 14 s.
+	// orphanAfter is the time without an exchange after which the agent fetches the table from an
+	// entry by itself. It exceeds the maximum exchange interval of 10 s and is short enough for an
+	// edit to be in force within 14 s.
 	orphanAfter = 12 * time.Second
 )
 
-// stepOrphan keeps the table new while no planner speaks to the agent, as when
-// its planner has died while the platform's key-value service is out. It reads the whole list of
-// VMs once, in need; an entry follows the list all the time (package entry).
+// stepOrphan fetches the table from an entry chosen at random if no planner has contacted the agent
+// for orphanAfter. This happens if the planner fails while the key-value service is unavailable.
+// The agent reads the whole list of VMs each time, since it does not follow the list.
 func (a *Agent) stepOrphan(now time.Time) {
 	a.mu.Lock()
 	alone := now.Sub(a.contact.exchanged)
@@ -61,7 +60,7 @@
 	l, err := a.vms.Changes(ctx, 0)
 	if err != nil {
 		a.catching.Store(false)
-		a.log.Debug("list of VMs not read", zap.Error(err))
+		a.log.Debug("reading the list of VMs failed", zap.Error(err))
 		return
 	}
 	entries := slices.DeleteFunc(l.VMs, func(vm inventory.VM) bool {
@@ -74,13 +73,13 @@
 	a.askTable(entries[rand.IntN(len(entries))].Control)
 }
 
-// askTable asks an entry for a newer table.
+// askTable fetches a newer table from the entry at addr and clears catching.
 func (a *Agent) askTable(addr string) {
 	defer a.catching.Store(false)
 	var ans wire.SyncAnswer
 	r := wire.SyncRequest{From: a.settings.ID, Table: a.replica.Current().Version(), TableOnly: true}
 	if err := a.peers.PostWithin(context.Background(), catchUpTimeout, addr, wire.PathSync, r, &ans); err != nil {
-		a.log.Debug("no table from entry", zap.Error(err))
+		a.log.Debug("fetching the table from an entry failed", zap.Error(err))
 		return
 	}
 	if a.replica.Merge(ans.Table) {
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,18 +1,24 @@
-// Package agent is the process beside one backend server.
+// Package agent implements the process that runs beside one backend server.
 //
-// It alone issues orders to its server and keeps the server's memory ledger. It holds the
-// queue in front of the server, so that the table's limits are enforced in one place per
-// server, and it puts its load and its leaving on every answer. It decides nothing about
-// placement: a cell's planner says what to load and unload.
+// An Agent is the only issuer of orders to load and unload models on its server, and it keeps the
+// ledger of the server's memory. It queues the requests for the server, so that the table's limits
+// are enforced in one place per server, and reports its load and its leaving in the header of each
+// response. It makes no placement decisions; the planner of its cell does (package planner).
 //
-// An Agent joins parts, each with its state: workload (the queue, what rows are granted and
-// ask for), serverState (the ledger, the slots, the engine's reports and the record that the
-// planner gets), membership (whether it is leaving) and contact (the planner that spoke last,
-// and pauses of this process). The agent's mutex guards all four, since a request looks at all
-// of them at once; the record in the platform's service has a mutex of its own (ordering), and so have the
-// ends of the server under requests (serverEnds), which the planner fetches.
+// An Agent consists of these parts, each of which owns its state:
 //
-// It relies on the platform's service for its fencing token and its intents: without it the
-// agent serves on and issues no order. Without a planner it serves with the table and grants
-// that it has. What must last, its intents, stands in the service under agent/ID.
+//   - workload: the queue, and the grants and demand of rows;
+//   - serverState: the ledger, the slots, the engine's status and the record sent to the planner;
+//   - membership: whether the agent is leaving;
+//   - contact: the planner that last contacted the agent, and the pauses of this process;
+//   - record: the agent's record in the platform's key-value service;
+//   - serverEnds: the crashes of the server during requests, which the planner receives with its
+//     exchanges.
+//
+// A request needs a consistent view of the first four, so the agent's mutex guards them together. The
+// record has its own mutex (Agent.ordering), and so have the serverEnds.
+//
+// An Agent needs the key-value service for its fencing token and its intents, which are stored under
+// agent/ID. While the service is unavailable the agent continues to serve and issues no orders. If no
+// planner contacts it, it serves with the table and the grants that it has.
 package agent
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -11,7 +11,6 @@
 	"rockcleat/quarantine"
 )
 
-// controlRouter returns the handler of the control listener.
 func (a *Agent) controlRouter() http.Handler {
 	e := server.NewRouter()
 	server.RegisterHealth(e, a.ready, a.metrics)
@@ -21,7 +20,7 @@
 	return e
 }
 
-// ready reports whether the agent takes requests.
+// ready reports whether the agent accepts requests, and the reason if not.
 func (a *Agent) ready() (bool, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -34,7 +33,7 @@
 	return true, ""
 }
 
-// exchange handles the planner's message and answers with what has changed here.
+// exchange handles a planner's message and responds with the agent's state.
 func (a *Agent) exchange(c echo.Context) error {
 	var x wire.Exchange
 	if err := c.Bind(&x); err != nil {
@@ -48,13 +47,14 @@
 		a.mu.Lock()
 		a.work.setGrants(x.Grants)
 		a.mu.Unlock()
-		// Orders wait for the key-value service; the exchange does not.
+		// Orders are executed in the background, because they wait for the key-value service.
 		go a.carryOut(x.Orders)
 	}
 	return c.JSON(http.StatusOK, a.answer(x))
 }
 
-// accept accepts the sender as planner unless a newer one is known.
+// accept merges the table and reports whether the sender is the current planner, that is, no newer
+// one is known.
 func (a *Agent) accept(x wire.Exchange) bool {
 	if a.replica.Merge(x.Table) {
 		a.log.Info("table in force", zap.Uint64("version", a.replica.Current().Version()))
@@ -62,20 +62,21 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.contact.accept(x, a.clock.Now()) {
-		a.log.Warn("exchange of a former planner ignored", zap.Int64("token", x.Token), zap.Int64("newest", a.contact.token))
+		a.log.Warn("ignored an exchange of a superseded planner", zap.Int64("token", x.Token), zap.Int64("newest", a.contact.token))
 		return false
 	}
 	return true
 }
 
-// isMeant reports whether the exchange's orders and grants are for this incarnation.
+// isMeant reports whether the orders and grants are addressed to this incarnation.
 func (a *Agent) isMeant(x wire.Exchange) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return x.Incarnation == a.incarnation
 }
 
-// answer returns the answer to a planner: the server's record, if it is news to it.
+// answer returns the response to a planner. It contains the server's record if the planner does not
+// have its current version.
 func (a *Agent) answer(x wire.Exchange) wire.ExchangeAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,7 +92,7 @@
 	return ans
 }
 
-// Status describes an agent to operators.
+// Status is the agent's state as reported to operators.
 type Status struct {
 	ID           string `json:"id"`
 	Incarnation  string `json:"incarnation"`
@@ -103,7 +104,7 @@
 	ControlBytes int64  `json:"control_bytes"`
 }
 
-// status answers with the agent's state.
+// status responds with the agent's state.
 func (a *Agent) status(c echo.Context) error {
 	a.ordering.Lock()
 	armed := a.record.armed
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -7,12 +7,13 @@
 	"rockcleat/clock"
 )
 
-// heartbeats is the number of heartbeats in the time after which a silent agent counts as
-// lost.
+// heartbeats is the number of heartbeats sent within the time without data after which an entry
+// considers the agent lost.
 const heartbeats = 4
 
-// startHeartbeat shows the entry, by interim responses of status 102, that the agent is alive
-// while a request waits or runs without an answer yet. After stop the answer may be written.
+// startHeartbeat sends an interim response with status 102 at each interval, so that the entry
+// knows that the agent is alive while the request waits or runs. The final response may be written
+// only after stop has returned.
 func startHeartbeat(c clock.Service, w http.ResponseWriter, every time.Duration) (stop func()) {
 	return c.Subscribe(every, func(time.Time) { w.WriteHeader(http.StatusProcessing) })
 }
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -10,23 +10,25 @@
 	"rockcleat/internal/wire"
 )
 
-// A membership says whether the agent's server is leaving.
+// A membership is the state of an agent's leaving. A leaving agent finishes its requests. Entries
+// send it new ones only if no other server can run them.
 type membership struct {
 	leaving bool
-	// stopping says that the agent leaves by its own stop, or because another has taken
-	// over; listed is the version of the platform's list that last said that it leaves.
+	// stopping reports whether the agent leaves because it stops or was superseded. listed is the
+	// latest version of the platform's list of VMs that lists the agent as leaving.
 	stopping bool
 	listed   uint64
-	// closeAt is when a leaving agent takes no new work any more.
+	// closeAt is the time from which a leaving agent refuses new requests.
 	closeAt time.Time
 }
 
-// closed reports whether the agent takes no new work any more.
+// closed reports whether the agent refuses new requests.
 func (m *membership) closed(now time.Time) bool { return m.leaving && !now.Before(m.closeAt) }
 
-// noteListed notes what a version of the platform's list says, and reports whether the agent stays
-// after all. Should a later version of the list say that it does not leave, it stays: what
-// made it leave was about its VM's former life.
+// noteListed records whether a version of the platform's list of VMs lists the agent as leaving. It
+// reports whether the agent revokes its leaving: it does so if a later version no longer lists it
+// as leaving, unless it is stopping. The earlier version then referred to a previous VM of the same
+// name.
 func (m *membership) noteListed(leaving bool, list uint64) (stays bool) {
 	if leaving {
 		m.listed = max(m.listed, list)
@@ -39,9 +41,8 @@
 	return true
 }
 
-// Leave begins the leaving: entries and the planner learn of it at once, and for
-// the leave time the agent still takes requests that have nowhere else to go.
-// After that it takes no new work and sends waiting requests elsewhere.
+// Leave starts the agent's leaving and notifies the planner. For the leave time the agent still
+// accepts requests that no other server can run. After that it refuses new and waiting requests.
 func (a *Agent) Leave(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -54,7 +55,7 @@
 	a.nudgePlanner()
 }
 
-// LeaveForGood leaves whatever the platform's list says.
+// LeaveForGood starts the agent's leaving; the platform's list of VMs can no longer revoke it.
 func (a *Agent) LeaveForGood(reason string) {
 	a.Leave(reason)
 	a.mu.Lock()
@@ -62,10 +63,10 @@
 	a.membership.stopping = true
 }
 
-// closed reports whether the agent takes no new work any more; a.mu is held.
+// closed reports whether the agent refuses new requests. a.mu must be held.
 func (a *Agent) closed() bool { return a.membership.closed(a.clock.Now()) }
 
-// nudgePlanner asks the planner to exchange messages now; a.mu is held.
+// nudgePlanner asks the planner for an immediate exchange, in the background. a.mu must be held.
 func (a *Agent) nudgePlanner() {
 	addr := a.contact.planner
 	if addr == "" {
@@ -76,16 +77,16 @@
 		defer cancel()
 		err := a.peers.Post(ctx, addr, wire.PathNudge, wire.Nudge{Server: a.settings.ID}, nil)
 		if err != nil {
-			a.log.Debug("planner not nudged", zap.Error(err))
+			a.log.Debug("requesting an exchange with the planner failed", zap.Error(err))
 		}
 	}()
 }
 
-// nudgeTimeout bounds a message to the planner.
+// nudgeTimeout bounds the request to the planner.
 const nudgeTimeout = time.Second
 
-// followList leaves when the platform's list says so. If the agent stays after all, it does so under
-// a new incarnation, since others have marked the old one.
+// followList starts or revokes the agent's leaving according to the platform's list of VMs.
+// Revoking changes the incarnation, because entries have marked the previous one as leaving.
 func (a *Agent) followList(x wire.Exchange) {
 	if x.Leaving {
 		a.Leave("the platform's list says so")
@@ -96,5 +97,5 @@
 		return
 	}
 	a.incarnation = uuid.NewString()
-	a.log.Info("not leaving after all: a later list says so", zap.Uint64("list", x.List))
+	a.log.Info("no longer leaving; a later list of VMs does not list the agent as leaving", zap.Uint64("list", x.List))
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -13,10 +13,12 @@
 	"rockcleat/placement"
 )
 
-// orderTimeout bounds the recording and sending of one exchange's orders.
+// orderTimeout bounds the recording and sending of the orders of one exchange, and one attempt to
+// acquire a fencing token.
 const orderTimeout = 5 * time.Second
 
-// stepArm gets the agent its fencing token, however long the platform's service is out.
+// stepArm acquires the fencing token unless the agent has one or was superseded. It is repeated
+// until the key-value service is available.
 func (a *Agent) stepArm(time.Time) {
 	a.ordering.Lock()
 	defer a.ordering.Unlock()
@@ -27,7 +29,7 @@
 	defer cancel()
 	intents, err := a.record.arm(ctx)
 	if err != nil {
-		a.log.Warn("no fencing token yet; serving without issuing orders", zap.Error(err))
+		a.log.Warn("acquiring a fencing token failed; serving without issuing orders", zap.Error(err))
 		return
 	}
 	a.mu.Lock()
@@ -37,7 +39,7 @@
 	a.log.Info("took over the backend server", zap.Int64("fence", a.record.value.Fence), zap.Int("open_intents", len(intents)))
 }
 
-// carryOut records the orders' intents and sends the orders.
+// carryOut records the orders' intents and then sends the orders to the engine.
 func (a *Agent) carryOut(orders []placement.Order) {
 	a.ordering.Lock()
 	defer a.ordering.Unlock()
@@ -52,7 +54,7 @@
 	defer cancel()
 	if err := a.writeIntents(ctx); err != nil {
 		a.cancel(intents)
-		a.log.Warn("orders not issued: intents not recorded", zap.Error(err))
+		a.log.Warn("recording intents failed; orders not sent", zap.Error(err))
 		if errors.Is(err, errSuperseded) {
 			a.LeaveForGood("superseded by another agent")
 		}
@@ -63,7 +65,9 @@
 	}
 }
 
-// reserve counts the orders in the ledger and returns those that may be issued.
+// reserve reserves the orders' memory in the ledger and returns the intents of those that may be
+// sent. It returns none without a status that the engine reported after the agent acquired its
+// fencing token.
 func (a *Agent) reserve(orders []placement.Order) []ledger.Intent {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,19 +84,18 @@
 			MemoryMiB: o.Size.TotalMiB(), Until: a.clock.Now().Add(a.settings.Backend.OrderLifetime.Std()),
 		}
 		if err := a.server.ledger.Reserve(i); err != nil {
-			a.log.Debug("order not taken", zap.String("name", o.Name), zap.String("op", string(o.Op)), zap.Error(err))
+			a.log.Debug("order rejected", zap.String("name", o.Name), zap.String("op", string(o.Op)), zap.Error(err))
 			continue
 		}
-		a.log.Info("order", zap.String("op", string(o.Op)), zap.String("name", o.Name),
+		a.log.Info("order accepted", zap.String("op", string(o.Op)), zap.String("name", o.Name),
 			zap.Int("accelerator", o.Accelerator), zap.String("reason", o.Reason), zap.String("order", i.ID))
 		intents = append(intents, i)
 	}
 	return intents
 }
 
-// drained stops new requests to the copy that an order unloads and reports
-// whether none runs on it; if one does, stepUnloads issues the order later.
-// a.mu is held.
+// drained stops new requests to the copy that an order unloads and reports whether none is running
+// on it. Otherwise it keeps the order, which stepUnloads executes later. a.mu must be held.
 func (a *Agent) drained(o placement.Order) bool {
 	p := copyID{name: o.Name, acc: o.Accelerator}
 	if a.server.slots.drain(p) {
@@ -103,7 +106,7 @@
 	return false
 }
 
-// stepUnloads issues the unload orders whose copies have drained.
+// stepUnloads executes the unload orders whose copies have drained.
 func (a *Agent) stepUnloads(time.Time) {
 	a.mu.Lock()
 	var orders []placement.Order
@@ -116,7 +119,7 @@
 	a.carryOut(orders)
 }
 
-// writeIntents records all intents in the platform's service.
+// writeIntents records all open intents in the key-value service.
 func (a *Agent) writeIntents(ctx context.Context) error {
 	a.mu.Lock()
 	all := a.server.ledger.Intents()
@@ -124,7 +127,8 @@
 	return a.record.write(ctx, all)
 }
 
-// cancel takes back intents whose orders were not sent.
+// cancel removes the intents of orders that were not executed from the ledger and makes their
+// copies accept requests again.
 func (a *Agent) cancel(intents []ledger.Intent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -136,8 +140,8 @@
 	}
 }
 
-// send sends one order; whatever comes of it, its intent counts until the
-// engine lists it as finished or its lifetime is over.
+// send sends one order. Unless the engine rejects the fencing token, the intent stays in the ledger
+// until the engine reports the order as finished or the order's lifetime has passed.
 func (a *Agent) send(ctx context.Context, i ledger.Intent) {
 	err := a.engine.Send(ctx, engine.Order{
 		ID: i.ID, Fence: a.record.value.Fence, Op: i.Op, Name: i.Name, Base: i.Base,
@@ -152,7 +156,7 @@
 		a.LeaveForGood("the engine has seen a newer agent")
 	case err != nil:
 		result = "unknown"
-		a.log.Warn("no answer to an order", zap.String("order", i.ID), zap.Error(err))
+		a.log.Warn("sending an order failed; its outcome is unknown", zap.String("order", i.ID), zap.Error(err))
 	}
 	a.metrics.Order(string(i.Op), result)
 }
--- a/internal/agent/pause.go
+++ b/internal/agent/pause.go
@@ -8,32 +8,33 @@
 	"rockcleat/internal/wire"
 )
 
-// Times of an agent that was paused.
+// Times of pauses of this process.
 const (
-	// pauseNoticed is the gap between two ticks from which on a pause is assumed.
+	// pauseNoticed is the minimum gap between two ticks that counts as a pause.
 	pauseNoticed = 2 * time.Second
-	// distrustTime is how long new work is refused after a pause while no planner has
-	// said whether the server is leaving.
+	// distrustTime is the maximum time after a pause during which new requests are refused. A
+	// planner that has contacted the agent since the pause ends it earlier.
 	distrustTime = 5 * time.Second
 )
 
-// A contact is the agent's contact with planners, and the pauses of this process that make
-// what it knows doubtful.
+// A contact is the agent's state of its contact with planners, and of the pauses of this process,
+// after which its information may be out of date.
 type contact struct {
-	// token is the newest fencing token of a planner, planner the control address of the
-	// one that spoke last, and exchanged when it did.
+	// token is the newest fencing token of a planner. planner is the control address of the planner
+	// that last contacted the agent, and exchanged the time at which it did.
 	token     int64
 	planner   string
 	exchanged time.Time
-	// lastTick is when the queue's system last ran, and distrustUntil until when the
-	// agent, having been paused, takes no new work unless a planner speaks to it.
+	// lastTick is the time at which the queue was last processed. Until distrustUntil the agent
+	// refuses new requests.
 	lastTick      time.Time
 	distrustUntil time.Time
-	// pauses counts the pauses; a planner that names the count has spoken since.
+	// pauses is the number of pauses. A message that contains the current number was sent after the
+	// last pause.
 	pauses int
 }
 
-// accept notes a planner's message and reports whether no newer planner is known.
+// accept records a planner's message and reports whether no newer planner is known.
 func (c *contact) accept(x wire.Exchange, now time.Time) bool {
 	if x.Token < c.token {
 		return false
@@ -45,7 +46,8 @@
 	return true
 }
 
-// notePause returns for how long the process has been paused; 0 if it has not.
+// notePause records a pause if the last tick is too long ago. It returns the length of the pause,
+// or 0 if there was none.
 func (c *contact) notePause(now time.Time) time.Duration {
 	gap := now.Sub(c.lastTick)
 	if c.lastTick.IsZero() || gap < pauseNoticed {
@@ -57,14 +59,14 @@
 	return gap
 }
 
-// noticePause makes an agent that was paused refuse new work until a planner has
-// spoken to it: what it knows may be old, and so may be the requests that have been
-// waiting for it. a.mu is held.
+// noticePause refuses the waiting requests if the process was paused, since they and the agent's
+// information may be out of date. New requests are refused until a planner contacts the agent or
+// distrustTime has passed. a.mu must be held.
 func (a *Agent) noticePause(now time.Time) {
 	gap := a.contact.notePause(now)
 	if gap == 0 {
 		return
 	}
-	a.log.Warn("this process was paused", zap.Duration("for", gap))
+	a.log.Warn("process was paused", zap.Duration("for", gap))
 	a.work.queue.RefuseAll(reasonPaused)
 }
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -11,28 +11,27 @@
 	"rockcleat/ledger"
 )
 
-// recordPrefix is the prefix of agents' records in the platform's service.
+// recordPrefix is the prefix of agents' records in the key-value service.
 const recordPrefix = "agent/"
 
-// errSuperseded says that another agent has taken over the backend server.
-var errSuperseded = errors.New("agent: another agent has taken over the backend server")
+// errSuperseded is returned if another agent has taken over the backend server.
+var errSuperseded = errors.New("agent: superseded by another agent of the backend server")
 
-// errNotArmed says that the agent has no fencing token yet.
+// errNotArmed is returned while the agent has no fencing token.
 var errNotArmed = errors.New("agent: no fencing token yet")
 
-// A recordValue is the value in the platform's service for one backend server.
+// A recordValue is the stored record of one backend server.
 type recordValue struct {
 	Incarnation string `json:"incarnation"`
-	// Fence is the fencing token of every order of this incarnation.
+	// Fence is the fencing token of the orders of this incarnation.
 	Fence   int64           `json:"fence"`
 	Intents []ledger.Intent `json:"intents"`
 }
 
-// A record is the agent's hold on its backend server: whoever wrote the key last
-// is the only one whose intents count, and no order is sent before its intent
-// is written. An agent that was paused while another took over cannot write any
-// more, and what it may have sent before stands in the record that the other
-// has read.
+// A record gives an agent exclusive control of its backend server. The agent that last took over
+// the key is the only one that can write it, and no order is sent before its intent is written. So
+// an agent that another one has superseded cannot record new orders, and its earlier ones are in
+// the record that the other has read.
 type record struct {
 	store       kv.Store
 	key         string
@@ -47,7 +46,8 @@
 	return &record{store: store, key: recordPrefix + id, incarnation: incarnation}
 }
 
-// arm takes the record over and returns the intents of former agents.
+// arm takes over the record under a new fencing token and returns the open intents of earlier
+// agents.
 func (r *record) arm(ctx context.Context) ([]ledger.Intent, error) {
 	if r.superseded {
 		return nil, errSuperseded
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if old.Incarnation == r.incarnation {
-		// The answer to an earlier try was lost after it took effect.
+		// An earlier attempt was written although its response was lost.
 		r.revision, r.value, r.armed = e.Revision, old, true
 		return old.Intents, nil
 	}
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// write records the intents; only when it returns nil may their orders be sent.
+// write records the intents. Their orders may be sent only if it returns nil.
 func (r *record) write(ctx context.Context, intents []ledger.Intent) error {
 	if r.superseded {
 		return errSuperseded
@@ -114,8 +114,9 @@
 	return err
 }
 
-// recover finds out after a conflict or a lost answer who holds the record; the
-// pending intents are not recorded and the caller tries again later.
+// recover reads the record after a conflict or a lost response. It returns errSuperseded if another
+// agent has taken over, and otherwise cause; the intents count as not recorded and may be written
+// again.
 func (r *record) recover(ctx context.Context, cause error) error {
 	e, v, err := r.read(ctx)
 	if err != nil {
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -21,18 +21,17 @@
 	"rockcleat/table"
 )
 
-// copyBuffer is the size of the pieces in which answers are passed on, in bytes.
+// copyBuffer is the size of the buffer for copying responses, in bytes.
 const copyBuffer = 16 << 10
 
-// bytesPerEvent is a rough size of one streamed token's event, in bytes, for counting
-// the tokens that an answer took.
+// bytesPerEvent is the approximate size of the event of one streamed token, in bytes. It is used to
+// estimate the number of tokens of a response.
 const bytesPerEvent = 180
 
-// retrySoon is when to come back after a refusal whose end nobody knows: a load, a grant or a
-// planner's message may come at any time.
+// retrySoon is the Retry-After of refusals whose duration is unknown. They end with a load, a grant
+// or a planner's message.
 const retrySoon = time.Second
 
-// requestRouter returns the handler of the listener for requests.
 func (a *Agent) requestRouter() http.Handler {
 	e := server.NewRouter()
 	e.Use(server.RequireSecret(a.settings.Secret, a.metrics))
@@ -40,7 +39,7 @@
 	return e
 }
 
-// serve queues one request and passes it to the backend server.
+// serve queues one request and forwards it to the backend server.
 func (a *Agent) serve(c echo.Context) error {
 	req := c.Request()
 	name := req.Header.Get(wire.HeaderRow)
@@ -74,7 +73,7 @@
 	return err
 }
 
-// readBody reads the whole body before the request takes a place in the queue.
+// readBody reads the whole request body, before the request is queued.
 func (a *Agent) readBody(req *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(req.Body, a.settings.Limits.BodyBytes+1))
 	if err != nil {
@@ -99,12 +98,12 @@
 	return f.Write(c)
 }
 
-// wait queues the request until it is granted or refused; a nil ticket with no
-// refusal says that the caller has gone.
+// wait queues the request until it is granted a slot or refused. It returns neither a ticket nor a
+// refusal if the client has disconnected.
 func (a *Agent) wait(req *http.Request, row table.Row) (*fairqueue.Ticket, fairqueue.Grant, *fairqueue.Refusal) {
 	tokens, err := strconv.Atoi(req.Header.Get(wire.HeaderTokens))
 	if err != nil {
-		a.log.Debug("no count of tokens, one is assumed", zap.String("row", row.Name), zap.Error(err))
+		a.log.Debug("request has no valid token count; assuming one token", zap.String("row", row.Name), zap.Error(err))
 	}
 	granted := make(chan fairqueue.Grant, 1)
 	refused := make(chan fairqueue.Refusal, 1)
@@ -128,8 +127,8 @@
 	}
 }
 
-// push sets the ticket's limits and adds it to the queue; it returns a refusal that is known
-// without the queue.
+// push sets the ticket's limits and adds it to the queue. It returns a refusal if the request
+// cannot be queued.
 func (a *Agent) push(t *fairqueue.Ticket, row table.Row) *fairqueue.Refusal {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -157,27 +156,28 @@
 	return nil
 }
 
-// reasonPaused says that the agent was paused and waits for a planner's message.
+// reasonPaused is the reason of refusals after a pause of the process.
 const reasonPaused fairqueue.Reason = "paused"
 
-// reasonConcurrency says that the row's concurrency is granted to other servers.
+// reasonConcurrency is the reason of refusals of a row whose concurrency is granted to other
+// servers.
 const reasonConcurrency fairqueue.Reason = "concurrency"
 
-// countRefusal counts a refused request as demand.
+// countRefusal counts a request refused by the queue as demand.
 func (a *Agent) countRefusal(row string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.work.demandOf(row).refused += refusedGain
 }
 
-// done ends a request in the queue.
+// done removes a request from the queue and charges the tokens that it used.
 func (a *Agent) done(t *fairqueue.Ticket, tokens int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.work.queue.Done(t, tokens, a.clock.Now())
 }
 
-// refuse answers at once that the request was not run.
+// refuse responds that the request was not run.
 func (a *Agent) refuse(c echo.Context, r fairqueue.Refusal) error {
 	a.stamp(c.Response().Header())
 	status := http.StatusServiceUnavailable
@@ -191,7 +191,7 @@
 	return f.Write(c)
 }
 
-// stamp puts the agent's load and leaving on an answer.
+// stamp sets the headers that report the agent's load, table version and leaving.
 func (a *Agent) stamp(h http.Header) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -203,7 +203,7 @@
 	}
 }
 
-// A passing is a granted request on its way to the backend server.
+// A passing is a request that has been granted a slot.
 type passing struct {
 	row           table.Row
 	grant         fairqueue.Grant
@@ -211,8 +211,8 @@
 	stopHeartbeat func()
 }
 
-// pass sends the request to the backend server and its answer back, and returns the length
-// of the answer's body.
+// pass forwards the request to the backend server and copies the response. It returns the length of
+// the response body.
 func (a *Agent) pass(c echo.Context, p passing) (int64, error) {
 	out, err := a.outgoing(c.Request(), p)
 	if err != nil {
@@ -240,14 +240,14 @@
 	n, err := copyFlushing(c.Response(), resp.Body)
 	if err != nil {
 		a.noteBreak(c.Request())
-		a.log.Warn("answer cut", zap.String("request", c.Request().Header.Get(wire.HeaderRequestID)), zap.Error(err))
-		// Dropping the connection shows the entry that the answer is not whole.
+		a.log.Warn("response incomplete", zap.String("request", c.Request().Header.Get(wire.HeaderRequestID)), zap.Error(err))
+		// Dropping the connection makes the entry see an incomplete response.
 		panic(http.ErrAbortHandler)
 	}
 	return n, nil
 }
 
-// outgoing makes the request to the backend server.
+// outgoing returns the request to the backend server.
 func (a *Agent) outgoing(in *http.Request, p passing) (*http.Request, error) {
 	url := a.settings.Backend.URL + in.URL.RequestURI()
 	out, err := http.NewRequestWithContext(in.Context(), in.Method, url, bytes.NewReader(p.body))
@@ -269,8 +269,8 @@
 	return out, nil
 }
 
-// noAnswer answers for a backend server that could not be reached, or that may have run the
-// request.
+// noAnswer responds to a request that got no response from the backend server. The outcome is not
+// run if the request was not sent, else unknown.
 func (a *Agent) noAnswer(c echo.Context, err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -287,7 +287,7 @@
 	return f.Write(c)
 }
 
-// hopHeaders are the headers that belong to one connection.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length",
@@ -302,7 +302,7 @@
 	}
 }
 
-// copyFlushing passes each piece of the answer on as soon as it comes.
+// copyFlushing copies r to w and flushes after each read. It returns the number of bytes read.
 func copyFlushing(w *echo.Response, r io.Reader) (int64, error) {
 	buf := make([]byte, copyBuffer)
 	var total int64
@@ -311,7 +311,7 @@
 		if n > 0 {
 			total += int64(n)
 			if _, werr := w.Write(buf[:n]); werr != nil {
-				return total, eris.Wrap(werr, "agent: write answer")
+				return total, eris.Wrap(werr, "agent: write response")
 			}
 			w.Flush()
 		}
@@ -319,7 +319,7 @@
 			return total, nil
 		}
 		if err != nil {
-			return total, eris.Wrap(err, "agent: read answer")
+			return total, eris.Wrap(err, "agent: read response")
 		}
 	}
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -11,22 +11,22 @@
 	"rockcleat/placement"
 )
 
-// A serverState holds the agent's view of its backend server.
+// A serverState is the agent's state of its backend server.
 type serverState struct {
 	ledger ledger.Ledger
 	slots  *slotTable
-	// unloads are orders that wait for their copies to drain.
+	// unloads are the orders that wait for their copies to drain.
 	unloads map[copyID]placement.Order
-	// failures is the number of reports that the engine has missed in a row.
+	// failures is the number of consecutive failed status calls.
 	failures int
-	// armedAt is when the agent took over the record of its server, and current says
-	// that the last report was asked for after that: an older one may lack what a former
-	// agent has done meanwhile.
+	// armedAt is the time at which the agent acquired its fencing token. current reports whether
+	// the last status was requested after that; an older one may lack the effect of orders of an
+	// earlier agent.
 	armedAt time.Time
 	current bool
-	// reported says that the engine answers.
+	// reported reports whether the engine responds. It is always true for a plain service.
 	reported bool
-	// version is that of lastRecord, the record that the planner gets.
+	// version is the version of lastRecord, the record that the planner gets.
 	version    uint64
 	lastRecord fleet.Server
 }
@@ -35,7 +35,7 @@
 	return serverState{slots: newSlotTable(), unloads: make(map[copyID]placement.Order)}
 }
 
-// stepStatus applies the engine's report.
+// stepStatus reads the engine's status and applies it.
 func (a *Agent) stepStatus(now time.Time) {
 	asked := a.clock.Now()
 	st, err := a.engine.Status(context.Background())
@@ -53,11 +53,12 @@
 	a.server.current = asked.After(a.server.armedAt)
 }
 
-// maxFailures is the number of reports in a row that an engine may miss before its models
-// count as not there: half a second.
+// maxFailures is the number of consecutive failed status calls after which the engine's models
+// count as not loaded.
 const maxFailures = 5
 
-// noStatus counts a missed report; an engine that misses several serves nothing.
+// noStatus counts a failed status call. After maxFailures the agent serves no models until the
+// engine responds again.
 func (a *Agent) noStatus(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,13 +66,14 @@
 	if a.server.failures != maxFailures {
 		return
 	}
-	a.log.Warn("the engine does not answer", zap.Error(err))
+	a.log.Warn("engine does not respond", zap.Error(err))
 	a.server.reported = false
 	a.nudgePlanner()
 	a.server.slots.setResidents(nil, 0, a.server.slots.perAccelerator)
 }
 
-// reopen lets copies take requests again whose unload came to nothing; a.mu is held.
+// reopen makes copies accept requests again whose unload order has ended without unloading them.
+// a.mu must be held.
 func (a *Agent) reopen() {
 	for p := range a.server.slots.draining {
 		if _, waits := a.server.unloads[p]; !waits && !a.server.ledger.Busy(p.name) {
@@ -80,8 +82,8 @@
 	}
 }
 
-// serverRecord returns the record for the planner, with a new version if it
-// differs from the last one; a.mu is held.
+// serverRecord returns the record for the planner, under a new version if it has changed. a.mu must
+// be held.
 func (a *Agent) serverRecord(now time.Time) fleet.Server {
 	s := fleet.Server{
 		ID: a.settings.ID, Addr: a.Addr(), Hall: a.settings.Hall, Incarnation: a.incarnation, Leaving: a.membership.leaving,
--- a/internal/agent/server_end.go
+++ b/internal/agent/server_end.go
@@ -15,27 +15,28 @@
 	"rockcleat/quarantine"
 )
 
-// expireEvery is the time between two looks for what is too old.
+// expireEvery is the interval at which expired quarantine records are removed.
 const expireEvery = time.Second
 
-// serverEnds counts the ends of the backend server and charges them to the requests that broke off there.
-// The planner gets them with its exchanges. It is safe for concurrent use.
+// serverEnds detects crashes of the backend server and records the requests that were running at
+// the time. The planner receives these records with its exchanges. It is safe for concurrent use.
 type serverEnds struct {
 	clock clock.Service
 	table *quarantine.Table
-	// addr is where the server listens, name begins the names of its runs.
+	// addr is the address of the server. name is the prefix of the names of its runs; a run lasts
+	// from a start of the server to its next crash.
 	addr, name string
-	// onEnd is called after each end that was charged.
+	// onEnd is called after a request has been recorded.
 	onEnd func()
 	log   *zap.Logger
 
 	mu sync.Mutex
-	// runs counts the runs of the server, ended says that the last one is over.
+	// runs is the index of the current or last run. ended reports whether that run is over.
 	runs  int
 	ended bool
 }
 
-// addrOf returns the host and port of a server's base URL; empty if there are none.
+// addrOf returns the host and port of a base URL, or "" if the URL is invalid.
 func addrOf(base string) string {
 	u, err := url.Parse(base)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return u.Host
 }
 
-// answered notes that the server lives.
+// answered records that the server is running.
 func (e *serverEnds) answered() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,19 +55,20 @@
 	}
 }
 
-// serverEnded has the planner fetch the ends of the server at once.
+// serverEnded asks the planner for an immediate exchange, so that it receives the crash.
 func (a *Agent) serverEnded() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.nudgePlanner()
 }
 
-// noteBreak notes that the connection to the backend server broke under a request.
+// noteBreak handles the loss of the connection to the backend server during a request, unless the
+// client has disconnected.
 func (a *Agent) noteBreak(req *http.Request) {
 	digest := req.Header.Get(wire.HeaderDigest)
 	var k quarantine.Key
 	if err := k.UnmarshalText([]byte(digest)); err != nil {
-		a.log.Debug("request without a digest", zap.String("request", req.Header.Get(wire.HeaderRequestID)), zap.Error(err))
+		a.log.Debug("request has no valid digest", zap.String("request", req.Header.Get(wire.HeaderRequestID)), zap.Error(err))
 		return
 	}
 	if req.Context().Err() == nil {
@@ -74,8 +76,8 @@
 	}
 }
 
-// requestBroke finds out whether the server has ended under a request whose connection to it broke: nobody
-// listens at its address any more.
+// requestBroke probes the server after the loss of a request's connection. If nothing listens at
+// its address the server has crashed, and the request is recorded.
 func (e *serverEnds) requestBroke(k quarantine.Key) {
 	p := wire.Probe{Clock: e.clock, Connect: wire.TryConnect}
 	if p.Run(context.Background(), e.addr) == wire.ServerEnded {
@@ -83,7 +85,7 @@
 	}
 }
 
-// charge charges the end of the last run to a request.
+// charge records that the current run of the server crashed during a request.
 func (e *serverEnds) charge(k quarantine.Key) {
 	e.mu.Lock()
 	first := !e.ended
@@ -93,7 +95,7 @@
 	if first {
 		e.log.Info("server ended", zap.String("run", run))
 	}
-	e.log.Info("request charged with the server's end", zap.String("run", run), zap.Stringer("digest", k))
+	e.log.Info("request recorded with the server's end", zap.String("run", run), zap.Stringer("digest", k))
 	e.table.Ended(run, k)
 	e.onEnd()
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -8,19 +8,18 @@
 	"rockcleat/fleet"
 )
 
-// A copyID names one copy of a model or adapter: the row and the accelerator.
+// A copyID identifies a copy of a model or adapter by the row's name and the accelerator's index.
 type copyID struct {
 	name string
 	acc  int
 }
 
-// A slotTable is the agent's account of the slots in which requests run; it
-// implements fairqueue.Slots.
+// A slotTable tracks the slots in which requests run. It implements fairqueue.Slots.
 type slotTable struct {
 	perAccelerator int
 	used           []int
 	ready          map[copyID]bool
-	// draining are the copies that get no more requests, since they are to be unloaded.
+	// draining are the copies that accept no more requests because they will be unloaded.
 	draining map[copyID]bool
 	running  map[copyID]int
 	taken    map[int]copyID
@@ -36,8 +35,8 @@
 	}
 }
 
-// setServices makes the table that of a plain service, as one accelerator on
-// which every service is ready.
+// setServices configures the table for a plain service: one accelerator on which all services are
+// ready.
 func (t *slotTable) setServices(names []string, slots int) {
 	t.perAccelerator = slots
 	t.used = make([]int, 1)
@@ -46,7 +45,7 @@
 	}
 }
 
-// setResidents applies the engine's report.
+// setResidents applies the engine's status.
 func (t *slotTable) setResidents(residents []fleet.Resident, accelerators, slots int) {
 	t.perAccelerator = slots
 	for len(t.used) < accelerators {
@@ -64,7 +63,7 @@
 	maps.DeleteFunc(t.draining, func(p copyID, _ bool) bool { return !present[p] })
 }
 
-// Take implements fairqueue.Slots: it chooses the accelerator with most slots free.
+// Take implements fairqueue.Slots. It selects the accelerator with the most free slots.
 func (t *slotTable) Take(row string) (int, bool) {
 	best := -1
 	for acc := range t.used {
@@ -112,19 +111,19 @@
 	return total
 }
 
-// accelerator returns the accelerator of a taken slot.
+// accelerator returns the accelerator of a slot in use.
 func (t *slotTable) accelerator(slot int) int { return t.taken[slot].acc }
 
-// drain stops new requests to a copy and reports whether none runs on it.
+// drain stops new requests to a copy and reports whether none is running on it.
 func (t *slotTable) drain(p copyID) bool {
 	t.draining[p] = true
 	return t.running[p] == 0
 }
 
-// undrain opens a copy again.
+// undrain makes a copy accept requests again.
 func (t *slotTable) undrain(p copyID) { delete(t.draining, p) }
 
-// load returns the busy slots and waiting requests in percent of all slots.
+// load returns the number of busy slots and waiting requests, in percent of all slots.
 func (t *slotTable) load(waiting int) int {
 	busy := waiting
 	for _, u := range t.used {
@@ -133,8 +132,7 @@
 	return 100 * busy / max(len(t.used)*t.perAccelerator, 1)
 }
 
-// visible returns the residents as others should see them: draining copies are
-// already unloading.
+// visible returns the residents in order, with draining copies shown as unloading.
 func (t *slotTable) visible(residents []fleet.Resident) []fleet.Resident {
 	out := slices.Clone(residents)
 	for i, r := range out {
--- a/internal/agent/workload.go
+++ b/internal/agent/workload.go
@@ -11,12 +11,12 @@
 	"rockcleat/placement"
 )
 
-// A workload holds the requests of the server and what rows may use and ask for.
+// A workload holds the request queue, and the demand and concurrency grants of rows.
 type workload struct {
 	queue *fairqueue.Queue
-	// demand is what each row asks for.
+	// demand is the demand of each row.
 	demand map[string]*rowDemand
-	// grants is the concurrency that the planner grants to each row here.
+	// grants is the concurrency that the planner has granted to this server, by row.
 	grants map[string]int
 }
 
@@ -27,21 +27,22 @@
 	}
 }
 
-// A rowDemand is the account of one row's demand.
+// A rowDemand is the demand of one row, in slots.
 type rowDemand struct {
 	refused  float64
 	estimate placement.Estimator
 }
 
-// Following of a row's demand.
+// Parameters of demand estimation.
 const (
-	// halfLife is how fast the estimate of a demand falls.
+	// halfLife is the time in which the estimate falls by half without demand.
 	halfLife = 15 * time.Second
-	// refusedGain smooths the slots that refused requests would have taken.
+	// refusedGain is the smoothing factor of the slots that refused requests would have used.
 	refusedGain = 0.1
 )
 
-// observe counts what each row runs, waits for and was refused.
+// observe adds a sample of each row's running, waiting and refused requests to its estimate. It
+// removes the rows without demand.
 func (w *workload) observe(now time.Time) {
 	for row, d := range w.demand {
 		running, waiting := w.queue.Load(row)
@@ -54,7 +55,7 @@
 	}
 }
 
-// demandOf returns the row's account.
+// demandOf returns the demand of a row, a new one if there is none.
 func (w *workload) demandOf(row string) *rowDemand {
 	d, ok := w.demand[row]
 	if !ok {
@@ -64,7 +65,7 @@
 	return d
 }
 
-// demandLevels returns the rows' demand in levels.
+// demandLevels returns the levels of the rows with demand, ordered by name.
 func (w *workload) demandLevels(now time.Time) []fleet.Demand {
 	var out []fleet.Demand
 	for _, row := range slices.Sorted(maps.Keys(w.demand)) {
@@ -76,8 +77,7 @@
 	return out
 }
 
-// setGrants sets the concurrency that the planner grants; rows that it does not name have
-// none left.
+// setGrants replaces the concurrency grants.
 func (w *workload) setGrants(grants []wire.ConcurrencyGrant) {
 	clear(w.grants)
 	for _, g := range grants {
@@ -85,7 +85,7 @@
 	}
 }
 
-// grantsInUse returns the grants, each at least the number of requests that run under it.
+// grantsInUse returns the grants, each raised to the number of requests that are running under it.
 func (w *workload) grantsInUse() []wire.ConcurrencyGrant {
 	var list []wire.ConcurrencyGrant
 	for _, row := range slices.Sorted(maps.Keys(w.grants)) {
@@ -95,7 +95,6 @@
 	return list
 }
 
-// stepDemand observes the demand.
 func (a *Agent) stepDemand(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
