--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -26,17 +26,17 @@
 
 // Intervals of the agent's background tasks.
 const (
-	// statusEvery is the interval at which the engine's status is read.
-	statusEvery = 100 * time.Millisecond
-	// queueEvery is the interval at which the queue is processed. A request whose queue time has
+	// statusInterval is the interval at which the engine's status is read.
+	statusInterval = 100 * time.Millisecond
+	// queueInterval is the interval at which the queue is processed. A request whose queue time has
 	// passed is refused at most this much too late.
-	queueEvery = 20 * time.Millisecond
-	// demandEvery is the interval at which demand is sampled.
-	demandEvery = 250 * time.Millisecond
-	// armEvery is the interval between attempts to acquire a fencing token.
-	armEvery = 500 * time.Millisecond
-	// unloadEvery is the interval at which draining copies are checked for running requests.
-	unloadEvery = 100 * time.Millisecond
+	queueInterval = 20 * time.Millisecond
+	// demandInterval is the interval at which demand is sampled.
+	demandInterval = 250 * time.Millisecond
+	// takeOverInterval is the interval between attempts to acquire a fencing token.
+	takeOverInterval = 500 * time.Millisecond
+	// unloadInterval is the interval at which draining copies are checked for running requests.
+	unloadInterval = 100 * time.Millisecond
 )
 
 // An Engine is the model engine as used by the agent.
@@ -88,24 +88,25 @@
 	proxied  wire.Traffic
 	requests *server.Listener
 	control  *server.Listener
-	// ends detects crashes of the backend server during requests, quarantine holds those requests.
-	ends       *serverEnds
+	// crashes detects crashes of the backend server during requests, quarantine holds those
+	// requests.
+	crashes    *crashDetector
 	quarantine *quarantine.Table
-	// record is the agent's record in the key-value service. Guarded by ordering.
+	// record is the agent's record in the key-value service. Guarded by orderMu.
 	record *record
-	// stops cancel the clock subscriptions.
-	stops []func()
-	// ordering serializes the handling of orders. It is locked before mu.
-	ordering sync.Mutex
-	// catching reports whether a table is being fetched from an entry.
-	catching atomic.Bool
+	// unsubscribe holds the functions that cancel the clock subscriptions.
+	unsubscribe []func()
+	// orderMu serializes the handling of orders. It is locked before mu.
+	orderMu sync.Mutex
+	// fetchingTable reports whether a table is being fetched from an entry.
+	fetchingTable atomic.Bool
 
 	// mu guards the fields below.
 	mu         sync.Mutex
 	work       workload
 	server     serverState
 	membership membership
-	contact    contact
+	planner    plannerContact
 }
 
 // New returns an Agent that is idle until Start.
@@ -127,9 +128,9 @@
 	a.quarantine = quarantine.New(quarantine.Options{
 		Clock: o.Clock, Ends: quarantine.DefaultEnds, Hold: quarantine.DefaultHold,
 	})
-	a.ends = &serverEnds{
-		clock: o.Clock, table: a.quarantine, addr: addrOf(o.Settings.Backend.URL), name: o.Settings.ID + "/" + a.incarnation,
-		onEnd: a.serverEnded, log: o.Log,
+	a.crashes = &crashDetector{
+		clock: o.Clock, table: a.quarantine, addr: hostPort(o.Settings.Backend.URL), namePrefix: o.Settings.ID + "/" + a.incarnation,
+		onCrash: a.serverCrashed, log: o.Log,
 	}
 	a.record = newRecord(o.Store, o.Settings.ID, a.incarnation)
 	if a.isService() {
@@ -151,14 +152,14 @@
 	if a.control, err = server.Listen(a.settings.ControlListen, a.controlRouter(), a.traffic, a.log); err != nil {
 		return err
 	}
-	a.subscribe(queueEvery, a.stepQueue)
-	a.subscribe(demandEvery, a.stepDemand)
-	a.subscribe(orphanEvery, a.stepOrphan)
-	a.subscribe(expireEvery, func(time.Time) { a.quarantine.Expire() })
+	a.subscribe(queueInterval, a.stepQueue)
+	a.subscribe(demandInterval, a.stepDemand)
+	a.subscribe(contactCheckInterval, a.stepPlannerContact)
+	a.subscribe(expireInterval, func(time.Time) { a.quarantine.Expire() })
 	if !a.isService() {
-		a.subscribe(statusEvery, a.stepStatus)
-		a.subscribe(armEvery, a.stepArm)
-		a.subscribe(unloadEvery, a.stepUnloads)
+		a.subscribe(statusInterval, a.stepStatus)
+		a.subscribe(takeOverInterval, a.stepTakeOver)
+		a.subscribe(unloadInterval, a.stepUnloads)
 	}
 	go a.requests.Serve()
 	go a.control.Serve()
@@ -169,7 +170,7 @@
 
 // subscribe calls f at the given interval until the agent stops.
 func (a *Agent) subscribe(every time.Duration, f func(time.Time)) {
-	a.stops = append(a.stops, a.clock.Subscribe(every, f))
+	a.unsubscribe = append(a.unsubscribe, a.clock.Subscribe(every, f))
 }
 
 // Addr returns the address of the listener for requests.
@@ -187,7 +188,7 @@
 	// connection error.
 	clock.Sleep(ctx, a.clock, 2*a.settings.LeaveTime.Std())
 	err := a.requests.Shutdown(ctx)
-	for _, stop := range a.stops {
+	for _, stop := range a.unsubscribe {
 		stop()
 	}
 	if err != nil {
@@ -205,7 +206,7 @@
 // Close stops the background tasks and closes the listeners without waiting for requests. Errors of
 // the listeners are ignored.
 func (a *Agent) Close() {
-	for _, stop := range a.stops {
+	for _, stop := range a.unsubscribe {
 		stop()
 	}
 	_ = a.requests.Close()
@@ -217,8 +218,8 @@
 func (a *Agent) stepQueue(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.noticePause(now)
-	a.contact.lastTick = now
+	a.handlePause(now)
+	a.planner.lastTick = now
 	if a.closed() {
 		a.work.queue.RefuseAll(fairqueue.ReasonLeaving)
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -72,9 +72,9 @@
 	return f
 }
 
-// arm acquires the fencing token and reads the engine's status.
-func (f *fixture) arm() {
-	f.stepArm(f.clock.Now())
+// takeOver acquires the fencing token and reads the engine's status.
+func (f *fixture) takeOver() {
+	f.stepTakeOver(f.clock.Now())
 	f.clock.Advance(time.Millisecond)
 	f.stepStatus(f.clock.Now())
 }
@@ -90,24 +90,24 @@
 		orders []placement.Order
 		sent   int
 	}{
-		"given once recorded":              {(*fixture).arm, load, 1},
+		"given once recorded":              {(*fixture).takeOver, load, 1},
 		"not before the agent has a token": {func(f *fixture) { f.stepStatus(f.clock.Now()) }, load, 0},
 		"not with a report from before taking over": {func(f *fixture) {
 			f.stepStatus(f.clock.Now())
-			f.stepArm(f.clock.Now())
+			f.stepTakeOver(f.clock.Now())
 		}, load, 0},
 		"not while the service is out": {func(f *fixture) {
-			f.arm()
+			f.takeOver()
 			f.kv.SetFaults(standin.Faults{Outage: true})
 		}, load, 0},
-		"not beyond the memory":      {(*fixture).arm, []placement.Order{load[0], order(ledger.OpLoad, "b", 60)}, 1},
-		"not twice while one is out": {(*fixture).arm, []placement.Order{load[0], load[0]}, 1},
+		"not beyond the memory":      {(*fixture).takeOver, []placement.Order{load[0], order(ledger.OpLoad, "b", 60)}, 1},
+		"not twice while one is out": {(*fixture).takeOver, []placement.Order{load[0], load[0]}, 1},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			tc.before(f)
-			f.carryOut(tc.orders)
+			f.executeOrders(tc.orders)
 			assert.Equal(t, len(f.engine.orders), tc.sent)
 		})
 	}
@@ -117,18 +117,18 @@
 // over its server, and that the other one accounts for the first one's order.
 func TestSuperseded(t *testing.T) {
 	first := newFixture(t)
-	first.arm()
-	first.carryOut([]placement.Order{order(ledger.OpLoad, "a", 60)})
+	first.takeOver()
+	first.executeOrders([]placement.Order{order(ledger.OpLoad, "a", 60)})
 	second := fixtureOn(t, first.kv, first.store)
-	second.arm()
-	first.carryOut([]placement.Order{order(ledger.OpLoad, "c", 10)})
+	second.takeOver()
+	first.executeOrders([]placement.Order{order(ledger.OpLoad, "c", 10)})
 	assert.Equal(t, len(first.engine.orders), 1)
 	assert.Assert(t, first.membership.leaving)
-	second.carryOut([]placement.Order{order(ledger.OpLoad, "b", 60)})
+	second.executeOrders([]placement.Order{order(ledger.OpLoad, "b", 60)})
 	assert.Equal(t, len(second.engine.orders), 0, "the first agent's order may still arrive")
 	second.clock.Advance(second.settings.Backend.OrderLifetime.Std() + time.Second)
 	second.stepStatus(second.clock.Now())
-	second.carryOut([]placement.Order{order(ledger.OpLoad, "b", 60)})
+	second.executeOrders([]placement.Order{order(ledger.OpLoad, "b", 60)})
 	assert.Equal(t, len(second.engine.orders), 1)
 	assert.Assert(t, second.engine.orders[0].Fence > first.engine.orders[0].Fence)
 }
@@ -137,12 +137,12 @@
 // is lost, and is sent when the planner repeats it.
 func TestLostRecordAnswer(t *testing.T) {
 	f := newFixture(t)
-	f.arm()
+	f.takeOver()
 	f.kv.SetFaults(standin.Faults{LoseAnswers: 1})
 	load := []placement.Order{order(ledger.OpLoad, "a", 60)}
-	f.carryOut(load)
+	f.executeOrders(load)
 	assert.Equal(t, len(f.engine.orders), 0)
-	f.carryOut(load)
+	f.executeOrders(load)
 	assert.Equal(t, len(f.engine.orders), 1)
 	assert.Assert(t, !f.membership.leaving)
 }
@@ -151,10 +151,10 @@
 func TestUnloadWaitsForRequests(t *testing.T) {
 	f := newFixture(t)
 	f.engine.status.Residents = []fleet.Resident{{Name: "a", State: fleet.StateReady, MemoryMiB: 60}}
-	f.arm()
+	f.takeOver()
 	slot, ok := f.server.slots.Take("a")
 	assert.Assert(t, ok)
-	f.carryOut([]placement.Order{order(ledger.OpUnload, "a", 60)})
+	f.executeOrders([]placement.Order{order(ledger.OpUnload, "a", 60)})
 	assert.Equal(t, len(f.engine.orders), 0)
 	_, ok = f.server.slots.Take("a")
 	assert.Assert(t, !ok, "a copy to be unloaded takes no new request")
@@ -213,8 +213,8 @@
 	return f.controlRouter()
 }
 
-// TestFormerPlanner checks that a message with a lower token has no effect.
-func TestFormerPlanner(t *testing.T) {
+// TestSupersededPlanner checks that a message with a lower token has no effect.
+func TestSupersededPlanner(t *testing.T) {
 	f := newFixture(t)
 	h := listenFor(t, f)
 	_, a := post(t, h, secret, wire.Exchange{Cell: "c", Token: 7})
@@ -228,9 +228,9 @@
 	assert.DeepEqual(t, a.Grants, grants)
 }
 
-// TestListChangesItsMind checks that an agent listed as leaving stays if a later list does not list
-// it as leaving, unless the agent itself is stopping.
-func TestListChangesItsMind(t *testing.T) {
+// TestLaterListRevokesLeaving checks that an agent listed as leaving stays if a later list does not
+// list it as leaving, unless the agent itself is stopping.
+func TestLaterListRevokesLeaving(t *testing.T) {
 	tests := map[string]struct {
 		later   wire.Exchange
 		stop    bool
@@ -267,17 +267,17 @@
 	h := listenFor(t, f)
 	f.clock.Advance(100 * time.Millisecond)
 	f.mu.Lock()
-	f.contact.lastTick = f.clock.Now().Add(-time.Minute)
-	f.noticePause(f.clock.Now())
+	f.planner.lastTick = f.clock.Now().Add(-time.Minute)
+	f.handlePause(f.clock.Now())
 	f.mu.Unlock()
-	mistrusts := func() bool {
+	refuses := func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.clock.Now().Before(f.contact.distrustUntil)
+		return f.clock.Now().Before(f.planner.refuseUntil)
 	}
-	assert.Assert(t, mistrusts())
+	assert.Assert(t, refuses())
 	_, a := post(t, h, secret, wire.Exchange{Cell: "c", Token: 1})
-	assert.Assert(t, mistrusts(), "a message from before the pause counts as news")
+	assert.Assert(t, refuses(), "a message from before the pause counts as news")
 	post(t, h, secret, wire.Exchange{Cell: "c", Token: 1, Pauses: a.Pauses})
-	assert.Assert(t, !mistrusts())
+	assert.Assert(t, !refuses())
 }
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -10,13 +10,13 @@
 //   - workload: the queue, and the grants and demand of rows;
 //   - serverState: the ledger, the slots, the engine's status and the record sent to the planner;
 //   - membership: whether the agent is leaving;
-//   - contact: the planner that last contacted the agent, and the pauses of this process;
+//   - plannerContact: the planner that last contacted the agent, and the pauses of this process;
 //   - record: the agent's record in the platform's key-value service;
-//   - serverEnds: the crashes of the server during requests, which the planner receives with its
+//   - crashDetector: the crashes of the server during requests, which the planner receives with its
 //     exchanges.
 //
 // A request needs a consistent view of the first four, so the agent's mutex guards them together. The
-// record has its own mutex (Agent.ordering), and so have the serverEnds.
+// record has its own mutex (Agent.orderMu), and so has the crashDetector.
 //
 // An Agent needs the key-value service for its fencing token and its intents, which are stored under
 // agent/ID. While the service is unavailable the agent continues to serve and issues no orders. If no
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -40,17 +40,17 @@
 		return err
 	}
 	if !a.accept(x) {
-		return c.JSON(http.StatusOK, a.answer(x))
+		return c.JSON(http.StatusOK, a.exchangeAnswer(x))
 	}
-	a.followList(x)
-	if !x.Lapsed && a.isMeant(x) && x.TableVersion >= a.replica.Current().Version() {
+	a.applyList(x)
+	if !x.Lapsed && a.isForThisIncarnation(x) && x.TableVersion >= a.replica.Current().Version() {
 		a.mu.Lock()
 		a.work.setGrants(x.Grants)
 		a.mu.Unlock()
 		// Orders are executed in the background, because they wait for the key-value service.
-		go a.carryOut(x.Orders)
+		go a.executeOrders(x.Orders)
 	}
-	return c.JSON(http.StatusOK, a.answer(x))
+	return c.JSON(http.StatusOK, a.exchangeAnswer(x))
 }
 
 // accept merges the table and reports whether the sender is the current planner, that is, no newer
@@ -61,29 +61,29 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.contact.accept(x, a.clock.Now()) {
-		a.log.Warn("ignored an exchange of a superseded planner", zap.Int64("token", x.Token), zap.Int64("newest", a.contact.token))
+	if !a.planner.accept(x, a.clock.Now()) {
+		a.log.Warn("ignored an exchange of a superseded planner", zap.Int64("token", x.Token), zap.Int64("newest", a.planner.token))
 		return false
 	}
 	return true
 }
 
-// isMeant reports whether the orders and grants are addressed to this incarnation.
-func (a *Agent) isMeant(x wire.Exchange) bool {
+// isForThisIncarnation reports whether the orders and grants are addressed to this incarnation.
+func (a *Agent) isForThisIncarnation(x wire.Exchange) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return x.Incarnation == a.incarnation
 }
 
-// answer returns the response to a planner. It contains the server's record if the planner does not
-// have its current version.
-func (a *Agent) answer(x wire.Exchange) wire.ExchangeAnswer {
+// exchangeAnswer returns the response to a planner. It contains the server's record if the planner
+// does not have its current version.
+func (a *Agent) exchangeAnswer(x wire.Exchange) wire.ExchangeAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.serverRecord(a.clock.Now())
 	ans := wire.ExchangeAnswer{
-		Incarnation: a.incarnation, Token: a.contact.token, TableVersion: a.replica.Current().Version(), RecordSeen: a.server.version,
-		Pauses: a.contact.pauses, Quarantine: a.quarantine.Answer(x.Quarantine, quarantine.AllEnds),
+		Incarnation: a.incarnation, Token: a.planner.token, TableVersion: a.replica.Current().Version(), RecordSeen: a.server.version,
+		Pauses: a.planner.pauses, Quarantine: a.quarantine.Answer(x.Quarantine, quarantine.AllEnds),
 	}
 	if x.Incarnation != a.incarnation || x.Seen != a.server.version {
 		ans.Server = &s
@@ -106,9 +106,9 @@
 
 // status responds with the agent's state.
 func (a *Agent) status(c echo.Context) error {
-	a.ordering.Lock()
-	armed := a.record.armed
-	a.ordering.Unlock()
+	a.orderMu.Lock()
+	armed := a.record.hasFence
+	a.orderMu.Unlock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return c.JSON(http.StatusOK, Status{
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -7,9 +7,9 @@
 	"rockcleat/clock"
 )
 
-// heartbeats is the number of heartbeats sent within the time without data after which an entry
-// considers the agent lost.
-const heartbeats = 4
+// heartbeatsPerTimeout is the number of heartbeats sent within the time without data after which an
+// entry considers the agent lost.
+const heartbeatsPerTimeout = 4
 
 // startHeartbeat sends an interim response with status 102 at each interval, so that the entry
 // knows that the agent is alive while the request waits or runs. The final response may be written
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -16,8 +16,8 @@
 	leaving bool
 	// stopping reports whether the agent leaves because it stops or was superseded. listed is the
 	// latest version of the platform's list of VMs that lists the agent as leaving.
-	stopping bool
-	listed   uint64
+	stopping      bool
+	listedVersion uint64
 	// closeAt is the time from which a leaving agent refuses new requests.
 	closeAt time.Time
 }
@@ -25,19 +25,19 @@
 // closed reports whether the agent refuses new requests.
 func (m *membership) closed(now time.Time) bool { return m.leaving && !now.Before(m.closeAt) }
 
-// noteListed records whether a version of the platform's list of VMs lists the agent as leaving. It
+// applyList records whether a version of the platform's list of VMs lists the agent as leaving. It
 // reports whether the agent revokes its leaving: it does so if a later version no longer lists it
 // as leaving, unless it is stopping. The earlier version then referred to a previous VM of the same
 // name.
-func (m *membership) noteListed(leaving bool, list uint64) (stays bool) {
+func (m *membership) applyList(leaving bool, list uint64) (stays bool) {
 	if leaving {
-		m.listed = max(m.listed, list)
+		m.listedVersion = max(m.listedVersion, list)
 		return false
 	}
-	if m.stopping || !m.leaving || m.listed == 0 || list <= m.listed {
+	if m.stopping || !m.leaving || m.listedVersion == 0 || list <= m.listedVersion {
 		return false
 	}
-	m.leaving, m.listed = false, 0
+	m.leaving, m.listedVersion = false, 0
 	return true
 }
 
@@ -52,7 +52,7 @@
 	a.membership.leaving = true
 	a.membership.closeAt = a.clock.Now().Add(a.settings.LeaveTime.Std())
 	a.log.Info("leaving", zap.String("reason", reason), zap.Int("running", a.work.queue.Running()))
-	a.nudgePlanner()
+	a.requestExchange()
 }
 
 // LeaveForGood starts the agent's leaving; the platform's list of VMs can no longer revoke it.
@@ -66,14 +66,14 @@
 // closed reports whether the agent refuses new requests. a.mu must be held.
 func (a *Agent) closed() bool { return a.membership.closed(a.clock.Now()) }
 
-// nudgePlanner asks the planner for an immediate exchange, in the background. a.mu must be held.
-func (a *Agent) nudgePlanner() {
-	addr := a.contact.planner
+// requestExchange asks the planner for an immediate exchange, in the background. a.mu must be held.
+func (a *Agent) requestExchange() {
+	addr := a.planner.addr
 	if addr == "" {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), nudgeTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), requestExchangeTimeout)
 		defer cancel()
 		err := a.peers.Post(ctx, addr, wire.PathNudge, wire.Nudge{Server: a.settings.ID}, nil)
 		if err != nil {
@@ -82,18 +82,18 @@
 	}()
 }
 
-// nudgeTimeout bounds the request to the planner.
-const nudgeTimeout = time.Second
+// requestExchangeTimeout bounds the request to the planner.
+const requestExchangeTimeout = time.Second
 
-// followList starts or revokes the agent's leaving according to the platform's list of VMs.
+// applyList starts or revokes the agent's leaving according to the platform's list of VMs.
 // Revoking changes the incarnation, because entries have marked the previous one as leaving.
-func (a *Agent) followList(x wire.Exchange) {
+func (a *Agent) applyList(x wire.Exchange) {
 	if x.Leaving {
 		a.Leave("the platform's list says so")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.membership.noteListed(x.Leaving, x.List) {
+	if !a.membership.applyList(x.Leaving, x.List) {
 		return
 	}
 	a.incarnation = uuid.NewString()
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -17,43 +17,43 @@
 // acquire a fencing token.
 const orderTimeout = 5 * time.Second
 
-// stepArm acquires the fencing token unless the agent has one or was superseded. It is repeated
-// until the key-value service is available.
-func (a *Agent) stepArm(time.Time) {
-	a.ordering.Lock()
-	defer a.ordering.Unlock()
-	if a.record.armed || a.record.superseded {
+// stepTakeOver acquires the fencing token unless the agent has one or was superseded. It is
+// repeated until the key-value service is available.
+func (a *Agent) stepTakeOver(time.Time) {
+	a.orderMu.Lock()
+	defer a.orderMu.Unlock()
+	if a.record.hasFence || a.record.superseded {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	intents, err := a.record.arm(ctx)
+	intents, err := a.record.takeOver(ctx)
 	if err != nil {
 		a.log.Warn("acquiring a fencing token failed; serving without issuing orders", zap.Error(err))
 		return
 	}
 	a.mu.Lock()
 	a.server.ledger.Restore(intents)
-	a.server.armedAt, a.server.current = a.clock.Now(), false
+	a.server.tookOverAt, a.server.statusCurrent = a.clock.Now(), false
 	a.mu.Unlock()
 	a.log.Info("took over the backend server", zap.Int64("fence", a.record.value.Fence), zap.Int("open_intents", len(intents)))
 }
 
-// carryOut records the orders' intents and then sends the orders to the engine.
-func (a *Agent) carryOut(orders []placement.Order) {
-	a.ordering.Lock()
-	defer a.ordering.Unlock()
-	if !a.record.armed || a.record.superseded || len(orders) == 0 {
+// executeOrders records the orders' intents and then sends the orders to the engine.
+func (a *Agent) executeOrders(orders []placement.Order) {
+	a.orderMu.Lock()
+	defer a.orderMu.Unlock()
+	if !a.record.hasFence || a.record.superseded || len(orders) == 0 {
 		return
 	}
-	intents := a.reserve(orders)
+	intents := a.reserveOrders(orders)
 	if len(intents) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	if err := a.writeIntents(ctx); err != nil {
-		a.cancel(intents)
+		a.cancelIntents(intents)
 		a.log.Warn("recording intents failed; orders not sent", zap.Error(err))
 		if errors.Is(err, errSuperseded) {
 			a.LeaveForGood("superseded by another agent")
@@ -61,22 +61,22 @@
 		return
 	}
 	for _, i := range intents {
-		a.send(ctx, i)
+		a.sendOrder(ctx, i)
 	}
 }
 
-// reserve reserves the orders' memory in the ledger and returns the intents of those that may be
-// sent. It returns none without a status that the engine reported after the agent acquired its
+// reserveOrders reserves the orders' memory in the ledger and returns the intents of those that may
+// be sent. It returns none without a status that the engine reported after the agent acquired its
 // fencing token.
-func (a *Agent) reserve(orders []placement.Order) []ledger.Intent {
+func (a *Agent) reserveOrders(orders []placement.Order) []ledger.Intent {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var intents []ledger.Intent
-	if !a.server.reported || !a.server.current {
+	if !a.server.reported || !a.server.statusCurrent {
 		return nil
 	}
 	for _, o := range orders {
-		if o.Op == ledger.OpUnload && !a.drained(o) {
+		if o.Op == ledger.OpUnload && !a.drainForUnload(o) {
 			continue
 		}
 		i := ledger.Intent{
@@ -94,10 +94,10 @@
 	return intents
 }
 
-// drained stops new requests to the copy that an order unloads and reports whether none is running
-// on it. Otherwise it keeps the order, which stepUnloads executes later. a.mu must be held.
-func (a *Agent) drained(o placement.Order) bool {
-	p := copyID{name: o.Name, acc: o.Accelerator}
+// drainForUnload stops new requests to the copy that an order unloads and reports whether none is
+// running on it. Otherwise it keeps the order, which stepUnloads executes later. a.mu must be held.
+func (a *Agent) drainForUnload(o placement.Order) bool {
+	p := copyID{name: o.Name, accelerator: o.Accelerator}
 	if a.server.slots.drain(p) {
 		delete(a.server.unloads, p)
 		return true
@@ -116,7 +116,7 @@
 		}
 	}
 	a.mu.Unlock()
-	a.carryOut(orders)
+	a.executeOrders(orders)
 }
 
 // writeIntents records all open intents in the key-value service.
@@ -127,22 +127,22 @@
 	return a.record.write(ctx, all)
 }
 
-// cancel removes the intents of orders that were not executed from the ledger and makes their
-// copies accept requests again.
-func (a *Agent) cancel(intents []ledger.Intent) {
+// cancelIntents removes the intents of orders that were not executed from the ledger and makes
+// their copies accept requests again.
+func (a *Agent) cancelIntents(intents []ledger.Intent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, i := range intents {
 		a.server.ledger.Cancel(i.ID)
 		if i.Op == ledger.OpUnload {
-			a.server.slots.undrain(copyID{name: i.Name, acc: i.Accelerator})
+			a.server.slots.resume(copyID{name: i.Name, accelerator: i.Accelerator})
 		}
 	}
 }
 
-// send sends one order. Unless the engine rejects the fencing token, the intent stays in the ledger
-// until the engine reports the order as finished or the order's lifetime has passed.
-func (a *Agent) send(ctx context.Context, i ledger.Intent) {
+// sendOrder sends one order. Unless the engine rejects the fencing token, the intent stays in the
+// ledger until the engine reports the order as finished or the order's lifetime has passed.
+func (a *Agent) sendOrder(ctx context.Context, i ledger.Intent) {
 	err := a.engine.Send(ctx, engine.Order{
 		ID: i.ID, Fence: a.record.value.Fence, Op: i.Op, Name: i.Name, Base: i.Base,
 		Accelerator: i.Accelerator, MemoryMiB: i.MemoryMiB,
@@ -151,7 +151,7 @@
 	switch {
 	case errors.Is(err, engine.ErrFenced):
 		result = "fenced"
-		a.cancel([]ledger.Intent{i})
+		a.cancelIntents([]ledger.Intent{i})
 		a.record.superseded = true
 		a.LeaveForGood("the engine has seen a newer agent")
 	case err != nil:
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -17,8 +17,8 @@
 // errSuperseded is returned if another agent has taken over the backend server.
 var errSuperseded = errors.New("agent: superseded by another agent of the backend server")
 
-// errNotArmed is returned while the agent has no fencing token.
-var errNotArmed = errors.New("agent: no fencing token yet")
+// errNoFence is returned while the agent has no fencing token.
+var errNoFence = errors.New("agent: no fencing token yet")
 
 // A recordValue is the stored record of one backend server.
 type recordValue struct {
@@ -38,7 +38,7 @@
 	incarnation string
 	revision    kv.Revision
 	value       recordValue
-	armed       bool
+	hasFence    bool
 	superseded  bool
 }
 
@@ -46,9 +46,9 @@
 	return &record{store: store, key: recordPrefix + id, incarnation: incarnation}
 }
 
-// arm takes over the record under a new fencing token and returns the open intents of earlier
+// takeOver takes over the record under a new fencing token and returns the open intents of earlier
 // agents.
-func (r *record) arm(ctx context.Context) ([]ledger.Intent, error) {
+func (r *record) takeOver(ctx context.Context) ([]ledger.Intent, error) {
 	if r.superseded {
 		return nil, errSuperseded
 	}
@@ -58,14 +58,14 @@
 	}
 	if old.Incarnation == r.incarnation {
 		// An earlier attempt was written although its response was lost.
-		r.revision, r.value, r.armed = e.Revision, old, true
+		r.revision, r.value, r.hasFence = e.Revision, old, true
 		return old.Intents, nil
 	}
 	next := recordValue{Incarnation: r.incarnation, Fence: old.Fence + 1, Intents: old.Intents}
 	if err := r.put(ctx, next, e.Revision); err != nil {
 		return nil, err
 	}
-	r.armed = true
+	r.hasFence = true
 	return next.Intents, nil
 }
 
@@ -100,8 +100,8 @@
 	if r.superseded {
 		return errSuperseded
 	}
-	if !r.armed {
-		return errNotArmed
+	if !r.hasFence {
+		return errNoFence
 	}
 	next := recordValue{Incarnation: r.incarnation, Fence: r.value.Fence, Intents: intents}
 	err := r.put(ctx, next, r.revision)
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -21,16 +21,16 @@
 	"rockcleat/table"
 )
 
-// copyBuffer is the size of the buffer for copying responses, in bytes.
-const copyBuffer = 16 << 10
+// copyBufferSize is the size of the buffer for copying responses, in bytes.
+const copyBufferSize = 16 << 10
 
-// bytesPerEvent is the approximate size of the event of one streamed token, in bytes. It is used to
+// bytesPerToken is the approximate size of the event of one streamed token, in bytes. It is used to
 // estimate the number of tokens of a response.
-const bytesPerEvent = 180
+const bytesPerToken = 180
 
-// retrySoon is the Retry-After of refusals whose duration is unknown. They end with a load, a grant
-// or a planner's message.
-const retrySoon = time.Second
+// defaultRetryAfter is the Retry-After of refusals whose duration is unknown. They end with a load,
+// a grant or a planner's message.
+const defaultRetryAfter = time.Second
 
 func (a *Agent) requestRouter() http.Handler {
 	e := server.NewRouter()
@@ -43,18 +43,18 @@
 func (a *Agent) serve(c echo.Context) error {
 	req := c.Request()
 	name := req.Header.Get(wire.HeaderRow)
-	a.catchUp(req)
+	a.fetchNewerTable(req)
 	row, ok := a.replica.Current().Row(name)
 	if !ok {
-		return a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: retrySoon})
+		return a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: defaultRetryAfter})
 	}
 	body, err := a.readBody(req)
 	if err != nil {
-		return a.bodyFailure(c, err)
+		return a.respondBodyError(c, err)
 	}
-	stopHeartbeat := startHeartbeat(a.clock, c.Response().Writer, a.settings.Limits.SilentTime.Std()/heartbeats)
+	stopHeartbeat := startHeartbeat(a.clock, c.Response().Writer, a.settings.Limits.SilentTime.Std()/heartbeatsPerTimeout)
 	defer stopHeartbeat()
-	t, grant, refusal := a.wait(req, row)
+	t, grant, refusal := a.waitForSlot(req, row)
 	if refusal != nil {
 		stopHeartbeat()
 		return a.refuse(c, *refusal)
@@ -63,12 +63,12 @@
 		return nil
 	}
 	tokens := t.Tokens
-	defer func() { a.done(t, tokens) }()
+	defer func() { a.finish(t, tokens) }()
 	class := telemetry.Class{Tier: string(row.Tier), Organisation: row.Organisation}
 	a.metrics.Queue(class, grant.Waited.Seconds())
-	written, err := a.pass(c, passing{row: row, grant: grant, body: body, stopHeartbeat: stopHeartbeat})
+	written, err := a.forward(c, grantedRequest{row: row, grant: grant, body: body, stopHeartbeat: stopHeartbeat})
 	if row.Kind != table.KindService && written > 0 {
-		tokens = int(written / bytesPerEvent)
+		tokens = int(written / bytesPerToken)
 	}
 	return err
 }
@@ -87,7 +87,7 @@
 
 var errBodyTooLong = errors.New("agent: body too long")
 
-func (a *Agent) bodyFailure(c echo.Context, err error) error {
+func (a *Agent) respondBodyError(c echo.Context, err error) error {
 	f := wire.Failure{
 		Status: http.StatusBadRequest, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
 		Code: "body_unreadable", Message: err.Error(),
@@ -98,9 +98,9 @@
 	return f.Write(c)
 }
 
-// wait queues the request until it is granted a slot or refused. It returns neither a ticket nor a
-// refusal if the client has disconnected.
-func (a *Agent) wait(req *http.Request, row table.Row) (*fairqueue.Ticket, fairqueue.Grant, *fairqueue.Refusal) {
+// waitForSlot queues the request until it is granted a slot or refused. It returns neither a ticket
+// nor a refusal if the client has disconnected.
+func (a *Agent) waitForSlot(req *http.Request, row table.Row) (*fairqueue.Ticket, fairqueue.Grant, *fairqueue.Refusal) {
 	tokens, err := strconv.Atoi(req.Header.Get(wire.HeaderTokens))
 	if err != nil {
 		a.log.Debug("request has no valid token count; assuming one token", zap.String("row", row.Name), zap.Error(err))
@@ -112,7 +112,7 @@
 		Granted: func(g fairqueue.Grant) { granted <- g },
 		Refused: func(r fairqueue.Refusal) { refused <- r },
 	}
-	if r := a.push(t, row); r != nil {
+	if r := a.enqueue(t, row); r != nil {
 		return nil, fairqueue.Grant{}, r
 	}
 	select {
@@ -122,33 +122,33 @@
 		a.countRefusal(row.Name)
 		return nil, fairqueue.Grant{}, &r
 	case <-req.Context().Done():
-		a.done(t, 0)
+		a.finish(t, 0)
 		return nil, fairqueue.Grant{}, nil
 	}
 }
 
-// push sets the ticket's limits and adds it to the queue. It returns a refusal if the request
+// enqueue sets the ticket's limits and adds it to the queue. It returns a refusal if the request
 // cannot be queued.
-func (a *Agent) push(t *fairqueue.Ticket, row table.Row) *fairqueue.Refusal {
+func (a *Agent) enqueue(t *fairqueue.Ticket, row table.Row) *fairqueue.Refusal {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.noticePause(a.clock.Now())
+	a.handlePause(a.clock.Now())
 	a.work.demandOf(row.Name)
 	total := a.server.slots.Total(row.Name)
 	switch {
 	case a.closed():
 		return &fairqueue.Refusal{Reason: fairqueue.ReasonLeaving}
-	case a.clock.Now().Before(a.contact.distrustUntil):
-		return &fairqueue.Refusal{Reason: reasonPaused, RetryAfter: retrySoon}
+	case a.clock.Now().Before(a.planner.refuseUntil):
+		return &fairqueue.Refusal{Reason: reasonPaused, RetryAfter: defaultRetryAfter}
 	case total == 0:
-		return &fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: retrySoon}
+		return &fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: defaultRetryAfter}
 	}
 	t.Limit = fairqueue.Limit{Weight: row.EffectiveWeight(), QueueTime: row.QueueTime}
 	t.Limit.Running = max(1, total*row.Share/100)
 	if row.Concurrency > 0 {
 		grant := a.work.grants[row.Name]
 		if grant == 0 {
-			return &fairqueue.Refusal{Reason: reasonConcurrency, RetryAfter: retrySoon}
+			return &fairqueue.Refusal{Reason: reasonConcurrency, RetryAfter: defaultRetryAfter}
 		}
 		t.Limit.Running = min(t.Limit.Running, grant)
 	}
@@ -167,11 +167,11 @@
 func (a *Agent) countRefusal(row string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.work.demandOf(row).refused += refusedGain
+	a.work.demandOf(row).refused += refusedSmoothing
 }
 
-// done removes a request from the queue and charges the tokens that it used.
-func (a *Agent) done(t *fairqueue.Ticket, tokens int) {
+// finish removes a request from the queue and charges the tokens that it used.
+func (a *Agent) finish(t *fairqueue.Ticket, tokens int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.work.queue.Done(t, tokens, a.clock.Now())
@@ -179,7 +179,7 @@
 
 // refuse responds that the request was not run.
 func (a *Agent) refuse(c echo.Context, r fairqueue.Refusal) error {
-	a.stamp(c.Response().Header())
+	a.setStateHeaders(c.Response().Header())
 	status := http.StatusServiceUnavailable
 	if r.Reason == fairqueue.ReasonQueueTime || r.Reason == reasonConcurrency {
 		status = http.StatusTooManyRequests
@@ -191,8 +191,8 @@
 	return f.Write(c)
 }
 
-// stamp sets the headers that report the agent's load, table version and leaving.
-func (a *Agent) stamp(h http.Header) {
+// setStateHeaders sets the headers that report the agent's load, table version and leaving.
+func (a *Agent) setStateHeaders(h http.Header) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h.Set(wire.HeaderLoad, strconv.Itoa(a.server.slots.load(a.work.queue.Waiting())))
@@ -204,17 +204,17 @@
 }
 
 // A passing is a request that has been granted a slot.
-type passing struct {
+type grantedRequest struct {
 	row           table.Row
 	grant         fairqueue.Grant
 	body          []byte
 	stopHeartbeat func()
 }
 
-// pass forwards the request to the backend server and copies the response. It returns the length of
-// the response body.
-func (a *Agent) pass(c echo.Context, p passing) (int64, error) {
-	out, err := a.outgoing(c.Request(), p)
+// forward forwards the request to the backend server and copies the response. It returns the length
+// of the response body.
+func (a *Agent) forward(c echo.Context, p grantedRequest) (int64, error) {
+	out, err := a.newBackendRequest(c.Request(), p)
 	if err != nil {
 		return 0, err
 	}
@@ -222,24 +222,24 @@
 	p.stopHeartbeat()
 	if err != nil {
 		if !wire.IsNotSent(err) {
-			a.noteBreak(c.Request())
+			a.connectionLost(c.Request())
 		}
-		return 0, a.noAnswer(c, err)
+		return 0, a.respondBackendError(c, err)
 	}
 	defer resp.Body.Close()
-	a.ends.answered()
+	a.crashes.recordRunning()
 	if p.row.Kind != table.KindService && resp.StatusCode == http.StatusNotFound {
-		return 0, a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: retrySoon})
+		return 0, a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: defaultRetryAfter})
 	}
 	h := c.Response().Header()
 	copyHeader(h, resp.Header)
-	a.stamp(h)
+	a.setStateHeaders(h)
 	h.Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
 	h.Set(wire.HeaderWaited, strconv.FormatInt(p.grant.Waited.Milliseconds(), 10))
 	c.Response().WriteHeader(resp.StatusCode)
 	n, err := copyFlushing(c.Response(), resp.Body)
 	if err != nil {
-		a.noteBreak(c.Request())
+		a.connectionLost(c.Request())
 		a.log.Warn("response incomplete", zap.String("request", c.Request().Header.Get(wire.HeaderRequestID)), zap.Error(err))
 		// Dropping the connection makes the entry see an incomplete response.
 		panic(http.ErrAbortHandler)
@@ -247,8 +247,8 @@
 	return n, nil
 }
 
-// outgoing returns the request to the backend server.
-func (a *Agent) outgoing(in *http.Request, p passing) (*http.Request, error) {
+// newBackendRequest returns the request to the backend server.
+func (a *Agent) newBackendRequest(in *http.Request, p grantedRequest) (*http.Request, error) {
 	url := a.settings.Backend.URL + in.URL.RequestURI()
 	out, err := http.NewRequestWithContext(in.Context(), in.Method, url, bytes.NewReader(p.body))
 	if err != nil {
@@ -269,26 +269,26 @@
 	return out, nil
 }
 
-// noAnswer responds to a request that got no response from the backend server. The outcome is not
-// run if the request was not sent, else unknown.
-func (a *Agent) noAnswer(c echo.Context, err error) error {
+// respondBackendError responds to a request that got no response from the backend server. The
+// outcome is not run if the request was not sent, else unknown.
+func (a *Agent) respondBackendError(c echo.Context, err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
-	a.stamp(c.Response().Header())
+	a.setStateHeaders(c.Response().Header())
 	f := wire.Failure{
 		Status: http.StatusBadGateway, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer,
 		Code: "backend_lost", Message: "the backend server gave no answer; the request may have run",
 	}
 	if wire.IsNotSent(err) {
 		f.Status, f.Outcome, f.Code = http.StatusServiceUnavailable, wire.OutcomeNotRun, "backend_unreachable"
-		f.Message, f.RetryAfter = "the backend server could not be reached; the request was not run", retrySoon
+		f.Message, f.RetryAfter = "the backend server could not be reached; the request was not run", defaultRetryAfter
 	}
 	return f.Write(c)
 }
 
-// hopHeaders are the hop-by-hop headers, which are not forwarded.
-var hopHeaders = []string{
+// hopByHopHeaders are the hop-by-hop headers, which are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
@@ -297,14 +297,14 @@
 	for k, vs := range from {
 		to[k] = append([]string(nil), vs...)
 	}
-	for _, k := range hopHeaders {
+	for _, k := range hopByHopHeaders {
 		to.Del(k)
 	}
 }
 
 // copyFlushing copies r to w and flushes after each read. It returns the number of bytes read.
 func copyFlushing(w *echo.Response, r io.Reader) (int64, error) {
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	var total int64
 	for {
 		n, err := r.Read(buf)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -17,13 +17,13 @@
 	slots  *slotTable
 	// unloads are the orders that wait for their copies to drain.
 	unloads map[copyID]placement.Order
-	// failures is the number of consecutive failed status calls.
-	failures int
-	// armedAt is the time at which the agent acquired its fencing token. current reports whether
+	// statusFailures is the number of consecutive failed status calls.
+	statusFailures int
+	// tookOverAt is the time at which the agent acquired its fencing token. current reports whether
 	// the last status was requested after that; an older one may lack the effect of orders of an
 	// earlier agent.
-	armedAt time.Time
-	current bool
+	tookOverAt    time.Time
+	statusCurrent bool
 	// reported reports whether the engine responds. It is always true for a plain service.
 	reported bool
 	// version is the version of lastRecord, the record that the planner gets.
@@ -40,44 +40,44 @@
 	asked := a.clock.Now()
 	st, err := a.engine.Status(context.Background())
 	if err != nil {
-		a.noStatus(err)
+		a.statusFailed(err)
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.server.failures = 0
+	a.server.statusFailures = 0
 	a.server.ledger.Settle(ledger.Report{MemoryMiB: st.MemoryMiB, Residents: st.Residents, Finished: st.Finished}, now)
 	a.server.slots.setResidents(st.Residents, len(st.MemoryMiB), st.Slots)
-	a.reopen()
+	a.resumeCopies()
 	a.server.reported = true
-	a.server.current = asked.After(a.server.armedAt)
+	a.server.statusCurrent = asked.After(a.server.tookOverAt)
 }
 
-// maxFailures is the number of consecutive failed status calls after which the engine's models
-// count as not loaded.
-const maxFailures = 5
+// maxStatusFailures is the number of consecutive failed status calls after which the engine's
+// models count as not loaded.
+const maxStatusFailures = 5
 
-// noStatus counts a failed status call. After maxFailures the agent serves no models until the
-// engine responds again.
-func (a *Agent) noStatus(err error) {
+// statusFailed counts a failed status call. After maxStatusFailures the agent serves no models
+// until the engine responds again.
+func (a *Agent) statusFailed(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.server.failures++
-	if a.server.failures != maxFailures {
+	a.server.statusFailures++
+	if a.server.statusFailures != maxStatusFailures {
 		return
 	}
 	a.log.Warn("engine does not respond", zap.Error(err))
 	a.server.reported = false
-	a.nudgePlanner()
+	a.requestExchange()
 	a.server.slots.setResidents(nil, 0, a.server.slots.perAccelerator)
 }
 
-// reopen makes copies accept requests again whose unload order has ended without unloading them.
-// a.mu must be held.
-func (a *Agent) reopen() {
+// resumeCopies makes copies accept requests again whose unload order has ended without unloading
+// them. a.mu must be held.
+func (a *Agent) resumeCopies() {
 	for p := range a.server.slots.draining {
 		if _, waits := a.server.unloads[p]; !waits && !a.server.ledger.Busy(p.name) {
-			a.server.slots.undrain(p)
+			a.server.slots.resume(p)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 		s.Slots = a.settings.Backend.Slots
 	} else if a.server.reported {
 		s.Accelerators = a.server.ledger.Accelerators()
-		s.Residents = a.server.slots.visible(a.server.ledger.Residents())
+		s.Residents = a.server.slots.withDraining(a.server.ledger.Residents())
 		s.Slots = a.server.slots.perAccelerator
 	}
 	s.Demand = a.work.demandLevels(now)
--- a/internal/agent/server_end.go
+++ b/internal/agent/server_end.go
@@ -15,29 +15,29 @@
 	"rockcleat/quarantine"
 )
 
-// expireEvery is the interval at which expired quarantine records are removed.
-const expireEvery = time.Second
+// expireInterval is the interval at which expired quarantine records are removed.
+const expireInterval = time.Second
 
-// serverEnds detects crashes of the backend server and records the requests that were running at
+// crashDetector detects crashes of the backend server and records the requests that were running at
 // the time. The planner receives these records with its exchanges. It is safe for concurrent use.
-type serverEnds struct {
+type crashDetector struct {
 	clock clock.Service
 	table *quarantine.Table
-	// addr is the address of the server. name is the prefix of the names of its runs; a run lasts
-	// from a start of the server to its next crash.
-	addr, name string
-	// onEnd is called after a request has been recorded.
-	onEnd func()
-	log   *zap.Logger
+	// addr is the address of the server. namePrefix is the prefix of the names of its runs; a run
+	// lasts from a start of the server to its next crash.
+	addr, namePrefix string
+	// onCrash is called after a request has been recorded.
+	onCrash func()
+	log     *zap.Logger
 
 	mu sync.Mutex
-	// runs is the index of the current or last run. ended reports whether that run is over.
-	runs  int
+	// run is the index of the current or last run. ended reports whether that run is over.
+	run   int
 	ended bool
 }
 
-// addrOf returns the host and port of a base URL, or "" if the URL is invalid.
-func addrOf(base string) string {
+// hostPort returns the host and port of a base URL, or "" if the URL is invalid.
+func hostPort(base string) string {
 	u, err := url.Parse(base)
 	if err != nil {
 		return ""
@@ -45,26 +45,26 @@
 	return u.Host
 }
 
-// answered records that the server is running.
-func (e *serverEnds) answered() {
+// recordRunning records that the server is running.
+func (e *crashDetector) recordRunning() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended {
-		e.runs++
+		e.run++
 		e.ended = false
 	}
 }
 
-// serverEnded asks the planner for an immediate exchange, so that it receives the crash.
-func (a *Agent) serverEnded() {
+// serverCrashed asks the planner for an immediate exchange, so that it receives the crash.
+func (a *Agent) serverCrashed() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.nudgePlanner()
+	a.requestExchange()
 }
 
-// noteBreak handles the loss of the connection to the backend server during a request, unless the
-// client has disconnected.
-func (a *Agent) noteBreak(req *http.Request) {
+// connectionLost handles the loss of the connection to the backend server during a request, unless
+// the client has disconnected.
+func (a *Agent) connectionLost(req *http.Request) {
 	digest := req.Header.Get(wire.HeaderDigest)
 	var k quarantine.Key
 	if err := k.UnmarshalText([]byte(digest)); err != nil {
@@ -72,30 +72,30 @@
 		return
 	}
 	if req.Context().Err() == nil {
-		go a.ends.requestBroke(k)
+		go a.crashes.connectionLost(k)
 	}
 }
 
-// requestBroke probes the server after the loss of a request's connection. If nothing listens at
+// connectionLost probes the server after the loss of a request's connection. If nothing listens at
 // its address the server has crashed, and the request is recorded.
-func (e *serverEnds) requestBroke(k quarantine.Key) {
+func (e *crashDetector) connectionLost(k quarantine.Key) {
 	p := wire.Probe{Clock: e.clock, Connect: wire.TryConnect}
 	if p.Run(context.Background(), e.addr) == wire.ServerEnded {
-		e.charge(k)
+		e.recordCrash(k)
 	}
 }
 
-// charge records that the current run of the server crashed during a request.
-func (e *serverEnds) charge(k quarantine.Key) {
+// recordCrash records that the current run of the server crashed during a request.
+func (e *crashDetector) recordCrash(k quarantine.Key) {
 	e.mu.Lock()
 	first := !e.ended
 	e.ended = true
-	run := e.name + "/" + strconv.Itoa(e.runs)
+	run := e.namePrefix + "/" + strconv.Itoa(e.run)
 	e.mu.Unlock()
 	if first {
 		e.log.Info("server ended", zap.String("run", run))
 	}
 	e.log.Info("request recorded with the server's end", zap.String("run", run), zap.Stringer("digest", k))
 	e.table.Ended(run, k)
-	e.onEnd()
+	e.onCrash()
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -10,8 +10,8 @@
 
 // A copyID identifies a copy of a model or adapter by the row's name and the accelerator's index.
 type copyID struct {
-	name string
-	acc  int
+	name        string
+	accelerator int
 }
 
 // A slotTable tracks the slots in which requests run. It implements fairqueue.Slots.
@@ -22,8 +22,8 @@
 	// draining are the copies that accept no more requests because they will be unloaded.
 	draining map[copyID]bool
 	running  map[copyID]int
-	taken    map[int]copyID
-	next     int
+	copies   map[int]copyID
+	lastSlot int
 }
 
 func newSlotTable() *slotTable {
@@ -31,7 +31,7 @@
 		ready:    make(map[copyID]bool),
 		draining: make(map[copyID]bool),
 		running:  make(map[copyID]int),
-		taken:    make(map[int]copyID),
+		copies:   make(map[int]copyID),
 	}
 }
 
@@ -54,7 +54,7 @@
 	clear(t.ready)
 	present := make(map[copyID]bool)
 	for _, r := range residents {
-		p := copyID{name: r.Name, acc: r.Accelerator}
+		p := copyID{name: r.Name, accelerator: r.Accelerator}
 		present[p] = true
 		if r.State == fleet.StateReady {
 			t.ready[p] = true
@@ -67,7 +67,7 @@
 func (t *slotTable) Take(row string) (int, bool) {
 	best := -1
 	for acc := range t.used {
-		p := copyID{name: row, acc: acc}
+		p := copyID{name: row, accelerator: acc}
 		if !t.ready[p] || t.draining[p] || t.used[acc] >= t.perAccelerator {
 			continue
 		}
@@ -78,22 +78,22 @@
 	if best < 0 {
 		return 0, false
 	}
-	p := copyID{name: row, acc: best}
+	p := copyID{name: row, accelerator: best}
 	t.used[best]++
 	t.running[p]++
-	t.next++
-	t.taken[t.next] = p
-	return t.next, true
+	t.lastSlot++
+	t.copies[t.lastSlot] = p
+	return t.lastSlot, true
 }
 
 // Release implements fairqueue.Slots.
 func (t *slotTable) Release(slot int) {
-	p, ok := t.taken[slot]
+	p, ok := t.copies[slot]
 	if !ok {
 		return
 	}
-	delete(t.taken, slot)
-	t.used[p.acc]--
+	delete(t.copies, slot)
+	t.used[p.accelerator]--
 	if t.running[p]--; t.running[p] == 0 {
 		delete(t.running, p)
 	}
@@ -103,7 +103,7 @@
 func (t *slotTable) Total(row string) int {
 	total := 0
 	for acc := range t.used {
-		p := copyID{name: row, acc: acc}
+		p := copyID{name: row, accelerator: acc}
 		if t.ready[p] && !t.draining[p] {
 			total += t.perAccelerator
 		}
@@ -112,7 +112,7 @@
 }
 
 // accelerator returns the accelerator of a slot in use.
-func (t *slotTable) accelerator(slot int) int { return t.taken[slot].acc }
+func (t *slotTable) accelerator(slot int) int { return t.copies[slot].accelerator }
 
 // drain stops new requests to a copy and reports whether none is running on it.
 func (t *slotTable) drain(p copyID) bool {
@@ -120,8 +120,8 @@
 	return t.running[p] == 0
 }
 
-// undrain makes a copy accept requests again.
-func (t *slotTable) undrain(p copyID) { delete(t.draining, p) }
+// resume makes a copy accept requests again.
+func (t *slotTable) resume(p copyID) { delete(t.draining, p) }
 
 // load returns the number of busy slots and waiting requests, in percent of all slots.
 func (t *slotTable) load(waiting int) int {
@@ -132,11 +132,11 @@
 	return 100 * busy / max(len(t.used)*t.perAccelerator, 1)
 }
 
-// visible returns the residents in order, with draining copies shown as unloading.
-func (t *slotTable) visible(residents []fleet.Resident) []fleet.Resident {
+// withDraining returns the residents in order, with draining copies shown as unloading.
+func (t *slotTable) withDraining(residents []fleet.Resident) []fleet.Resident {
 	out := slices.Clone(residents)
 	for i, r := range out {
-		if t.draining[copyID{name: r.Name, acc: r.Accelerator}] {
+		if t.draining[copyID{name: r.Name, accelerator: r.Accelerator}] {
 			out[i].State = fleet.StateUnloading
 		}
 	}
--- a/internal/agent/workload.go
+++ b/internal/agent/workload.go
@@ -35,21 +35,21 @@
 
 // Parameters of demand estimation.
 const (
-	// halfLife is the time in which the estimate falls by half without demand.
-	halfLife = 15 * time.Second
-	// refusedGain is the smoothing factor of the slots that refused requests would have used.
-	refusedGain = 0.1
+	// demandHalfLife is the time in which the estimate falls by half without demand.
+	demandHalfLife = 15 * time.Second
+	// refusedSmoothing is the smoothing factor of the slots that refused requests would have used.
+	refusedSmoothing = 0.1
 )
 
-// observe adds a sample of each row's running, waiting and refused requests to its estimate. It
-// removes the rows without demand.
-func (w *workload) observe(now time.Time) {
+// sampleDemand adds a sample of each row's running, waiting and refused requests to its estimate.
+// It removes the rows without demand.
+func (w *workload) sampleDemand(now time.Time) {
 	for row, d := range w.demand {
 		running, waiting := w.queue.Load(row)
 		busy := float64(running+waiting) + d.refused
-		d.refused -= refusedGain * d.refused
-		d.estimate.Observe(busy, halfLife, now)
-		if placement.LevelOf(d.estimate.Value(halfLife, now)) == 0 && running+waiting == 0 {
+		d.refused -= refusedSmoothing * d.refused
+		d.estimate.Observe(busy, demandHalfLife, now)
+		if placement.LevelOf(d.estimate.Value(demandHalfLife, now)) == 0 && running+waiting == 0 {
 			delete(w.demand, row)
 		}
 	}
@@ -69,7 +69,7 @@
 func (w *workload) demandLevels(now time.Time) []fleet.Demand {
 	var out []fleet.Demand
 	for _, row := range slices.Sorted(maps.Keys(w.demand)) {
-		level := placement.LevelOf(w.demand[row].estimate.Value(halfLife, now))
+		level := placement.LevelOf(w.demand[row].estimate.Value(demandHalfLife, now))
 		if level > 0 {
 			out = append(out, fleet.Demand{Name: row, Level: level})
 		}
@@ -98,5 +98,5 @@
 func (a *Agent) stepDemand(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.work.observe(now)
+	a.work.sampleDemand(now)
 }
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -14,53 +14,53 @@
 )
 
 // attempt sends the call to one server and reports whether the call is over.
-func (d *delivery) attempt(s fleet.Server) bool {
+func (d *forwarder) attempt(s fleet.Server) bool {
 	end := d.proxy.routes.Begin(s.ID)
 	defer end()
-	ctx, cancel := context.WithCancel(d.c.Request().Context())
+	ctx, cancel := context.WithCancel(d.echoContext.Request().Context())
 	defer cancel()
 	watch := newStallTimer(d.proxy.clock, d.proxy.limits.SilentTime.Std(), cancel)
 	defer watch.stop()
 	resp, err := d.proxy.agents.Do(d.request(watch.trace(ctx), s))
 	if err != nil {
-		return d.failed(s, err)
+		return d.attemptFailed(s, err)
 	}
 	defer resp.Body.Close()
-	d.note(s, resp.Header)
+	d.recordServerState(s, resp.Header)
 	switch wire.Outcome(resp.Header.Get(wire.HeaderOutcome)) {
 	case wire.OutcomeNotRun:
-		d.keepRefusal(resp)
+		d.recordRefusal(resp)
 		return false
 	case wire.OutcomeAnswered:
-		return d.pass(s, resp, watch)
+		return d.copyResponse(s, resp, watch)
 	}
-	return d.lost(s, eris.Errorf("entry: agent response with status %d has no known outcome", resp.StatusCode))
+	return d.serverLost(s, eris.Errorf("entry: agent response with status %d has no known outcome", resp.StatusCode))
 }
 
-// hopHeaders are the hop-by-hop headers, which are not forwarded.
-var hopHeaders = []string{"Connection", "Transfer-Encoding", "Upgrade", "Te", "Trailer"}
+// hopByHopHeaders are the hop-by-hop headers, which are not forwarded.
+var hopByHopHeaders = []string{"Connection", "Transfer-Encoding", "Upgrade", "Te", "Trailer"}
 
 // request returns the request to the agent of s.
-func (d *delivery) request(ctx context.Context, s fleet.Server) *http.Request {
-	in := d.c.Request()
+func (d *forwarder) request(ctx context.Context, s fleet.Server) *http.Request {
+	in := d.echoContext.Request()
 	out := in.Clone(ctx)
 	out.RequestURI = ""
 	out.URL.Scheme, out.URL.Host = "http", s.Addr
 	out.Host = s.Addr
-	out.Body = io.NopCloser(bytes.NewReader(d.x.body))
-	out.ContentLength = int64(len(d.x.body))
-	if len(d.x.body) == 0 {
+	out.Body = io.NopCloser(bytes.NewReader(d.call.body))
+	out.ContentLength = int64(len(d.call.body))
+	if len(d.call.body) == 0 {
 		out.Body = http.NoBody
 	}
-	for _, h := range hopHeaders {
+	for _, h := range hopByHopHeaders {
 		out.Header.Del(h)
 	}
 	h := out.Header
 	h.Set("Authorization", "Bearer "+d.proxy.secret)
-	h.Set(wire.HeaderRequestID, d.x.id)
-	h.Set(wire.HeaderRow, d.x.row.Name)
-	h.Set(wire.HeaderDigest, d.x.digest.String())
-	h.Set(wire.HeaderTokens, strconv.Itoa(d.x.tokens))
+	h.Set(wire.HeaderRequestID, d.call.id)
+	h.Set(wire.HeaderRow, d.call.row.Name)
+	h.Set(wire.HeaderDigest, d.call.digest.String())
+	h.Set(wire.HeaderTokens, strconv.Itoa(d.call.tokens))
 	h.Set(wire.HeaderTableVersion, strconv.FormatUint(d.proxy.replica.Current().Version(), 10))
 	h.Set(wire.HeaderEntry, d.proxy.controlAddr())
 	h.Del(wire.HeaderResume)
@@ -71,8 +71,9 @@
 	return out
 }
 
-// note records the load and the leaving state that an agent states in the header of each response.
-func (d *delivery) note(s fleet.Server, h http.Header) {
+// recordServerState records the load and the leaving state that an agent states in the header of
+// each response.
+func (d *forwarder) recordServerState(s fleet.Server, h http.Header) {
 	now := d.proxy.clock.Now()
 	if load, err := strconv.Atoi(h.Get(wire.HeaderLoad)); err == nil {
 		d.proxy.routes.Report(s.ID, load*max(s.Slots, 1)*max(len(s.Accelerators), 1)/100, now)
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -19,13 +19,13 @@
 
 // Limits of clients' requests.
 const (
-	// maxKey is the maximum length of an Idempotency-Key, in bytes.
-	maxKey = 255
-	// prefixBytes is the length of the start of a prompt whose hash selects the server, so that
-	// requests with the same start reach the same prefix cache.
-	prefixBytes = 512
-	// retrySoon is the Retry-After of refusals that have none of their own.
-	retrySoon = time.Second
+	// maxKeyLength is the maximum length of an Idempotency-Key, in bytes.
+	maxKeyLength = 255
+	// routingPrefixLength is the length of the start of a prompt whose hash selects the server, so
+	// that requests with the same start reach the same prefix cache.
+	routingPrefixLength = 512
+	// defaultRetryAfter is the Retry-After of refusals that have none of their own.
+	defaultRetryAfter = time.Second
 )
 
 // A call is one client request in progress.
@@ -47,7 +47,7 @@
 	// digest identifies all copies of the request. It is set once the row is known.
 	digest quarantine.Key
 	// answer collects the response for the claim record; nil if the request has no key.
-	answer *answerRecord
+	response *responseRecord
 }
 
 // class returns the labels of the call's metrics.
@@ -64,13 +64,13 @@
 	}
 	c.Response().Header().Set(wire.HeaderRequestID, x.id)
 	key := req.Header.Get(wire.HeaderIdempotencyKey)
-	if len(key) > maxKey {
+	if len(key) > maxKeyLength {
 		return nil, badRequest("key_too_long", wire.HeaderIdempotencyKey, "an Idempotency-Key has at most 255 bytes")
 	}
 	x.key = key
 	body, err := p.readBody(c)
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLarge):
 		f := badRequest("body_too_long", "", "the body is longer than this system takes")
 		f.Status = http.StatusRequestEntityTooLarge
 		return nil, f
@@ -83,8 +83,8 @@
 	return x, nil
 }
 
-// errTooLong is returned if a request body exceeds the size limit.
-var errTooLong = errors.New("entry: request body exceeds the size limit")
+// errBodyTooLarge is returned if a request body exceeds the size limit.
+var errBodyTooLarge = errors.New("entry: request body exceeds the size limit")
 
 // readBody reads the request body within the limits of size and time.
 func (p *proxy) readBody(c echo.Context) ([]byte, error) {
@@ -98,7 +98,7 @@
 		return nil, eris.Wrap(err, "entry: read request body")
 	}
 	if int64(len(body)) > limit {
-		return nil, errTooLong
+		return nil, errBodyTooLarge
 	}
 	return body, eris.Wrap(rc.SetReadDeadline(time.Time{}), "entry: clear read deadline")
 }
--- a/internal/entry/claim_calls.go
+++ b/internal/entry/claim_calls.go
@@ -20,8 +20,8 @@
 // errNoOwner is returned while no entry owns a claim shard.
 var errNoOwner = errors.New("entry: claim shard has no owner")
 
-// An ownerRecord is a cached owner of a shard.
-type ownerRecord struct {
+// An cachedOwner is a cached owner of a shard.
+type cachedOwner struct {
 	addr string
 	at   time.Time
 }
@@ -35,15 +35,15 @@
 	defer cancel()
 	i := c.shardOf(r.Key)
 	if c.shards[i].IsOpen() {
-		return c.claimHere(ctx, i, r)
+		return c.claimLocal(ctx, i, r)
 	}
 	var a wire.ClaimAnswer
 	err := c.callOwner(ctx, i, wire.PathClaim, r, &a)
 	return a, err
 }
 
-// claimHere claims a key of shard i, which this entry owns.
-func (c *claims) claimHere(ctx context.Context, i int, r wire.ClaimRequest) (wire.ClaimAnswer, error) {
+// claimLocal claims a key of shard i, which this entry owns.
+func (c *claims) claimLocal(ctx context.Context, i int, r wire.ClaimRequest) (wire.ClaimAnswer, error) {
 	rec, fresh, err := c.shards[i].Claim(ctx, r.Key, r.Fingerprint, r.Attempt)
 	return wire.ClaimAnswer{Record: rec, Fresh: fresh}, err
 }
@@ -55,7 +55,7 @@
 	defer cancel()
 	i := c.shardOf(r.Key)
 	if c.shards[i].IsOpen() {
-		c.finishHere(i, r)
+		c.finishLocal(i, r)
 		return
 	}
 	if err := c.callOwner(ctx, i, wire.PathClaimFinish, r, nil); err != nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// finishHere updates the record in memory; the shard's next write stores it.
-func (c *claims) finishHere(i int, r wire.ClaimRequest) {
+// finishLocal updates the record in memory; the shard's next write stores it.
+func (c *claims) finishLocal(i int, r wire.ClaimRequest) {
 	if r.Free || r.Answer == nil {
 		c.shards[i].Release(r.Key, r.Attempt)
 		return
@@ -75,34 +75,34 @@
 // callOwner posts a message to the entry that owns the shard. It tries again, after reading the
 // lease anew, if the shard's owner has changed.
 func (c *claims) callOwner(ctx context.Context, i int, path string, in, out any) error {
-	for try := range ownerTries {
+	for try := range maxOwnerCalls {
 		addr, err := c.owner(ctx, i, try > 0)
 		if err != nil {
 			return err
 		}
 		err = c.peers.Post(ctx, addr, path, in, out)
-		if err == nil || !isNotOwner(err) {
+		if err == nil || !hadNoEffect(err) {
 			return err
 		}
 	}
 	return errNoOwner
 }
 
-// isNotOwner reports whether a call certainly had no effect: it was not sent, or the callee does
+// hadNoEffect reports whether a call certainly had no effect: it was not sent, or the callee does
 // not own the shard.
-func isNotOwner(err error) bool {
+func hadNoEffect(err error) bool {
 	var s *wire.StatusError
 	return errors.Is(err, wire.ErrNotSent) || errors.As(err, &s) && s.Status == http.StatusMisdirectedRequest
 }
 
 // owner returns the address of the shard's owner. It returns the cached owner, unless there is
-// none, or again is set and the cached one is older than ownerMemory; then it reads the shard's
+// none, or again is set and the cached one is older than ownerCacheTime; then it reads the shard's
 // lease.
 func (c *claims) owner(ctx context.Context, i int, again bool) (string, error) {
 	c.mu.Lock()
 	o, ok := c.owners[i]
 	c.mu.Unlock()
-	if ok && (!again || c.clock.Now().Sub(o.at) < ownerMemory) {
+	if ok && (!again || c.clock.Now().Sub(o.at) < ownerCacheTime) {
 		return o.addr, nil
 	}
 	entry, err := c.store.Get(ctx, "lease/"+leaseName(i))
@@ -117,7 +117,7 @@
 		return "", eris.Wrap(err, "entry: decode lease record")
 	}
 	c.mu.Lock()
-	c.owners[i] = ownerRecord{addr: r.Addr, at: c.clock.Now()}
+	c.owners[i] = cachedOwner{addr: r.Addr, at: c.clock.Now()}
 	c.mu.Unlock()
 	return r.Addr, nil
 }
@@ -125,7 +125,7 @@
 // serveClaim handles a claim forwarded by another entry.
 func (c *claims) serveClaim(ec echo.Context) error {
 	return c.serveOwned(ec, func(i int, r wire.ClaimRequest) error {
-		a, err := c.claimHere(ec.Request().Context(), i, r)
+		a, err := c.claimLocal(ec.Request().Context(), i, r)
 		switch {
 		case errors.Is(err, claim.ErrNotOwner):
 			return ec.NoContent(http.StatusMisdirectedRequest)
@@ -139,7 +139,7 @@
 // serveFinish handles the end of a claimed request, forwarded by another entry.
 func (c *claims) serveFinish(ec echo.Context) error {
 	return c.serveOwned(ec, func(i int, r wire.ClaimRequest) error {
-		c.finishHere(i, r)
+		c.finishLocal(i, r)
 		return ec.NoContent(http.StatusOK)
 	})
 }
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -12,29 +12,29 @@
 	"rockcleat/rendezvous"
 )
 
-// An answerRecord collects a response for the claim record.
-type answerRecord struct {
-	answer claim.Answer
-	length int
+// An responseRecord collects a response for the claim record.
+type responseRecord struct {
+	response   claim.Answer
+	bodyLength int
 }
 
 // begin records the status and the content type.
-func (a *answerRecord) begin(status int, contentType string) {
-	a.answer.Status, a.answer.ContentType = status, contentType
+func (a *responseRecord) begin(status int, contentType string) {
+	a.response.Status, a.response.ContentType = status, contentType
 }
 
 // write appends to the body, up to claim.MaxBody bytes.
-func (a *answerRecord) write(b []byte) {
-	a.length += len(b)
-	if a.length <= claim.MaxBody {
-		a.answer.Body = append(a.answer.Body, b...)
+func (a *responseRecord) write(b []byte) {
+	a.bodyLength += len(b)
+	if a.bodyLength <= claim.MaxBody {
+		a.response.Body = append(a.response.Body, b...)
 	}
 }
 
 // record returns the response to store, without a body if it exceeds claim.MaxBody.
-func (a *answerRecord) record() *claim.Answer {
-	r := a.answer
-	r.Whole = a.length <= claim.MaxBody
+func (a *responseRecord) record() *claim.Answer {
+	r := a.response
+	r.Whole = a.bodyLength <= claim.MaxBody
 	if !r.Whole {
 		r.Body = nil
 	}
@@ -53,19 +53,19 @@
 		p.metrics.Request(x.class(), string(wire.OutcomeNotRun))
 		return wire.Failure{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer,
-			Code: "claim_not_recorded", RetryAfter: retrySoon,
+			Code: "claim_not_recorded", RetryAfter: defaultRetryAfter,
 			Message: "the record that keeps this request from running twice could not be made; it was not run",
 		}.Write(c)
 	}
 	if !a.Fresh {
 		return p.replay(c, x, a.Record, fingerprint)
 	}
-	x.answer = &answerRecord{}
+	x.response = &responseRecord{}
 	done := r
 	finish := func(o wire.Outcome) {
 		switch o {
 		case wire.OutcomeAnswered:
-			done.Answer = x.answer.record()
+			done.Answer = x.response.record()
 			p.claims.finish(done)
 		case wire.OutcomeNotRun:
 			done.Free = true
@@ -93,7 +93,7 @@
 	f := wire.Failure{
 		Status: http.StatusConflict, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer, Code: "in_progress",
 		Message:    "a request with this key was sent and has no recorded answer; it will not be sent again",
-		RetryAfter: retrySoon,
+		RetryAfter: defaultRetryAfter,
 	}
 	if r.State == claim.StateDone {
 		f.Outcome, f.Code, f.RetryAfter = wire.OutcomeAnswered, "already_answered", 0
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -21,13 +21,13 @@
 const (
 	// claimTimeout bounds one claim, one write of a shard's records and one lease operation.
 	claimTimeout = 2 * time.Second
-	// ownerMemory is the minimum age of a cached owner before a retry reads the lease again.
-	ownerMemory = 500 * time.Millisecond
-	// ownerTries is the maximum number of calls per claim. The second one covers a change of the
+	// ownerCacheTime is the minimum age of a cached owner before a retry reads the lease again.
+	ownerCacheTime = 500 * time.Millisecond
+	// maxOwnerCalls is the maximum number of calls per claim. The second one covers a change of the
 	// owner.
-	ownerTries = 2
-	// claimLeasePart is the number of lease renewals per TTL.
-	claimLeasePart = 3
+	maxOwnerCalls = 2
+	// leaseRenewalsPerTTL is the number of lease renewals per TTL.
+	leaseRenewalsPerTTL = 3
 	// claimContenders is the number of entries that contend for one shard: its owner and a standby.
 	claimContenders = 2
 )
@@ -50,19 +50,19 @@
 // this entry owns and calls the owners of the others.
 type claims struct {
 	claimsOptions
-	shards  []*claim.Shard
-	holders []*lease.Holder
-	stops   []func()
+	shards      []*claim.Shard
+	holders     []*lease.Holder
+	unsubscribe []func()
 
 	mu     sync.Mutex
-	owners map[int]ownerRecord
+	owners map[int]cachedOwner
 }
 
 // newClaims returns claims that own no shard until start. Each shard's write interval is set so
 // that all shards together stay within the configured write rate.
 func newClaims(o claimsOptions) *claims {
 	s := o.settings
-	c := &claims{claimsOptions: o, owners: make(map[int]ownerRecord)}
+	c := &claims{claimsOptions: o, owners: make(map[int]cachedOwner)}
 	flush := time.Duration(float64(s.Shards) / s.WritesPerSecond * float64(time.Second))
 	for i := range s.Shards {
 		h := lease.New(o.store, o.clock, lease.Options{
@@ -82,8 +82,8 @@
 // start starts the lease renewal and one goroutine per shard, so that a slow write delays no other
 // shard.
 func (c *claims) start() {
-	every := c.settings.LeaseTTL.Std() / claimLeasePart
-	c.stops = append(c.stops, c.clock.Subscribe(every, func(time.Time) { c.stepLeases() }))
+	every := c.settings.LeaseTTL.Std() / leaseRenewalsPerTTL
+	c.unsubscribe = append(c.unsubscribe, c.clock.Subscribe(every, func(time.Time) { c.stepLeases() }))
 	for i := range c.shards {
 		go c.run(i)
 	}
@@ -153,7 +153,7 @@
 
 // stop writes the pending records and releases the leases.
 func (c *claims) stop(ctx context.Context) {
-	for _, stop := range c.stops {
+	for _, stop := range c.unsubscribe {
 		stop()
 	}
 	for i, h := range c.holders {
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -4,11 +4,11 @@
 // An Entry consists of these parts, each of which owns its state:
 //
 //   - proxy: the client requests in progress, the load of each server as known to this entry, and
-//     the retry budget. A call is one request, a delivery the loop that tries servers for it;
+//     the retry budget. A call is one request, a forwarder the loop that tries servers for it;
 //   - claims: the claim records of requests with an Idempotency-Key, in the shards that this entry
 //     owns, and the calls to the entries that own the other shards;
 //   - syncer: the replication of the table and the servers' records between entries;
-//   - operators: the API for operators, and decisions, the latest of the entry's decisions;
+//   - operatorAPI: the API for operators, and decisions, the latest of the entry's decisions;
 //   - members: the platform's list of VMs;
 //   - quarantine: the requests during which servers have crashed, as reported by agents through the
 //     planners and by other entries (package quarantine);
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -50,7 +50,7 @@
 	planner    *planner.Planner
 	sync       *syncer
 	claims     *claims
-	operators  *operators
+	operators  *operatorAPI
 	proxy      *proxy
 	// traffic counts the bytes of control traffic, proxied those of clients' requests.
 	traffic  *wire.Traffic
@@ -58,18 +58,18 @@
 	requests *server.Listener
 	control  *server.Listener
 	leaving  atomic.Bool
-	// stops cancel the clock subscriptions.
-	stops []func()
+	// unsubscribe holds the functions that cancel the clock subscriptions.
+	unsubscribe []func()
 	// ctx is canceled when the entry stops, after its last request.
-	ctx  context.Context
-	done context.CancelFunc
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
 // New returns an Entry that is idle until Start.
 func New(o Options) *Entry {
 	s := o.Settings
 	e := &Entry{settings: s, clock: o.Clock, log: o.Log, metrics: o.Metrics, traffic: o.Traffic}
-	e.ctx, e.done = context.WithCancel(context.Background())
+	e.ctx, e.cancel = context.WithCancel(context.Background())
 	peers := wire.NewClient(s.Secret, wire.NewTransport(e.traffic))
 	e.members = newMembers(s.ID, o.Platform, o.Log)
 	e.quarantine = quarantine.New(quarantine.Options{
@@ -97,7 +97,7 @@
 		clock: o.Clock, log: o.Log, metrics: o.Metrics,
 	}
 	e.proxy.routes.Hall = s.Hall
-	e.operators = &operators{
+	e.operators = &operatorAPI{
 		id: s.ID, replica: &e.replica, view: &e.view, tableLog: tableLog, planner: e.planner, members: e.members,
 		decisions: &e.decisions, peers: peers, inFlight: e.proxy.inFlight.Load, traffic: o.Traffic, log: o.Log,
 	}
@@ -116,7 +116,7 @@
 	e.members.step(e.ctx)
 	e.subscribe(e.settings.VMsEvery.Std(), func(time.Time) { e.stepMembers() })
 	e.subscribe(e.settings.SyncEvery.Std(), func(time.Time) { e.sync.step() })
-	e.subscribe(quarantineSweep, func(time.Time) { e.quarantine.Expire() })
+	e.subscribe(quarantineExpireInterval, func(time.Time) { e.quarantine.Expire() })
 	e.claims.start()
 	e.planner.Start()
 	go e.sync.watchTable()
@@ -130,7 +130,7 @@
 	r := server.NewRouter()
 	server.RegisterHealth(r, e.ready, e.metrics)
 	own := r.Group("", server.RequireSecret(e.settings.Secret, e.metrics))
-	own.POST(wire.PathSync, e.sync.answer)
+	own.POST(wire.PathSync, e.sync.handleSync)
 	own.POST(wire.PathNudge, e.nudge)
 	own.POST(wire.PathClaim, e.claims.serveClaim)
 	own.POST(wire.PathClaimFinish, e.claims.serveFinish)
@@ -151,7 +151,7 @@
 
 // subscribe calls f at the given interval until the entry stops.
 func (e *Entry) subscribe(every time.Duration, f func(time.Time)) {
-	e.stops = append(e.stops, e.clock.Subscribe(every, f))
+	e.unsubscribe = append(e.unsubscribe, e.clock.Subscribe(every, f))
 }
 
 // Addr returns the address of the listener for clients.
@@ -178,7 +178,7 @@
 		return false, "leaving"
 	case e.replica.Current().Version() == 0:
 		return false, "no table yet"
-	case !e.members.known():
+	case !e.members.isLoaded():
 		return false, "no list of VMs yet"
 	}
 	return true, ""
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -12,36 +12,36 @@
 	"rockcleat/internal/openai"
 )
 
-// maxEvent is the maximum length of an event, in bytes.
-const maxEvent = 1 << 20
+// maxEventLength is the maximum length of an event, in bytes.
+const maxEventLength = 1 << 20
 
 // Syntax of event streams.
 var (
 	dataPrefix = []byte("data:")
-	doneMark   = []byte("[DONE]")
+	doneData   = []byte("[DONE]")
 )
 
 // Errors of incomplete or invalid event streams.
 var (
-	errCut      = errors.New("entry: event stream ended without [DONE]")
-	errTooLarge = errors.New("entry: event exceeds the size limit")
+	errTruncated     = errors.New("entry: event stream ended without [DONE]")
+	errEventTooLarge = errors.New("entry: event exceeds the size limit")
 )
 
-// readEvent reads one event, including the empty line that ends it. It returns errCut if the stream
-// ends first and errTooLarge if the event exceeds maxEvent.
+// readEvent reads one event, including the empty line that ends it. It returns errTruncated if the
+// stream ends first and errEventTooLarge if the event exceeds maxEventLength.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
-		if len(event) > maxEvent {
-			return nil, errTooLarge
+		if len(event) > maxEventLength {
+			return nil, errEventTooLarge
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
 		if err == io.EOF {
-			return nil, errCut
+			return nil, errTruncated
 		}
 		if err != nil {
 			return nil, eris.Wrap(err, "entry: read event stream")
@@ -52,8 +52,8 @@
 	}
 }
 
-// dataOf returns the first data field of an event, or nil if there is none.
-func dataOf(event []byte) []byte {
+// eventData returns the first data field of an event, or nil if there is none.
+func eventData(event []byte) []byte {
 	for line := range bytes.Lines(event) {
 		if bytes.HasPrefix(line, dataPrefix) {
 			return bytes.TrimSpace(line[len(dataPrefix):])
@@ -63,11 +63,11 @@
 }
 
 // isDone reports whether an event is the [DONE] event that ends a stream.
-func isDone(event []byte) bool { return bytes.Equal(dataOf(event), doneMark) }
+func isDone(event []byte) bool { return bytes.Equal(eventData(event), doneData) }
 
 // carriesToken reports whether an event carries text of the completion.
 func carriesToken(event []byte) bool {
-	data := dataOf(event)
+	data := eventData(event)
 	if data == nil {
 		return false
 	}
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -15,24 +15,24 @@
 
 // Limits of forwarding one request.
 const (
-	// maxTries is the maximum number of servers that a request is sent to.
-	maxTries = 4
-	// arrivalPoll is the interval at which a waiting request checks for an available server.
-	arrivalPoll = 20 * time.Millisecond
-	// maxArrival is the maximum time that a request waits for an available server.
-	maxArrival = 10 * time.Second
+	// maxAttempts is the maximum number of servers that a request is sent to.
+	maxAttempts = 4
+	// serverPollInterval is the interval at which a waiting request checks for an available server.
+	serverPollInterval = 20 * time.Millisecond
+	// maxServerWait is the maximum time that a request waits for an available server.
+	maxServerWait = 10 * time.Second
 )
 
-// A delivery forwards one call to servers, one after another, and returns the response to the
+// A forwarder forwards one call to servers, one after another, and returns the response to the
 // client.
-type delivery struct {
-	proxy *proxy
-	c     echo.Context
-	x     *call
-	// out is the outcome, empty until the call is over.
-	out wire.Outcome
-	// begun reports whether the response header has been sent to the client.
-	begun bool
+type forwarder struct {
+	proxy       *proxy
+	echoContext echo.Context
+	call        *call
+	// outcome is the outcome of the call, empty until the call is over.
+	outcome wire.Outcome
+	// headerSent reports whether the response header has been sent to the client.
+	headerSent bool
 	// tokens is the number of tokens that have been streamed to the client.
 	tokens int
 	// refusal is the refusal to return if no other server accepts the request.
@@ -41,8 +41,8 @@
 	tried map[string]string
 	// mayHaveRun reports whether the request may have run on a server that was then lost.
 	mayHaveRun bool
-	// refusedByLeaver reports whether a server refused the request because it is leaving.
-	refusedByLeaver bool
+	// refusedByLeaving reports whether a server refused the request because it is leaving.
+	refusedByLeaving bool
 	// finish is called with the outcome before the end of the response is sent to the client.
 	finish func(wire.Outcome)
 }
@@ -55,10 +55,10 @@
 // forwardThen serves a call. It calls finish with the outcome before the end of the response is
 // sent to the client.
 func (p *proxy) forwardThen(c echo.Context, x *call, finish func(wire.Outcome)) {
-	d := &delivery{proxy: p, c: c, x: x, tried: make(map[string]string), finish: finish}
+	d := &forwarder{proxy: p, echoContext: c, call: x, tried: make(map[string]string), finish: finish}
 	x.digest = digestOf(c.Request(), x.row.Name, x.body)
 	p.budget.First()
-	for try := 0; try < maxTries; try++ {
+	for try := 0; try < maxAttempts; try++ {
 		s, ok := d.next()
 		if !ok {
 			break
@@ -83,42 +83,42 @@
 }
 
 // next returns the server to try next. While one may become available, it waits for up to the
-// smaller of the row's queue time and maxArrival.
-func (d *delivery) next() (fleet.Server, bool) {
-	since := d.x.arrived
+// smaller of the row's queue time and maxServerWait.
+func (d *forwarder) next() (fleet.Server, bool) {
+	since := d.call.arrived
 	if d.mayHaveRun {
 		since = d.proxy.clock.Now()
 	}
-	deadline := since.Add(min(d.x.row.QueueTime, maxArrival))
+	deadline := since.Add(min(d.call.row.QueueTime, maxServerWait))
 	for {
 		if s, ok := d.choose(); ok {
 			return s, true
 		}
-		if !d.mayArrive() || !d.proxy.clock.Now().Before(deadline) {
+		if !d.shouldWait() || !d.proxy.clock.Now().Before(deadline) {
 			return fleet.Server{}, false
 		}
-		ctx := d.c.Request().Context()
-		clock.Sleep(ctx, d.proxy.clock, arrivalPoll)
+		ctx := d.echoContext.Request().Context()
+		clock.Sleep(ctx, d.proxy.clock, serverPollInterval)
 		if ctx.Err() != nil {
 			return fleet.Server{}, false
 		}
 	}
 }
 
-// mayArrive reports whether a server may become available soon: the model is being loaded and no
+// shouldWait reports whether a server may become available soon: the model is being loaded and no
 // server refused for lack of capacity, or a server was lost during the request, so that the model
 // will be loaded on another.
-func (d *delivery) mayArrive() bool {
+func (d *forwarder) shouldWait() bool {
 	if d.mayHaveRun {
 		return true
 	}
-	return d.proxy.arriving(d.x.row.Name) && (len(d.tried) == 0 || d.refusedByLeaver)
+	return d.proxy.isLoading(d.call.row.Name) && (len(d.tried) == 0 || d.refusedByLeaving)
 }
 
 // choose returns the best server not yet tried. A leaving server is chosen only if no other serves
 // the row. It may still refuse the request.
-func (d *delivery) choose() (fleet.Server, bool) {
-	servers := slices.DeleteFunc(slices.Clone(d.proxy.view.Serving(d.x.row.Name)), func(s fleet.Server) bool {
+func (d *forwarder) choose() (fleet.Server, bool) {
+	servers := slices.DeleteFunc(slices.Clone(d.proxy.view.Serving(d.call.row.Name)), func(s fleet.Server) bool {
 		return d.tried[s.ID] == s.Incarnation
 	})
 	staying := slices.DeleteFunc(slices.Clone(servers), d.leaving)
@@ -132,19 +132,19 @@
 	for i, s := range servers {
 		cands[i] = route.Candidate{ID: s.ID, Hall: s.Hall}
 	}
-	best := d.proxy.routes.Order(cands, d.x.prefix, d.proxy.clock.Now())[0]
+	best := d.proxy.routes.Order(cands, d.call.prefix, d.proxy.clock.Now())[0]
 	i := slices.IndexFunc(servers, func(s fleet.Server) bool { return s.ID == best.ID })
 	return servers[i], true
 }
 
 // leaving reports whether a server is leaving according to its responses, its record or the
 // platform's list of VMs.
-func (d *delivery) leaving(s fleet.Server) bool {
+func (d *forwarder) leaving(s fleet.Server) bool {
 	return s.Leaving || d.proxy.members.isLeaving(s.ID) || d.proxy.routes.Leaving(s.ID, s.Incarnation)
 }
 
-// arriving reports whether a server is loading the model or adapter.
-func (p *proxy) arriving(name string) bool {
+// isLoading reports whether a server is loading the model or adapter.
+func (p *proxy) isLoading(name string) bool {
 	return slices.ContainsFunc(p.view.Servers(), func(s fleet.Server) bool {
 		return slices.ContainsFunc(s.Residents, func(r fleet.Resident) bool {
 			return r.Name == name && r.State == fleet.StateLoading
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// known reports whether the list has been read.
-func (m *members) known() bool { return m.Version() > 0 }
+// isLoaded reports whether the list has been read.
+func (m *members) isLoaded() bool { return m.Version() > 0 }
 
 // Version returns the version of the list as last read.
 func (m *members) Version() uint64 {
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -22,18 +22,18 @@
 const (
 	// saveTimeout bounds the saving of an edit.
 	saveTimeout = 10 * time.Second
-	// statusTimeout bounds the query of one VM's table version. statusAtOnce is the maximum number
-	// of concurrent queries.
-	statusTimeout = time.Second
-	statusAtOnce  = 32
+	// statusTimeout bounds the query of one VM's table version. maxStatusQueries is the maximum
+	// number of concurrent queries.
+	statusTimeout    = time.Second
+	maxStatusQueries = 32
 )
 
 // stateSilent is the reported state of a VM that does not respond.
 const stateSilent = "silent"
 
-// operators serves the operators' API: it reads, checks and saves the table and reports the state
-// known to this entry.
-type operators struct {
+// operatorAPI serves the API for operators: it reads, checks and saves the table and reports the
+// state known to this entry.
+type operatorAPI struct {
 	id        string
 	replica   *table.Replica
 	view      *fleet.View
@@ -49,7 +49,7 @@
 }
 
 // register adds the routes of the operators' API.
-func (o *operators) register(r *echo.Group) {
+func (o *operatorAPI) register(r *echo.Group) {
 	r.GET(wire.PathTable, o.showTable)
 	r.POST(wire.PathTable, o.saveTable)
 	r.POST(wire.PathTableCheck, o.checkTable)
@@ -60,7 +60,7 @@
 
 // showTable responds with the saved table, or with the table in force at this entry if the
 // key-value service is unavailable.
-func (o *operators) showTable(c echo.Context) error {
+func (o *operatorAPI) showTable(c echo.Context) error {
 	t, _, err := o.tableLog.Load(c.Request().Context(), o.replica.Current())
 	if err != nil {
 		o.log.Warn("loading the saved table failed; returning the table in force", zap.Error(err))
@@ -70,7 +70,7 @@
 }
 
 // saveTable saves an edit and puts the resulting table in force at this entry.
-func (o *operators) saveTable(c echo.Context) error {
+func (o *operatorAPI) saveTable(c echo.Context) error {
 	var r wire.SaveRequest
 	if err := c.Bind(&r); err != nil {
 		return err
@@ -79,15 +79,15 @@
 	defer cancel()
 	t, err := o.tableLog.Save(ctx, r.Edit)
 	if err != nil {
-		return o.notSaved(c, err)
+		return o.respondSaveError(c, err)
 	}
 	o.replica.Offer(t)
 	o.log.Info("table saved", zap.Uint64("version", t.Version()), zap.String("edit", r.Edit.ID), zap.String("author", r.Edit.Author))
 	return c.JSON(http.StatusOK, wire.SaveAnswer{Version: t.Version()})
 }
 
-// notSaved responds that an edit was refused or that its outcome is unknown.
-func (o *operators) notSaved(c echo.Context, err error) error {
+// respondSaveError responds that an edit was refused or that its outcome is unknown.
+func (o *operatorAPI) respondSaveError(c echo.Context, err error) error {
 	a := wire.SaveAnswer{Message: err.Error()}
 	var invalid *table.InvalidError
 	switch {
@@ -104,7 +104,7 @@
 
 // checkTable validates an edit without saving it. It responds with the version of the table in
 // force.
-func (o *operators) checkTable(c echo.Context) error {
+func (o *operatorAPI) checkTable(c echo.Context) error {
 	var r wire.SaveRequest
 	if err := c.Bind(&r); err != nil {
 		return err
@@ -135,7 +135,7 @@
 }
 
 // history responds with the latest edits.
-func (o *operators) history(c echo.Context) error {
+func (o *operatorAPI) history(c echo.Context) error {
 	edits, err := o.tableLog.History(c.Request().Context())
 	if err != nil {
 		return c.JSON(http.StatusServiceUnavailable, wire.SaveAnswer{Message: err.Error()})
@@ -145,14 +145,14 @@
 
 // showDecisions responds with the latest decisions, or with those about the row given by the
 // parameter name.
-func (o *operators) showDecisions(c echo.Context) error {
+func (o *operatorAPI) showDecisions(c echo.Context) error {
 	a := wire.DecisionsAnswer{Entry: o.id, Decisions: o.decisions.latest(c.QueryParam("name"))}
 	return c.JSON(http.StatusOK, a)
 }
 
 // status responds with this entry's state. The parameter brief omits the servers and VMs. The
 // parameter versions adds the table version that each VM reports.
-func (o *operators) status(c echo.Context) error {
+func (o *operatorAPI) status(c echo.Context) error {
 	a := wire.StatusAnswer{
 		Entry: o.id, TableVersion: o.replica.Current().Version(), Cells: o.planner.Held(),
 		Waiting: int(o.inFlight()), ControlBytes: o.traffic.WireBytes(),
@@ -168,15 +168,15 @@
 		})
 	}
 	if c.QueryParam("versions") != "" {
-		o.askVersions(c.Request().Context(), a.VMs, vms)
+		o.queryVersions(c.Request().Context(), a.VMs, vms)
 	}
 	return c.JSON(http.StatusOK, a)
 }
 
-// askVersions queries every VM for its table version. The version of a VM that does not respond
+// queryVersions queries every VM for its table version. The version of a VM that does not respond
 // stays 0.
-func (o *operators) askVersions(ctx context.Context, out []wire.VMStatus, vms []inventory.VM) {
-	slots := make(chan struct{}, statusAtOnce)
+func (o *operatorAPI) queryVersions(ctx context.Context, out []wire.VMStatus, vms []inventory.VM) {
+	slots := make(chan struct{}, maxStatusQueries)
 	var wg sync.WaitGroup
 	for i, vm := range vms {
 		wg.Add(1)
--- a/internal/entry/proxy.go
+++ b/internal/entry/proxy.go
@@ -56,14 +56,14 @@
 	r := server.NewRouter()
 	r.GET(wire.PathReady, p.ready.Answer)
 	r.GET("/v1/models", p.listModels)
-	r.POST("/v1/chat/completions", p.limited(p.serveModel))
-	r.POST("/v1/completions", p.limited(p.serveModel))
-	r.Any("/*", p.limited(p.serveService))
+	r.POST("/v1/chat/completions", p.limitInFlight(p.serveModel))
+	r.POST("/v1/completions", p.limitInFlight(p.serveModel))
+	r.Any("/*", p.limitInFlight(p.serveService))
 	return r
 }
 
-// limited rejects requests above the limit of requests in progress.
-func (p *proxy) limited(f echo.HandlerFunc) echo.HandlerFunc {
+// limitInFlight rejects requests above the limit of requests in progress.
+func (p *proxy) limitInFlight(f echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		n := p.inFlight.Add(1)
 		defer p.inFlight.Add(-1)
@@ -73,7 +73,7 @@
 		if n > int64(p.limits.InFlight) {
 			return wire.Failure{
 				Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
-				Code: "entry_full", Message: "this entry holds as many requests as it may", RetryAfter: retrySoon,
+				Code: "entry_full", Message: "this entry holds as many requests as it may", RetryAfter: defaultRetryAfter,
 			}.Write(c)
 		}
 		return f(c)
@@ -111,7 +111,7 @@
 	}
 	x.row, x.stream, x.tokens = row, req.Stream, req.Cost()
 	prompt := req.Prompt()
-	x.prefix = rendezvous.Key(row.Name + "\x00" + prompt[:min(len(prompt), prefixBytes)])
+	x.prefix = rendezvous.Key(row.Name + "\x00" + prompt[:min(len(prompt), routingPrefixLength)])
 	x.repeatable = true
 	return p.run(c, x)
 }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -9,8 +9,8 @@
 	"rockcleat/quarantine"
 )
 
-// quarantineSweep is the interval at which expired quarantines are removed.
-const quarantineSweep = time.Second
+// quarantineExpireInterval is the interval at which expired quarantines are removed.
+const quarantineExpireInterval = time.Second
 
 // quarantineChanged logs the start or end of a request's quarantine.
 func (e *Entry) quarantineChanged(c quarantine.Change) { server.LogQuarantine(e.log, c, e.clock.Now()) }
@@ -26,8 +26,8 @@
 // quarantined reports whether the call is in quarantine, and returns the failure to respond with.
 // Backend servers have crashed during copies of such a request, so no entry sends it until the
 // quarantine ends.
-func (d *delivery) quarantined() (wire.Failure, bool) {
-	until, held := d.proxy.quarantine.Until(d.x.digest)
+func (d *forwarder) quarantined() (wire.Failure, bool) {
+	until, held := d.proxy.quarantine.Until(d.call.digest)
 	return wire.Failure{
 		Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer, Code: "quarantined",
 		Message: "backend servers have ended under copies of this request; it was not run", RetryAfter: until.Sub(d.proxy.clock.Now()),
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -20,8 +20,8 @@
 	return &stallTimer{limit: limit, timer: c.AfterFunc(limit, cancel)}
 }
 
-// progress restarts the timer.
-func (s *stallTimer) progress() { s.timer.Reset(s.limit) }
+// restart restarts the timer.
+func (s *stallTimer) restart() { s.timer.Reset(s.limit) }
 
 func (s *stallTimer) stop() { s.timer.Stop() }
 
@@ -30,7 +30,7 @@
 func (s *stallTimer) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
-			s.progress()
+			s.restart()
 			return nil
 		},
 	})
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -19,7 +19,7 @@
 	clock.Sleep(ctx, e.clock, e.settings.LeaveTime.Std())
 	err := e.requests.Shutdown(ctx)
 	e.claims.stop(ctx)
-	e.halt()
+	e.stopBackground()
 	if err != nil {
 		e.log.Error("drain time exceeded; dropping the remaining requests", zap.Error(err))
 		// The remaining requests are dropped in any case, so the error is ignored.
@@ -31,10 +31,10 @@
 	return eris.Wrap(err, "entry: stop")
 }
 
-// halt stops the background tasks.
-func (e *Entry) halt() {
-	e.done()
-	for _, stop := range e.stops {
+// stopBackground stops the background tasks.
+func (e *Entry) stopBackground() {
+	e.cancel()
+	for _, stop := range e.unsubscribe {
 		stop()
 	}
 }
--- a/internal/entry/stream_copy_test.go
+++ b/internal/entry/stream_copy_test.go
@@ -17,24 +17,24 @@
 		events []string
 		err    error
 	}{
-		"two events":        {"data: a\n\ndata: b\n\n", []string{"data: a\n\n", "data: b\n\n"}, errCut},
-		"carriage returns":  {"data: a\r\n\r\n", []string{"data: a\r\n\r\n"}, errCut},
-		"cut in an event":   {"data: a\n\ndata: b", []string{"data: a\n\n"}, errCut},
-		"cut before a line": {"data: a\n", nil, errCut},
-		"too long":          {"data: " + strings.Repeat("x", maxEvent+1) + "\n\n", nil, errTooLarge},
-		"comment":           {": hello\n\n", []string{": hello\n\n"}, errCut},
+		"two events":        {"data: a\n\ndata: b\n\n", []string{"data: a\n\n", "data: b\n\n"}, errTruncated},
+		"carriage returns":  {"data: a\r\n\r\n", []string{"data: a\r\n\r\n"}, errTruncated},
+		"cut in an event":   {"data: a\n\ndata: b", []string{"data: a\n\n"}, errTruncated},
+		"cut before a line": {"data: a\n", nil, errTruncated},
+		"too long":          {"data: " + strings.Repeat("x", maxEventLength+1) + "\n\n", nil, errEventTooLarge},
+		"comment":           {": hello\n\n", []string{": hello\n\n"}, errTruncated},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := bufio.NewReader(strings.NewReader(tc.text))
 			var events []string
 			for {
-				e, err := readEvent(r)
+				event, err := readEvent(r)
 				if err != nil {
 					assert.ErrorIs(t, err, tc.err)
 					break
 				}
-				events = append(events, string(e))
+				events = append(events, string(event))
 			}
 			assert.DeepEqual(t, events, tc.events)
 		})
@@ -48,17 +48,17 @@
 	f.Add([]byte("\n\n\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := bufio.NewReader(bytes.NewReader(data))
-		var all []byte
+		var read []byte
 		for {
-			e, err := readEvent(r)
+			event, err := readEvent(r)
 			if err != nil {
 				break
 			}
-			assert.Assert(t, len(e) > 0)
-			assert.Assert(t, !isDone(e) || !carriesToken(e))
-			all = append(all, e...)
+			assert.Assert(t, len(event) > 0)
+			assert.Assert(t, !isDone(event) || !carriesToken(event))
+			read = append(read, event...)
 		}
-		assert.Assert(t, bytes.HasPrefix(data, all))
+		assert.Assert(t, bytes.HasPrefix(data, read))
 	})
 }
 
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -24,16 +24,16 @@
 	// syncTimeout bounds the time until another entry starts to respond, and then each pause in its
 	// response. It does not bound the whole response, which may contain the full table.
 	syncTimeout = 2 * time.Second
-	// tableWait is the timeout of one watch of the table.
-	tableWait = 20 * time.Second
+	// tableWatchTimeout is the timeout of one watch of the table.
+	tableWatchTimeout = 20 * time.Second
 	// staleAfter is the time without a response from another entry after which an entry watches the
 	// table itself.
 	staleAfter = 4 * time.Second
-	// watchPause is the interval of the checks whether to watch the table, and the delay after a
-	// failed watch.
-	watchPause = 500 * time.Millisecond
-	// watchers is the number of entries that watch the table even if they plan no cell.
-	watchers = 4
+	// watchRetryInterval is the interval of the checks whether to watch the table, and the delay
+	// after a failed watch.
+	watchRetryInterval = 500 * time.Millisecond
+	// tableWatchers is the number of entries that watch the table even if they plan no cell.
+	tableWatchers = 4
 )
 
 // tableKey is the key by which entries are ranked for watching the table.
@@ -58,8 +58,8 @@
 	mu sync.Mutex
 	// lastSync is the time of the last response from another entry. revision is the revision of the
 	// table's key at the last watch.
-	lastSync time.Time
-	revision kv.Revision
+	lastSync      time.Time
+	tableRevision kv.Revision
 	// running reports whether an exchange is in progress.
 	running bool
 	// links holds the quarantine exchange with each other entry, by id. Only the exchange in
@@ -130,8 +130,8 @@
 	s.lastSync = s.clock.Now()
 }
 
-// answer handles another entry's request with the changes that it lacks.
-func (s *syncer) answer(c echo.Context) error {
+// handleSync handles another entry's request with the changes that it lacks.
+func (s *syncer) handleSync(c echo.Context) error {
 	var r wire.SyncRequest
 	if err := c.Bind(&r); err != nil {
 		return err
@@ -160,7 +160,7 @@
 	}
 }
 
-func (s *syncer) pause() { clock.Sleep(s.ctx, s.clock, watchPause) }
+func (s *syncer) pause() { clock.Sleep(s.ctx, s.clock, watchRetryInterval) }
 
 // shouldWatch reports whether this entry should watch the table. Entries do so that have no table
 // yet, plan a cell, rank among the first watchers or have not heard from other entries for
@@ -169,7 +169,7 @@
 	if s.replica.Current().Version() == 0 || len(s.planner.Held()) > 0 {
 		return true
 	}
-	if planner.Rank(s.id, s.members.Entries(), tableKey) < watchers {
+	if planner.Rank(s.id, s.members.Entries(), tableKey) < tableWatchers {
 		return true
 	}
 	s.mu.Lock()
@@ -181,14 +181,14 @@
 func (s *syncer) watchOnce() error {
 	have := s.replica.Current()
 	s.mu.Lock()
-	after := s.revision
+	after := s.tableRevision
 	s.mu.Unlock()
-	t, rev, err := s.tableLog.Watch(s.ctx, have, after, tableWait)
+	t, rev, err := s.tableLog.Watch(s.ctx, have, after, tableWatchTimeout)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.revision = rev
+	s.tableRevision = rev
 	s.mu.Unlock()
 	s.offer(t)
 	return nil
--- a/internal/planner/cell.go
+++ b/internal/planner/cell.go
@@ -18,20 +18,21 @@
 
 // Intervals and timeouts of planning a cell.
 const (
-	// planEvery is the minimum interval between plans while the cell's records change or orders are
-	// pending.
-	planEvery = 500 * time.Millisecond
-	// idlePlanEvery is the maximum interval between plans.
-	idlePlanEvery = 2 * time.Second
-	// busyEvery is the maximum interval between exchanges with an agent that is loading or
-	// unloading, has a pending order or lacks the current table.
-	busyEvery = 500 * time.Millisecond
-	// orderMemory is the time after which an order without a visible effect is no longer counted.
-	orderMemory = 10 * time.Second
-	// goneAfter is the number of exchange intervals without a response after which a backend server
-	// counts as gone.
-	goneAfter = 2
-	// goneGrace is added to the time given by goneAfter, for short exchange intervals.
+	// minPlanInterval is the minimum interval between plans while the cell's records change or
+	// orders are pending.
+	minPlanInterval = 500 * time.Millisecond
+	// maxPlanInterval is the maximum interval between plans.
+	maxPlanInterval = 2 * time.Second
+	// busyExchangeInterval is the maximum interval between exchanges with an agent that is loading
+	// or unloading, has a pending order or lacks the current table.
+	busyExchangeInterval = 500 * time.Millisecond
+	// pendingOrderTimeout is the time after which an order without a visible effect is no longer
+	// counted.
+	pendingOrderTimeout = 10 * time.Second
+	// goneIntervals is the number of exchange intervals without a response after which a backend
+	// server counts as gone.
+	goneIntervals = 2
+	// goneGrace is added to the time given by goneIntervals, for short exchange intervals.
 	goneGrace = time.Second
 )
 
@@ -41,16 +42,16 @@
 	vm inventory.VM
 	// record and demand are those that the agent last reported, and seen is the version of the
 	// record. known reports whether the agent has responded to this planner.
-	record fleet.Server
-	demand []fleet.Demand
-	known  bool
-	seen   uint64
+	record        fleet.Server
+	demand        []fleet.Demand
+	hasReported   bool
+	recordVersion uint64
 	// pauses is the agent's count of pauses of its process, table the version of its table.
-	pauses int
-	table  uint64
-	// lastSent is the start of the last exchange, lastOK the end of the last successful one, and
-	// since the time at which the agent joined the cell.
-	lastSent, lastOK, since time.Time
+	pauses       int
+	tableVersion uint64
+	// lastSent is the start of the last exchange, lastSuccess the end of the last successful one,
+	// and joinedAt the time at which the agent joined the cell.
+	lastSent, lastSuccess, joinedAt time.Time
 	// inFlight reports whether an exchange is in progress, urgent whether the next one is due at
 	// once.
 	inFlight, urgent bool
@@ -69,11 +70,11 @@
 // A cellPlanner plans one cell while this entry holds the cell's lease.
 type cellPlanner struct {
 	*Planner
-	id     string
-	holder *lease.Holder
-	token  lease.Token
-	plan   *placement.Planner
-	loads  *rate.Limiter
+	id          string
+	holder      *lease.Holder
+	token       lease.Token
+	placement   *placement.Planner
+	loadLimiter *rate.Limiter
 
 	// superseded reports whether an agent knows a planner with a newer token.
 	superseded atomic.Bool
@@ -81,23 +82,23 @@
 	mu      sync.Mutex
 	peers   map[string]*peer
 	pending []pendingOrder
-	grants  *grantBook
-	// version is the cell's version, planned the version at the last plan.
-	version, planned uint64
-	lastPlan         time.Time
+	grants  *grantTracker
+	// version is the cell's version, plannedVersion the version at the last plan.
+	version, plannedVersion uint64
+	lastPlan                time.Time
 }
 
 // newCellPlanner returns a cellPlanner for a lease just acquired. It republishes the previous
 // planner's records under its own epoch, so that requests are routed without interruption.
 func newCellPlanner(p *Planner, id string, h *lease.Holder, token lease.Token) *cellPlanner {
 	c := &cellPlanner{
-		Planner: p, id: id, holder: h, token: token, peers: make(map[string]*peer), grants: newGrantBook(), version: 1,
+		Planner: p, id: id, holder: h, token: token, peers: make(map[string]*peer), grants: newGrantTracker(), version: 1,
 	}
 	n := max(len(p.cells), 1)
-	c.plan = placement.NewPlanner(placement.Options{
+	c.placement = placement.NewPlanner(placement.Options{
 		Headroom: p.Settings.Headroom, Hold: p.Settings.Hold.Std(), MaxLoads: max(p.Settings.MaxLoads/n, 1),
 	})
-	c.loads = rate.NewLimiter(rate.Limit(p.Settings.LoadsPerSecond/float64(n)), max(p.Settings.MaxLoads/n, 1))
+	c.loadLimiter = rate.NewLimiter(rate.Limit(p.Settings.LoadsPerSecond/float64(n)), max(p.Settings.MaxLoads/n, 1))
 	old, _ := p.View.Cell(id)
 	for i := range old {
 		old[i].Version = 1
@@ -121,10 +122,10 @@
 	c.syncPeers(now, servers, vms)
 	if held && now.Sub(c.lastPlan) >= c.planInterval() {
 		c.makePlan(now)
-		c.lastPlan, c.planned = now, c.version
+		c.lastPlan, c.plannedVersion = now, c.version
 	}
 	for _, p := range c.peers {
-		if !p.inFlight && now.Sub(p.lastSent) >= c.interval(p) {
+		if !p.inFlight && now.Sub(p.lastSent) >= c.exchangeInterval(p) {
 			c.send(p, held, now)
 		}
 	}
@@ -132,14 +133,14 @@
 
 // planInterval returns the time between two plans. c.mu must be held.
 func (c *cellPlanner) planInterval() time.Duration {
-	if c.planned != c.version || len(c.pending) > 0 {
-		return planEvery
+	if c.plannedVersion != c.version || len(c.pending) > 0 {
+		return minPlanInterval
 	}
-	return min(idlePlanEvery, c.Settings.ExchangeEvery.Std())
+	return min(maxPlanInterval, c.Settings.ExchangeEvery.Std())
 }
 
-// nudge makes the next exchange with the server due if the server is in the cell.
-func (c *cellPlanner) nudge(server string) {
+// requestExchange makes the next exchange with the server due if the server is in the cell.
+func (c *cellPlanner) requestExchange(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p, ok := c.peers[server]; ok {
@@ -147,13 +148,13 @@
 	}
 }
 
-// interval returns the time between two exchanges with the agent. c.mu must be held.
-func (c *cellPlanner) interval(p *peer) time.Duration {
+// exchangeInterval returns the time between two exchanges with the agent. c.mu must be held.
+func (c *cellPlanner) exchangeInterval(p *peer) time.Duration {
 	switch {
 	case p.urgent:
 		return 0
-	case !p.known || p.table < c.Replica.Current().Version() || c.busy(p):
-		return min(busyEvery, c.Settings.ExchangeEvery.Std())
+	case !p.hasReported || p.tableVersion < c.Replica.Current().Version() || c.busy(p):
+		return min(busyExchangeInterval, c.Settings.ExchangeEvery.Std())
 	}
 	return c.Settings.ExchangeEvery.Std()
 }
@@ -174,12 +175,12 @@
 		}
 		p, ok := c.peers[id]
 		if !ok {
-			p = &peer{id: id, since: now, quarantine: quarantine.NewLink(c.Quarantine, quarantine.SharedEnds)}
+			p = &peer{id: id, joinedAt: now, quarantine: quarantine.NewLink(c.Quarantine, quarantine.SharedEnds)}
 			c.peers[id] = p
 		}
 		p.urgent = p.urgent || vm.State != p.vm.State && p.vm.ID != ""
 		p.vm = vm
-		if p.known && p.record.Addr != vm.Addr {
+		if p.hasReported && p.record.Addr != vm.Addr {
 			p.record.Addr = vm.Addr
 			c.publish(p.record)
 		}
@@ -187,7 +188,7 @@
 	}
 	for id, p := range c.peers {
 		if _, listed := vms[id]; !listed || !slices.Contains(servers, id) {
-			c.grants.forget(id)
+			c.grants.remove(id)
 			delete(c.peers, id)
 			c.publishGone(p)
 		}
@@ -197,11 +198,11 @@
 // markGone publishes that a server is gone if it has not responded within the limit. c.mu must be
 // held.
 func (c *cellPlanner) markGone(p *peer, now time.Time) {
-	last := p.lastOK
+	last := p.lastSuccess
 	if last.IsZero() {
-		last = p.since
+		last = p.joinedAt
 	}
-	limit := goneAfter*c.Settings.ExchangeEvery.Std() + goneGrace
+	limit := goneIntervals*c.Settings.ExchangeEvery.Std() + goneGrace
 	if now.Sub(last) > limit && !p.record.Gone {
 		c.Log.Warn("backend server does not respond", zap.String("server", p.id), zap.String("cell", c.id))
 		c.publishGone(p)
@@ -225,20 +226,22 @@
 	}})
 }
 
-// complete reports whether every agent of the cell has reported its grants. c.mu must be held.
-func (c *cellPlanner) complete() bool {
+// allGrantsReported reports whether every agent of the cell has reported its grants. c.mu must be
+// held.
+func (c *cellPlanner) allGrantsReported() bool {
 	for id := range c.peers {
-		if !c.grants.knows(id) {
+		if !c.grants.hasReported(id) {
 			return false
 		}
 	}
 	return true
 }
 
-// settled reports whether every server has responded or counts as gone. c.mu must be held.
-func (c *cellPlanner) settled() bool {
+// allReportedOrGone reports whether every server has responded or counts as gone. c.mu must be
+// held.
+func (c *cellPlanner) allReportedOrGone() bool {
 	for _, p := range c.peers {
-		if !p.known && !p.record.Gone {
+		if !p.hasReported && !p.record.Gone {
 			return false
 		}
 	}
--- a/internal/planner/cells.go
+++ b/internal/planner/cells.go
@@ -36,9 +36,9 @@
 	return l, eris.Wrap(err, "planner: decode cells")
 }
 
-// fit returns the list with each backend server in vms assigned to exactly one cell, and all other
-// servers and empty cells removed. changed reports whether the result differs from l.
-func (l cellList) fit(vms []inventory.VM, size int) (next cellList, changed bool) {
+// assign returns the list with each backend server in vms assigned to exactly one cell, and all
+// other servers and empty cells removed. changed reports whether the result differs from l.
+func (l cellList) assign(vms []inventory.VM, size int) (next cellList, changed bool) {
 	present := make(map[string]bool)
 	for _, vm := range vms {
 		present[vm.ID] = true
@@ -58,7 +58,7 @@
 			next.Cells = append(next.Cells, kept)
 		}
 	}
-	for _, vm := range inHalls(vms) {
+	for _, vm := range sortedByHall(vms) {
 		if !placed[vm.ID] {
 			next.add(vm.ID, size)
 			changed = true
@@ -67,9 +67,9 @@
 	return next, changed
 }
 
-// inHalls returns the VMs ordered by data hall, so that a new cell is filled from one hall where
-// possible.
-func inHalls(vms []inventory.VM) []inventory.VM {
+// sortedByHall returns the VMs ordered by data hall, so that a new cell is filled from one hall
+// where possible.
+func sortedByHall(vms []inventory.VM) []inventory.VM {
 	return slices.SortedFunc(slices.Values(vms), func(a, b inventory.VM) int {
 		return cmp.Or(cmp.Compare(a.Hall, b.Hall), cmp.Compare(a.ID, b.ID))
 	})
@@ -104,7 +104,7 @@
 			return err
 		}
 	}
-	next, changed := l.fit(vms, size)
+	next, changed := l.assign(vms, size)
 	if !changed {
 		return nil
 	}
--- a/internal/planner/exchange.go
+++ b/internal/planner/exchange.go
@@ -19,19 +19,19 @@
 func (c *cellPlanner) send(p *peer, held bool, now time.Time) {
 	t := c.Replica.Current()
 	x := wire.Exchange{
-		From: c.Addr, Cell: c.id, Token: int64(c.token), Incarnation: p.record.Incarnation, Seen: p.seen,
+		From: c.Addr, Cell: c.id, Token: int64(c.token), Incarnation: p.record.Incarnation, Seen: p.recordVersion,
 		TableVersion: t.Version(), Leaving: p.vm.State == inventory.VMLeaving,
 		List: c.Members.Version(), Lapsed: !held, Pauses: p.pauses, Quarantine: p.quarantine.Message(p.id),
 	}
-	if p.known {
-		x.Table = t.Since(p.table)
+	if p.hasReported {
+		x.Table = t.Since(p.tableVersion)
 	}
 	if held {
 		x.Orders, p.orders = p.orders, nil
 	}
-	if held && c.grants.knows(p.id) {
-		x.Grants = c.grants.next(p.id, t.Rows(), c.servers(), cellPart(c.id, c.cellIDs()), c.complete())
-		c.grants.sending(p.id, x.Grants)
+	if held && c.grants.hasReported(p.id) {
+		x.Grants = c.grants.next(p.id, t.Rows(), c.servers(), cellShare(c.id, c.cellIDs()), c.allGrantsReported())
+		c.grants.recordSend(p.id, x.Grants)
 	}
 	p.urgent, p.inFlight, p.lastSent = false, true, now
 	go c.exchange(p, x)
@@ -41,7 +41,7 @@
 func (c *cellPlanner) servers() []fleet.Server {
 	var all []fleet.Server
 	for _, p := range c.peers {
-		if p.known {
+		if p.hasReported {
 			all = append(all, p.record)
 		}
 	}
@@ -73,10 +73,10 @@
 // apply applies an agent's response. c.mu must be held.
 func (c *cellPlanner) apply(p *peer, a wire.ExchangeAnswer, now time.Time) {
 	p.quarantine.Apply(a.Quarantine)
-	first := !p.known
+	first := !p.hasReported
 	p.urgent = p.urgent || p.pauses != a.Pauses
 	p.pauses = a.Pauses
-	p.lastOK, p.known, p.table = now, true, a.TableVersion
+	p.lastSuccess, p.hasReported, p.tableVersion = now, true, a.TableVersion
 	c.grants.report(p.id, a.Grants)
 	if a.Server == nil {
 		if p.record.Gone {
@@ -88,7 +88,7 @@
 	// The first message contains no table, and an agent ignores orders addressed to a previous
 	// incarnation. The next message follows at once in both cases.
 	p.urgent = p.urgent || first || a.Incarnation != p.record.Incarnation
-	p.seen = a.RecordSeen
+	p.recordVersion = a.RecordSeen
 	next := *a.Server
 	p.demand, next.Demand = next.Demand, nil
 	// The address in the platform's list of VMs overrides the reported one.
@@ -97,12 +97,12 @@
 		p.record = next
 		c.publish(p.record)
 	}
-	c.dropVisible(p)
+	c.removeVisible(p)
 }
 
-// dropVisible removes the pending orders whose effect is visible in the server's record. c.mu must
-// be held.
-func (c *cellPlanner) dropVisible(p *peer) {
+// removeVisible removes the pending orders whose effect is visible in the server's record. c.mu
+// must be held.
+func (c *cellPlanner) removeVisible(p *peer) {
 	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool {
 		return o.order.Server == p.id && isVisible(p.record, o.order)
 	})
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -18,10 +18,10 @@
 // held.
 func (c *cellPlanner) makePlan(now time.Time) {
 	sizes := c.Sizes()
-	if len(sizes) == 0 || !c.settled() || c.Replica.Current().Version() == 0 {
+	if len(sizes) == 0 || !c.allReportedOrGone() || c.Replica.Current().Version() == 0 {
 		return
 	}
-	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool { return now.Sub(o.at) > orderMemory })
+	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool { return now.Sub(o.at) > pendingOrderTimeout })
 	own := c.publishDemand()
 	in := placement.Input{Cell: c.id, Rows: placeable(c.Replica.Current(), sizes), Sizes: sizes, Now: now}
 	for _, id := range c.cellIDs() {
@@ -30,20 +30,20 @@
 		if id == c.id {
 			x.Servers = c.withPending(servers)
 		} else {
-			x.Demand = slotsOf(c.View.Demand(id))
+			x.Demand = slotsByRow(c.View.Demand(id))
 		}
 		in.Cells = append(in.Cells, x)
 	}
-	for _, o := range c.plan.Plan(in) {
-		if o.Op == ledger.OpLoad && !c.loads.AllowN(now, 1) {
+	for _, o := range c.placement.Plan(in) {
+		if o.Op == ledger.OpLoad && !c.loadLimiter.AllowN(now, 1) {
 			break
 		}
 		c.issue(o, now)
 	}
 }
 
-// slotsOf converts demands from levels to busy slots, by row.
-func slotsOf(demand []fleet.Demand) map[string]float64 {
+// slotsByRow converts demands from levels to busy slots, by row.
+func slotsByRow(demand []fleet.Demand) map[string]float64 {
 	slots := make(map[string]float64)
 	for _, d := range demand {
 		slots[d.Name] += placement.DemandOf(d.Level)
@@ -51,18 +51,19 @@
 	return slots
 }
 
-// demandStep is the minimum change of a row's demand level that is published.
-const demandStep = 2
+// minDemandChange is the minimum change of a row's demand level that is published.
+const minDemandChange = 2
 
 // publishDemand returns the sum of the agents' demand by row, in busy slots, and publishes the rows
-// whose level has changed by at least demandStep, has risen from 0 or has ended. c.mu must be held.
+// whose level has changed by at least minDemandChange, has risen from 0 or has ended. c.mu must be
+// held.
 func (c *cellPlanner) publishDemand() map[string]float64 {
 	own := make(map[string]float64)
 	for _, p := range c.peers {
 		if p.record.Gone {
 			continue
 		}
-		for name, slots := range slotsOf(p.demand) {
+		for name, slots := range slotsByRow(p.demand) {
 			own[name] += slots
 		}
 	}
@@ -73,7 +74,7 @@
 	var changed []fleet.Demand
 	for name, slots := range own {
 		level := placement.LevelOf(slots)
-		if diff := level - before[name]; diff >= demandStep || -diff >= demandStep || before[name] == 0 && level > 0 {
+		if diff := level - before[name]; diff >= minDemandChange || -diff >= minDemandChange || before[name] == 0 && level > 0 {
 			changed = append(changed, fleet.Demand{Name: name, Level: level, Version: c.version + 1})
 		}
 	}
@@ -127,15 +128,15 @@
 	}
 	for _, o := range c.pending {
 		if s, ok := byID[o.order.Server]; ok {
-			overlay(s, o.order)
+			applyOrder(s, o.order)
 		}
 	}
 	slices.SortFunc(servers, func(a, b fleet.Server) int { return cmp.Compare(a.ID, b.ID) })
 	return servers
 }
 
-// overlay applies one order to a record.
-func overlay(s *fleet.Server, o placement.Order) {
+// applyOrder applies one order to a record.
+func applyOrder(s *fleet.Server, o placement.Order) {
 	i := slices.IndexFunc(s.Residents, func(r fleet.Resident) bool {
 		return r.Name == o.Name && r.Accelerator == o.Accelerator
 	})
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -24,22 +24,22 @@
 	"rockcleat/table"
 )
 
-// contenders is the number of entries that contend for one cell. A cell is still planned if all but
-// one of them have failed.
-const contenders = 3
+// leaseContenders is the number of entries that contend for one cell. A cell is still planned if
+// all but one of them have failed.
+const leaseContenders = 3
 
 // Intervals and timeouts of the planner.
 const (
-	// leaseDivisor is the number of lease renewals per TTL.
-	leaseDivisor = 3
-	// cellsWait is the timeout of one watch of the cell list.
-	cellsWait = 20 * time.Second
-	// sizesEvery is the interval at which the weight store's catalogue is read.
-	sizesEvery = 30 * time.Second
+	// leaseRenewalsPerTTL is the number of lease renewals per TTL.
+	leaseRenewalsPerTTL = 3
+	// cellsWatchTimeout is the timeout of one watch of the cell list.
+	cellsWatchTimeout = 20 * time.Second
+	// sizesInterval is the interval at which the weight store's catalogue is read.
+	sizesInterval = 30 * time.Second
 	// callTimeout bounds one call to the key-value service or to an agent.
 	callTimeout = 2 * time.Second
-	// retryWait is the delay after a failed call.
-	retryWait = 500 * time.Millisecond
+	// retryDelay is the delay after a failed call.
+	retryDelay = 500 * time.Millisecond
 )
 
 // Members lists the VMs.
@@ -88,10 +88,10 @@
 // A Planner plans the cells whose lease an entry holds.
 type Planner struct {
 	Options
-	stops  []func()
-	cancel context.CancelFunc
-	ctx    context.Context
-	wg     sync.WaitGroup
+	unsubscribe []func()
+	cancel      context.CancelFunc
+	ctx         context.Context
+	wg          sync.WaitGroup
 
 	mu sync.Mutex
 	// cells is the cell list as last read, sizes the weight store's catalogue.
@@ -101,9 +101,9 @@
 	// is held. The keys are cell ids.
 	holders map[string]*lease.Holder
 	active  map[string]*cellPlanner
-	// misfitSince is the time since which the cell list has not matched the VMs; zero while it
+	// outdatedSince is the time since which the cell list has not matched the VMs; zero while it
 	// does.
-	misfitSince time.Time
+	outdatedSince time.Time
 }
 
 // New returns a Planner that is idle until Start.
@@ -118,17 +118,18 @@
 	p.wg.Add(2)
 	go p.watchCells()
 	go p.readSizes()
-	every := p.Settings.LeaseTTL.Std() / leaseDivisor
-	p.stops = append(p.stops,
+	every := p.Settings.LeaseTTL.Std() / leaseRenewalsPerTTL
+	p.unsubscribe = append(p.unsubscribe,
 		p.Clock.Subscribe(every, func(time.Time) { p.stepLeases() }),
 		p.Clock.Subscribe(min(every, time.Second), func(time.Time) { p.stepCells() }),
-		p.Clock.Subscribe(p.tick(), p.stepPlans),
+		p.Clock.Subscribe(p.tickInterval(), p.stepPlans),
 	)
 	p.stepLeases()
 }
 
-// tick returns the interval at which the held cells are checked for due exchanges and plans.
-func (p *Planner) tick() time.Duration {
+// tickInterval returns the interval at which the held cells are checked for due exchanges and
+// plans.
+func (p *Planner) tickInterval() time.Duration {
 	return min(p.Settings.ExchangeEvery.Std()/4, 250*time.Millisecond)
 }
 
@@ -149,7 +150,7 @@
 // Halt stops the background tasks without releasing the leases.
 func (p *Planner) Halt() {
 	p.cancel()
-	for _, stop := range p.stops {
+	for _, stop := range p.unsubscribe {
 		stop()
 	}
 	p.wg.Wait()
@@ -174,11 +175,11 @@
 	defer p.wg.Done()
 	var revision kv.Revision
 	for p.ctx.Err() == nil {
-		e, err := p.Store.Watch(p.ctx, cellsKey, revision, cellsWait)
+		e, err := p.Store.Watch(p.ctx, cellsKey, revision, cellsWatchTimeout)
 		if err != nil {
 			if !errors.Is(err, kv.ErrNotFound) {
 				p.Log.Debug("watching the cell list failed", zap.Error(err))
-				p.wait(retryWait)
+				p.wait(retryDelay)
 			}
 			continue
 		}
@@ -188,7 +189,7 @@
 		l, err := decodeCells(e.Value)
 		if err != nil {
 			p.Log.Error("decoding the cell list failed", zap.Error(err))
-			p.wait(cellsWait)
+			p.wait(cellsWatchTimeout)
 			continue
 		}
 		revision = e.Revision
@@ -206,13 +207,13 @@
 		sizes, err := p.Catalogue.Sizes(p.ctx)
 		if err != nil {
 			p.Log.Debug("reading the weight store's catalogue failed", zap.Error(err))
-			p.wait(retryWait)
+			p.wait(retryDelay)
 			continue
 		}
 		p.mu.Lock()
 		p.sizes = sizes
 		p.mu.Unlock()
-		p.wait(sizesEvery)
+		p.wait(sizesInterval)
 	}
 }
 
@@ -236,17 +237,17 @@
 func (p *Planner) stepCells() {
 	vms := p.Members.Backends()
 	p.mu.Lock()
-	_, misfits := cellList{Cells: p.cells}.fit(vms, p.Settings.CellSize)
+	_, outdated := cellList{Cells: p.cells}.assign(vms, p.Settings.CellSize)
 	now := p.Clock.Now()
-	if !misfits {
-		p.misfitSince = time.Time{}
-	} else if p.misfitSince.IsZero() {
-		p.misfitSince = now
+	if !outdated {
+		p.outdatedSince = time.Time{}
+	} else if p.outdatedSince.IsZero() {
+		p.outdatedSince = now
 	}
-	since := p.misfitSince
+	since := p.outdatedSince
 	p.mu.Unlock()
-	patience := time.Duration(Rank(p.ID, p.Members.Entries(), cellsKey)) * time.Second
-	if !misfits || len(vms) == 0 || now.Sub(since) < patience {
+	delay := time.Duration(Rank(p.ID, p.Members.Entries(), cellsKey)) * time.Second
+	if !outdated || len(vms) == 0 || now.Sub(since) < delay {
 		return
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
@@ -265,11 +266,11 @@
 	listed := make(map[string]bool)
 	for _, c := range cells {
 		listed[c.ID] = true
-		if h := p.holder(c.ID, Rank(p.ID, entries, c.ID) < contenders); h != nil {
+		if h := p.holder(c.ID, Rank(p.ID, entries, c.ID) < leaseContenders); h != nil {
 			p.stepLease(c.ID, h)
 		}
 	}
-	p.dropUnlisted(listed)
+	p.stopUnlisted(listed)
 }
 
 // holder returns the lease holder of a cell. It creates one if contend is set and returns nil if
@@ -321,8 +322,8 @@
 	}
 }
 
-// dropUnlisted stops planning the cells that are no longer listed.
-func (p *Planner) dropUnlisted(listed map[string]bool) {
+// stopUnlisted stops planning the cells that are no longer listed.
+func (p *Planner) stopUnlisted(listed map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.holders {
@@ -339,7 +340,7 @@
 	active := slices.Collect(maps.Values(p.active))
 	p.mu.Unlock()
 	for _, c := range active {
-		c.nudge(server)
+		c.requestExchange(server)
 	}
 }
 
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -25,17 +25,17 @@
 		ids := []string{"a", "b", "c"}
 		has := make(map[string]int)
 		running := make(map[string]int)
-		book := newGrantBook()
+		tracker := newGrantTracker()
 		for range 60 {
 			if rapid.IntRange(0, 15).Draw(t, "planner dies") == 0 {
-				book = newGrantBook()
+				tracker = newGrantTracker()
 			}
 			id := rapid.SampledFrom(ids).Draw(t, "agent")
 			running[id] = rapid.IntRange(0, has[id]).Draw(t, "running")
-			if book.knows(id) {
-				complete := book.knows("a") && book.knows("b") && book.knows("c")
-				g := book.next(id, []table.Row{row}, servers(t, ids), cellPart("c", []string{"c"}), complete)
-				book.sending(id, g)
+			if tracker.hasReported(id) {
+				complete := tracker.hasReported("a") && tracker.hasReported("b") && tracker.hasReported("c")
+				g := tracker.next(id, []table.Row{row}, servers(t, ids), cellShare("c", []string{"c"}), complete)
+				tracker.recordSend(id, g)
 				if rapid.Bool().Draw(t, "arrives") {
 					has[id] = 0
 					for _, x := range g {
@@ -44,7 +44,7 @@
 				}
 			}
 			if rapid.Bool().Draw(t, "answer arrives") {
-				book.report(id, []wire.ConcurrencyGrant{{Row: "m", Max: max(has[id], running[id])}})
+				tracker.report(id, []wire.ConcurrencyGrant{{Row: "m", Max: max(has[id], running[id])}})
 			}
 			sum := 0
 			for _, id := range ids {
@@ -90,8 +90,8 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			l, _ := cellList{}.fit(vms(tc.before), size)
-			next, changed := l.fit(vms(tc.after), size)
+			l, _ := cellList{}.assign(vms(tc.before), size)
+			next, changed := l.assign(vms(tc.after), size)
 			assert.Equal(t, changed, tc.before != tc.after)
 			assert.Equal(t, len(next.Cells), tc.cells)
 			seen := make(map[string]bool)
