--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -28,8 +28,8 @@
 const (
 	// statusInterval is the interval at which the engine's status is read.
 	statusInterval = 100 * time.Millisecond
-	// queueInterval is the interval at which the queue is processed. A request whose queue time has
-	// passed is refused at most this much too late.
+	// queueInterval is the interval at which the queue is processed. It bounds how late a request
+	// is refused whose queue time has passed.
 	queueInterval = 20 * time.Millisecond
 	// demandInterval is the interval at which demand is sampled.
 	demandInterval = 250 * time.Millisecond
@@ -76,8 +76,8 @@
 	clock    clock.Service
 	log      *zap.Logger
 	metrics  *telemetry.Metrics
-	// incarnation identifies this run of the agent, or the part of it since the agent last revoked
-	// its leaving. Guarded by mu.
+	// incarnation identifies this run of the agent. It changes when the agent is no longer leaving.
+	// Guarded by mu.
 	incarnation string
 	// backend sends requests to the backend server, peers sends messages to entries.
 	backend *http.Client
@@ -88,8 +88,8 @@
 	proxied  wire.Traffic
 	requests *server.Listener
 	control  *server.Listener
-	// crashes detects crashes of the backend server during requests, quarantine holds those
-	// requests.
+	// crashes detects crashes of the backend server, quarantine holds the requests that were
+	// running.
 	crashes    *crashDetector
 	quarantine *quarantine.Table
 	// record is the agent's record in the key-value service. Guarded by orderMu.
@@ -135,7 +135,7 @@
 	a.record = newRecord(o.Store, o.Settings.ID, a.incarnation)
 	if a.isService() {
 		a.server.slots.setServices(o.Settings.Backend.Services, o.Settings.Backend.Slots)
-		a.server.reported = true
+		a.server.engineResponds = true
 	}
 	return a
 }
@@ -179,8 +179,8 @@
 // ControlAddr returns the address of the listener for control messages.
 func (a *Agent) ControlAddr() string { return a.control.Addr() }
 
-// Stop leaves for good, keeps responding for twice the leave time, waits for the requests in
-// progress until ctx is done, and closes the listeners.
+// Stop marks the agent as leaving, keeps responding for twice the leave time, waits for the
+// requests in progress until ctx is done, and closes the listeners.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.LeaveForGood("planned stop")
 	// During the first leave time the agent still accepts requests that no other server can run.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -228,9 +228,9 @@
 	assert.DeepEqual(t, a.Grants, grants)
 }
 
-// TestLaterListRevokesLeaving checks that an agent listed as leaving stays if a later list does not
+// TestLaterListCancelsLeaving checks that an agent listed as leaving stays if a later list does not
 // list it as leaving, unless the agent itself is stopping.
-func TestLaterListRevokesLeaving(t *testing.T) {
+func TestLaterListCancelsLeaving(t *testing.T) {
 	tests := map[string]struct {
 		later   wire.Exchange
 		stop    bool
--- a/internal/agent/catchup.go
+++ b/internal/agent/catchup.go
@@ -50,9 +50,9 @@
 // unavailable. The agent reads the whole list of VMs each time, since it does not follow the list.
 func (a *Agent) stepPlannerContact(now time.Time) {
 	a.mu.Lock()
-	alone := now.Sub(a.planner.lastExchange)
+	sinceExchange := now.Sub(a.planner.lastExchange)
 	a.mu.Unlock()
-	if a.vms == nil || alone < contactTimeout || !a.fetchingTable.CompareAndSwap(false, true) {
+	if a.vms == nil || sinceExchange < contactTimeout || !a.fetchingTable.CompareAndSwap(false, true) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTableTimeout)
@@ -76,13 +76,13 @@
 // fetchTable fetches a newer table from the entry at addr and clears fetchingTable.
 func (a *Agent) fetchTable(addr string) {
 	defer a.fetchingTable.Store(false)
-	var ans wire.SyncAnswer
+	var answer wire.SyncAnswer
 	r := wire.SyncRequest{From: a.settings.ID, Table: a.replica.Current().Version(), TableOnly: true}
-	if err := a.peers.PostWithin(context.Background(), fetchTableTimeout, addr, wire.PathSync, r, &ans); err != nil {
+	if err := a.peers.PostWithin(context.Background(), fetchTableTimeout, addr, wire.PathSync, r, &answer); err != nil {
 		a.log.Debug("fetching the table from an entry failed", zap.Error(err))
 		return
 	}
-	if a.replica.Merge(ans.Table) {
+	if a.replica.Merge(answer.Table) {
 		a.log.Info("table in force", zap.Uint64("version", a.replica.Current().Version()), zap.String("from", "entry"))
 	}
 }
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -2,8 +2,9 @@
 //
 // An Agent is the only issuer of orders to load and unload models on its server, and it keeps the
 // ledger of the server's memory. It queues the requests for the server, so that the table's limits
-// are enforced in one place per server, and reports its load and its leaving in the header of each
-// response. It makes no placement decisions; the planner of its cell does (package planner).
+// are enforced in one place per server. In the header of each response it reports its load and
+// whether it is leaving. It makes no placement decisions; the planner of its cell does (package
+// planner).
 //
 // An Agent consists of these parts, each of which owns its state:
 //
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -12,12 +12,12 @@
 )
 
 func (a *Agent) controlRouter() http.Handler {
-	e := server.NewRouter()
-	server.RegisterHealth(e, a.ready, a.metrics)
-	own := e.Group("", server.RequireSecret(a.settings.Secret, a.metrics))
-	own.POST(wire.PathExchange, a.exchange)
-	own.GET(wire.PathStatus, a.status)
-	return e
+	r := server.NewRouter()
+	server.RegisterHealth(r, a.ready, a.metrics)
+	authorized := r.Group("", server.RequireSecret(a.settings.Secret, a.metrics))
+	authorized.POST(wire.PathExchange, a.exchange)
+	authorized.GET(wire.PathStatus, a.status)
+	return r
 }
 
 // ready reports whether the agent accepts requests, and the reason if not.
@@ -27,7 +27,7 @@
 	switch {
 	case a.membership.leaving:
 		return false, "leaving"
-	case !a.server.reported:
+	case !a.server.engineResponds:
 		return false, "no report from the backend server yet"
 	}
 	return true, ""
@@ -35,61 +35,61 @@
 
 // exchange handles a planner's message and responds with the agent's state.
 func (a *Agent) exchange(c echo.Context) error {
-	var x wire.Exchange
-	if err := c.Bind(&x); err != nil {
+	var msg wire.Exchange
+	if err := c.Bind(&msg); err != nil {
 		return err
 	}
-	if !a.accept(x) {
-		return c.JSON(http.StatusOK, a.exchangeAnswer(x))
+	if !a.accept(msg) {
+		return c.JSON(http.StatusOK, a.exchangeAnswer(msg))
 	}
-	a.applyList(x)
-	if !x.Lapsed && a.isForThisIncarnation(x) && x.TableVersion >= a.replica.Current().Version() {
+	a.applyList(msg)
+	if !msg.Lapsed && a.isForThisIncarnation(msg) && msg.TableVersion >= a.replica.Current().Version() {
 		a.mu.Lock()
-		a.work.setGrants(x.Grants)
+		a.work.setGrants(msg.Grants)
 		a.mu.Unlock()
 		// Orders are executed in the background, because they wait for the key-value service.
-		go a.executeOrders(x.Orders)
+		go a.executeOrders(msg.Orders)
 	}
-	return c.JSON(http.StatusOK, a.exchangeAnswer(x))
+	return c.JSON(http.StatusOK, a.exchangeAnswer(msg))
 }
 
 // accept merges the table and reports whether the sender is the current planner, that is, no newer
 // one is known.
-func (a *Agent) accept(x wire.Exchange) bool {
-	if a.replica.Merge(x.Table) {
+func (a *Agent) accept(msg wire.Exchange) bool {
+	if a.replica.Merge(msg.Table) {
 		a.log.Info("table in force", zap.Uint64("version", a.replica.Current().Version()))
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.planner.accept(x, a.clock.Now()) {
-		a.log.Warn("ignored an exchange of a superseded planner", zap.Int64("token", x.Token), zap.Int64("newest", a.planner.token))
+	if !a.planner.accept(msg, a.clock.Now()) {
+		a.log.Warn("ignored an exchange of a superseded planner", zap.Int64("token", msg.Token), zap.Int64("newest", a.planner.token))
 		return false
 	}
 	return true
 }
 
 // isForThisIncarnation reports whether the orders and grants are addressed to this incarnation.
-func (a *Agent) isForThisIncarnation(x wire.Exchange) bool {
+func (a *Agent) isForThisIncarnation(msg wire.Exchange) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return x.Incarnation == a.incarnation
+	return msg.Incarnation == a.incarnation
 }
 
 // exchangeAnswer returns the response to a planner. It contains the server's record if the planner
 // does not have its current version.
-func (a *Agent) exchangeAnswer(x wire.Exchange) wire.ExchangeAnswer {
+func (a *Agent) exchangeAnswer(msg wire.Exchange) wire.ExchangeAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.serverRecord(a.clock.Now())
-	ans := wire.ExchangeAnswer{
+	answer := wire.ExchangeAnswer{
 		Incarnation: a.incarnation, Token: a.planner.token, TableVersion: a.replica.Current().Version(), RecordSeen: a.server.version,
-		Pauses: a.planner.pauses, Quarantine: a.quarantine.Answer(x.Quarantine, quarantine.AllEnds),
+		Pauses: a.planner.pauses, Quarantine: a.quarantine.Answer(msg.Quarantine, quarantine.AllEnds),
 	}
-	if x.Incarnation != a.incarnation || x.Seen != a.server.version {
-		ans.Server = &s
+	if msg.Incarnation != a.incarnation || msg.Seen != a.server.version {
+		answer.Server = &s
 	}
-	ans.Grants = a.work.grantsInUse()
-	return ans
+	answer.Grants = a.work.grantsInUse()
+	return answer
 }
 
 // Status is the agent's state as reported to operators.
@@ -107,13 +107,13 @@
 // status responds with the agent's state.
 func (a *Agent) status(c echo.Context) error {
 	a.orderMu.Lock()
-	armed := a.record.hasFence
+	hasFence := a.record.hasFence
 	a.orderMu.Unlock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return c.JSON(http.StatusOK, Status{
 		ID: a.settings.ID, Incarnation: a.incarnation, TableVersion: a.replica.Current().Version(),
-		Waiting: a.work.queue.Waiting(), Running: a.work.queue.Running(), Leaving: a.membership.leaving, Armed: armed,
+		Waiting: a.work.queue.Waiting(), Running: a.work.queue.Running(), Leaving: a.membership.leaving, Armed: hasFence,
 		ControlBytes: a.traffic.WireBytes(),
 	})
 }
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -10,12 +10,13 @@
 	"rockcleat/internal/wire"
 )
 
-// A membership is the state of an agent's leaving. A leaving agent finishes its requests. Entries
+// A membership records whether an agent is leaving. A leaving agent finishes its requests. Entries
 // send it new ones only if no other server can run them.
 type membership struct {
 	leaving bool
-	// stopping reports whether the agent leaves because it stops or was superseded. listed is the
-	// latest version of the platform's list of VMs that lists the agent as leaving.
+	// stopping reports whether the agent is leaving because it stops or was superseded.
+	// listedVersion is the latest version of the platform's list of VMs that lists the agent as
+	// leaving.
 	stopping      bool
 	listedVersion uint64
 	// closeAt is the time from which a leaving agent refuses new requests.
@@ -26,8 +27,8 @@
 func (m *membership) closed(now time.Time) bool { return m.leaving && !now.Before(m.closeAt) }
 
 // applyList records whether a version of the platform's list of VMs lists the agent as leaving. It
-// reports whether the agent revokes its leaving: it does so if a later version no longer lists it
-// as leaving, unless it is stopping. The earlier version then referred to a previous VM of the same
+// reports whether the agent is no longer leaving. That is so if a later version does not list it as
+// leaving, unless it is stopping: the earlier version then referred to a previous VM of the same
 // name.
 func (m *membership) applyList(leaving bool, list uint64) (stays bool) {
 	if leaving {
@@ -41,7 +42,7 @@
 	return true
 }
 
-// Leave starts the agent's leaving and notifies the planner. For the leave time the agent still
+// Leave marks the agent as leaving and notifies the planner. For the leave time the agent still
 // accepts requests that no other server can run. After that it refuses new and waiting requests.
 func (a *Agent) Leave(reason string) {
 	a.mu.Lock()
@@ -55,7 +56,7 @@
 	a.requestExchange()
 }
 
-// LeaveForGood starts the agent's leaving; the platform's list of VMs can no longer revoke it.
+// LeaveForGood is like Leave, but the platform's list of VMs cannot undo it.
 func (a *Agent) LeaveForGood(reason string) {
 	a.Leave(reason)
 	a.mu.Lock()
@@ -85,17 +86,18 @@
 // requestExchangeTimeout bounds the request to the planner.
 const requestExchangeTimeout = time.Second
 
-// applyList starts or revokes the agent's leaving according to the platform's list of VMs.
-// Revoking changes the incarnation, because entries have marked the previous one as leaving.
-func (a *Agent) applyList(x wire.Exchange) {
-	if x.Leaving {
+// applyList marks the agent as leaving or not according to the platform's list of VMs. An agent
+// that is no longer leaving gets a new incarnation, because entries have marked the previous one as
+// leaving.
+func (a *Agent) applyList(msg wire.Exchange) {
+	if msg.Leaving {
 		a.Leave("the platform's list says so")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.membership.applyList(x.Leaving, x.List) {
+	if !a.membership.applyList(msg.Leaving, msg.List) {
 		return
 	}
 	a.incarnation = uuid.NewString()
-	a.log.Info("no longer leaving; a later list of VMs does not list the agent as leaving", zap.Uint64("list", x.List))
+	a.log.Info("no longer leaving; a later list of VMs does not list the agent as leaving", zap.Uint64("list", msg.List))
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -72,7 +72,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var intents []ledger.Intent
-	if !a.server.reported || !a.server.statusCurrent {
+	if !a.server.engineResponds || !a.server.statusCurrent {
 		return nil
 	}
 	for _, o := range orders {
@@ -97,12 +97,12 @@
 // drainForUnload stops new requests to the copy that an order unloads and reports whether none is
 // running on it. Otherwise it keeps the order, which stepUnloads executes later. a.mu must be held.
 func (a *Agent) drainForUnload(o placement.Order) bool {
-	p := copyID{name: o.Name, accelerator: o.Accelerator}
-	if a.server.slots.drain(p) {
-		delete(a.server.unloads, p)
+	id := copyID{name: o.Name, accelerator: o.Accelerator}
+	if a.server.slots.drain(id) {
+		delete(a.server.unloads, id)
 		return true
 	}
-	a.server.unloads[p] = o
+	a.server.unloads[id] = o
 	return false
 }
 
@@ -110,8 +110,8 @@
 func (a *Agent) stepUnloads(time.Time) {
 	a.mu.Lock()
 	var orders []placement.Order
-	for p, o := range a.server.unloads {
-		if a.server.slots.running[p] == 0 {
+	for id, o := range a.server.unloads {
+		if a.server.slots.running[id] == 0 {
 			orders = append(orders, o)
 		}
 	}
--- a/internal/agent/pause.go
+++ b/internal/agent/pause.go
@@ -8,7 +8,7 @@
 	"rockcleat/internal/wire"
 )
 
-// Times of pauses of this process.
+// Parameters of the detection of pauses of this process.
 const (
 	// minPause is the minimum gap between two ticks that counts as a pause.
 	minPause = 2 * time.Second
@@ -17,11 +17,11 @@
 	refusalTimeAfterPause = 5 * time.Second
 )
 
-// A contact is the agent's state of its contact with planners, and of the pauses of this process,
-// after which its information may be out of date.
+// A plannerContact records which planner last contacted the agent and when. It also records pauses
+// of this process, after which the agent's state may be out of date.
 type plannerContact struct {
-	// token is the newest fencing token of a planner. planner is the control address of the planner
-	// that last contacted the agent, and exchanged the time at which it did.
+	// token is the newest fencing token of a planner. addr is the control address of the planner
+	// that last contacted the agent, and lastExchange the time at which it did.
 	token        int64
 	addr         string
 	lastExchange time.Time
@@ -35,12 +35,12 @@
 }
 
 // accept records a planner's message and reports whether no newer planner is known.
-func (c *plannerContact) accept(x wire.Exchange, now time.Time) bool {
-	if x.Token < c.token {
+func (c *plannerContact) accept(msg wire.Exchange, now time.Time) bool {
+	if msg.Token < c.token {
 		return false
 	}
-	c.token, c.addr, c.lastExchange = x.Token, x.From, now
-	if x.Pauses == c.pauses {
+	c.token, c.addr, c.lastExchange = msg.Token, msg.From, now
+	if msg.Pauses == c.pauses {
 		c.refuseUntil = time.Time{}
 	}
 	return true
@@ -60,7 +60,7 @@
 }
 
 // handlePause refuses the waiting requests if the process was paused, since they and the agent's
-// information may be out of date. New requests are refused until a planner contacts the agent or
+// state may be out of date. New requests are refused until a planner contacts the agent or
 // refusalTimeAfterPause has passed. a.mu must be held.
 func (a *Agent) handlePause(now time.Time) {
 	gap := a.planner.recordPause(now)
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -28,15 +28,15 @@
 // estimate the number of tokens of a response.
 const bytesPerToken = 180
 
-// defaultRetryAfter is the Retry-After of refusals whose duration is unknown. They end with a load,
-// a grant or a planner's message.
+// defaultRetryAfter is the Retry-After of refusals whose end is unknown: a load, a grant or a
+// planner's message ends them.
 const defaultRetryAfter = time.Second
 
 func (a *Agent) requestRouter() http.Handler {
-	e := server.NewRouter()
-	e.Use(server.RequireSecret(a.settings.Secret, a.metrics))
-	e.Any("/*", a.serve)
-	return e
+	r := server.NewRouter()
+	r.Use(server.RequireSecret(a.settings.Secret, a.metrics))
+	r.Any("/*", a.serve)
+	return r
 }
 
 // serve queues one request and forwards it to the backend server.
@@ -80,19 +80,21 @@
 		return nil, eris.Wrap(err, "agent: read body")
 	}
 	if int64(len(body)) > a.settings.Limits.BodyBytes {
-		return nil, errBodyTooLong
+		return nil, errBodyTooLarge
 	}
 	return body, nil
 }
 
-var errBodyTooLong = errors.New("agent: body too long")
+// errBodyTooLarge is returned if a request body exceeds the size limit. Its text is sent to the
+// entry.
+var errBodyTooLarge = errors.New("agent: body too long")
 
 func (a *Agent) respondBodyError(c echo.Context, err error) error {
 	f := wire.Failure{
 		Status: http.StatusBadRequest, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
 		Code: "body_unreadable", Message: err.Error(),
 	}
-	if errors.Is(err, errBodyTooLong) {
+	if errors.Is(err, errBodyTooLarge) {
 		f.Status, f.Code = http.StatusRequestEntityTooLarge, "body_too_long"
 	}
 	return f.Write(c)
@@ -191,7 +193,8 @@
 	return f.Write(c)
 }
 
-// setStateHeaders sets the headers that report the agent's load, table version and leaving.
+// setStateHeaders sets the headers that report the agent's load and table version and whether it is
+// leaving.
 func (a *Agent) setStateHeaders(h http.Header) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -203,7 +206,7 @@
 	}
 }
 
-// A passing is a request that has been granted a slot.
+// A grantedRequest is a request that has been granted a slot.
 type grantedRequest struct {
 	row           table.Row
 	grant         fairqueue.Grant
@@ -260,10 +263,10 @@
 	out.Header.Del(wire.HeaderDigest)
 	wire.SendOnce(out)
 	a.mu.Lock()
-	acc := a.server.slots.accelerator(p.grant.Slot)
+	accelerator := a.server.slots.accelerator(p.grant.Slot)
 	a.mu.Unlock()
 	if p.row.Kind != table.KindService {
-		out.Header.Set(engine.HeaderAccelerator, strconv.Itoa(acc))
+		out.Header.Set(engine.HeaderAccelerator, strconv.Itoa(accelerator))
 		out.Header.Set(engine.HeaderPriority, strconv.Itoa(p.row.EffectiveWeight()))
 	}
 	return out, nil
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -11,7 +11,7 @@
 	"rockcleat/placement"
 )
 
-// A serverState is the agent's state of its backend server.
+// A serverState is the agent's view of its backend server.
 type serverState struct {
 	ledger ledger.Ledger
 	slots  *slotTable
@@ -19,13 +19,13 @@
 	unloads map[copyID]placement.Order
 	// statusFailures is the number of consecutive failed status calls.
 	statusFailures int
-	// tookOverAt is the time at which the agent acquired its fencing token. current reports whether
-	// the last status was requested after that; an older one may lack the effect of orders of an
-	// earlier agent.
+	// tookOverAt is the time at which the agent acquired its fencing token. statusCurrent reports
+	// whether the last status was requested after that; an older one may lack the effect of orders
+	// of an earlier agent.
 	tookOverAt    time.Time
 	statusCurrent bool
-	// reported reports whether the engine responds. It is always true for a plain service.
-	reported bool
+	// engineResponds is always true for a plain service.
+	engineResponds bool
 	// version is the version of lastRecord, the record that the planner gets.
 	version    uint64
 	lastRecord fleet.Server
@@ -37,8 +37,8 @@
 
 // stepStatus reads the engine's status and applies it.
 func (a *Agent) stepStatus(now time.Time) {
-	asked := a.clock.Now()
-	st, err := a.engine.Status(context.Background())
+	requestedAt := a.clock.Now()
+	status, err := a.engine.Status(context.Background())
 	if err != nil {
 		a.statusFailed(err)
 		return
@@ -46,11 +46,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.server.statusFailures = 0
-	a.server.ledger.Settle(ledger.Report{MemoryMiB: st.MemoryMiB, Residents: st.Residents, Finished: st.Finished}, now)
-	a.server.slots.setResidents(st.Residents, len(st.MemoryMiB), st.Slots)
+	a.server.ledger.Settle(ledger.Report{MemoryMiB: status.MemoryMiB, Residents: status.Residents, Finished: status.Finished}, now)
+	a.server.slots.setResidents(status.Residents, len(status.MemoryMiB), status.Slots)
 	a.resumeCopies()
-	a.server.reported = true
-	a.server.statusCurrent = asked.After(a.server.tookOverAt)
+	a.server.engineResponds = true
+	a.server.statusCurrent = requestedAt.After(a.server.tookOverAt)
 }
 
 // maxStatusFailures is the number of consecutive failed status calls after which the engine's
@@ -67,17 +67,17 @@
 		return
 	}
 	a.log.Warn("engine does not respond", zap.Error(err))
-	a.server.reported = false
+	a.server.engineResponds = false
 	a.requestExchange()
-	a.server.slots.setResidents(nil, 0, a.server.slots.perAccelerator)
+	a.server.slots.setResidents(nil, 0, a.server.slots.slotsPerAccelerator)
 }
 
 // resumeCopies makes copies accept requests again whose unload order has ended without unloading
 // them. a.mu must be held.
 func (a *Agent) resumeCopies() {
-	for p := range a.server.slots.draining {
-		if _, waits := a.server.unloads[p]; !waits && !a.server.ledger.Busy(p.name) {
-			a.server.slots.resume(p)
+	for id := range a.server.slots.draining {
+		if _, waits := a.server.unloads[id]; !waits && !a.server.ledger.Busy(id.name) {
+			a.server.slots.resume(id)
 		}
 	}
 }
@@ -91,10 +91,10 @@
 	if a.isService() {
 		s.Services = a.settings.Backend.Services
 		s.Slots = a.settings.Backend.Slots
-	} else if a.server.reported {
+	} else if a.server.engineResponds {
 		s.Accelerators = a.server.ledger.Accelerators()
 		s.Residents = a.server.slots.withDraining(a.server.ledger.Residents())
-		s.Slots = a.server.slots.perAccelerator
+		s.Slots = a.server.slots.slotsPerAccelerator
 	}
 	s.Demand = a.work.demandLevels(now)
 	if a.server.version == 0 || !s.Same(a.server.lastRecord) {
--- a/internal/agent/server_end.go
+++ b/internal/agent/server_end.go
@@ -18,8 +18,9 @@
 // expireInterval is the interval at which expired quarantine records are removed.
 const expireInterval = time.Second
 
-// crashDetector detects crashes of the backend server and records the requests that were running at
-// the time. The planner receives these records with its exchanges. It is safe for concurrent use.
+// A crashDetector detects crashes of the backend server and records the requests that were running
+// at the time. The planner receives these records with its exchanges. It is safe for concurrent
+// use.
 type crashDetector struct {
 	clock clock.Service
 	table *quarantine.Table
@@ -46,12 +47,12 @@
 }
 
 // recordRunning records that the server is running.
-func (e *crashDetector) recordRunning() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.ended {
-		e.run++
-		e.ended = false
+func (d *crashDetector) recordRunning() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.ended {
+		d.run++
+		d.ended = false
 	}
 }
 
@@ -76,26 +77,27 @@
 	}
 }
 
-// connectionLost probes the server after the loss of a request's connection. If nothing listens at
-// its address the server has crashed, and the request is recorded.
-func (e *crashDetector) connectionLost(k quarantine.Key) {
-	p := wire.Probe{Clock: e.clock, Connect: wire.TryConnect}
-	if p.Run(context.Background(), e.addr) == wire.ServerEnded {
-		e.recordCrash(k)
+// connectionLost probes the server after the connection of a request was lost. If nothing listens
+// at the server's address, it records a crash during the request.
+func (d *crashDetector) connectionLost(k quarantine.Key) {
+	p := wire.Probe{Clock: d.clock, Connect: wire.TryConnect}
+	if p.Run(context.Background(), d.addr) == wire.ServerEnded {
+		d.recordCrash(k)
 	}
 }
 
-// recordCrash records that the current run of the server crashed during a request.
-func (e *crashDetector) recordCrash(k quarantine.Key) {
-	e.mu.Lock()
-	first := !e.ended
-	e.ended = true
-	run := e.namePrefix + "/" + strconv.Itoa(e.run)
-	e.mu.Unlock()
+// recordCrash records that the current run of the server has crashed during a request. Several
+// requests may be recorded for one run.
+func (d *crashDetector) recordCrash(k quarantine.Key) {
+	d.mu.Lock()
+	first := !d.ended
+	d.ended = true
+	run := d.namePrefix + "/" + strconv.Itoa(d.run)
+	d.mu.Unlock()
 	if first {
-		e.log.Info("server ended", zap.String("run", run))
+		d.log.Info("server ended", zap.String("run", run))
 	}
-	e.log.Info("request recorded with the server's end", zap.String("run", run), zap.Stringer("digest", k))
-	e.table.Ended(run, k)
-	e.onCrash()
+	d.log.Info("request recorded with the server's end", zap.String("run", run), zap.Stringer("digest", k))
+	d.table.Ended(run, k)
+	d.onCrash()
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -16,12 +16,15 @@
 
 // A slotTable tracks the slots in which requests run. It implements fairqueue.Slots.
 type slotTable struct {
-	perAccelerator int
-	used           []int
-	ready          map[copyID]bool
+	slotsPerAccelerator int
+	// used is the number of slots in use, by accelerator.
+	used  []int
+	ready map[copyID]bool
 	// draining are the copies that accept no more requests because they will be unloaded.
 	draining map[copyID]bool
-	running  map[copyID]int
+	// running is the number of requests running on each copy.
+	running map[copyID]int
+	// copies maps each slot in use to its copy. lastSlot is the last slot number assigned.
 	copies   map[int]copyID
 	lastSlot int
 }
@@ -38,7 +41,7 @@
 // setServices configures the table for a plain service: one accelerator on which all services are
 // ready.
 func (t *slotTable) setServices(names []string, slots int) {
-	t.perAccelerator = slots
+	t.slotsPerAccelerator = slots
 	t.used = make([]int, 1)
 	for _, n := range names {
 		t.ready[copyID{name: n}] = true
@@ -47,65 +50,65 @@
 
 // setResidents applies the engine's status.
 func (t *slotTable) setResidents(residents []fleet.Resident, accelerators, slots int) {
-	t.perAccelerator = slots
+	t.slotsPerAccelerator = slots
 	for len(t.used) < accelerators {
 		t.used = append(t.used, 0)
 	}
 	clear(t.ready)
 	present := make(map[copyID]bool)
 	for _, r := range residents {
-		p := copyID{name: r.Name, accelerator: r.Accelerator}
-		present[p] = true
+		id := copyID{name: r.Name, accelerator: r.Accelerator}
+		present[id] = true
 		if r.State == fleet.StateReady {
-			t.ready[p] = true
+			t.ready[id] = true
 		}
 	}
-	maps.DeleteFunc(t.draining, func(p copyID, _ bool) bool { return !present[p] })
+	maps.DeleteFunc(t.draining, func(id copyID, _ bool) bool { return !present[id] })
 }
 
 // Take implements fairqueue.Slots. It selects the accelerator with the most free slots.
 func (t *slotTable) Take(row string) (int, bool) {
 	best := -1
-	for acc := range t.used {
-		p := copyID{name: row, accelerator: acc}
-		if !t.ready[p] || t.draining[p] || t.used[acc] >= t.perAccelerator {
+	for accelerator := range t.used {
+		id := copyID{name: row, accelerator: accelerator}
+		if !t.ready[id] || t.draining[id] || t.used[accelerator] >= t.slotsPerAccelerator {
 			continue
 		}
-		if best < 0 || t.used[acc] < t.used[best] {
-			best = acc
+		if best < 0 || t.used[accelerator] < t.used[best] {
+			best = accelerator
 		}
 	}
 	if best < 0 {
 		return 0, false
 	}
-	p := copyID{name: row, accelerator: best}
+	id := copyID{name: row, accelerator: best}
 	t.used[best]++
-	t.running[p]++
+	t.running[id]++
 	t.lastSlot++
-	t.copies[t.lastSlot] = p
+	t.copies[t.lastSlot] = id
 	return t.lastSlot, true
 }
 
 // Release implements fairqueue.Slots.
 func (t *slotTable) Release(slot int) {
-	p, ok := t.copies[slot]
+	id, ok := t.copies[slot]
 	if !ok {
 		return
 	}
 	delete(t.copies, slot)
-	t.used[p.accelerator]--
-	if t.running[p]--; t.running[p] == 0 {
-		delete(t.running, p)
+	t.used[id.accelerator]--
+	if t.running[id]--; t.running[id] == 0 {
+		delete(t.running, id)
 	}
 }
 
 // Total implements fairqueue.Slots.
 func (t *slotTable) Total(row string) int {
 	total := 0
-	for acc := range t.used {
-		p := copyID{name: row, accelerator: acc}
-		if t.ready[p] && !t.draining[p] {
-			total += t.perAccelerator
+	for accelerator := range t.used {
+		id := copyID{name: row, accelerator: accelerator}
+		if t.ready[id] && !t.draining[id] {
+			total += t.slotsPerAccelerator
 		}
 	}
 	return total
@@ -115,13 +118,13 @@
 func (t *slotTable) accelerator(slot int) int { return t.copies[slot].accelerator }
 
 // drain stops new requests to a copy and reports whether none is running on it.
-func (t *slotTable) drain(p copyID) bool {
-	t.draining[p] = true
-	return t.running[p] == 0
+func (t *slotTable) drain(id copyID) bool {
+	t.draining[id] = true
+	return t.running[id] == 0
 }
 
 // resume makes a copy accept requests again.
-func (t *slotTable) resume(p copyID) { delete(t.draining, p) }
+func (t *slotTable) resume(id copyID) { delete(t.draining, id) }
 
 // load returns the number of busy slots and waiting requests, in percent of all slots.
 func (t *slotTable) load(waiting int) int {
@@ -129,10 +132,11 @@
 	for _, u := range t.used {
 		busy += u
 	}
-	return 100 * busy / max(len(t.used)*t.perAccelerator, 1)
+	return 100 * busy / max(len(t.used)*t.slotsPerAccelerator, 1)
 }
 
-// withDraining returns the residents in order, with draining copies shown as unloading.
+// withDraining returns the residents, ordered by accelerator and name, with draining copies shown
+// as unloading.
 func (t *slotTable) withDraining(residents []fleet.Resident) []fleet.Resident {
 	out := slices.Clone(residents)
 	for i, r := range out {
--- a/internal/agent/workload.go
+++ b/internal/agent/workload.go
@@ -29,6 +29,7 @@
 
 // A rowDemand is the demand of one row, in slots.
 type rowDemand struct {
+	// refused is the smoothed number of slots that refused requests would have used.
 	refused  float64
 	estimate placement.Estimator
 }
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -33,7 +33,7 @@
 	id   string
 	row  table.Row
 	body []byte
-	// tokens is the expected cost, in tokens.
+	// tokens is the expected cost of the request, in tokens; 1 for a plain service.
 	tokens int
 	// prefix is the hash of the table row's name and the start of the prompt.
 	prefix uint64
@@ -46,7 +46,7 @@
 	key string
 	// digest identifies all copies of the request. It is set once the row is known.
 	digest quarantine.Key
-	// answer collects the response for the claim record; nil if the request has no key.
+	// response collects the response for the claim record; nil if the request has no key.
 	response *responseRecord
 }
 
--- a/internal/entry/claim_calls.go
+++ b/internal/entry/claim_calls.go
@@ -20,7 +20,7 @@
 // errNoOwner is returned while no entry owns a claim shard.
 var errNoOwner = errors.New("entry: claim shard has no owner")
 
-// An cachedOwner is a cached owner of a shard.
+// A cachedOwner is the owner of a shard as last read from its lease.
 type cachedOwner struct {
 	addr string
 	at   time.Time
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -12,33 +12,33 @@
 	"rockcleat/rendezvous"
 )
 
-// An responseRecord collects a response for the claim record.
+// A responseRecord collects a response for the claim record.
 type responseRecord struct {
 	response   claim.Answer
 	bodyLength int
 }
 
 // begin records the status and the content type.
-func (a *responseRecord) begin(status int, contentType string) {
-	a.response.Status, a.response.ContentType = status, contentType
+func (r *responseRecord) begin(status int, contentType string) {
+	r.response.Status, r.response.ContentType = status, contentType
 }
 
 // write appends to the body, up to claim.MaxBody bytes.
-func (a *responseRecord) write(b []byte) {
-	a.bodyLength += len(b)
-	if a.bodyLength <= claim.MaxBody {
-		a.response.Body = append(a.response.Body, b...)
+func (r *responseRecord) write(b []byte) {
+	r.bodyLength += len(b)
+	if r.bodyLength <= claim.MaxBody {
+		r.response.Body = append(r.response.Body, b...)
 	}
 }
 
 // record returns the response to store, without a body if it exceeds claim.MaxBody.
-func (a *responseRecord) record() *claim.Answer {
-	r := a.response
-	r.Whole = a.bodyLength <= claim.MaxBody
-	if !r.Whole {
-		r.Body = nil
+func (r *responseRecord) record() *claim.Answer {
+	answer := r.response
+	answer.Whole = r.bodyLength <= claim.MaxBody
+	if !answer.Whole {
+		answer.Body = nil
 	}
-	return &r
+	return &answer
 }
 
 // runClaimed claims the request's key and forwards the request if the key is free. Otherwise it
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -15,7 +15,7 @@
 //   - planner: the cells whose lease this entry holds (package planner).
 //
 // All parts share the table in force and the view of the servers, both of which are safe for
-// concurrent use. An Entry stores nothing on disk: the table, the claim records and the leases are in
+// concurrent use. An Entry keeps no durable state: the table, the claim records and the leases are in
 // the platform's key-value service. While that service is unavailable an Entry continues to serve
 // with its last table and view. It refuses requests that need a claim in a shard whose lease has
 // expired; these are not run.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -129,18 +129,18 @@
 func (e *Entry) controlRouter() http.Handler {
 	r := server.NewRouter()
 	server.RegisterHealth(r, e.ready, e.metrics)
-	own := r.Group("", server.RequireSecret(e.settings.Secret, e.metrics))
-	own.POST(wire.PathSync, e.sync.handleSync)
-	own.POST(wire.PathNudge, e.nudge)
-	own.POST(wire.PathClaim, e.claims.serveClaim)
-	own.POST(wire.PathClaimFinish, e.claims.serveFinish)
-	server.RegisterQuarantine(own, e.quarantine)
-	e.operators.register(own)
+	authorized := r.Group("", server.RequireSecret(e.settings.Secret, e.metrics))
+	authorized.POST(wire.PathSync, e.sync.handleSync)
+	authorized.POST(wire.PathNudge, e.handleNudge)
+	authorized.POST(wire.PathClaim, e.claims.serveClaim)
+	authorized.POST(wire.PathClaimFinish, e.claims.serveFinish)
+	server.RegisterQuarantine(authorized, e.quarantine)
+	e.operators.register(authorized)
 	return r
 }
 
-// nudge handles an agent's request for an immediate exchange with its planner.
-func (e *Entry) nudge(c echo.Context) error {
+// handleNudge handles an agent's request for an immediate exchange with its planner.
+func (e *Entry) handleNudge(c echo.Context) error {
 	var n wire.Nudge
 	if err := c.Bind(&n); err != nil {
 		return err
@@ -163,11 +163,11 @@
 // stepMembers updates the list of VMs and drops the load of servers that are gone.
 func (e *Entry) stepMembers() {
 	e.members.step(e.ctx)
-	live := make(map[string]bool)
+	known := make(map[string]bool)
 	for _, s := range e.view.Servers() {
-		live[s.ID] = true
+		known[s.ID] = true
 	}
-	e.proxy.routes.Forget(live)
+	e.proxy.routes.Forget(known)
 }
 
 // ready reports whether the load balancer should send requests to this entry, and the reason if
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -55,16 +55,16 @@
 // forwardThen serves a call. It calls finish with the outcome before the end of the response is
 // sent to the client.
 func (p *proxy) forwardThen(c echo.Context, x *call, finish func(wire.Outcome)) {
-	d := &forwarder{proxy: p, echoContext: c, call: x, tried: make(map[string]string), finish: finish}
+	fw := &forwarder{proxy: p, echoContext: c, call: x, tried: make(map[string]string), finish: finish}
 	x.digest = digestOf(c.Request(), x.row.Name, x.body)
 	p.budget.First()
 	for try := 0; try < maxAttempts; try++ {
-		s, ok := d.next()
+		s, ok := fw.next()
 		if !ok {
 			break
 		}
-		if f, held := d.quarantined(); held {
-			d.refusal = &f
+		if f, quarantined := fw.quarantined(); quarantined {
+			fw.refusal = &f
 			break
 		}
 		if try > 0 && !p.budget.Allow() {
@@ -74,31 +74,31 @@
 		if try > 0 {
 			p.metrics.Retry(x.class())
 		}
-		d.tried[s.ID] = s.Incarnation
-		if d.attempt(s) {
+		fw.tried[s.ID] = s.Incarnation
+		if fw.attempt(s) {
 			return
 		}
 	}
-	d.giveUp()
+	fw.giveUp()
 }
 
 // next returns the server to try next. While one may become available, it waits for up to the
 // smaller of the row's queue time and maxServerWait.
-func (d *forwarder) next() (fleet.Server, bool) {
-	since := d.call.arrived
-	if d.mayHaveRun {
-		since = d.proxy.clock.Now()
+func (fw *forwarder) next() (fleet.Server, bool) {
+	since := fw.call.arrived
+	if fw.mayHaveRun {
+		since = fw.proxy.clock.Now()
 	}
-	deadline := since.Add(min(d.call.row.QueueTime, maxServerWait))
+	deadline := since.Add(min(fw.call.row.QueueTime, maxServerWait))
 	for {
-		if s, ok := d.choose(); ok {
+		if s, ok := fw.choose(); ok {
 			return s, true
 		}
-		if !d.shouldWait() || !d.proxy.clock.Now().Before(deadline) {
+		if !fw.shouldWait() || !fw.proxy.clock.Now().Before(deadline) {
 			return fleet.Server{}, false
 		}
-		ctx := d.echoContext.Request().Context()
-		clock.Sleep(ctx, d.proxy.clock, serverPollInterval)
+		ctx := fw.echoContext.Request().Context()
+		clock.Sleep(ctx, fw.proxy.clock, serverPollInterval)
 		if ctx.Err() != nil {
 			return fleet.Server{}, false
 		}
@@ -108,20 +108,20 @@
 // shouldWait reports whether a server may become available soon: the model is being loaded and no
 // server refused for lack of capacity, or a server was lost during the request, so that the model
 // will be loaded on another.
-func (d *forwarder) shouldWait() bool {
-	if d.mayHaveRun {
+func (fw *forwarder) shouldWait() bool {
+	if fw.mayHaveRun {
 		return true
 	}
-	return d.proxy.isLoading(d.call.row.Name) && (len(d.tried) == 0 || d.refusedByLeaving)
+	return fw.proxy.isLoading(fw.call.row.Name) && (len(fw.tried) == 0 || fw.refusedByLeaving)
 }
 
 // choose returns the best server not yet tried. A leaving server is chosen only if no other serves
 // the row. It may still refuse the request.
-func (d *forwarder) choose() (fleet.Server, bool) {
-	servers := slices.DeleteFunc(slices.Clone(d.proxy.view.Serving(d.call.row.Name)), func(s fleet.Server) bool {
-		return d.tried[s.ID] == s.Incarnation
+func (fw *forwarder) choose() (fleet.Server, bool) {
+	servers := slices.DeleteFunc(slices.Clone(fw.proxy.view.Serving(fw.call.row.Name)), func(s fleet.Server) bool {
+		return fw.tried[s.ID] == s.Incarnation
 	})
-	staying := slices.DeleteFunc(slices.Clone(servers), d.leaving)
+	staying := slices.DeleteFunc(slices.Clone(servers), fw.leaving)
 	if len(staying) > 0 {
 		servers = staying
 	}
@@ -132,15 +132,15 @@
 	for i, s := range servers {
 		cands[i] = route.Candidate{ID: s.ID, Hall: s.Hall}
 	}
-	best := d.proxy.routes.Order(cands, d.call.prefix, d.proxy.clock.Now())[0]
+	best := fw.proxy.routes.Order(cands, fw.call.prefix, fw.proxy.clock.Now())[0]
 	i := slices.IndexFunc(servers, func(s fleet.Server) bool { return s.ID == best.ID })
 	return servers[i], true
 }
 
 // leaving reports whether a server is leaving according to its responses, its record or the
 // platform's list of VMs.
-func (d *forwarder) leaving(s fleet.Server) bool {
-	return s.Leaving || d.proxy.members.isLeaving(s.ID) || d.proxy.routes.Leaving(s.ID, s.Incarnation)
+func (fw *forwarder) leaving(s fleet.Server) bool {
+	return s.Leaving || fw.proxy.members.isLeaving(s.ID) || fw.proxy.routes.Leaving(s.ID, s.Incarnation)
 }
 
 // isLoading reports whether a server is loading the model or adapter.
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -26,10 +26,10 @@
 // quarantined reports whether the call is in quarantine, and returns the failure to respond with.
 // Backend servers have crashed during copies of such a request, so no entry sends it until the
 // quarantine ends.
-func (d *forwarder) quarantined() (wire.Failure, bool) {
-	until, held := d.proxy.quarantine.Until(d.call.digest)
+func (fw *forwarder) quarantined() (wire.Failure, bool) {
+	until, held := fw.proxy.quarantine.Until(fw.call.digest)
 	return wire.Failure{
 		Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer, Code: "quarantined",
-		Message: "backend servers have ended under copies of this request; it was not run", RetryAfter: until.Sub(d.proxy.clock.Now()),
+		Message: "backend servers have ended under copies of this request; it was not run", RetryAfter: until.Sub(fw.proxy.clock.Now()),
 	}, held
 }
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -9,7 +9,7 @@
 	"rockcleat/clock"
 )
 
-// A stallTimer cancels an attempt after a time without data from the server.
+// A stallTimer cancels an attempt if the server sends nothing for a given time.
 type stallTimer struct {
 	limit time.Duration
 	timer clock.Timer
@@ -20,7 +20,6 @@
 	return &stallTimer{limit: limit, timer: c.AfterFunc(limit, cancel)}
 }
 
-// restart restarts the timer.
 func (s *stallTimer) restart() { s.timer.Reset(s.limit) }
 
 func (s *stallTimer) stop() { s.timer.Stop() }
--- a/internal/entry/stream_copy.go
+++ b/internal/entry/stream_copy.go
@@ -20,15 +20,15 @@
 const maxBufferedResponse = 1 << 20
 
 // copyResponse copies the response to the client and reports whether the call is over.
-func (d *forwarder) copyResponse(s fleet.Server, resp *http.Response, w *stallTimer) bool {
-	if d.call.stream && isStream(resp.Header) {
-		return d.copyStream(s, resp, w)
+func (fw *forwarder) copyResponse(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
+	if fw.call.stream && isStream(resp.Header) {
+		return fw.copyStream(s, resp, watch)
 	}
-	if d.headerSent {
+	if fw.headerSent {
 		// A stream cannot continue with a response that is not a stream.
-		return d.serverLost(s, eris.Errorf("entry: resumed stream got a response with status %d that is not a stream", resp.StatusCode))
+		return fw.serverLost(s, eris.Errorf("entry: resumed stream got a response with status %d that is not a stream", resp.StatusCode))
 	}
-	return d.copyPlain(s, resp, w)
+	return fw.copyPlain(s, resp, watch)
 }
 
 // isStream reports whether a response is an event stream.
@@ -38,36 +38,36 @@
 
 // copyPlain copies a response that is not an event stream. A response shorter than
 // maxBufferedResponse is read completely first, and its outcome is recorded before it is sent.
-func (d *forwarder) copyPlain(s fleet.Server, resp *http.Response, w *stallTimer) bool {
-	r := transfer.NewReader(resp.Body, w.restart)
-	held, err := io.ReadAll(io.LimitReader(r, maxBufferedResponse))
+func (fw *forwarder) copyPlain(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
+	r := transfer.NewReader(resp.Body, watch.restart)
+	buffered, err := io.ReadAll(io.LimitReader(r, maxBufferedResponse))
 	if err != nil {
-		return d.attemptFailed(s, err)
+		return fw.attemptFailed(s, err)
 	}
-	d.recordForClaim(resp, held)
-	whole := len(held) < maxBufferedResponse
-	if whole {
-		d.recordOutcome(wire.OutcomeAnswered)
+	fw.recordForClaim(resp, buffered)
+	complete := len(buffered) < maxBufferedResponse
+	if complete {
+		fw.recordOutcome(wire.OutcomeAnswered)
 	}
-	d.sendHeader(resp)
-	d.write(held)
-	if whole {
+	fw.sendHeader(resp)
+	fw.write(buffered)
+	if complete {
 		return true
 	}
-	if _, err := io.Copy(writerFunc(d.write), r); err != nil {
-		return d.serverLost(s, err)
+	if _, err := io.Copy(writerFunc(fw.write), r); err != nil {
+		return fw.serverLost(s, err)
 	}
-	d.recordOutcome(wire.OutcomeAnswered)
+	fw.recordOutcome(wire.OutcomeAnswered)
 	return true
 }
 
 // recordForClaim adds part of the response to the claim record, if the request has a key.
-func (d *forwarder) recordForClaim(resp *http.Response, b []byte) {
-	if d.call.response == nil {
+func (fw *forwarder) recordForClaim(resp *http.Response, b []byte) {
+	if fw.call.response == nil {
 		return
 	}
-	d.call.response.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
-	d.call.response.write(b)
+	fw.call.response.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
+	fw.call.response.write(b)
 }
 
 // agentHeaders are the headers of an agent's response that are not copied to the client.
@@ -76,12 +76,12 @@
 }
 
 // sendHeader sends the response header to the client, once.
-func (d *forwarder) sendHeader(resp *http.Response) {
-	if d.headerSent {
+func (fw *forwarder) sendHeader(resp *http.Response) {
+	if fw.headerSent {
 		return
 	}
-	d.headerSent = true
-	h := d.echoContext.Response().Header()
+	fw.headerSent = true
+	h := fw.echoContext.Response().Header()
 	id := h.Get(wire.HeaderRequestID)
 	for k, v := range resp.Header {
 		h[k] = v
@@ -93,15 +93,15 @@
 		h.Set("Content-Length", resp.Header.Get("Content-Length"))
 	}
 	h.Set(wire.HeaderRequestID, id)
-	d.proxy.metrics.FirstToken(d.call.class(), d.proxy.clock.Now().Sub(d.call.arrived).Seconds())
-	d.echoContext.Response().WriteHeader(resp.StatusCode)
+	fw.proxy.metrics.FirstToken(fw.call.class(), fw.proxy.clock.Now().Sub(fw.call.arrived).Seconds())
+	fw.echoContext.Response().WriteHeader(resp.StatusCode)
 }
 
 // write sends part of the response to the client. A write error is ignored: the request's context
 // is canceled when the client disconnects.
-func (d *forwarder) write(b []byte) {
-	_, _ = d.echoContext.Response().Write(b)
-	d.echoContext.Response().Flush()
+func (fw *forwarder) write(b []byte) {
+	_, _ = fw.echoContext.Response().Write(b)
+	fw.echoContext.Response().Flush()
 }
 
 // A writerFunc adapts a function to io.Writer.
@@ -115,50 +115,50 @@
 
 // copyStream copies the events of a stream to the client. Only complete events are sent, so that
 // after an interruption another server can continue the stream with the next token.
-func (d *forwarder) copyStream(s fleet.Server, resp *http.Response, w *stallTimer) bool {
-	r := bufio.NewReader(transfer.NewReader(resp.Body, w.restart))
+func (fw *forwarder) copyStream(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
+	r := bufio.NewReader(transfer.NewReader(resp.Body, watch.restart))
 	for {
 		event, err := readEvent(r)
 		if err != nil {
-			return d.streamInterrupted(s, err)
+			return fw.streamInterrupted(s, err)
 		}
-		d.sendHeader(resp)
-		d.recordForClaim(resp, event)
+		fw.sendHeader(resp)
+		fw.recordForClaim(resp, event)
 		if isDone(event) {
-			d.recordOutcome(wire.OutcomeAnswered)
-			d.write(event)
+			fw.recordOutcome(wire.OutcomeAnswered)
+			fw.write(event)
 			return true
 		}
-		d.write(event)
+		fw.write(event)
 		if carriesToken(event) {
-			d.tokens++
+			fw.tokens++
 		}
 	}
 }
 
 // streamInterrupted handles a stream that ended without [DONE] and reports whether the call is
 // over.
-func (d *forwarder) streamInterrupted(s fleet.Server, err error) bool {
-	if d.echoContext.Request().Context().Err() != nil {
-		return d.clientGone()
+func (fw *forwarder) streamInterrupted(s fleet.Server, err error) bool {
+	if fw.echoContext.Request().Context().Err() != nil {
+		return fw.clientGone()
 	}
-	if !d.call.repeatable && d.headerSent {
-		d.proxy.routes.Avoid(s.ID, d.proxy.clock.Now())
-		d.abortStream()
+	if !fw.call.repeatable && fw.headerSent {
+		fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
+		fw.abortStream()
 		return true
 	}
-	return d.serverLost(s, err)
+	return fw.serverLost(s, err)
 }
 
 // abortStream ends an incomplete stream. It sends an error event and closes the connection without
 // [DONE].
-func (d *forwarder) abortStream() {
-	d.recordOutcome(wire.OutcomeUnknown)
-	f := d.unknownOutcome()
+func (fw *forwarder) abortStream() {
+	fw.recordOutcome(wire.OutcomeUnknown)
+	f := fw.unknownOutcome()
 	f.Message = "the stream was cut; what came before is not the whole answer"
 	data, err := json.Marshal(f.Body())
 	if err == nil {
-		d.write([]byte("data: " + string(data) + "\n\n"))
+		fw.write([]byte("data: " + string(data) + "\n\n"))
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -56,14 +56,14 @@
 	log        *zap.Logger
 
 	mu sync.Mutex
-	// lastSync is the time of the last response from another entry. revision is the revision of the
-	// table's key at the last watch.
+	// lastSync is the time of the last response from another entry. tableRevision is the revision
+	// of the table's key at the last watch.
 	lastSync      time.Time
 	tableRevision kv.Revision
 	// running reports whether an exchange is in progress.
 	running bool
 	// links holds the quarantine exchange with each other entry, by id. Only the exchange in
-	// progress accesses it.
+	// progress uses it.
 	links map[string]*quarantine.Link
 }
 
@@ -130,7 +130,7 @@
 	s.lastSync = s.clock.Now()
 }
 
-// handleSync handles another entry's request with the changes that it lacks.
+// handleSync responds to another entry with the changes that it lacks.
 func (s *syncer) handleSync(c echo.Context) error {
 	var r wire.SyncRequest
 	if err := c.Bind(&r); err != nil {
@@ -162,9 +162,9 @@
 
 func (s *syncer) pause() { clock.Sleep(s.ctx, s.clock, watchRetryInterval) }
 
-// shouldWatch reports whether this entry should watch the table. Entries do so that have no table
-// yet, plan a cell, rank among the first watchers or have not heard from other entries for
-// staleAfter. All others receive changes from them.
+// shouldWatch reports whether this entry should watch the table. It should if it has no table yet,
+// plans a cell, ranks among the first tableWatchers entries or has not heard from another entry for
+// staleAfter. All other entries receive changes from those that watch.
 func (s *syncer) shouldWatch() bool {
 	if s.replica.Current().Version() == 0 || len(s.planner.Held()) > 0 {
 		return true
--- a/internal/planner/cell.go
+++ b/internal/planner/cell.go
@@ -18,16 +18,16 @@
 
 // Intervals and timeouts of planning a cell.
 const (
-	// minPlanInterval is the minimum interval between plans while the cell's records change or
-	// orders are pending.
-	minPlanInterval = 500 * time.Millisecond
+	// busyPlanInterval is the interval between plans while the cell's records change or orders are
+	// pending.
+	busyPlanInterval = 500 * time.Millisecond
 	// maxPlanInterval is the maximum interval between plans.
 	maxPlanInterval = 2 * time.Second
 	// busyExchangeInterval is the maximum interval between exchanges with an agent that is loading
 	// or unloading, has a pending order or lacks the current table.
 	busyExchangeInterval = 500 * time.Millisecond
 	// pendingOrderTimeout is the time after which an order without a visible effect is no longer
-	// counted.
+	// pending.
 	pendingOrderTimeout = 10 * time.Second
 	// goneIntervals is the number of exchange intervals without a response after which a backend
 	// server counts as gone.
@@ -36,17 +36,17 @@
 	goneGrace = time.Second
 )
 
-// A peer is the planner's state of one agent.
+// A peer is the state that the planner keeps of one agent.
 type peer struct {
 	id string
 	vm inventory.VM
-	// record and demand are those that the agent last reported, and seen is the version of the
-	// record. known reports whether the agent has responded to this planner.
+	// record and demand are those that the agent last reported, and recordVersion is the version of
+	// the record. hasReported reports whether the agent has responded to this planner.
 	record        fleet.Server
 	demand        []fleet.Demand
 	hasReported   bool
 	recordVersion uint64
-	// pauses is the agent's count of pauses of its process, table the version of its table.
+	// pauses is the agent's count of pauses of its process, tableVersion the version of its table.
 	pauses       int
 	tableVersion uint64
 	// lastSent is the start of the last exchange, lastSuccess the end of the last successful one,
@@ -134,7 +134,7 @@
 // planInterval returns the time between two plans. c.mu must be held.
 func (c *cellPlanner) planInterval() time.Duration {
 	if c.plannedVersion != c.version || len(c.pending) > 0 {
-		return minPlanInterval
+		return busyPlanInterval
 	}
 	return min(maxPlanInterval, c.Settings.ExchangeEvery.Std())
 }
@@ -161,8 +161,8 @@
 
 // busy reports whether the agent is loading or unloading or has a pending order. c.mu must be held.
 func (c *cellPlanner) busy(p *peer) bool {
-	moving := slices.ContainsFunc(p.record.Residents, func(r fleet.Resident) bool { return r.State != fleet.StateReady })
-	return moving || slices.ContainsFunc(c.pending, func(o pendingOrder) bool { return o.order.Server == p.id })
+	changing := slices.ContainsFunc(p.record.Residents, func(r fleet.Resident) bool { return r.State != fleet.StateReady })
+	return changing || slices.ContainsFunc(c.pending, func(o pendingOrder) bool { return o.order.Server == p.id })
 }
 
 // syncPeers adds the peers of servers that have joined the cell, updates those of present servers
--- a/internal/planner/exchange.go
+++ b/internal/planner/exchange.go
@@ -18,26 +18,26 @@
 // is held. c.mu must be held.
 func (c *cellPlanner) send(p *peer, held bool, now time.Time) {
 	t := c.Replica.Current()
-	x := wire.Exchange{
+	msg := wire.Exchange{
 		From: c.Addr, Cell: c.id, Token: int64(c.token), Incarnation: p.record.Incarnation, Seen: p.recordVersion,
 		TableVersion: t.Version(), Leaving: p.vm.State == inventory.VMLeaving,
 		List: c.Members.Version(), Lapsed: !held, Pauses: p.pauses, Quarantine: p.quarantine.Message(p.id),
 	}
 	if p.hasReported {
-		x.Table = t.Since(p.tableVersion)
+		msg.Table = t.Since(p.tableVersion)
 	}
 	if held {
-		x.Orders, p.orders = p.orders, nil
+		msg.Orders, p.orders = p.orders, nil
 	}
 	if held && c.grants.hasReported(p.id) {
-		x.Grants = c.grants.next(p.id, t.Rows(), c.servers(), cellShare(c.id, c.cellIDs()), c.allGrantsReported())
-		c.grants.recordSend(p.id, x.Grants)
+		msg.Grants = c.grants.next(p.id, t.Rows(), c.servers(), cellShare(c.id, c.cellIDs()), c.allGrantsReported())
+		c.grants.recordSend(p.id, msg.Grants)
 	}
 	p.urgent, p.inFlight, p.lastSent = false, true, now
-	go c.exchange(p, x)
+	go c.exchange(p, msg)
 }
 
-// servers returns the records of the known peers. c.mu must be held.
+// servers returns the records of the peers that have reported. c.mu must be held.
 func (c *cellPlanner) servers() []fleet.Server {
 	var all []fleet.Server
 	for _, p := range c.peers {
@@ -49,11 +49,11 @@
 }
 
 // exchange sends one message and applies the response.
-func (c *cellPlanner) exchange(p *peer, x wire.Exchange) {
+func (c *cellPlanner) exchange(p *peer, msg wire.Exchange) {
 	ctx, cancel := context.WithTimeout(c.ctx, callTimeout)
 	defer cancel()
 	var a wire.ExchangeAnswer
-	err := c.Agents.Post(ctx, p.vm.Control, wire.PathExchange, x, &a)
+	err := c.Agents.Post(ctx, p.vm.Control, wire.PathExchange, msg, &a)
 	now := c.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 	if a.Token > int64(c.token) {
 		c.superseded.Store(true)
-		c.Log.Warn("agent knows a newer planner", zap.String("server", p.id), zap.Int64("token", a.Token))
+		c.Log.Warn("cell planner superseded by a newer one", zap.String("server", p.id), zap.Int64("token", a.Token))
 		return
 	}
 	c.apply(p, a, now)
--- a/internal/planner/grants.go
+++ b/internal/planner/grants.go
@@ -21,35 +21,35 @@
 func newGrantTracker() *grantTracker { return &grantTracker{maxHeld: make(map[string]map[string]int)} }
 
 // report replaces an agent's grants by those that it has reported.
-func (b *grantTracker) report(agent string, grants []wire.ConcurrencyGrant) {
+func (t *grantTracker) report(agent string, grants []wire.ConcurrencyGrant) {
 	has := make(map[string]int)
 	for _, g := range grants {
 		has[g.Row] = g.Max
 	}
-	b.maxHeld[agent] = has
+	t.maxHeld[agent] = has
 }
 
 // recordSend records grants before they are sent. Since the message may be lost, the larger of the
 // old and the new grant counts until the agent reports.
-func (b *grantTracker) recordSend(agent string, grants []wire.ConcurrencyGrant) {
+func (t *grantTracker) recordSend(agent string, grants []wire.ConcurrencyGrant) {
 	for _, g := range grants {
-		b.maxHeld[agent][g.Row] = max(b.maxHeld[agent][g.Row], g.Max)
+		t.maxHeld[agent][g.Row] = max(t.maxHeld[agent][g.Row], g.Max)
 	}
 }
 
 // remove removes an agent that has left the cell.
-func (b *grantTracker) remove(agent string) { delete(b.maxHeld, agent) }
+func (t *grantTracker) remove(agent string) { delete(t.maxHeld, agent) }
 
 // hasReported reports whether the agent has reported its grants.
-func (b *grantTracker) hasReported(agent string) bool {
-	_, ok := b.maxHeld[agent]
+func (t *grantTracker) hasReported(agent string) bool {
+	_, ok := t.maxHeld[agent]
 	return ok
 }
 
 // heldByOthers returns the sum of the grants of a row that all other agents may hold.
-func (b *grantTracker) heldByOthers(agent, row string) int {
+func (t *grantTracker) heldByOthers(agent, row string) int {
 	sum := 0
-	for id, has := range b.maxHeld {
+	for id, has := range t.maxHeld {
 		if id != agent {
 			sum += has[row]
 		}
@@ -58,9 +58,9 @@
 }
 
 // next returns the grants to send to an agent: for each limited row that it serves, an even share
-// of the cell's part, reduced to what the other agents' grants leave. A grant increases only if
-// complete reports that all agents of the cell have reported.
-func (b *grantTracker) next(agent string, rows []table.Row, servers []fleet.Server, part limitShare, complete bool) []wire.ConcurrencyGrant {
+// of the cell's part of the limit. A grant increases only as far as the other agents' grants allow,
+// and only if complete reports that all agents of the cell have reported.
+func (t *grantTracker) next(agent string, rows []table.Row, servers []fleet.Server, part limitShare, complete bool) []wire.ConcurrencyGrant {
 	var grants []wire.ConcurrencyGrant
 	for _, r := range rows {
 		if r.Concurrency == 0 {
@@ -68,12 +68,12 @@
 		}
 		limit := part(r.Concurrency)
 		target := agentShare(agent, r.Name, limit, servers)
-		now := b.maxHeld[agent][r.Name]
-		if target > now {
-			room := max(limit-b.heldByOthers(agent, r.Name), now)
+		current := t.maxHeld[agent][r.Name]
+		if target > current {
+			room := max(limit-t.heldByOthers(agent, r.Name), current)
 			target = min(target, room)
 			if !complete {
-				target = now
+				target = current
 			}
 		}
 		if target > 0 {
@@ -86,8 +86,8 @@
 // A limitShare returns the cell's part of a limit.
 type limitShare func(limit int) int
 
-// cellShare divides limits evenly among the cells. The first cells in the order of ids get one more
-// where a limit does not divide evenly.
+// cellShare returns the limitShare of a cell. Limits are divided evenly among the cells; if a limit
+// does not divide evenly, the first cells in the order of ids get one more.
 func cellShare(cell string, cells []string) limitShare {
 	sorted := slices.Sorted(slices.Values(cells))
 	i := max(slices.Index(sorted, cell), 0)
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -22,17 +22,17 @@
 		return
 	}
 	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool { return now.Sub(o.at) > pendingOrderTimeout })
-	own := c.publishDemand()
+	demand := c.publishDemand()
 	in := placement.Input{Cell: c.id, Rows: placeable(c.Replica.Current(), sizes), Sizes: sizes, Now: now}
 	for _, id := range c.cellIDs() {
 		servers, _ := c.View.Cell(id)
-		x := placement.Cell{ID: id, Servers: servers, Demand: own}
+		cell := placement.Cell{ID: id, Servers: servers, Demand: demand}
 		if id == c.id {
-			x.Servers = c.withPending(servers)
+			cell.Servers = c.withPending(servers)
 		} else {
-			x.Demand = slotsByRow(c.View.Demand(id))
+			cell.Demand = slotsByRow(c.View.Demand(id))
 		}
-		in.Cells = append(in.Cells, x)
+		in.Cells = append(in.Cells, cell)
 	}
 	for _, o := range c.placement.Plan(in) {
 		if o.Op == ledger.OpLoad && !c.loadLimiter.AllowN(now, 1) {
@@ -58,13 +58,13 @@
 // whose level has changed by at least minDemandChange, has risen from 0 or has ended. c.mu must be
 // held.
 func (c *cellPlanner) publishDemand() map[string]float64 {
-	own := make(map[string]float64)
+	total := make(map[string]float64)
 	for _, p := range c.peers {
 		if p.record.Gone {
 			continue
 		}
 		for name, slots := range slotsByRow(p.demand) {
-			own[name] += slots
+			total[name] += slots
 		}
 	}
 	before := make(map[string]int)
@@ -72,14 +72,14 @@
 		before[d.Name] = d.Level
 	}
 	var changed []fleet.Demand
-	for name, slots := range own {
+	for name, slots := range total {
 		level := placement.LevelOf(slots)
 		if diff := level - before[name]; diff >= minDemandChange || -diff >= minDemandChange || before[name] == 0 && level > 0 {
 			changed = append(changed, fleet.Demand{Name: name, Level: level, Version: c.version + 1})
 		}
 	}
 	for name, level := range before {
-		if _, has := own[name]; !has && level > 0 {
+		if _, has := total[name]; !has && level > 0 {
 			changed = append(changed, fleet.Demand{Name: name, Version: c.version + 1})
 		}
 	}
@@ -89,10 +89,10 @@
 			CellVersion: fleet.CellVersion{Cell: c.id, Epoch: int64(c.token), Version: c.version}, Demand: changed,
 		}})
 	}
-	return own
+	return total
 }
 
-// placeable returns the rows whose weights are in the weight store, and all service rows.
+// placeable returns the rows whose sizes are known from the weight store, and all service rows.
 func placeable(t *table.Table, sizes map[string]placement.Size) []table.Row {
 	return slices.DeleteFunc(t.Rows(), func(r table.Row) bool {
 		_, ok := sizes[r.Name]
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -24,8 +24,8 @@
 	"rockcleat/table"
 )
 
-// leaseContenders is the number of entries that contend for one cell. A cell is still planned if
-// all but one of them have failed.
+// leaseContenders is the number of entries that contend for one cell. The cell is planned as long
+// as one of them is running.
 const leaseContenders = 3
 
 // Intervals and timeouts of the planner.
