--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -10,38 +10,40 @@
 	"rockcleat/internal/wire"
 )
 
-// A membership says whether the agent's server is leaving.
+// A membership records whether an agent is leaving. A leaving agent finishes its requests. Entries
+// send it new ones only if no other server can run them.
 type membership struct {
 	leaving bool
-	// stopping says that the agent leaves by its own stop, or because another has taken
-	// over; listed is the version of the platform's list that last said that it leaves.
-	stopping bool
-	listed   uint64
-	// closeAt is when a leaving agent takes no new work any more.
+	// stopping reports whether the agent is leaving because it stops or was superseded.
+	// listedVersion is the latest version of the platform's list of VMs that lists the agent as
+	// leaving.
+	stopping      bool
+	listedVersion uint64
+	// closeAt is the time from which a leaving agent refuses new requests.
 	closeAt time.Time
 }
 
-// closed reports whether the agent takes no new work any more.
+// closed reports whether the agent refuses new requests.
 func (m *membership) closed(now time.Time) bool { return m.leaving && !now.Before(m.closeAt) }
 
-// noteListed notes what a version of the platform's list says, and reports whether the agent stays
-// after all. Should a later version of the list say that it does not leave, it stays: what
-// made it leave was about its VM's former life.
-func (m *membership) noteListed(leaving bool, list uint64) (stays bool) {
+// applyList records whether a version of the platform's list of VMs lists the agent as leaving. It
+// reports whether the agent is no longer leaving. That is so if a later version does not list it as
+// leaving, unless it is stopping: the earlier version then referred to a previous VM of the same
+// name.
+func (m *membership) applyList(leaving bool, list uint64) (stays bool) {
 	if leaving {
-		m.listed = max(m.listed, list)
+		m.listedVersion = max(m.listedVersion, list)
 		return false
 	}
-	if m.stopping || !m.leaving || m.listed == 0 || list <= m.listed {
+	if m.stopping || !m.leaving || m.listedVersion == 0 || list <= m.listedVersion {
 		return false
 	}
-	m.leaving, m.listed = false, 0
+	m.leaving, m.listedVersion = false, 0
 	return true
 }
 
-// Leave begins the leaving: entries and the planner learn of it at once, and for
-// the leave time the agent still takes requests that have nowhere else to go.
-// After that it takes no new work and sends waiting requests elsewhere.
+// Leave marks the agent as leaving and notifies the planner. For the leave time the agent still
+// accepts requests that no other server can run. After that it refuses new and waiting requests.
 func (a *Agent) Leave(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -51,10 +53,10 @@
 	a.membership.leaving = true
 	a.membership.closeAt = a.clock.Now().Add(a.settings.LeaveTime.Std())
 	a.log.Info("leaving", zap.String("reason", reason), zap.Int("running", a.work.queue.Running()))
-	a.nudgePlanner()
+	a.requestExchange()
 }
 
-// LeaveForGood leaves whatever the platform's list says.
+// LeaveForGood is like Leave, but the platform's list of VMs cannot undo it.
 func (a *Agent) LeaveForGood(reason string) {
 	a.Leave(reason)
 	a.mu.Lock()
@@ -62,39 +64,40 @@
 	a.membership.stopping = true
 }
 
-// closed reports whether the agent takes no new work any more; a.mu is held.
+// closed reports whether the agent refuses new requests. a.mu must be held.
 func (a *Agent) closed() bool { return a.membership.closed(a.clock.Now()) }
 
-// nudgePlanner asks the planner to exchange messages now; a.mu is held.
-func (a *Agent) nudgePlanner() {
-	addr := a.contact.planner
+// requestExchange asks the planner for an immediate exchange, in the background. a.mu must be held.
+func (a *Agent) requestExchange() {
+	addr := a.planner.addr
 	if addr == "" {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), nudgeTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), requestExchangeTimeout)
 		defer cancel()
 		err := a.peers.Post(ctx, addr, wire.PathNudge, wire.Nudge{Server: a.settings.ID}, nil)
 		if err != nil {
-			a.log.Debug("planner not nudged", zap.Error(err))
+			a.log.Debug("requesting an exchange with the planner failed", zap.Error(err))
 		}
 	}()
 }
 
-// nudgeTimeout bounds a message to the planner.
-const nudgeTimeout = time.Second
+// requestExchangeTimeout bounds the request to the planner.
+const requestExchangeTimeout = time.Second
 
-// followList leaves when the platform's list says so. If the agent stays after all, it does so under
-// a new incarnation, since others have marked the old one.
-func (a *Agent) followList(x wire.Exchange) {
-	if x.Leaving {
+// applyList marks the agent as leaving or not according to the platform's list of VMs. An agent
+// that is no longer leaving gets a new incarnation, because entries have marked the previous one as
+// leaving.
+func (a *Agent) applyList(msg wire.Exchange) {
+	if msg.Leaving {
 		a.Leave("the platform's list says so")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.membership.noteListed(x.Leaving, x.List) {
+	if !a.membership.applyList(msg.Leaving, msg.List) {
 		return
 	}
 	a.incarnation = uuid.NewString()
-	a.log.Info("not leaving after all: a later list says so", zap.Uint64("list", x.List))
+	a.log.Info("no longer leaving; a later list of VMs does not list the agent as leaving", zap.Uint64("list", msg.List))
 }
--- a/internal/agent/pause.go
+++ b/internal/agent/pause.go
@@ -8,63 +8,65 @@
 	"rockcleat/internal/wire"
 )
 
-// Times of an agent that was paused.
+// Parameters of the detection of pauses of this process.
 const (
-	// pauseNoticed is the gap between two ticks from which on a pause is assumed.
-	pauseNoticed = 2 * time.Second
-	// distrustTime is how long new work is refused after a pause while no planner has
-	// said whether the server is leaving.
-	distrustTime = 5 * time.Second
+	// minPause is the minimum gap between two ticks that counts as a pause.
+	minPause = 2 * time.Second
+	// refusalTimeAfterPause is the maximum time after a pause during which new requests are
+	// refused. A planner that has contacted the agent since the pause ends it earlier.
+	refusalTimeAfterPause = 5 * time.Second
 )
 
-// A contact is the agent's contact with planners, and the pauses of this process that make
-// what it knows doubtful.
-type contact struct {
-	// token is the newest fencing token of a planner, planner the control address of the
-	// one that spoke last, and exchanged when it did.
-	token     int64
-	planner   string
-	exchanged time.Time
-	// lastTick is when the queue's system last ran, and distrustUntil until when the
-	// agent, having been paused, takes no new work unless a planner speaks to it.
-	lastTick      time.Time
-	distrustUntil time.Time
-	// pauses counts the pauses; a planner that names the count has spoken since.
+// A plannerContact records which planner last contacted the agent and when. It also records pauses
+// of this process, after which the agent's state may be out of date.
+type plannerContact struct {
+	// token is the newest fencing token of a planner. addr is the control address of the planner
+	// that last contacted the agent, and lastExchange the time at which it did.
+	token        int64
+	addr         string
+	lastExchange time.Time
+	// lastTick is the time at which the queue was last processed. Until refuseUntil the agent
+	// refuses new requests.
+	lastTick    time.Time
+	refuseUntil time.Time
+	// pauses is the number of pauses. A message that contains the current number was sent after the
+	// last pause.
 	pauses int
 }
 
-// accept notes a planner's message and reports whether no newer planner is known.
-func (c *contact) accept(x wire.Exchange, now time.Time) bool {
-	if x.Token < c.token {
+// accept records a planner's message and reports whether no newer planner is known.
+func (c *plannerContact) accept(msg wire.Exchange, now time.Time) bool {
+	if msg.Token < c.token {
 		return false
 	}
-	c.token, c.planner, c.exchanged = x.Token, x.From, now
-	if x.Pauses == c.pauses {
-		c.distrustUntil = time.Time{}
+	c.token, c.addr, c.lastExchange = msg.Token, msg.From, now
+	if msg.Pauses == c.pauses {
+		c.refuseUntil = time.Time{}
 	}
 	return true
 }
 
-// notePause returns for how long the process has been paused; 0 if it has not.
-func (c *contact) notePause(now time.Time) time.Duration {
+// recordPause records a pause if the last tick is too long ago. It returns the length of the pause,
+// or 0 if there was none.
+func (c *plannerContact) recordPause(now time.Time) time.Duration {
 	gap := now.Sub(c.lastTick)
-	if c.lastTick.IsZero() || gap < pauseNoticed {
+	if c.lastTick.IsZero() || gap < minPause {
 		return 0
 	}
 	c.lastTick = now
-	c.distrustUntil = now.Add(distrustTime)
+	c.refuseUntil = now.Add(refusalTimeAfterPause)
 	c.pauses++
 	return gap
 }
 
-// noticePause makes an agent that was paused refuse new work until a planner has
-// spoken to it: what it knows may be old, and so may be the requests that have been
-// waiting for it. a.mu is held.
-func (a *Agent) noticePause(now time.Time) {
-	gap := a.contact.notePause(now)
+// handlePause refuses the waiting requests if the process was paused, since they and the agent's
+// state may be out of date. New requests are refused until a planner contacts the agent or
+// refusalTimeAfterPause has passed. a.mu must be held.
+func (a *Agent) handlePause(now time.Time) {
+	gap := a.planner.recordPause(now)
 	if gap == 0 {
 		return
 	}
-	a.log.Warn("this process was paused", zap.Duration("for", gap))
+	a.log.Warn("process was paused", zap.Duration("for", gap))
 	a.work.queue.RefuseAll(reasonPaused)
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -11,22 +11,22 @@
 	"rockcleat/placement"
 )
 
-// A serverState holds the agent's view of its backend server.
+// A serverState is the agent's view of its backend server.
 type serverState struct {
 	ledger ledger.Ledger
 	slots  *slotTable
-	// unloads are orders that wait for their copies to drain.
+	// unloads are the orders that wait for their copies to drain.
 	unloads map[copyID]placement.Order
-	// failures is the number of reports that the engine has missed in a row.
-	failures int
-	// armedAt is when the agent took over the record of its server, and current says
-	// that the last report was asked for after that: an older one may lack what a former
-	// agent has done meanwhile.
-	armedAt time.Time
-	current bool
-	// reported says that the engine answers.
-	reported bool
-	// version is that of lastRecord, the record that the planner gets.
+	// statusFailures is the number of consecutive failed status calls.
+	statusFailures int
+	// tookOverAt is the time at which the agent acquired its fencing token. statusCurrent reports
+	// whether the last status was requested after that; an older one may lack the effect of orders
+	// of an earlier agent.
+	tookOverAt    time.Time
+	statusCurrent bool
+	// engineResponds is always true for a plain service.
+	engineResponds bool
+	// version is the version of lastRecord, the record that the planner gets.
 	version    uint64
 	lastRecord fleet.Server
 }
@@ -35,53 +35,55 @@
 	return serverState{slots: newSlotTable(), unloads: make(map[copyID]placement.Order)}
 }
 
-// stepStatus applies the engine's report.
+// stepStatus reads the engine's status and applies it.
 func (a *Agent) stepStatus(now time.Time) {
-	asked := a.clock.Now()
-	st, err := a.engine.Status(context.Background())
+	requestedAt := a.clock.Now()
+	status, err := a.engine.Status(context.Background())
 	if err != nil {
-		a.noStatus(err)
+		a.statusFailed(err)
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.server.failures = 0
-	a.server.ledger.Settle(ledger.Report{MemoryMiB: st.MemoryMiB, Residents: st.Residents, Finished: st.Finished}, now)
-	a.server.slots.setResidents(st.Residents, len(st.MemoryMiB), st.Slots)
-	a.reopen()
-	a.server.reported = true
-	a.server.current = asked.After(a.server.armedAt)
+	a.server.statusFailures = 0
+	a.server.ledger.Settle(ledger.Report{MemoryMiB: status.MemoryMiB, Residents: status.Residents, Finished: status.Finished}, now)
+	a.server.slots.setResidents(status.Residents, len(status.MemoryMiB), status.Slots)
+	a.resumeCopies()
+	a.server.engineResponds = true
+	a.server.statusCurrent = requestedAt.After(a.server.tookOverAt)
 }
 
-// maxFailures is the number of reports in a row that an engine may miss before its models
-// count as not there: half a second.
-const maxFailures = 5
+// maxStatusFailures is the number of consecutive failed status calls after which the engine's
+// models count as not loaded.
+const maxStatusFailures = 5
 
-// noStatus counts a missed report; an engine that misses several serves nothing.
-func (a *Agent) noStatus(err error) {
+// statusFailed counts a failed status call. After maxStatusFailures the agent serves no models
+// until the engine responds again.
+func (a *Agent) statusFailed(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.server.failures++
-	if a.server.failures != maxFailures {
+	a.server.statusFailures++
+	if a.server.statusFailures != maxStatusFailures {
 		return
 	}
-	a.log.Warn("the engine does not answer", zap.Error(err))
-	a.server.reported = false
-	a.nudgePlanner()
-	a.server.slots.setResidents(nil, 0, a.server.slots.perAccelerator)
+	a.log.Warn("engine does not respond", zap.Error(err))
+	a.server.engineResponds = false
+	a.requestExchange()
+	a.server.slots.setResidents(nil, 0, a.server.slots.slotsPerAccelerator)
 }
 
-// reopen lets copies take requests again whose unload came to nothing; a.mu is held.
-func (a *Agent) reopen() {
-	for p := range a.server.slots.draining {
-		if _, waits := a.server.unloads[p]; !waits && !a.server.ledger.Busy(p.name) {
-			a.server.slots.undrain(p)
+// resumeCopies makes copies accept requests again whose unload order has ended without unloading
+// them. a.mu must be held.
+func (a *Agent) resumeCopies() {
+	for id := range a.server.slots.draining {
+		if _, waits := a.server.unloads[id]; !waits && !a.server.ledger.Busy(id.name) {
+			a.server.slots.resume(id)
 		}
 	}
 }
 
-// serverRecord returns the record for the planner, with a new version if it
-// differs from the last one; a.mu is held.
+// serverRecord returns the record for the planner, under a new version if it has changed. a.mu must
+// be held.
 func (a *Agent) serverRecord(now time.Time) fleet.Server {
 	s := fleet.Server{
 		ID: a.settings.ID, Addr: a.Addr(), Hall: a.settings.Hall, Incarnation: a.incarnation, Leaving: a.membership.leaving,
@@ -89,10 +91,10 @@
 	if a.isService() {
 		s.Services = a.settings.Backend.Services
 		s.Slots = a.settings.Backend.Slots
-	} else if a.server.reported {
+	} else if a.server.engineResponds {
 		s.Accelerators = a.server.ledger.Accelerators()
-		s.Residents = a.server.slots.visible(a.server.ledger.Residents())
-		s.Slots = a.server.slots.perAccelerator
+		s.Residents = a.server.slots.withDraining(a.server.ledger.Residents())
+		s.Slots = a.server.slots.slotsPerAccelerator
 	}
 	s.Demand = a.work.demandLevels(now)
 	if a.server.version == 0 || !s.Same(a.server.lastRecord) {
--- a/internal/agent/server_end.go
+++ b/internal/agent/server_end.go
@@ -15,28 +15,30 @@
 	"rockcleat/quarantine"
 )
 
-// expireEvery is the time between two looks for what is too old.
-const expireEvery = time.Second
+// expireInterval is the interval at which expired quarantine records are removed.
+const expireInterval = time.Second
 
-// serverEnds counts the ends of the backend server and charges them to the requests that broke off there.
-// The planner gets them with its exchanges. It is safe for concurrent use.
-type serverEnds struct {
+// A crashDetector detects crashes of the backend server and records the requests that were running
+// at the time. The planner receives these records with its exchanges. It is safe for concurrent
+// use.
+type crashDetector struct {
 	clock clock.Service
 	table *quarantine.Table
-	// addr is where the server listens, name begins the names of its runs.
-	addr, name string
-	// onEnd is called after each end that was charged.
-	onEnd func()
-	log   *zap.Logger
+	// addr is the address of the server. namePrefix is the prefix of the names of its runs; a run
+	// lasts from a start of the server to its next crash.
+	addr, namePrefix string
+	// onCrash is called after a request has been recorded.
+	onCrash func()
+	log     *zap.Logger
 
 	mu sync.Mutex
-	// runs counts the runs of the server, ended says that the last one is over.
-	runs  int
+	// run is the index of the current or last run. ended reports whether that run is over.
+	run   int
 	ended bool
 }
 
-// addrOf returns the host and port of a server's base URL; empty if there are none.
-func addrOf(base string) string {
+// hostPort returns the host and port of a base URL, or "" if the URL is invalid.
+func hostPort(base string) string {
 	u, err := url.Parse(base)
 	if err != nil {
 		return ""
@@ -44,56 +46,58 @@
 	return u.Host
 }
 
-// answered notes that the server lives.
-func (e *serverEnds) answered() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.ended {
-		e.runs++
-		e.ended = false
+// recordRunning records that the server is running.
+func (d *crashDetector) recordRunning() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.ended {
+		d.run++
+		d.ended = false
 	}
 }
 
-// serverEnded has the planner fetch the ends of the server at once.
-func (a *Agent) serverEnded() {
+// serverCrashed asks the planner for an immediate exchange, so that it receives the crash.
+func (a *Agent) serverCrashed() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.nudgePlanner()
+	a.requestExchange()
 }
 
-// noteBreak notes that the connection to the backend server broke under a request.
-func (a *Agent) noteBreak(req *http.Request) {
+// connectionLost handles the loss of the connection to the backend server during a request, unless
+// the client has disconnected.
+func (a *Agent) connectionLost(req *http.Request) {
 	digest := req.Header.Get(wire.HeaderDigest)
 	var k quarantine.Key
 	if err := k.UnmarshalText([]byte(digest)); err != nil {
-		a.log.Debug("request without a digest", zap.String("request", req.Header.Get(wire.HeaderRequestID)), zap.Error(err))
+		a.log.Debug("request has no valid digest", zap.String("request", req.Header.Get(wire.HeaderRequestID)), zap.Error(err))
 		return
 	}
 	if req.Context().Err() == nil {
-		go a.ends.requestBroke(k)
+		go a.crashes.connectionLost(k)
 	}
 }
 
-// requestBroke finds out whether the server has ended under a request whose connection to it broke: nobody
-// listens at its address any more.
-func (e *serverEnds) requestBroke(k quarantine.Key) {
-	p := wire.Probe{Clock: e.clock, Connect: wire.TryConnect}
-	if p.Run(context.Background(), e.addr) == wire.ServerEnded {
-		e.charge(k)
+// connectionLost probes the server after the connection of a request was lost. If nothing listens
+// at the server's address, it records a crash during the request.
+func (d *crashDetector) connectionLost(k quarantine.Key) {
+	p := wire.Probe{Clock: d.clock, Connect: wire.TryConnect}
+	if p.Run(context.Background(), d.addr) == wire.ServerEnded {
+		d.recordCrash(k)
 	}
 }
 
-// charge charges the end of the last run to a request.
-func (e *serverEnds) charge(k quarantine.Key) {
-	e.mu.Lock()
-	first := !e.ended
-	e.ended = true
-	run := e.name + "/" + strconv.Itoa(e.runs)
-	e.mu.Unlock()
+// recordCrash records that the current run of the server has crashed during a request. Several
+// requests may be recorded for one run.
+func (d *crashDetector) recordCrash(k quarantine.Key) {
+	d.mu.Lock()
+	first := !d.ended
+	d.ended = true
+	run := d.namePrefix + "/" + strconv.Itoa(d.run)
+	d.mu.Unlock()
 	if first {
-		e.log.Info("server ended", zap.String("run", run))
+		d.log.Info("server ended", zap.String("run", run))
 	}
-	e.log.Info("request charged with the server's end", zap.String("run", run), zap.Stringer("digest", k))
-	e.table.Ended(run, k)
-	e.onEnd()
+	d.log.Info("request recorded with the server's end", zap.String("run", run), zap.Stringer("digest", k))
+	d.table.Ended(run, k)
+	d.onCrash()
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -8,23 +8,25 @@
 	"rockcleat/fleet"
 )
 
-// A copyID names one copy of a model or adapter: the row and the accelerator.
+// A copyID identifies a copy of a model or adapter by the row's name and the accelerator's index.
 type copyID struct {
-	name string
-	acc  int
+	name        string
+	accelerator int
 }
 
-// A slotTable is the agent's account of the slots in which requests run; it
-// implements fairqueue.Slots.
+// A slotTable tracks the slots in which requests run. It implements fairqueue.Slots.
 type slotTable struct {
-	perAccelerator int
-	used           []int
-	ready          map[copyID]bool
-	// draining are the copies that get no more requests, since they are to be unloaded.
+	slotsPerAccelerator int
+	// used is the number of slots in use, by accelerator.
+	used  []int
+	ready map[copyID]bool
+	// draining are the copies that accept no more requests because they will be unloaded.
 	draining map[copyID]bool
-	running  map[copyID]int
-	taken    map[int]copyID
-	next     int
+	// running is the number of requests running on each copy.
+	running map[copyID]int
+	// copies maps each slot in use to its copy. lastSlot is the last slot number assigned.
+	copies   map[int]copyID
+	lastSlot int
 }
 
 func newSlotTable() *slotTable {
@@ -32,113 +34,113 @@
 		ready:    make(map[copyID]bool),
 		draining: make(map[copyID]bool),
 		running:  make(map[copyID]int),
-		taken:    make(map[int]copyID),
+		copies:   make(map[int]copyID),
 	}
 }
 
-// setServices makes the table that of a plain service, as one accelerator on
-// which every service is ready.
+// setServices configures the table for a plain service: one accelerator on which all services are
+// ready.
 func (t *slotTable) setServices(names []string, slots int) {
-	t.perAccelerator = slots
+	t.slotsPerAccelerator = slots
 	t.used = make([]int, 1)
 	for _, n := range names {
 		t.ready[copyID{name: n}] = true
 	}
 }
 
-// setResidents applies the engine's report.
+// setResidents applies the engine's status.
 func (t *slotTable) setResidents(residents []fleet.Resident, accelerators, slots int) {
-	t.perAccelerator = slots
+	t.slotsPerAccelerator = slots
 	for len(t.used) < accelerators {
 		t.used = append(t.used, 0)
 	}
 	clear(t.ready)
 	present := make(map[copyID]bool)
 	for _, r := range residents {
-		p := copyID{name: r.Name, acc: r.Accelerator}
-		present[p] = true
+		id := copyID{name: r.Name, accelerator: r.Accelerator}
+		present[id] = true
 		if r.State == fleet.StateReady {
-			t.ready[p] = true
+			t.ready[id] = true
 		}
 	}
-	maps.DeleteFunc(t.draining, func(p copyID, _ bool) bool { return !present[p] })
+	maps.DeleteFunc(t.draining, func(id copyID, _ bool) bool { return !present[id] })
 }
 
-// Take implements fairqueue.Slots: it chooses the accelerator with most slots free.
+// Take implements fairqueue.Slots. It selects the accelerator with the most free slots.
 func (t *slotTable) Take(row string) (int, bool) {
 	best := -1
-	for acc := range t.used {
-		p := copyID{name: row, acc: acc}
-		if !t.ready[p] || t.draining[p] || t.used[acc] >= t.perAccelerator {
+	for accelerator := range t.used {
+		id := copyID{name: row, accelerator: accelerator}
+		if !t.ready[id] || t.draining[id] || t.used[accelerator] >= t.slotsPerAccelerator {
 			continue
 		}
-		if best < 0 || t.used[acc] < t.used[best] {
-			best = acc
+		if best < 0 || t.used[accelerator] < t.used[best] {
+			best = accelerator
 		}
 	}
 	if best < 0 {
 		return 0, false
 	}
-	p := copyID{name: row, acc: best}
+	id := copyID{name: row, accelerator: best}
 	t.used[best]++
-	t.running[p]++
-	t.next++
-	t.taken[t.next] = p
-	return t.next, true
+	t.running[id]++
+	t.lastSlot++
+	t.copies[t.lastSlot] = id
+	return t.lastSlot, true
 }
 
 // Release implements fairqueue.Slots.
 func (t *slotTable) Release(slot int) {
-	p, ok := t.taken[slot]
+	id, ok := t.copies[slot]
 	if !ok {
 		return
 	}
-	delete(t.taken, slot)
-	t.used[p.acc]--
-	if t.running[p]--; t.running[p] == 0 {
-		delete(t.running, p)
+	delete(t.copies, slot)
+	t.used[id.accelerator]--
+	if t.running[id]--; t.running[id] == 0 {
+		delete(t.running, id)
 	}
 }
 
 // Total implements fairqueue.Slots.
 func (t *slotTable) Total(row string) int {
 	total := 0
-	for acc := range t.used {
-		p := copyID{name: row, acc: acc}
-		if t.ready[p] && !t.draining[p] {
-			total += t.perAccelerator
+	for accelerator := range t.used {
+		id := copyID{name: row, accelerator: accelerator}
+		if t.ready[id] && !t.draining[id] {
+			total += t.slotsPerAccelerator
 		}
 	}
 	return total
 }
 
-// accelerator returns the accelerator of a taken slot.
-func (t *slotTable) accelerator(slot int) int { return t.taken[slot].acc }
+// accelerator returns the accelerator of a slot in use.
+func (t *slotTable) accelerator(slot int) int { return t.copies[slot].accelerator }
 
-// drain stops new requests to a copy and reports whether none runs on it.
-func (t *slotTable) drain(p copyID) bool {
-	t.draining[p] = true
-	return t.running[p] == 0
+// drain stops new requests to a copy and reports whether none is running on it.
+func (t *slotTable) drain(id copyID) bool {
+	t.draining[id] = true
+	return t.running[id] == 0
 }
 
-// undrain opens a copy again.
-func (t *slotTable) undrain(p copyID) { delete(t.draining, p) }
+// resume makes a copy accept requests again.
+func (t *slotTable) resume(id copyID) { delete(t.draining, id) }
 
-// load returns the busy slots and waiting requests in percent of all slots.
+// load returns the number of busy slots and waiting requests, in percent of all slots.
 func (t *slotTable) load(waiting int) int {
 	busy := waiting
 	for _, u := range t.used {
 		busy += u
 	}
-	return 100 * busy / max(len(t.used)*t.perAccelerator, 1)
+	return 100 * busy / max(len(t.used)*t.slotsPerAccelerator, 1)
 }
 
-// visible returns the residents as others should see them: draining copies are
-// already unloading.
-func (t *slotTable) visible(residents []fleet.Resident) []fleet.Resident {
+// withDraining returns the residents, ordered by accelerator and name, with draining copies shown
+// as unloading.
+func (t *slotTable) withDraining(residents []fleet.Resident) []fleet.Resident {
 	out := slices.Clone(residents)
 	for i, r := range out {
-		if t.draining[copyID{name: r.Name, acc: r.Accelerator}] {
+		if t.draining[copyID{name: r.Name, accelerator: r.Accelerator}] {
 			out[i].State = fleet.StateUnloading
 		}
 	}
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -12,59 +12,60 @@
 	"rockcleat/rendezvous"
 )
 
-// An answerRecord collects the start of an answer for the claim's record.
-type answerRecord struct {
-	answer claim.Answer
-	length int
+// A responseRecord collects a response for the claim record.
+type responseRecord struct {
+	response   claim.Answer
+	bodyLength int
 }
 
-// begin keeps the status and the type.
-func (a *answerRecord) begin(status int, contentType string) {
-	a.answer.Status, a.answer.ContentType = status, contentType
+// begin records the status and the content type.
+func (r *responseRecord) begin(status int, contentType string) {
+	r.response.Status, r.response.ContentType = status, contentType
 }
 
-// write keeps a piece of the body, up to the longest that a record holds.
-func (a *answerRecord) write(b []byte) {
-	a.length += len(b)
-	if a.length <= claim.MaxBody {
-		a.answer.Body = append(a.answer.Body, b...)
+// write appends to the body, up to claim.MaxBody bytes.
+func (r *responseRecord) write(b []byte) {
+	r.bodyLength += len(b)
+	if r.bodyLength <= claim.MaxBody {
+		r.response.Body = append(r.response.Body, b...)
 	}
 }
 
-// record returns what is kept of the answer.
-func (a *answerRecord) record() *claim.Answer {
-	r := a.answer
-	r.Whole = a.length <= claim.MaxBody
-	if !r.Whole {
-		r.Body = nil
+// record returns the response to store, without a body if it exceeds claim.MaxBody.
+func (r *responseRecord) record() *claim.Answer {
+	answer := r.response
+	answer.Whole = r.bodyLength <= claim.MaxBody
+	if !answer.Whole {
+		answer.Body = nil
 	}
-	return &r
+	return &answer
 }
 
-// runClaimed sends a request that may not be repeated, if its key is free.
+// runClaimed claims the request's key and forwards the request if the key is free. Otherwise it
+// responds from the existing record.
 func (p *proxy) runClaimed(c echo.Context, x *call) error {
 	fingerprint := rendezvous.Key(c.Request().Method + "\x00" + c.Request().URL.RequestURI() + "\x00" + string(x.body))
 	r := wire.ClaimRequest{Key: x.key, Fingerprint: fingerprint, Attempt: uuid.NewString()}
 	a, err := p.claims.claim(c.Request().Context(), r)
 	if err != nil {
-		p.log.Warn("claim not recorded", zap.String("request", x.id), zap.Error(err))
+		p.log.Warn("claim failed; request not run", zap.String("request", x.id), zap.Error(err))
 		p.claims.finish(wire.ClaimRequest{Key: x.key, Attempt: r.Attempt, Free: true})
 		p.metrics.Request(x.class(), string(wire.OutcomeNotRun))
 		return wire.Failure{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer,
-			Code: "claim_not_recorded", RetryAfter: retrySoon,
+			Code: "claim_not_recorded", RetryAfter: defaultRetryAfter,
 			Message: "the record that keeps this request from running twice could not be made; it was not run",
 		}.Write(c)
 	}
 	if !a.Fresh {
 		return p.replay(c, x, a.Record, fingerprint)
 	}
-	x.answer = &answerRecord{}
+	x.response = &responseRecord{}
 	done := r
 	finish := func(o wire.Outcome) {
 		switch o {
 		case wire.OutcomeAnswered:
-			done.Answer = x.answer.record()
+			done.Answer = x.response.record()
 			p.claims.finish(done)
 		case wire.OutcomeNotRun:
 			done.Free = true
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// replay answers a request whose key has a record already.
+// replay responds to a request whose key already has a record.
 func (p *proxy) replay(c echo.Context, x *call, r claim.Record, fingerprint uint64) error {
 	if r.Fingerprint != fingerprint {
 		f := badRequest("key_reused", wire.HeaderIdempotencyKey, "the Idempotency-Key was used for another request")
@@ -92,7 +93,7 @@
 	f := wire.Failure{
 		Status: http.StatusConflict, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer, Code: "in_progress",
 		Message:    "a request with this key was sent and has no recorded answer; it will not be sent again",
-		RetryAfter: retrySoon,
+		RetryAfter: defaultRetryAfter,
 	}
 	if r.State == claim.StateDone {
 		f.Outcome, f.Code, f.RetryAfter = wire.OutcomeAnswered, "already_answered", 0
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -22,7 +22,7 @@
 	"rockcleat/table"
 )
 
-// Options are what an Entry is made of.
+// Options are the settings and dependencies of an Entry.
 type Options struct {
 	Settings config.Entry
 	Store    kv.Store
@@ -30,47 +30,46 @@
 	Clock    clock.Service
 	Log      *zap.Logger
 	Metrics  *telemetry.Metrics
-	// Traffic counts the bytes of control; the clients of the platform share it.
+	// Traffic counts the bytes of control traffic. The platform's clients share it.
 	Traffic *wire.Traffic
 }
 
-// An Entry is the process that callers and operators speak to.
+// An Entry is the process that serves clients and operators.
 type Entry struct {
 	settings config.Entry
 	clock    clock.Service
 	log      *zap.Logger
 	metrics  *telemetry.Metrics
-	// replica is the table in force, view the servers' records; both are shared by the parts.
+	// replica holds the table in force and view the records of the servers. All parts share both.
 	replica   table.Replica
 	view      fleet.View
 	decisions decisions
 	members   *members
-	// quarantine holds the requests under which backend servers have ended.
+	// quarantine holds the requests during which backend servers have crashed.
 	quarantine *quarantine.Table
 	planner    *planner.Planner
 	sync       *syncer
 	claims     *claims
-	operators  *operators
+	operators  *operatorAPI
 	proxy      *proxy
-	// traffic counts the bytes of control, proxied those of callers' requests.
+	// traffic counts the bytes of control traffic, proxied those of clients' requests.
 	traffic  *wire.Traffic
 	proxied  wire.Traffic
 	requests *server.Listener
 	control  *server.Listener
 	leaving  atomic.Bool
-	// stops end the subscriptions to the clock.
-	stops []func()
-	// ctx ends with the entry, after its last request.
-	ctx  context.Context
-	done context.CancelFunc
+	// unsubscribe holds the functions that cancel the clock subscriptions.
+	unsubscribe []func()
+	// ctx is canceled when the entry stops, after its last request.
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-// New returns an Entry that does nothing until Start. Its parts are made from those that need no
-// other up to the proxy.
+// New returns an Entry that is idle until Start.
 func New(o Options) *Entry {
 	s := o.Settings
 	e := &Entry{settings: s, clock: o.Clock, log: o.Log, metrics: o.Metrics, traffic: o.Traffic}
-	e.ctx, e.done = context.WithCancel(context.Background())
+	e.ctx, e.cancel = context.WithCancel(context.Background())
 	peers := wire.NewClient(s.Secret, wire.NewTransport(e.traffic))
 	e.members = newMembers(s.ID, o.Platform, o.Log)
 	e.quarantine = quarantine.New(quarantine.Options{
@@ -98,14 +97,14 @@
 		clock: o.Clock, log: o.Log, metrics: o.Metrics,
 	}
 	e.proxy.routes.Hall = s.Hall
-	e.operators = &operators{
+	e.operators = &operatorAPI{
 		id: s.ID, replica: &e.replica, view: &e.view, tableLog: tableLog, planner: e.planner, members: e.members,
 		decisions: &e.decisions, peers: peers, inFlight: e.proxy.inFlight.Load, traffic: o.Traffic, log: o.Log,
 	}
 	return e
 }
 
-// Start binds the listeners and starts the entry's systems.
+// Start binds the listeners and starts the background tasks.
 func (e *Entry) Start() error {
 	var err error
 	if e.requests, err = server.Listen(e.settings.Listen, e.proxy.router(), &e.proxied, e.log); err != nil {
@@ -117,7 +116,7 @@
 	e.members.step(e.ctx)
 	e.subscribe(e.settings.VMsEvery.Std(), func(time.Time) { e.stepMembers() })
 	e.subscribe(e.settings.SyncEvery.Std(), func(time.Time) { e.sync.step() })
-	e.subscribe(quarantineSweep, func(time.Time) { e.quarantine.Expire() })
+	e.subscribe(quarantineExpireInterval, func(time.Time) { e.quarantine.Expire() })
 	e.claims.start()
 	e.planner.Start()
 	go e.sync.watchTable()
@@ -127,22 +126,21 @@
 	return nil
 }
 
-// controlRouter returns the handler of the control listener.
 func (e *Entry) controlRouter() http.Handler {
 	r := server.NewRouter()
 	server.RegisterHealth(r, e.ready, e.metrics)
-	own := r.Group("", server.RequireSecret(e.settings.Secret, e.metrics))
-	own.POST(wire.PathSync, e.sync.answer)
-	own.POST(wire.PathNudge, e.nudge)
-	own.POST(wire.PathClaim, e.claims.serveClaim)
-	own.POST(wire.PathClaimFinish, e.claims.serveFinish)
-	server.RegisterQuarantine(own, e.quarantine)
-	e.operators.register(own)
+	authorized := r.Group("", server.RequireSecret(e.settings.Secret, e.metrics))
+	authorized.POST(wire.PathSync, e.sync.handleSync)
+	authorized.POST(wire.PathNudge, e.handleNudge)
+	authorized.POST(wire.PathClaim, e.claims.serveClaim)
+	authorized.POST(wire.PathClaimFinish, e.claims.serveFinish)
+	server.RegisterQuarantine(authorized, e.quarantine)
+	e.operators.register(authorized)
 	return r
 }
 
-// nudge makes the planner exchange messages with a server's agent at once.
-func (e *Entry) nudge(c echo.Context) error {
+// handleNudge handles an agent's request for an immediate exchange with its planner.
+func (e *Entry) handleNudge(c echo.Context) error {
 	var n wire.Nudge
 	if err := c.Bind(&n); err != nil {
 		return err
@@ -151,35 +149,36 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// subscribe calls f every interval until the entry halts.
+// subscribe calls f at the given interval until the entry stops.
 func (e *Entry) subscribe(every time.Duration, f func(time.Time)) {
-	e.stops = append(e.stops, e.clock.Subscribe(every, f))
+	e.unsubscribe = append(e.unsubscribe, e.clock.Subscribe(every, f))
 }
 
-// Addr returns the address for callers.
+// Addr returns the address of the listener for clients.
 func (e *Entry) Addr() string { return e.requests.Addr() }
 
-// ControlAddr returns the address for control messages and operators.
+// ControlAddr returns the address of the listener for control messages and operators.
 func (e *Entry) ControlAddr() string { return e.control.Addr() }
 
-// stepMembers follows the platform's list and forgets servers that are gone.
+// stepMembers updates the list of VMs and drops the load of servers that are gone.
 func (e *Entry) stepMembers() {
 	e.members.step(e.ctx)
-	live := make(map[string]bool)
+	known := make(map[string]bool)
 	for _, s := range e.view.Servers() {
-		live[s.ID] = true
+		known[s.ID] = true
 	}
-	e.proxy.routes.Forget(live)
+	e.proxy.routes.Forget(known)
 }
 
-// ready reports whether the entry should get requests from the balancer.
+// ready reports whether the load balancer should send requests to this entry, and the reason if
+// not.
 func (e *Entry) ready() (bool, string) {
 	switch {
 	case e.leaving.Load():
 		return false, "leaving"
 	case e.replica.Current().Version() == 0:
 		return false, "no table yet"
-	case !e.members.known():
+	case !e.members.isLoaded():
 		return false, "no list of VMs yet"
 	}
 	return true, ""
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -13,115 +13,115 @@
 	"rockcleat/route"
 )
 
-// Bounds of the sending of one request.
+// Limits of forwarding one request.
 const (
-	// maxTries bounds the servers that it is sent to.
-	maxTries = 4
-	// arrivalPoll is the time between two looks for a server that is to arrive.
-	arrivalPoll = 20 * time.Millisecond
-	// maxArrival bounds the wait for it.
-	maxArrival = 10 * time.Second
+	// maxAttempts is the maximum number of servers that a request is sent to.
+	maxAttempts = 4
+	// serverPollInterval is the interval at which a waiting request checks for an available server.
+	serverPollInterval = 20 * time.Millisecond
+	// maxServerWait is the maximum time that a request waits for an available server.
+	maxServerWait = 10 * time.Second
 )
 
-// A delivery is the state of passing one call's answer to its caller.
-type delivery struct {
-	proxy *proxy
-	c     echo.Context
-	x     *call
-	// out is the outcome, empty until the call is over.
-	out wire.Outcome
-	// begun says that the answer's header has been sent to the caller.
-	begun bool
-	// tokens is the number of streamed tokens that the caller has.
+// A forwarder forwards one call to servers, one after another, and returns the response to the
+// client.
+type forwarder struct {
+	proxy       *proxy
+	echoContext echo.Context
+	call        *call
+	// outcome is the outcome of the call, empty until the call is over.
+	outcome wire.Outcome
+	// headerSent reports whether the response header has been sent to the client.
+	headerSent bool
+	// tokens is the number of tokens that have been streamed to the client.
 	tokens int
-	// refusal is the best refusal so far.
+	// refusal is the refusal to return if no other server accepts the request.
 	refusal *wire.Failure
-	// tried holds the incarnation of each server that was tried.
+	// tried maps the id of each server tried to its incarnation at the time.
 	tried map[string]string
-	// mayHaveRun says that a server was lost that may have run the request.
+	// mayHaveRun reports whether the request may have run on a server that was then lost.
 	mayHaveRun bool
-	// refusedByLeaver says that a server refused because it is leaving.
-	refusedByLeaver bool
-	// finish is called with the outcome, before the caller has the end of the answer.
+	// refusedByLeaving reports whether a server refused the request because it is leaving.
+	refusedByLeaving bool
+	// finish is called with the outcome before the end of the response is sent to the client.
 	finish func(wire.Outcome)
 }
 
-// forward answers a call that needs no claim.
+// forward serves a call that needs no claim.
 func (p *proxy) forward(c echo.Context, x *call) {
 	p.forwardThen(c, x, func(wire.Outcome) {})
 }
 
-// forwardThen answers a call and passes its outcome to finish before the caller has the end of the
-// answer.
+// forwardThen serves a call. It calls finish with the outcome before the end of the response is
+// sent to the client.
 func (p *proxy) forwardThen(c echo.Context, x *call, finish func(wire.Outcome)) {
-	d := &delivery{proxy: p, c: c, x: x, tried: make(map[string]string), finish: finish}
+	fw := &forwarder{proxy: p, echoContext: c, call: x, tried: make(map[string]string), finish: finish}
 	x.digest = digestOf(c.Request(), x.row.Name, x.body)
 	p.budget.First()
-	for try := 0; try < maxTries; try++ {
-		s, ok := d.next()
+	for try := 0; try < maxAttempts; try++ {
+		s, ok := fw.next()
 		if !ok {
 			break
 		}
-		if f, held := d.quarantined(); held {
-			d.refusal = &f
+		if f, quarantined := fw.quarantined(); quarantined {
+			fw.refusal = &f
 			break
 		}
 		if try > 0 && !p.budget.Allow() {
-			p.log.Warn("retry budget used up", zap.String("request", x.id))
+			p.log.Warn("retry budget exhausted", zap.String("request", x.id))
 			break
 		}
 		if try > 0 {
 			p.metrics.Retry(x.class())
 		}
-		d.tried[s.ID] = s.Incarnation
-		if d.attempt(s) {
+		fw.tried[s.ID] = s.Incarnation
+		if fw.attempt(s) {
 			return
 		}
 	}
-	d.giveUp()
+	fw.giveUp()
 }
 
-// next chooses the server to try. It waits for one, within the row's queue time, while one may
-// arrive.
-func (d *delivery) next() (fleet.Server, bool) {
-	since := d.x.arrived
-	if d.mayHaveRun {
-		since = d.proxy.clock.Now()
+// next returns the server to try next. While one may become available, it waits for up to the
+// smaller of the row's queue time and maxServerWait.
+func (fw *forwarder) next() (fleet.Server, bool) {
+	since := fw.call.arrived
+	if fw.mayHaveRun {
+		since = fw.proxy.clock.Now()
 	}
-	deadline := since.Add(min(d.x.row.QueueTime, maxArrival))
+	deadline := since.Add(min(fw.call.row.QueueTime, maxServerWait))
 	for {
-		if s, ok := d.choose(); ok {
+		if s, ok := fw.choose(); ok {
 			return s, true
 		}
-		if !d.mayArrive() || !d.proxy.clock.Now().Before(deadline) {
+		if !fw.shouldWait() || !fw.proxy.clock.Now().Before(deadline) {
 			return fleet.Server{}, false
 		}
-		ctx := d.c.Request().Context()
-		clock.Sleep(ctx, d.proxy.clock, arrivalPoll)
+		ctx := fw.echoContext.Request().Context()
+		clock.Sleep(ctx, fw.proxy.clock, serverPollInterval)
 		if ctx.Err() != nil {
 			return fleet.Server{}, false
 		}
 	}
 }
 
-// mayArrive reports whether waiting for a server is worth it: the model is being loaded and no
-// server refused for lack of capacity, or a server was lost under the request, so that its model
-// is loaded elsewhere.
-func (d *delivery) mayArrive() bool {
-	if d.mayHaveRun {
+// shouldWait reports whether a server may become available soon: the model is being loaded and no
+// server refused for lack of capacity, or a server was lost during the request, so that the model
+// will be loaded on another.
+func (fw *forwarder) shouldWait() bool {
+	if fw.mayHaveRun {
 		return true
 	}
-	return d.proxy.arriving(d.x.row.Name) && (len(d.tried) == 0 || d.refusedByLeaver)
+	return fw.proxy.isLoading(fw.call.row.Name) && (len(fw.tried) == 0 || fw.refusedByLeaving)
 }
 
-// choose returns the best server not yet tried. One that is leaving is chosen
-// only when no other has the model or adapter; it decides itself whether it
-// still takes the request.
-func (d *delivery) choose() (fleet.Server, bool) {
-	servers := slices.DeleteFunc(slices.Clone(d.proxy.view.Serving(d.x.row.Name)), func(s fleet.Server) bool {
-		return d.tried[s.ID] == s.Incarnation
+// choose returns the best server not yet tried. A leaving server is chosen only if no other serves
+// the row. It may still refuse the request.
+func (fw *forwarder) choose() (fleet.Server, bool) {
+	servers := slices.DeleteFunc(slices.Clone(fw.proxy.view.Serving(fw.call.row.Name)), func(s fleet.Server) bool {
+		return fw.tried[s.ID] == s.Incarnation
 	})
-	staying := slices.DeleteFunc(slices.Clone(servers), d.leaving)
+	staying := slices.DeleteFunc(slices.Clone(servers), fw.leaving)
 	if len(staying) > 0 {
 		servers = staying
 	}
@@ -132,18 +132,19 @@
 	for i, s := range servers {
 		cands[i] = route.Candidate{ID: s.ID, Hall: s.Hall}
 	}
-	best := d.proxy.routes.Order(cands, d.x.prefix, d.proxy.clock.Now())[0]
+	best := fw.proxy.routes.Order(cands, fw.call.prefix, fw.proxy.clock.Now())[0]
 	i := slices.IndexFunc(servers, func(s fleet.Server) bool { return s.ID == best.ID })
 	return servers[i], true
 }
 
-// leaving reports whether a server leaves, by its own word, its record or the platform's list.
-func (d *delivery) leaving(s fleet.Server) bool {
-	return s.Leaving || d.proxy.members.isLeaving(s.ID) || d.proxy.routes.Leaving(s.ID, s.Incarnation)
+// leaving reports whether a server is leaving according to its responses, its record or the
+// platform's list of VMs.
+func (fw *forwarder) leaving(s fleet.Server) bool {
+	return s.Leaving || fw.proxy.members.isLeaving(s.ID) || fw.proxy.routes.Leaving(s.ID, s.Incarnation)
 }
 
-// arriving reports whether a server is loading the model or adapter.
-func (p *proxy) arriving(name string) bool {
+// isLoading reports whether a server is loading the model or adapter.
+func (p *proxy) isLoading(name string) bool {
 	return slices.ContainsFunc(p.view.Servers(), func(s fleet.Server) bool {
 		return slices.ContainsFunc(s.Residents, func(r fleet.Resident) bool {
 			return r.Name == name && r.State == fleet.StateLoading
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -9,111 +9,112 @@
 	"rockcleat/internal/wire"
 )
 
-// keepRefusal remembers an agent's refusal, the one with the shortest time to
-// come back before others.
-func (d *delivery) keepRefusal(resp *http.Response) {
+// recordRefusal records an agent's refusal unless an earlier one has a shorter Retry-After.
+func (fw *forwarder) recordRefusal(resp *http.Response) {
 	f := &wire.Failure{
 		Status: resp.StatusCode, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
 		Code: resp.Header.Get(wire.HeaderReason), RetryAfter: wire.RetryAfter(resp.Header),
 	}
 	f.Message = "the request was not run: " + f.Code
-	d.refusedByLeaver = d.refusedByLeaver || resp.Header.Get(wire.HeaderLeaving) != ""
-	if d.refusal == nil || f.RetryAfter < d.refusal.RetryAfter {
-		d.refusal = f
+	fw.refusedByLeaving = fw.refusedByLeaving || resp.Header.Get(wire.HeaderLeaving) != ""
+	if fw.refusal == nil || f.RetryAfter < fw.refusal.RetryAfter {
+		fw.refusal = f
 	}
 }
 
-// failed handles a call that got no answer's header and reports whether it is over.
-func (d *delivery) failed(s fleet.Server, err error) bool {
-	if d.c.Request().Context().Err() != nil {
-		return d.abandoned()
+// attemptFailed handles an attempt that returned no complete response and reports whether the call
+// is over.
+func (fw *forwarder) attemptFailed(s fleet.Server, err error) bool {
+	if fw.echoContext.Request().Context().Err() != nil {
+		return fw.clientGone()
 	}
-	d.proxy.routes.Avoid(s.ID, d.proxy.clock.Now())
+	fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
 	if wire.IsNotSent(err) {
-		d.refusal = &wire.Failure{
+		fw.refusal = &wire.Failure{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer,
 			Code: "backend_unreachable", Message: "no backend server could be reached; the request was not run",
-			RetryAfter: retrySoon,
+			RetryAfter: defaultRetryAfter,
 		}
 		return false
 	}
-	return d.lost(s, err)
+	return fw.serverLost(s, err)
 }
 
-// lost handles a server that may have run the request and reports whether the
-// call is over: one that may be repeated goes on elsewhere.
-func (d *delivery) lost(s fleet.Server, err error) bool {
-	d.proxy.log.Warn("backend server lost", zap.String("request", d.x.id), zap.String("server", s.ID),
-		zap.Int("tokens", d.tokens), zap.Error(err))
-	d.proxy.routes.Avoid(s.ID, d.proxy.clock.Now())
-	d.mayHaveRun = true
-	if d.x.repeatable && (!d.begun || d.x.stream) {
+// serverLost handles the loss of a server that may have run the request and reports whether the
+// call is over. A repeatable request continues on another server, except after part of a response
+// that is not a stream has been sent.
+func (fw *forwarder) serverLost(s fleet.Server, err error) bool {
+	fw.proxy.log.Warn("backend server lost during a request", zap.String("request", fw.call.id), zap.String("server", s.ID),
+		zap.Int("tokens", fw.tokens), zap.Error(err))
+	fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
+	fw.mayHaveRun = true
+	if fw.call.repeatable && (!fw.headerSent || fw.call.stream) {
 		return false
 	}
-	d.end(wire.OutcomeUnknown)
-	if d.begun {
+	fw.recordOutcome(wire.OutcomeUnknown)
+	if fw.headerSent {
 		panic(http.ErrAbortHandler)
 	}
-	d.answer(d.unknown())
+	fw.respond(fw.unknownOutcome())
 	return true
 }
 
-// answer sends an answer of the entry's own. It fails if the caller has gone, and then there is
-// nobody to report it to.
-func (d *delivery) answer(f wire.Failure) { _ = f.Write(d.c) }
+// respond sends a failure to the client. A write error is ignored: the client has disconnected.
+func (fw *forwarder) respond(f wire.Failure) { _ = f.Write(fw.echoContext) }
 
-// unknown is the answer to a request that may have run and is not sent again.
-func (d *delivery) unknown() wire.Failure {
+// unknownOutcome returns the failure of a request that may have run and is not sent again.
+func (fw *forwarder) unknownOutcome() wire.Failure {
 	return wire.Failure{
 		Status: http.StatusBadGateway, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer, Code: "backend_lost",
 		Message: "the backend server was lost; the request may have run and is not sent again",
 	}
 }
 
-// abandoned ends a call whose caller has gone.
-func (d *delivery) abandoned() bool {
-	d.end(wire.OutcomeUnknown)
+// clientGone ends a call whose client has disconnected. It returns true: the call is over.
+func (fw *forwarder) clientGone() bool {
+	fw.recordOutcome(wire.OutcomeUnknown)
 	return true
 }
 
-// giveUp ends a call for which no server is left to try, or no retry.
-func (d *delivery) giveUp() {
-	if d.c.Request().Context().Err() != nil {
-		d.abandoned()
+// giveUp ends a call for which no server or no retry is left.
+func (fw *forwarder) giveUp() {
+	if fw.echoContext.Request().Context().Err() != nil {
+		fw.clientGone()
 		return
 	}
-	if d.begun {
-		d.cutStream()
+	if fw.headerSent {
+		fw.abortStream()
 		return
 	}
-	if d.mayHaveRun {
-		d.end(wire.OutcomeUnknown)
-		d.answer(d.unknown())
+	if fw.mayHaveRun {
+		fw.recordOutcome(wire.OutcomeUnknown)
+		fw.respond(fw.unknownOutcome())
 		return
 	}
-	if d.refusal == nil {
-		d.refusal = &wire.Failure{
+	if fw.refusal == nil {
+		fw.refusal = &wire.Failure{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
-			Code: "no_place", Message: "no backend server has it ready now; the request was not run", RetryAfter: retrySoon,
+			Code: "no_place", Message: "no backend server has it ready now; the request was not run", RetryAfter: defaultRetryAfter,
 		}
 	}
-	d.proxy.decisions.Record(wire.Decision{
-		Time: d.proxy.clock.Now().UnixMilli(), Kind: "refuse", Name: d.x.row.Name, Reason: d.refusal.Code,
+	fw.proxy.decisions.Record(wire.Decision{
+		Time: fw.proxy.clock.Now().UnixMilli(), Kind: "refuse", Name: fw.call.row.Name, Reason: fw.refusal.Code,
 	})
-	d.end(wire.OutcomeNotRun)
-	d.answer(*d.refusal)
+	fw.recordOutcome(wire.OutcomeNotRun)
+	fw.respond(*fw.refusal)
 }
 
-// end counts the outcome and passes it on to finish. A request that has run whole ends no server.
-func (d *delivery) end(o wire.Outcome) {
-	if d.out != "" {
+// recordOutcome records the outcome in the metrics and passes it to finish; only the first call has
+// an effect. If the outcome is answered, it also clears the crashes recorded for the request.
+func (fw *forwarder) recordOutcome(o wire.Outcome) {
+	if fw.outcome != "" {
 		return
 	}
-	d.out = o
+	fw.outcome = o
 	if o == wire.OutcomeAnswered {
-		d.proxy.quarantine.Void(d.x.digest)
+		fw.proxy.quarantine.Void(fw.call.digest)
 	}
-	d.proxy.metrics.Request(d.x.class(), string(o))
-	d.proxy.metrics.Duration(d.x.class(), d.proxy.clock.Now().Sub(d.x.arrived).Seconds())
-	d.finish(o)
+	fw.proxy.metrics.Request(fw.call.class(), string(o))
+	fw.proxy.metrics.Duration(fw.call.class(), fw.proxy.clock.Now().Sub(fw.call.arrived).Seconds())
+	fw.finish(o)
 }
--- a/internal/entry/stream_copy.go
+++ b/internal/entry/stream_copy.go
@@ -14,96 +14,97 @@
 	"rockcleat/internal/wire"
 )
 
-// heldAnswer is the longest answer that is read whole before any of it is passed on, so that one
-// cut before its end can be had elsewhere; in bytes.
-const heldAnswer = 1 << 20
-
-// pass gives an answer to the caller and reports whether the call is over.
-func (d *delivery) pass(s fleet.Server, resp *http.Response, w *stallTimer) bool {
-	if d.x.stream && isStream(resp.Header) {
-		return d.passStream(s, resp, w)
+// maxBufferedResponse is the size below which a response is read completely before any of it is
+// sent to the client, in bytes. Until then the request can be retried if the response is
+// incomplete.
+const maxBufferedResponse = 1 << 20
+
+// copyResponse copies the response to the client and reports whether the call is over.
+func (fw *forwarder) copyResponse(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
+	if fw.call.stream && isStream(resp.Header) {
+		return fw.copyStream(s, resp, watch)
 	}
-	if d.begun {
-		// A resumed stream that is answered by something else cannot go on.
-		return d.lost(s, eris.Errorf("entry: stream resumed with status %d", resp.StatusCode))
+	if fw.headerSent {
+		// A stream cannot continue with a response that is not a stream.
+		return fw.serverLost(s, eris.Errorf("entry: resumed stream got a response with status %d that is not a stream", resp.StatusCode))
 	}
-	return d.passWhole(s, resp, w)
+	return fw.copyPlain(s, resp, watch)
 }
 
-// isStream reports whether an answer is a stream of events.
+// isStream reports whether a response is an event stream.
 func isStream(h http.Header) bool {
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// passWhole gives an answer that is not a stream of events. One that is short
-// is read whole first; its outcome is recorded before the caller has it.
-func (d *delivery) passWhole(s fleet.Server, resp *http.Response, w *stallTimer) bool {
-	r := transfer.NewReader(resp.Body, w.progress)
-	held, err := io.ReadAll(io.LimitReader(r, heldAnswer))
+// copyPlain copies a response that is not an event stream. A response shorter than
+// maxBufferedResponse is read completely first, and its outcome is recorded before it is sent.
+func (fw *forwarder) copyPlain(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
+	r := transfer.NewReader(resp.Body, watch.restart)
+	buffered, err := io.ReadAll(io.LimitReader(r, maxBufferedResponse))
 	if err != nil {
-		return d.failed(s, err)
+		return fw.attemptFailed(s, err)
 	}
-	d.collect(resp, held)
-	whole := len(held) < heldAnswer
-	if whole {
-		d.end(wire.OutcomeAnswered)
+	fw.recordForClaim(resp, buffered)
+	complete := len(buffered) < maxBufferedResponse
+	if complete {
+		fw.recordOutcome(wire.OutcomeAnswered)
 	}
-	d.begin(resp)
-	d.write(held)
-	if whole {
+	fw.sendHeader(resp)
+	fw.write(buffered)
+	if complete {
 		return true
 	}
-	if _, err := io.Copy(writerFunc(d.write), r); err != nil {
-		return d.lost(s, err)
+	if _, err := io.Copy(writerFunc(fw.write), r); err != nil {
+		return fw.serverLost(s, err)
 	}
-	d.end(wire.OutcomeAnswered)
+	fw.recordOutcome(wire.OutcomeAnswered)
 	return true
 }
 
-// collect keeps the start of the answer for the record of a request with a key.
-func (d *delivery) collect(resp *http.Response, b []byte) {
-	if d.x.answer == nil {
+// recordForClaim adds part of the response to the claim record, if the request has a key.
+func (fw *forwarder) recordForClaim(resp *http.Response, b []byte) {
+	if fw.call.response == nil {
 		return
 	}
-	d.x.answer.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
-	d.x.answer.write(b)
+	fw.call.response.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
+	fw.call.response.write(b)
 }
 
-// ownHeaders are the headers of an agent's answer that are not passed on to callers.
-var ownHeaders = []string{
+// agentHeaders are the headers of an agent's response that are not copied to the client.
+var agentHeaders = []string{
 	wire.HeaderLoad, wire.HeaderLeaving, wire.HeaderTableVersion, "Connection", "Transfer-Encoding", "Date",
 }
 
-// begin sends the answer's header to the caller.
-func (d *delivery) begin(resp *http.Response) {
-	if d.begun {
+// sendHeader sends the response header to the client, once.
+func (fw *forwarder) sendHeader(resp *http.Response) {
+	if fw.headerSent {
 		return
 	}
-	d.begun = true
-	h := d.c.Response().Header()
+	fw.headerSent = true
+	h := fw.echoContext.Response().Header()
 	id := h.Get(wire.HeaderRequestID)
 	for k, v := range resp.Header {
 		h[k] = v
 	}
-	for _, k := range ownHeaders {
+	for _, k := range agentHeaders {
 		h.Del(k)
 	}
 	if resp.ContentLength >= 0 {
 		h.Set("Content-Length", resp.Header.Get("Content-Length"))
 	}
 	h.Set(wire.HeaderRequestID, id)
-	d.proxy.metrics.FirstToken(d.x.class(), d.proxy.clock.Now().Sub(d.x.arrived).Seconds())
-	d.c.Response().WriteHeader(resp.StatusCode)
+	fw.proxy.metrics.FirstToken(fw.call.class(), fw.proxy.clock.Now().Sub(fw.call.arrived).Seconds())
+	fw.echoContext.Response().WriteHeader(resp.StatusCode)
 }
 
-// write gives a piece of the answer to the caller; a caller that has gone shows
-// in the request's context.
-func (d *delivery) write(b []byte) {
-	_, _ = d.c.Response().Write(b)
-	d.c.Response().Flush()
+// write sends part of the response to the client. A write error is ignored: the request's context
+// is canceled when the client disconnects.
+func (fw *forwarder) write(b []byte) {
+	_, _ = fw.echoContext.Response().Write(b)
+	fw.echoContext.Response().Flush()
 }
 
-// A writerFunc is a function as an io.Writer.
+// A writerFunc adapts a function to io.Writer.
 type writerFunc func([]byte)
 
 // Write implements io.Writer.
@@ -112,53 +113,52 @@
 	return len(b), nil
 }
 
-// passStream gives the events of a stream to the caller. Only an event that is
-// whole is passed on, so a stream cut anywhere can go on elsewhere from the
-// token after the last one given.
-func (d *delivery) passStream(s fleet.Server, resp *http.Response, w *stallTimer) bool {
-	r := bufio.NewReader(transfer.NewReader(resp.Body, w.progress))
+// copyStream copies the events of a stream to the client. Only complete events are sent, so that
+// after an interruption another server can continue the stream with the next token.
+func (fw *forwarder) copyStream(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
+	r := bufio.NewReader(transfer.NewReader(resp.Body, watch.restart))
 	for {
 		event, err := readEvent(r)
 		if err != nil {
-			return d.streamBroken(s, err)
+			return fw.streamInterrupted(s, err)
 		}
-		d.begin(resp)
-		d.collect(resp, event)
+		fw.sendHeader(resp)
+		fw.recordForClaim(resp, event)
 		if isDone(event) {
-			d.end(wire.OutcomeAnswered)
-			d.write(event)
+			fw.recordOutcome(wire.OutcomeAnswered)
+			fw.write(event)
 			return true
 		}
-		d.write(event)
+		fw.write(event)
 		if carriesToken(event) {
-			d.tokens++
+			fw.tokens++
 		}
 	}
 }
 
-// streamBroken handles a stream without its end mark and reports whether the
-// call is over.
-func (d *delivery) streamBroken(s fleet.Server, err error) bool {
-	if d.c.Request().Context().Err() != nil {
-		return d.abandoned()
+// streamInterrupted handles a stream that ended without [DONE] and reports whether the call is
+// over.
+func (fw *forwarder) streamInterrupted(s fleet.Server, err error) bool {
+	if fw.echoContext.Request().Context().Err() != nil {
+		return fw.clientGone()
 	}
-	if !d.x.repeatable && d.begun {
-		d.proxy.routes.Avoid(s.ID, d.proxy.clock.Now())
-		d.cutStream()
+	if !fw.call.repeatable && fw.headerSent {
+		fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
+		fw.abortStream()
 		return true
 	}
-	return d.lost(s, err)
+	return fw.serverLost(s, err)
 }
 
-// cutStream tells the caller by an error event, and by dropping the connection
-// without an end mark, that the answer is not whole.
-func (d *delivery) cutStream() {
-	d.end(wire.OutcomeUnknown)
-	f := d.unknown()
+// abortStream ends an incomplete stream. It sends an error event and closes the connection without
+// [DONE].
+func (fw *forwarder) abortStream() {
+	fw.recordOutcome(wire.OutcomeUnknown)
+	f := fw.unknownOutcome()
 	f.Message = "the stream was cut; what came before is not the whole answer"
 	data, err := json.Marshal(f.Body())
 	if err == nil {
-		d.write([]byte("data: " + string(data) + "\n\n"))
+		fw.write([]byte("data: " + string(data) + "\n\n"))
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/entry/stream_copy_test.go
+++ b/internal/entry/stream_copy_test.go
@@ -17,48 +17,48 @@
 		events []string
 		err    error
 	}{
-		"two events":        {"data: a\n\ndata: b\n\n", []string{"data: a\n\n", "data: b\n\n"}, errCut},
-		"carriage returns":  {"data: a\r\n\r\n", []string{"data: a\r\n\r\n"}, errCut},
-		"cut in an event":   {"data: a\n\ndata: b", []string{"data: a\n\n"}, errCut},
-		"cut before a line": {"data: a\n", nil, errCut},
-		"too long":          {"data: " + strings.Repeat("x", maxEvent+1) + "\n\n", nil, errTooLarge},
-		"comment":           {": hello\n\n", []string{": hello\n\n"}, errCut},
+		"two events":        {"data: a\n\ndata: b\n\n", []string{"data: a\n\n", "data: b\n\n"}, errTruncated},
+		"carriage returns":  {"data: a\r\n\r\n", []string{"data: a\r\n\r\n"}, errTruncated},
+		"cut in an event":   {"data: a\n\ndata: b", []string{"data: a\n\n"}, errTruncated},
+		"cut before a line": {"data: a\n", nil, errTruncated},
+		"too long":          {"data: " + strings.Repeat("x", maxEventLength+1) + "\n\n", nil, errEventTooLarge},
+		"comment":           {": hello\n\n", []string{": hello\n\n"}, errTruncated},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := bufio.NewReader(strings.NewReader(tc.text))
 			var events []string
 			for {
-				e, err := readEvent(r)
+				event, err := readEvent(r)
 				if err != nil {
 					assert.ErrorIs(t, err, tc.err)
 					break
 				}
-				events = append(events, string(e))
+				events = append(events, string(event))
 			}
 			assert.DeepEqual(t, events, tc.events)
 		})
 	}
 }
 
-// FuzzReadEvent checks that the events read are the stream, in order, up to
-// where it was cut, and that none of them can be taken for the end mark falsely.
+// FuzzReadEvent checks that the events read are a prefix of the stream, in order, and that no event
+// with text is taken for the end of the stream.
 func FuzzReadEvent(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[{\"delta\":{\"content\":\"x\"}}]}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("\n\n\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := bufio.NewReader(bytes.NewReader(data))
-		var all []byte
+		var read []byte
 		for {
-			e, err := readEvent(r)
+			event, err := readEvent(r)
 			if err != nil {
 				break
 			}
-			assert.Assert(t, len(e) > 0)
-			assert.Assert(t, !isDone(e) || !carriesToken(e))
-			all = append(all, e...)
+			assert.Assert(t, len(event) > 0)
+			assert.Assert(t, !isDone(event) || !carriesToken(event))
+			read = append(read, event...)
 		}
-		assert.Assert(t, bytes.HasPrefix(data, all))
+		assert.Assert(t, bytes.HasPrefix(data, read))
 	})
 }
 
--- a/internal/planner/cell.go
+++ b/internal/planner/cell.go
@@ -16,86 +16,89 @@
 	"rockcleat/quarantine"
 )
 
-// Times of a cell's planning; docs/CAPACITY.md says what they cost.
+// Intervals and timeouts of planning a cell.
 const (
-	// planEvery is the time between two plans after the cell's own records have changed.
-	planEvery = 500 * time.Millisecond
-	// idlePlanEvery is the time between other plans.
-	idlePlanEvery = 2 * time.Second
-	// busyEvery is the time between two exchanges with an agent that is loading or
-	// unloading, or has an order.
-	busyEvery = 500 * time.Millisecond
-	// orderMemory is how long an order counts whose effect is not seen.
-	orderMemory = 10 * time.Second
-	// goneAfter is the number of exchange intervals without an answer after which a
-	// backend server counts as gone.
-	goneAfter = 2
-	// goneGrace is added to it, for a short interval.
+	// busyPlanInterval is the interval between plans while the cell's records change or orders are
+	// pending.
+	busyPlanInterval = 500 * time.Millisecond
+	// maxPlanInterval is the maximum interval between plans.
+	maxPlanInterval = 2 * time.Second
+	// busyExchangeInterval is the maximum interval between exchanges with an agent that is loading
+	// or unloading, has a pending order or lacks the current table.
+	busyExchangeInterval = 500 * time.Millisecond
+	// pendingOrderTimeout is the time after which an order without a visible effect is no longer
+	// pending.
+	pendingOrderTimeout = 10 * time.Second
+	// goneIntervals is the number of exchange intervals without a response after which a backend
+	// server counts as gone.
+	goneIntervals = 2
+	// goneGrace is added to the time given by goneIntervals, for short exchange intervals.
 	goneGrace = time.Second
 )
 
-// A peer is the planner's account of one agent.
+// A peer is the state that the planner keeps of one agent.
 type peer struct {
 	id string
 	vm inventory.VM
-	// record and demand are the agent's last, known says that there are any, and seen is
-	// the record's version.
-	record fleet.Server
-	demand []fleet.Demand
-	known  bool
-	seen   uint64
-	// pauses is the agent's count of its pauses, table its version of the table.
-	pauses int
-	table  uint64
-	// lastSent and lastOK are when an exchange last began and succeeded, since is when
-	// the agent joined the cell.
-	lastSent, lastOK, since time.Time
-	// inFlight says that an exchange is under way, urgent that the next one is due.
+	// record and demand are those that the agent last reported, and recordVersion is the version of
+	// the record. hasReported reports whether the agent has responded to this planner.
+	record        fleet.Server
+	demand        []fleet.Demand
+	hasReported   bool
+	recordVersion uint64
+	// pauses is the agent's count of pauses of its process, tableVersion the version of its table.
+	pauses       int
+	tableVersion uint64
+	// lastSent is the start of the last exchange, lastSuccess the end of the last successful one,
+	// and joinedAt the time at which the agent joined the cell.
+	lastSent, lastSuccess, joinedAt time.Time
+	// inFlight reports whether an exchange is in progress, urgent whether the next one is due at
+	// once.
 	inFlight, urgent bool
-	// orders go with the next exchange.
+	// orders are sent with the next exchange.
 	orders []placement.Order
-	// quarantine exchanges with the agent.
+	// quarantine exchanges quarantined requests with the agent.
 	quarantine *quarantine.Link
 }
 
-// A pendingOrder is an order issued whose effect has not been seen.
+// A pendingOrder is an issued order whose effect is not visible yet in the server's record.
 type pendingOrder struct {
 	order placement.Order
 	at    time.Time
 }
 
-// A cellPlanner plans one cell while its lease is held.
+// A cellPlanner plans one cell while this entry holds the cell's lease.
 type cellPlanner struct {
 	*Planner
-	id     string
-	holder *lease.Holder
-	token  lease.Token
-	plan   *placement.Planner
-	loads  *rate.Limiter
+	id          string
+	holder      *lease.Holder
+	token       lease.Token
+	placement   *placement.Planner
+	loadLimiter *rate.Limiter
 
-	// superseded tells that an agent knows a newer planner.
+	// superseded reports whether an agent knows a planner with a newer token.
 	superseded atomic.Bool
 
 	mu      sync.Mutex
 	peers   map[string]*peer
 	pending []pendingOrder
-	grants  *grantBook
-	// version is the cell's, planned what it was at the last plan.
-	version, planned uint64
-	lastPlan         time.Time
+	grants  *grantTracker
+	// version is the cell's version, plannedVersion the version at the last plan.
+	version, plannedVersion uint64
+	lastPlan                time.Time
 }
 
-// newCellPlanner begins to plan a cell with the records that its last planner published, so
-// that requests go on being routed.
+// newCellPlanner returns a cellPlanner for a lease just acquired. It republishes the previous
+// planner's records under its own epoch, so that requests are routed without interruption.
 func newCellPlanner(p *Planner, id string, h *lease.Holder, token lease.Token) *cellPlanner {
 	c := &cellPlanner{
-		Planner: p, id: id, holder: h, token: token, peers: make(map[string]*peer), grants: newGrantBook(), version: 1,
+		Planner: p, id: id, holder: h, token: token, peers: make(map[string]*peer), grants: newGrantTracker(), version: 1,
 	}
 	n := max(len(p.cells), 1)
-	c.plan = placement.NewPlanner(placement.Options{
+	c.placement = placement.NewPlanner(placement.Options{
 		Headroom: p.Settings.Headroom, Hold: p.Settings.Hold.Std(), MaxLoads: max(p.Settings.MaxLoads/n, 1),
 	})
-	c.loads = rate.NewLimiter(rate.Limit(p.Settings.LoadsPerSecond/float64(n)), max(p.Settings.MaxLoads/n, 1))
+	c.loadLimiter = rate.NewLimiter(rate.Limit(p.Settings.LoadsPerSecond/float64(n)), max(p.Settings.MaxLoads/n, 1))
 	old, _ := p.View.Cell(id)
 	for i := range old {
 		old[i].Version = 1
@@ -106,9 +109,9 @@
 	return c
 }
 
-// step starts the exchanges that are due and makes a plan when it is time. While
-// the lease has lapsed, because the service is out, it sends no orders and no
-// grants, but the table and the records go on travelling.
+// step starts the exchanges and the plan that are due. While the lease has expired because the
+// key-value service is unavailable, exchanges contain no orders and no grants, but the table and
+// the records are still exchanged.
 func (c *cellPlanner) step(now time.Time, servers []string, vms map[string]inventory.VM) {
 	if c.superseded.Load() {
 		return
@@ -119,25 +122,25 @@
 	c.syncPeers(now, servers, vms)
 	if held && now.Sub(c.lastPlan) >= c.planInterval() {
 		c.makePlan(now)
-		c.lastPlan, c.planned = now, c.version
+		c.lastPlan, c.plannedVersion = now, c.version
 	}
 	for _, p := range c.peers {
-		if !p.inFlight && now.Sub(p.lastSent) >= c.interval(p) {
+		if !p.inFlight && now.Sub(p.lastSent) >= c.exchangeInterval(p) {
 			c.send(p, held, now)
 		}
 	}
 }
 
-// planInterval returns the time between two plans; c.mu is held.
+// planInterval returns the time between two plans. c.mu must be held.
 func (c *cellPlanner) planInterval() time.Duration {
-	if c.planned != c.version || len(c.pending) > 0 {
-		return planEvery
+	if c.plannedVersion != c.version || len(c.pending) > 0 {
+		return busyPlanInterval
 	}
-	return min(idlePlanEvery, c.Settings.ExchangeEvery.Std())
+	return min(maxPlanInterval, c.Settings.ExchangeEvery.Std())
 }
 
-// nudge makes the next exchange with the server due, if it is of the cell.
-func (c *cellPlanner) nudge(server string) {
+// requestExchange makes the next exchange with the server due if the server is in the cell.
+func (c *cellPlanner) requestExchange(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p, ok := c.peers[server]; ok {
@@ -145,24 +148,25 @@
 	}
 }
 
-// interval returns the time between two exchanges with the agent.
-func (c *cellPlanner) interval(p *peer) time.Duration {
+// exchangeInterval returns the time between two exchanges with the agent. c.mu must be held.
+func (c *cellPlanner) exchangeInterval(p *peer) time.Duration {
 	switch {
 	case p.urgent:
 		return 0
-	case !p.known || p.table < c.Replica.Current().Version() || c.busy(p):
-		return min(busyEvery, c.Settings.ExchangeEvery.Std())
+	case !p.hasReported || p.tableVersion < c.Replica.Current().Version() || c.busy(p):
+		return min(busyExchangeInterval, c.Settings.ExchangeEvery.Std())
 	}
 	return c.Settings.ExchangeEvery.Std()
 }
 
-// busy reports whether the agent loads or unloads, or has an order; c.mu is held.
+// busy reports whether the agent is loading or unloading or has a pending order. c.mu must be held.
 func (c *cellPlanner) busy(p *peer) bool {
-	moving := slices.ContainsFunc(p.record.Residents, func(r fleet.Resident) bool { return r.State != fleet.StateReady })
-	return moving || slices.ContainsFunc(c.pending, func(o pendingOrder) bool { return o.order.Server == p.id })
+	changing := slices.ContainsFunc(p.record.Residents, func(r fleet.Resident) bool { return r.State != fleet.StateReady })
+	return changing || slices.ContainsFunc(c.pending, func(o pendingOrder) bool { return o.order.Server == p.id })
 }
 
-// syncPeers makes the peers those of the cell; c.mu is held.
+// syncPeers adds the peers of servers that have joined the cell, updates those of present servers
+// and removes those of servers that have left. c.mu must be held.
 func (c *cellPlanner) syncPeers(now time.Time, servers []string, vms map[string]inventory.VM) {
 	for _, id := range servers {
 		vm, listed := vms[id]
@@ -171,12 +175,12 @@
 		}
 		p, ok := c.peers[id]
 		if !ok {
-			p = &peer{id: id, since: now, quarantine: quarantine.NewLink(c.Quarantine, quarantine.SharedEnds)}
+			p = &peer{id: id, joinedAt: now, quarantine: quarantine.NewLink(c.Quarantine, quarantine.SharedEnds)}
 			c.peers[id] = p
 		}
 		p.urgent = p.urgent || vm.State != p.vm.State && p.vm.ID != ""
 		p.vm = vm
-		if p.known && p.record.Addr != vm.Addr {
+		if p.hasReported && p.record.Addr != vm.Addr {
 			p.record.Addr = vm.Addr
 			c.publish(p.record)
 		}
@@ -184,34 +188,35 @@
 	}
 	for id, p := range c.peers {
 		if _, listed := vms[id]; !listed || !slices.Contains(servers, id) {
-			c.grants.forget(id)
+			c.grants.remove(id)
 			delete(c.peers, id)
 			c.publishGone(p)
 		}
 	}
 }
 
-// markGone marks a server gone that has not answered for long; c.mu is held.
+// markGone publishes that a server is gone if it has not responded within the limit. c.mu must be
+// held.
 func (c *cellPlanner) markGone(p *peer, now time.Time) {
-	last := p.lastOK
+	last := p.lastSuccess
 	if last.IsZero() {
-		last = p.since
+		last = p.joinedAt
 	}
-	limit := goneAfter*c.Settings.ExchangeEvery.Std() + goneGrace
+	limit := goneIntervals*c.Settings.ExchangeEvery.Std() + goneGrace
 	if now.Sub(last) > limit && !p.record.Gone {
-		c.Log.Warn("backend server does not answer", zap.String("server", p.id), zap.String("cell", c.id))
+		c.Log.Warn("backend server does not respond", zap.String("server", p.id), zap.String("cell", c.id))
 		c.publishGone(p)
 	}
 }
 
-// publishGone publishes that a server is gone; c.mu is held.
+// publishGone publishes that a server is gone. c.mu must be held.
 func (c *cellPlanner) publishGone(p *peer) {
 	p.record.ID = p.id
 	p.record.Gone = true
 	c.publish(p.record)
 }
 
-// publish makes a record known under the cell's next version; c.mu is held.
+// publish publishes a record under the cell's next version. c.mu must be held.
 func (c *cellPlanner) publish(s fleet.Server) {
 	c.version++
 	s.Version = c.version
@@ -221,20 +226,22 @@
 	}})
 }
 
-// complete reports whether every agent of the cell has reported its grants; c.mu is held.
-func (c *cellPlanner) complete() bool {
+// allGrantsReported reports whether every agent of the cell has reported its grants. c.mu must be
+// held.
+func (c *cellPlanner) allGrantsReported() bool {
 	for id := range c.peers {
-		if !c.grants.knows(id) {
+		if !c.grants.hasReported(id) {
 			return false
 		}
 	}
 	return true
 }
 
-// settled reports whether every server has answered or counts as gone; c.mu is held.
-func (c *cellPlanner) settled() bool {
+// allReportedOrGone reports whether every server has responded or counts as gone. c.mu must be
+// held.
+func (c *cellPlanner) allReportedOrGone() bool {
 	for _, p := range c.peers {
-		if !p.known && !p.record.Gone {
+		if !p.hasReported && !p.record.Gone {
 			return false
 		}
 	}
--- a/internal/planner/grants.go
+++ b/internal/planner/grants.go
@@ -10,45 +10,46 @@
 	"rockcleat/table"
 )
 
-// A grantBook divides rows' concurrency among a cell's agents so that the sum
-// of what the agents may believe to have never exceeds a row's limit.
-type grantBook struct {
-	// believed holds, by agent and row, the most that the agent may believe to
-	// have; an agent that is missing has not reported yet.
-	believed map[string]map[string]int
+// A grantTracker divides the concurrency limits of rows among a cell's agents. For each row the sum
+// of the grants that the agents may hold never exceeds the limit.
+type grantTracker struct {
+	// maxHeld maps an agent and a row to the largest grant that the agent may hold. Agents that
+	// have not reported yet are missing.
+	maxHeld map[string]map[string]int
 }
 
-func newGrantBook() *grantBook { return &grantBook{believed: make(map[string]map[string]int)} }
+func newGrantTracker() *grantTracker { return &grantTracker{maxHeld: make(map[string]map[string]int)} }
 
-// report sets the grants that an agent reports.
-func (b *grantBook) report(agent string, grants []wire.ConcurrencyGrant) {
+// report replaces an agent's grants by those that it has reported.
+func (t *grantTracker) report(agent string, grants []wire.ConcurrencyGrant) {
 	has := make(map[string]int)
 	for _, g := range grants {
 		has[g.Row] = g.Max
 	}
-	b.believed[agent] = has
+	t.maxHeld[agent] = has
 }
 
-// sending counts grants that are about to be sent and may or may not arrive.
-func (b *grantBook) sending(agent string, grants []wire.ConcurrencyGrant) {
+// recordSend records grants before they are sent. Since the message may be lost, the larger of the
+// old and the new grant counts until the agent reports.
+func (t *grantTracker) recordSend(agent string, grants []wire.ConcurrencyGrant) {
 	for _, g := range grants {
-		b.believed[agent][g.Row] = max(b.believed[agent][g.Row], g.Max)
+		t.maxHeld[agent][g.Row] = max(t.maxHeld[agent][g.Row], g.Max)
 	}
 }
 
-// forget drops an agent whose VM has left the platform's list.
-func (b *grantBook) forget(agent string) { delete(b.believed, agent) }
+// remove removes an agent that has left the cell.
+func (t *grantTracker) remove(agent string) { delete(t.maxHeld, agent) }
 
-// knows reports whether the agent has reported.
-func (b *grantBook) knows(agent string) bool {
-	_, ok := b.believed[agent]
+// hasReported reports whether the agent has reported its grants.
+func (t *grantTracker) hasReported(agent string) bool {
+	_, ok := t.maxHeld[agent]
 	return ok
 }
 
-// others returns the most of a row that all agents but one may believe to have.
-func (b *grantBook) others(agent, row string) int {
+// heldByOthers returns the sum of the grants of a row that all other agents may hold.
+func (t *grantTracker) heldByOthers(agent, row string) int {
 	sum := 0
-	for id, has := range b.believed {
+	for id, has := range t.maxHeld {
 		if id != agent {
 			sum += has[row]
 		}
@@ -56,23 +57,23 @@
 	return sum
 }
 
-// next returns the grants to send to an agent: its part of each limited row
-// that it serves, within the room that the others' parts leave. While an agent of the
-// cell has not reported no grant rises.
-func (b *grantBook) next(agent string, rows []table.Row, servers []fleet.Server, part partOf, complete bool) []wire.ConcurrencyGrant {
+// next returns the grants to send to an agent: for each limited row that it serves, an even share
+// of the cell's part of the limit. A grant increases only as far as the other agents' grants allow,
+// and only if complete reports that all agents of the cell have reported.
+func (t *grantTracker) next(agent string, rows []table.Row, servers []fleet.Server, part limitShare, complete bool) []wire.ConcurrencyGrant {
 	var grants []wire.ConcurrencyGrant
 	for _, r := range rows {
 		if r.Concurrency == 0 {
 			continue
 		}
 		limit := part(r.Concurrency)
-		target := share(agent, r.Name, limit, servers)
-		now := b.believed[agent][r.Name]
-		if target > now {
-			room := max(limit-b.others(agent, r.Name), now)
+		target := agentShare(agent, r.Name, limit, servers)
+		current := t.maxHeld[agent][r.Name]
+		if target > current {
+			room := max(limit-t.heldByOthers(agent, r.Name), current)
 			target = min(target, room)
 			if !complete {
-				target = now
+				target = current
 			}
 		}
 		if target > 0 {
@@ -82,11 +83,12 @@
 	return grants
 }
 
-// partOf returns the part of a limit that falls to the cell.
-type partOf func(limit int) int
+// A limitShare returns the cell's part of a limit.
+type limitShare func(limit int) int
 
-// cellPart divides a limit evenly over the cells, the first ones getting the rest.
-func cellPart(cell string, cells []string) partOf {
+// cellShare returns the limitShare of a cell. Limits are divided evenly among the cells; if a limit
+// does not divide evenly, the first cells in the order of ids get one more.
+func cellShare(cell string, cells []string) limitShare {
 	sorted := slices.Sorted(slices.Values(cells))
 	i := max(slices.Index(sorted, cell), 0)
 	n := max(len(sorted), 1)
@@ -99,9 +101,9 @@
 	}
 }
 
-// share returns an agent's even part of a limit among the servers that are
-// ready for the row.
-func share(agent, row string, limit int, servers []fleet.Server) int {
+// agentShare returns an agent's even share of a limit among the servers that are ready to serve the
+// row, or 0 if the agent's server is not one of them.
+func agentShare(agent, row string, limit int, servers []fleet.Server) int {
 	ready := make(map[string]bool)
 	for _, s := range servers {
 		if !s.Gone && !s.Leaving && (s.Has(row) || slices.Contains(s.Services, row)) {
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -14,35 +14,36 @@
 	"rockcleat/table"
 )
 
-// makePlan decides on orders and queues them for the servers' next exchanges; c.mu is held.
+// makePlan computes the orders for the cell and queues them for the next exchanges. c.mu must be
+// held.
 func (c *cellPlanner) makePlan(now time.Time) {
 	sizes := c.Sizes()
-	if len(sizes) == 0 || !c.settled() || c.Replica.Current().Version() == 0 {
+	if len(sizes) == 0 || !c.allReportedOrGone() || c.Replica.Current().Version() == 0 {
 		return
 	}
-	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool { return now.Sub(o.at) > orderMemory })
-	own := c.publishDemand()
+	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool { return now.Sub(o.at) > pendingOrderTimeout })
+	demand := c.publishDemand()
 	in := placement.Input{Cell: c.id, Rows: placeable(c.Replica.Current(), sizes), Sizes: sizes, Now: now}
 	for _, id := range c.cellIDs() {
 		servers, _ := c.View.Cell(id)
-		x := placement.Cell{ID: id, Servers: servers, Demand: own}
+		cell := placement.Cell{ID: id, Servers: servers, Demand: demand}
 		if id == c.id {
-			x.Servers = c.withPending(servers)
+			cell.Servers = c.withPending(servers)
 		} else {
-			x.Demand = slotsOf(c.View.Demand(id))
+			cell.Demand = slotsByRow(c.View.Demand(id))
 		}
-		in.Cells = append(in.Cells, x)
+		in.Cells = append(in.Cells, cell)
 	}
-	for _, o := range c.plan.Plan(in) {
-		if o.Op == ledger.OpLoad && !c.loads.AllowN(now, 1) {
+	for _, o := range c.placement.Plan(in) {
+		if o.Op == ledger.OpLoad && !c.loadLimiter.AllowN(now, 1) {
 			break
 		}
 		c.issue(o, now)
 	}
 }
 
-// slotsOf returns demands in busy slots by row.
-func slotsOf(demand []fleet.Demand) map[string]float64 {
+// slotsByRow converts demands from levels to busy slots, by row.
+func slotsByRow(demand []fleet.Demand) map[string]float64 {
 	slots := make(map[string]float64)
 	for _, d := range demand {
 		slots[d.Name] += placement.DemandOf(d.Level)
@@ -50,19 +51,20 @@
 	return slots
 }
 
-// demandStep is by how many levels a row's demand must change to be published: 1.7 times.
-const demandStep = 2
+// minDemandChange is the minimum change of a row's demand level that is published.
+const minDemandChange = 2
 
-// publishDemand adds up the agents' demand, publishes what has changed much, and
-// returns the sums; c.mu is held.
+// publishDemand returns the sum of the agents' demand by row, in busy slots, and publishes the rows
+// whose level has changed by at least minDemandChange, has risen from 0 or has ended. c.mu must be
+// held.
 func (c *cellPlanner) publishDemand() map[string]float64 {
-	own := make(map[string]float64)
+	total := make(map[string]float64)
 	for _, p := range c.peers {
 		if p.record.Gone {
 			continue
 		}
-		for name, slots := range slotsOf(p.demand) {
-			own[name] += slots
+		for name, slots := range slotsByRow(p.demand) {
+			total[name] += slots
 		}
 	}
 	before := make(map[string]int)
@@ -70,14 +72,14 @@
 		before[d.Name] = d.Level
 	}
 	var changed []fleet.Demand
-	for name, slots := range own {
+	for name, slots := range total {
 		level := placement.LevelOf(slots)
-		if diff := level - before[name]; diff >= demandStep || -diff >= demandStep || before[name] == 0 && level > 0 {
+		if diff := level - before[name]; diff >= minDemandChange || -diff >= minDemandChange || before[name] == 0 && level > 0 {
 			changed = append(changed, fleet.Demand{Name: name, Level: level, Version: c.version + 1})
 		}
 	}
 	for name, level := range before {
-		if _, has := own[name]; !has && level > 0 {
+		if _, has := total[name]; !has && level > 0 {
 			changed = append(changed, fleet.Demand{Name: name, Version: c.version + 1})
 		}
 	}
@@ -87,10 +89,10 @@
 			CellVersion: fleet.CellVersion{Cell: c.id, Epoch: int64(c.token), Version: c.version}, Demand: changed,
 		}})
 	}
-	return own
+	return total
 }
 
-// placeable returns the rows that the weight store holds.
+// placeable returns the rows whose sizes are known from the weight store, and all service rows.
 func placeable(t *table.Table, sizes map[string]placement.Size) []table.Row {
 	return slices.DeleteFunc(t.Rows(), func(r table.Row) bool {
 		_, ok := sizes[r.Name]
@@ -98,7 +100,8 @@
 	})
 }
 
-// issue queues an order for its server's next exchange; c.mu is held.
+// issue queues an order for the server's next exchange, records it as a decision and adds it to the
+// pending orders. c.mu must be held.
 func (c *cellPlanner) issue(o placement.Order, now time.Time) {
 	p, ok := c.peers[o.Server]
 	if !ok {
@@ -110,11 +113,12 @@
 	c.Recorder.Record(wire.Decision{
 		Time: now.UnixMilli(), Kind: string(o.Op), Name: o.Name, Server: o.Server, Reason: o.Reason,
 	})
-	c.Log.Info("order", zap.String("op", string(o.Op)), zap.String("name", o.Name), zap.String("server", o.Server),
+	c.Log.Info("order issued", zap.String("op", string(o.Op)), zap.String("name", o.Name), zap.String("server", o.Server),
 		zap.Int("accelerator", o.Accelerator), zap.String("reason", o.Reason))
 }
 
-// withPending returns the records as they will be when the orders issued have taken effect; c.mu is held.
+// withPending returns the records, ordered by id, with the pending orders applied. c.mu must be
+// held.
 func (c *cellPlanner) withPending(servers []fleet.Server) []fleet.Server {
 	byID := make(map[string]*fleet.Server, len(servers))
 	for i := range servers {
@@ -124,15 +128,15 @@
 	}
 	for _, o := range c.pending {
 		if s, ok := byID[o.order.Server]; ok {
-			overlay(s, o.order)
+			applyOrder(s, o.order)
 		}
 	}
 	slices.SortFunc(servers, func(a, b fleet.Server) int { return cmp.Compare(a.ID, b.ID) })
 	return servers
 }
 
-// overlay applies one order to a record.
-func overlay(s *fleet.Server, o placement.Order) {
+// applyOrder applies one order to a record.
+func applyOrder(s *fleet.Server, o placement.Order) {
 	i := slices.IndexFunc(s.Residents, func(r fleet.Resident) bool {
 		return r.Name == o.Name && r.Accelerator == o.Accelerator
 	})
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -24,50 +24,50 @@
 	"rockcleat/table"
 )
 
-// contenders is the number of entries that contend for one cell, so that one of them is there
-// when two have failed.
-const contenders = 3
+// leaseContenders is the number of entries that contend for one cell. The cell is planned as long
+// as one of them is running.
+const leaseContenders = 3
 
-// Intervals of the planner's systems; docs/CAPACITY.md says what they cost.
+// Intervals and timeouts of the planner.
 const (
-	// leaseDivisor is how often a held lease is renewed in its ttl.
-	leaseDivisor = 3
-	// cellsWait is how long one watch of the cells waits.
-	cellsWait = 20 * time.Second
-	// sizesEvery is the time between two reads of the weight store's catalogue.
-	sizesEvery = 30 * time.Second
-	// callTimeout bounds a call to the service or to an agent.
+	// leaseRenewalsPerTTL is the number of lease renewals per TTL.
+	leaseRenewalsPerTTL = 3
+	// cellsWatchTimeout is the timeout of one watch of the cell list.
+	cellsWatchTimeout = 20 * time.Second
+	// sizesInterval is the interval at which the weight store's catalogue is read.
+	sizesInterval = 30 * time.Second
+	// callTimeout bounds one call to the key-value service or to an agent.
 	callTimeout = 2 * time.Second
-	// retryWait is the pause after a call that failed.
-	retryWait = 500 * time.Millisecond
+	// retryDelay is the delay after a failed call.
+	retryDelay = 500 * time.Millisecond
 )
 
 // Members lists the VMs.
 type Members interface {
-	// Entries returns the ids of the live entries, this one included.
+	// Entries returns the ids of the live entries, including this one.
 	Entries() []string
-	// Backends returns the backend servers' VMs that are not gone.
+	// Backends returns the VMs of backend servers, including leaving ones.
 	Backends() []inventory.VM
-	// Version returns the version of the platform's list that this is.
+	// Version returns the version of the list that the other methods refer to.
 	Version() uint64
 }
 
-// A Catalogue has the sizes of models and adapters.
+// A Catalogue returns the sizes of models and adapters, by name.
 type Catalogue interface {
 	Sizes(ctx context.Context) (map[string]placement.Size, error)
 }
 
-// An Agents sends messages to agents.
+// Agents posts messages to agents.
 type Agents interface {
 	Post(ctx context.Context, addr, path string, in, out any) error
 }
 
-// A Recorder keeps decisions for operators.
+// A Recorder stores decisions for operators.
 type Recorder interface {
 	Record(d wire.Decision)
 }
 
-// Options are what a Planner is made of.
+// Options are the settings and dependencies of a Planner.
 type Options struct {
 	ID        string
 	Addr      string
@@ -80,57 +80,61 @@
 	View      *fleet.View
 	Replica   *table.Replica
 	Recorder  Recorder
-	// Quarantine holds the requests under which backend servers have ended.
+	// Quarantine holds the requests during which backend servers have crashed.
 	Quarantine *quarantine.Table
 	Log        *zap.Logger
 }
 
-// A Planner plays the planner role for the cells that an entry holds.
+// A Planner plans the cells whose lease an entry holds.
 type Planner struct {
 	Options
-	stops  []func()
-	cancel context.CancelFunc
-	ctx    context.Context
-	wg     sync.WaitGroup
+	unsubscribe []func()
+	cancel      context.CancelFunc
+	ctx         context.Context
+	wg          sync.WaitGroup
 
 	mu sync.Mutex
-	// cells is the division as last read, sizes the catalogue.
+	// cells is the cell list as last read, sizes the weight store's catalogue.
 	cells []Cell
 	sizes map[string]placement.Size
-	// holders contend for cells' leases; active plan the cells that are held.
+	// holders contend for the leases of cells. active holds the planners of the cells whose lease
+	// is held. The keys are cell ids.
 	holders map[string]*lease.Holder
 	active  map[string]*cellPlanner
-	// misfitSince is since when the division has not fitted the VMs; zero if it does.
-	misfitSince time.Time
+	// outdatedSince is the time since which the cell list has not matched the VMs; zero while it
+	// does.
+	outdatedSince time.Time
 }
 
-// New returns a Planner that holds nothing until Start.
+// New returns a Planner that is idle until Start.
 func New(o Options) *Planner {
 	p := &Planner{Options: o, holders: make(map[string]*lease.Holder), active: make(map[string]*cellPlanner)}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
-// Start starts the planner's systems.
+// Start starts the background tasks.
 func (p *Planner) Start() {
 	p.wg.Add(2)
 	go p.watchCells()
 	go p.readSizes()
-	every := p.Settings.LeaseTTL.Std() / leaseDivisor
-	p.stops = append(p.stops,
+	every := p.Settings.LeaseTTL.Std() / leaseRenewalsPerTTL
+	p.unsubscribe = append(p.unsubscribe,
 		p.Clock.Subscribe(every, func(time.Time) { p.stepLeases() }),
 		p.Clock.Subscribe(min(every, time.Second), func(time.Time) { p.stepCells() }),
-		p.Clock.Subscribe(p.tick(), p.stepPlans),
+		p.Clock.Subscribe(p.tickInterval(), p.stepPlans),
 	)
 	p.stepLeases()
 }
 
-// tick is how often each held cell looks for work.
-func (p *Planner) tick() time.Duration {
+// tickInterval returns the interval at which the held cells are checked for due exchanges and
+// plans.
+func (p *Planner) tickInterval() time.Duration {
 	return min(p.Settings.ExchangeEvery.Std()/4, 250*time.Millisecond)
 }
 
-// Stop ends the systems and releases the leases, so that others take over at once.
+// Stop stops the background tasks and releases the leases, so that other entries can acquire them
+// at once.
 func (p *Planner) Stop(ctx context.Context) {
 	p.Halt()
 	p.mu.Lock()
@@ -138,21 +142,21 @@
 	p.mu.Unlock()
 	for _, h := range holders {
 		if err := h.Release(ctx); err != nil {
-			p.Log.Warn("lease not released, it ends by its ttl", zap.String("lease", h.Name()), zap.Error(err))
+			p.Log.Warn("releasing a cell lease failed; it expires after its TTL", zap.String("lease", h.Name()), zap.Error(err))
 		}
 	}
 }
 
-// Halt ends the systems without releasing anything, as a crash would.
+// Halt stops the background tasks without releasing the leases.
 func (p *Planner) Halt() {
 	p.cancel()
-	for _, stop := range p.stops {
+	for _, stop := range p.unsubscribe {
 		stop()
 	}
 	p.wg.Wait()
 }
 
-// Held returns the ids of the cells planned here.
+// Held returns the ids of the cells planned by this entry, in order.
 func (p *Planner) Held() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,16 +170,16 @@
 	return p.sizes
 }
 
-// watchCells follows the division into cells.
+// watchCells follows the cell list in the key-value service.
 func (p *Planner) watchCells() {
 	defer p.wg.Done()
 	var revision kv.Revision
 	for p.ctx.Err() == nil {
-		e, err := p.Store.Watch(p.ctx, cellsKey, revision, cellsWait)
+		e, err := p.Store.Watch(p.ctx, cellsKey, revision, cellsWatchTimeout)
 		if err != nil {
 			if !errors.Is(err, kv.ErrNotFound) {
-				p.Log.Debug("cells not watched", zap.Error(err))
-				p.wait(retryWait)
+				p.Log.Debug("watching the cell list failed", zap.Error(err))
+				p.wait(retryDelay)
 			}
 			continue
 		}
@@ -184,8 +188,8 @@
 		}
 		l, err := decodeCells(e.Value)
 		if err != nil {
-			p.Log.Error("cells unreadable", zap.Error(err))
-			p.wait(cellsWait)
+			p.Log.Error("decoding the cell list failed", zap.Error(err))
+			p.wait(cellsWatchTimeout)
 			continue
 		}
 		revision = e.Revision
@@ -196,26 +200,26 @@
 	}
 }
 
-// readSizes follows the weight store's catalogue.
+// readSizes reads the weight store's catalogue periodically.
 func (p *Planner) readSizes() {
 	defer p.wg.Done()
 	for p.ctx.Err() == nil {
 		sizes, err := p.Catalogue.Sizes(p.ctx)
 		if err != nil {
-			p.Log.Debug("catalogue of the weight store not read", zap.Error(err))
-			p.wait(retryWait)
+			p.Log.Debug("reading the weight store's catalogue failed", zap.Error(err))
+			p.wait(retryDelay)
 			continue
 		}
 		p.mu.Lock()
 		p.sizes = sizes
 		p.mu.Unlock()
-		p.wait(sizesEvery)
+		p.wait(sizesInterval)
 	}
 }
 
 func (p *Planner) wait(d time.Duration) { clock.Sleep(p.ctx, p.Clock, d) }
 
-// Rank returns how many of the entries come before this one for a key.
+// Rank returns the number of other entries that precede self in the rendezvous ranking for key.
 func Rank(self string, entries []string, key string) int {
 	h := rendezvous.Key(key)
 	own := rendezvous.Weight(self, h)
@@ -228,33 +232,32 @@
 	return rank
 }
 
-// stepCells makes the division fit the VMs, if this entry is the one to do it:
-// the entry ranked n-th waits n seconds for those before it.
+// stepCells updates the cell list if it does not match the VMs. The entry with rank n waits n
+// seconds first, so that usually only one entry writes.
 func (p *Planner) stepCells() {
 	vms := p.Members.Backends()
 	p.mu.Lock()
-	_, misfits := cellList{Cells: p.cells}.fit(vms, p.Settings.CellSize)
+	_, outdated := cellList{Cells: p.cells}.assign(vms, p.Settings.CellSize)
 	now := p.Clock.Now()
-	if !misfits {
-		p.misfitSince = time.Time{}
-	} else if p.misfitSince.IsZero() {
-		p.misfitSince = now
+	if !outdated {
+		p.outdatedSince = time.Time{}
+	} else if p.outdatedSince.IsZero() {
+		p.outdatedSince = now
 	}
-	since := p.misfitSince
+	since := p.outdatedSince
 	p.mu.Unlock()
-	patience := time.Duration(Rank(p.ID, p.Members.Entries(), cellsKey)) * time.Second
-	if !misfits || len(vms) == 0 || now.Sub(since) < patience {
+	delay := time.Duration(Rank(p.ID, p.Members.Entries(), cellsKey)) * time.Second
+	if !outdated || len(vms) == 0 || now.Sub(since) < delay {
 		return
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 	defer cancel()
 	if err := updateCells(ctx, p.Store, vms, p.Settings.CellSize); err != nil {
-		p.Log.Warn("cells not updated", zap.Error(err))
+		p.Log.Warn("updating the cell list failed", zap.Error(err))
 	}
 }
 
-// stepLeases renews the leases held and contends for those that this entry is
-// ranked for.
+// stepLeases renews the leases held and contends for those that this entry is ranked for.
 func (p *Planner) stepLeases() {
 	entries := p.Members.Entries()
 	p.mu.Lock()
@@ -263,14 +266,15 @@
 	listed := make(map[string]bool)
 	for _, c := range cells {
 		listed[c.ID] = true
-		if h := p.holder(c.ID, Rank(p.ID, entries, c.ID) < contenders); h != nil {
+		if h := p.holder(c.ID, Rank(p.ID, entries, c.ID) < leaseContenders); h != nil {
 			p.stepLease(c.ID, h)
 		}
 	}
-	p.dropUnlisted(listed)
+	p.stopUnlisted(listed)
 }
 
-// holder returns the cell's lease holder, a new one if this entry should contend.
+// holder returns the lease holder of a cell. It creates one if contend is set and returns nil if
+// this entry neither holds the lease nor should contend for it.
 func (p *Planner) holder(cell string, contend bool) *lease.Holder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -292,13 +296,13 @@
 	return h
 }
 
-// stepLease renews or contends for one cell's lease, and begins or ends to plan the cell.
+// stepLease renews or contends for the lease of a cell and starts or stops planning it accordingly.
 func (p *Planner) stepLease(cell string, h *lease.Holder) {
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 	defer cancel()
 	err := h.Step(ctx)
 	if err != nil {
-		p.Log.Debug("lease not renewed", zap.String("cell", cell), zap.Error(err))
+		p.Log.Debug("renewing or acquiring a cell lease failed", zap.String("cell", cell), zap.Error(err))
 	}
 	token, held := h.Held()
 	p.mu.Lock()
@@ -307,19 +311,19 @@
 	switch {
 	case held && !ok:
 		p.active[cell] = newCellPlanner(p, cell, h, token)
-		p.Log.Info("planning cell", zap.String("cell", cell), zap.Int64("token", int64(token)))
+		p.Log.Info("started planning cell", zap.String("cell", cell), zap.Int64("token", int64(token)))
 	case held && c.token != token:
 		p.active[cell] = newCellPlanner(p, cell, h, token)
 	case !held && ok && (err == nil || c.superseded.Load()):
-		// While the service does not answer the cell stays: nobody else can hold it
-		// either, and the table and the records still have to travel.
+		// After an error of the key-value service the cell stays active: no other entry can acquire
+		// the lease either, and the table and the records must still be exchanged.
 		delete(p.active, cell)
-		p.Log.Info("no longer planning cell", zap.String("cell", cell))
+		p.Log.Info("stopped planning cell", zap.String("cell", cell))
 	}
 }
 
-// dropUnlisted gives up cells that are no longer in the division.
-func (p *Planner) dropUnlisted(listed map[string]bool) {
+// stopUnlisted stops planning the cells that are no longer listed.
+func (p *Planner) stopUnlisted(listed map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.holders {
@@ -330,17 +334,17 @@
 	}
 }
 
-// Nudge makes the next exchange with a backend server due.
+// Nudge makes the next exchange with a backend server due at once.
 func (p *Planner) Nudge(server string) {
 	p.mu.Lock()
 	active := slices.Collect(maps.Values(p.active))
 	p.mu.Unlock()
 	for _, c := range active {
-		c.nudge(server)
+		c.requestExchange(server)
 	}
 }
 
-// stepPlans lets each held cell exchange messages and plan.
+// stepPlans runs the due exchanges and plans of each held cell.
 func (p *Planner) stepPlans(now time.Time) {
 	p.mu.Lock()
 	active := slices.Collect(maps.Values(p.active))
@@ -359,7 +363,7 @@
 	}
 }
 
-// cellIDs returns the ids of all cells.
+// cellIDs returns the ids of all cells, in order.
 func (p *Planner) cellIDs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
