--- a/cmd/rockcleat-agent/main.go
+++ b/cmd/rockcleat-agent/main.go
@@ -1,4 +1,4 @@
-// Command rockcleat-agent runs one agent process of rockcleat.
+// Command rockcleat-agent runs an agent of rockcleat beside a backend server.
 package main
 
 import (
--- a/cmd/rockcleat-entry/main.go
+++ b/cmd/rockcleat-entry/main.go
@@ -1,4 +1,4 @@
-// Command rockcleat-entry runs one entry process of rockcleat.
+// Command rockcleat-entry runs an entry of rockcleat.
 package main
 
 import (
--- a/cmd/rockcleat-gateway/main.go
+++ b/cmd/rockcleat-gateway/main.go
@@ -1,5 +1,4 @@
-// Command rockcleat-gateway runs one entry process of rockcleat on the users'
-// platform.
+// Command rockcleat-gateway runs a gateway of rockcleat on the users' platform.
 package main
 
 import (
@@ -20,7 +19,7 @@
 
 func main() { os.Exit(daemon.Gateway(os.Args[1:], os.Stderr, build)) }
 
-// build joins the product's gateway and the platform's adapter.
+// build returns a gateway that uses the adapter of the users' platform.
 func build(s config.Gateway, log *zap.Logger) (*gateway.Gateway, error) {
 	metrics, err := telemetry.NewGatewayMetrics()
 	if err != nil {
@@ -44,5 +43,5 @@
 	}), nil
 }
 
-// storeIdle is how long a connection to the store is kept unused.
+// storeIdle is the idle timeout of connections to the store.
 const storeIdle = 10 * time.Second
--- a/cmd/rockcleat-standin/main.go
+++ b/cmd/rockcleat-standin/main.go
@@ -1,5 +1,5 @@
-// Command rockcleat-standin runs a stand-in for one of the platform's services,
-// for trying rockcleat out and for tests.
+// Command rockcleat-standin runs a simulator of one of the platform's services, for tests and for
+// experiments on one machine.
 package main
 
 import (
@@ -37,7 +37,7 @@
 	}
 }
 
-// command returns a subcommand that serves what build makes until a signal.
+// command returns a subcommand that serves the handler returned by build until its context ends.
 func command(name, help string, fs *flag.FlagSet, build func() http.Handler) *ffcli.Command {
 	listen := fs.String("listen", "127.0.0.1:0", "address to listen on")
 	return &ffcli.Command{
--- a/internal/cli/check_settings.go
+++ b/internal/cli/check_settings.go
@@ -21,7 +21,7 @@
 		func(_ context.Context, args []string) error { return a.checkConfig(args, *role) })
 }
 
-// checkConfig checks the settings file of a role.
+// checkConfig validates a settings file for a role.
 func (a *app) checkConfig(args []string, role string) error {
 	if err := need(args, 1, 1, "one FILE"); err != nil {
 		return err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,44 +17,43 @@
 
 // Exit codes of the command.
 const (
-	// ExitOK says that the command did what it was asked.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitFailed says that nothing was changed.
+	// ExitFailed means that the command failed and changed nothing.
 	ExitFailed = 1
-	// ExitUsage says that the command was called wrongly.
+	// ExitUsage means invalid flags or arguments, or that help was printed.
 	ExitUsage = 2
-	// ExitInvalid says that the checks refused the edit.
+	// ExitInvalid means that the edit failed validation.
 	ExitInvalid = 3
-	// ExitConflict says that another operator changed the row first.
+	// ExitConflict means that the row was changed by another operator since it was read.
 	ExitConflict = 4
-	// ExitUnknown says that a save had no answer and may have taken effect.
+	// ExitUnknown means that a save had no response and may have taken effect.
 	ExitUnknown = 5
 )
 
-// exitHelp documents the exit codes in the help.
 const exitHelp = `Exit codes: 0 done; 1 failed, nothing changed; 2 wrong usage; 3 refused by the
 checks, nothing saved; 4 another operator changed the row first, nothing saved;
 5 no answer, the save may have taken effect: run "rockcleat table history" to see.`
 
-// envPrefix is the prefix of environment variables that set flags.
+// envPrefix is the prefix of the environment variables that set flags.
 const envPrefix = "ROCKCLEAT"
 
-// errUsage says that the command was called wrongly.
+// errUsage is wrapped by all errors for invalid flags or arguments.
 var errUsage = errors.New("wrong usage")
 
-// An app is one run of the command.
+// An app holds the streams and the common flags of one run of the command.
 type app struct {
 	in       io.Reader
 	out, err io.Writer
-	// entry holds the entries' control addresses, separated by commas.
+	// entry is the comma-separated list of the entries' control addresses.
 	entry string
-	// secret is the shared secret, file the file that holds it.
+	// file is the path of a file that holds the shared secret; it takes precedence over secret.
 	secret, file string
-	// author is kept with edits.
+	// author is stored with each edit.
 	author string
 }
 
-// Run runs the command and returns its exit code.
+// Run parses args, runs the command and returns its exit code. It reads standard input from in.
 func Run(ctx context.Context, args []string, in io.Reader, out, stderr io.Writer) int {
 	a := &app{in: in, out: out, err: stderr}
 	root := a.root()
@@ -65,7 +64,7 @@
 	return a.exit(err)
 }
 
-// exit prints an error and returns its exit code.
+// exit prints err, if any, and returns the exit code for it.
 func (a *app) exit(err error) int {
 	if err == nil {
 		return ExitOK
@@ -88,7 +87,7 @@
 	return ExitFailed
 }
 
-// flags returns a flag set with the flags that every command has.
+// flags returns a flag set with the flags that most commands share.
 func (a *app) flags(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(a.err)
@@ -99,13 +98,13 @@
 	return fs
 }
 
-// A run is what a command does with its arguments.
+// A run executes a command with its positional arguments.
 type run func(ctx context.Context, args []string) error
 
-// A help is what a command says of itself.
+// A help holds the texts of a command's help.
 type help struct{ name, usage, short, example string }
 
-// command returns a subcommand with the common flags.
+// command returns a subcommand whose flags can also be set by environment variables.
 func (a *app) command(h help, fs *flag.FlagSet, f run) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       h.name,
@@ -118,7 +117,7 @@
 	}
 }
 
-// group returns a command that only has subcommands.
+// group returns a command that has only subcommands and does nothing itself.
 func (a *app) group(name, usage, short string, subs ...*ffcli.Command) *ffcli.Command {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(a.err)
@@ -134,7 +133,7 @@
 	}
 }
 
-// root returns the command with all its subcommands.
+// root returns the top-level command with all its subcommands.
 func (a *app) root() *ffcli.Command {
 	return a.group("rockcleat", "rockcleat COMMAND [flags] [arguments]",
 		"Show and edit the table of models, and see what the system does with it.",
@@ -148,7 +147,8 @@
 	)
 }
 
-// need returns an error unless there are from low to high arguments.
+// need returns a usage error unless the number of arguments is from low to high. A negative
+// high means no upper bound.
 func need(args []string, low, high int, what string) error {
 	if len(args) < low || high >= 0 && len(args) > high {
 		return fmt.Errorf("%w: expected %s", errUsage, what)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -22,7 +22,7 @@
 
 const secret = "test-secret-0123456789"
 
-// operators answers like an entry's interface for operators.
+// operators starts a server that implements an entry's table API for operators.
 func operators(t *testing.T) (addr string) {
 	t.Helper()
 	_, store := standintest.KV(t)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -8,7 +8,7 @@
 	"rockcleat/internal/wire"
 )
 
-// client returns a client with the shared secret.
+// client returns a client that authenticates with the shared secret.
 func (a *app) client() (*wire.Client, error) {
 	secret := a.secret
 	if a.file != "" {
@@ -21,10 +21,11 @@
 	return wire.NewClient(secret, wire.NewTransport(&wire.Traffic{})), nil
 }
 
-// entries returns the control addresses to call, in their order.
+// entries returns the control addresses in the order in which they are tried.
 func (a *app) entries() []string { return strings.Split(a.entry, ",") }
 
-// get asks the entries in turn until one answers.
+// get decodes the response of the first entry that answers into out. If none does, it returns the
+// error of the last one.
 func (a *app) get(ctx context.Context, path string, out any) error {
 	c, err := a.client()
 	if err != nil {
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -7,7 +7,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// completionScript completes commands in bash.
+// completionScript is the bash completion script.
 const completionScript = `_rockcleat() {
   local words="${COMP_WORDS[*]:1:COMP_CWORD-1}"
   case "$words" in
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,11 +1,12 @@
-// Package cli is the operators' command line.
+// Package cli implements the operators' command line.
 //
-// It speaks to any entry's control address. A save that got no answer is sent
-// again, to the next entry if there is one, under the same edit id, so that it
-// takes effect once.
+// Commands on the table and on the state of the system call the control address of an entry;
+// limits and quarantine commands can call gateways. The commands trace and summary read
+// collected log files, and config check reads a settings file.
 //
-// Files go by command: table_commands.go names the commands on the table, table_read.go and
-// table_edit.go do them, save.go saves; status.go, why.go, trace.go, check_settings.go and
-// completion.go are the others. The exit code says what became of the command. It owns nothing
-// beyond one run; checks and versions are those of package table, at the entry.
+// A save without a response is retried, at the next entry if there are several, with the same
+// edit id, so that it takes effect at most once.
+//
+// The package keeps no state between runs. Entries validate edits and assign table versions,
+// with package table. Errors are mapped to the exit codes.
 package cli
--- a/internal/cli/histogram.go
+++ b/internal/cli/histogram.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// Buckets of a histogram: their bounds grow by a tenth from a millisecond on, to some hours.
+// Bucket bounds of a histogram, which grow exponentially from firstBucket, in seconds, to several hours.
 const (
 	bucketGrowth = 1.1
 	firstBucket  = 0.001
 	buckets      = 180
 )
 
-// A histogram counts durations in seconds, with an error of a tenth.
+// A histogram counts durations. Its quantiles are upper bounds of buckets. Between firstBucket and the
+// last bound they exceed the exact value by a factor of at most bucketGrowth.
 type histogram struct {
 	counts [buckets]int
 	n      int
@@ -24,7 +25,8 @@
 	h.n++
 }
 
-// quantile returns the upper bound of the bucket that holds a quantile; 0 without durations.
+// quantile returns the upper bound of the bucket that holds quantile q, in seconds, or 0 if the
+// histogram is empty.
 func (h *histogram) quantile(q float64) float64 {
 	left := q * float64(h.n)
 	for i, n := range h.counts {
--- a/internal/cli/limits.go
+++ b/internal/cli/limits.go
@@ -14,7 +14,7 @@
 	"rockcleat/quota"
 )
 
-// limitsCommand returns the command for the limits of organisations and backend servers.
+// limitsCommand returns the command that prints the rate limits of organisations and backend servers.
 func (a *app) limitsCommand() *ffcli.Command {
 	fs := a.flags("limits")
 	gateways := fs.String("gateways", "", "peer_listen addresses of gateways, separated by commas; all of them for whole sums")
@@ -26,7 +26,7 @@
 	}, fs, func(ctx context.Context, _ []string) error { return a.printLimits(ctx, *gateways, *asJSON) })
 }
 
-// printLimits prints what gateways know of the limits, their counts added up.
+// printLimits prints the limits as the given gateways report them, with their counts summed.
 func (a *app) printLimits(ctx context.Context, gateways string, asJSON bool) error {
 	if gateways == "" {
 		return fmt.Errorf("%w: -gateways is needed", errUsage)
@@ -54,7 +54,7 @@
 	return a.printLimitTable("SERVER", servers.items)
 }
 
-// printLimitTable prints limits; whose says what the first column names.
+// printLimitTable prints limits as a table. The first column has the heading whose.
 func (a *app) printLimitTable(whose string, items []quota.Status) error {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, whose+"\tRATE/S\tBURST\tOWNER\tSHARE\tAVAILABLE\tINSIDE\tOVER\tUNKNOWN\tSPENT")
@@ -65,7 +65,8 @@
 	return w.Flush()
 }
 
-// amount prints an amount of a limit, small ones with two digits after the point.
+// amount formats a number in the unit of its limit. Fractions below 100 have two decimal places,
+// all other values none.
 func amount(x float64) string {
 	if x != 0 && x < 100 && x != math.Trunc(x) {
 		return strconv.FormatFloat(x, 'f', 2, 64)
@@ -73,14 +74,15 @@
 	return strconv.FormatFloat(x, 'f', 0, 64)
 }
 
-// A limitSum adds up what several gateways know, by whose limits they are.
+// A limitSum merges the limits that several gateways report, by key.
 type limitSum struct {
 	items []quota.Status
-	// index is where each one stands in items.
+	// index maps a key to its position in items.
 	index map[string]int
 }
 
-// add adds what one gateway knows. What the owner alone has stands as it says.
+// add merges the limits that one gateway reports. Counts are summed. Of Share and Available, which only
+// the owner of a limit reports, the maximum is kept. All other fields are those of the first report.
 func (l *limitSum) add(list []quota.Status) {
 	if l.index == nil {
 		l.index = make(map[string]int)
--- a/internal/cli/limits_test.go
+++ b/internal/cli/limits_test.go
@@ -16,12 +16,12 @@
 	"rockcleat/quota"
 )
 
-// limitsGateway answers as a gateway does that operators ask for limits.
+// limitsGateway starts a server that reports limits of organisations as a gateway does.
 func limitsGateway(t *testing.T, items ...quota.Status) (addr string) {
 	return newLimitsGateway(t, wire.LimitList{Items: items})
 }
 
-// newLimitsGateway answers with a list.
+// newLimitsGateway starts a server that responds with the given limits.
 func newLimitsGateway(t *testing.T, list wire.LimitList) (addr string) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Equal(t, r.URL.Path, wire.PathLimits)
@@ -31,7 +31,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// TestLimits adds up what two gateways know.
+// TestLimits checks that the counts of two gateways are summed.
 func TestLimits(t *testing.T) {
 	guild := quota.Status{Key: "guild", Rate: 2600, Burst: 5200, Owner: "g2"}
 	one, two := guild, guild
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -14,7 +14,7 @@
 	"rockcleat/quarantine"
 )
 
-// quarantineCommands return the commands for requests under which servers have ended.
+// quarantineCommands returns the commands on the quarantine of requests during which servers ended.
 func (a *app) quarantineCommands() []*ffcli.Command {
 	var gateway string
 	flags := func(name string) *flag.FlagSet {
@@ -38,7 +38,7 @@
 	}
 }
 
-// quarantineAddr returns whom to ask: a gateway, or else the first entry.
+// quarantineAddr returns the address to call: the gateway if one is given, else the first entry.
 func (a *app) quarantineAddr(gateway string) string {
 	if gateway != "" {
 		return gateway
@@ -46,7 +46,7 @@
 	return a.entries()[0]
 }
 
-// listQuarantine prints what a gateway or an entry knows of requests under which servers have ended.
+// listQuarantine prints the quarantine records of a gateway or an entry.
 func (a *app) listQuarantine(ctx context.Context, gateway string, asJSON bool) error {
 	c, err := a.client()
 	if err != nil {
@@ -68,12 +68,12 @@
 	return w.Flush()
 }
 
-// milliseconds returns a time in seconds for a reader.
+// milliseconds converts a number of milliseconds to a duration rounded to seconds.
 func milliseconds(ms int64) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second)
 }
 
-// liftQuarantine voids the ends under a request.
+// liftQuarantine clears the server ends recorded for a request, so that it is served again.
 func (a *app) liftQuarantine(ctx context.Context, gateway string, args []string) error {
 	if err := need(args, 1, 1, "DIGEST"); err != nil {
 		return err
--- a/internal/cli/save.go
+++ b/internal/cli/save.go
@@ -14,17 +14,18 @@
 	"rockcleat/table"
 )
 
-// Tries of a save without an answer.
+// Attempts of a save.
 const (
-	// saveTries is how often a save is sent at most.
+	// saveTries is the maximum number of attempts.
 	saveTries = 4
-	// savePause is the time between two tries.
+	// savePause is the delay between two attempts.
 	savePause = 300 * time.Millisecond
 )
 
-// save saves the changes as one edit and returns the version that holds it. A save without an
-// answer may have taken effect; it is sent again, to the next entry, under the same edit id, which
-// takes effect once. Once a try may have taken effect, no later refusal says that it has not.
+// save saves the changes as one edit and returns the table version that contains it. A save without
+// a response may have taken effect. It is retried at the next entry with the same edit id, which takes
+// effect at most once. After an attempt that may have taken effect, a later rejection does not prove
+// that the edit was not saved, so the outcome stays unknown.
 func (a *app) save(ctx context.Context, changes []table.Change) (uint64, error) {
 	c, err := a.client()
 	if err != nil {
@@ -52,15 +53,15 @@
 	return 0, err
 }
 
-// saveError returns the error that ends a save, and whether the save may have
-// taken effect nevertheless.
+// saveError classifies the error of an attempt: final is set if no other attempt is due, and mayHave
+// reports whether the attempt may have taken effect.
 func saveError(err error) (final error, mayHave bool) {
 	var s *wire.StatusError
 	if !errors.As(err, &s) {
 		return nil, !errors.Is(err, wire.ErrNotSent)
 	}
 	var ans wire.SaveAnswer
-	// A body that is no answer leaves the message empty; the status decides.
+	// If the body cannot be decoded, the message stays empty and the status alone decides.
 	_ = json.Unmarshal(s.Body, &ans)
 	switch s.Status {
 	case http.StatusUnprocessableEntity:
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -13,7 +13,7 @@
 	"rockcleat/internal/wire"
 )
 
-// statusCommand returns the command that prints the view of an entry.
+// statusCommand returns the command that prints an entry's view of the system.
 func (a *app) statusCommand() *ffcli.Command {
 	fs := a.flags("status")
 	asJSON := fs.Bool("json", false, "print JSON")
@@ -24,7 +24,7 @@
 	}, fs, func(ctx context.Context, _ []string) error { return a.status(ctx, *asJSON) })
 }
 
-// status prints what an entry knows of the system.
+// status prints an entry's view of VMs, backend servers and table versions.
 func (a *app) status(ctx context.Context, asJSON bool) error {
 	var s wire.StatusAnswer
 	if err := a.get(ctx, wire.PathStatus+"?versions=1", &s); err != nil {
@@ -46,7 +46,8 @@
 	return w.Flush()
 }
 
-// printServer prints what is resident on each accelerator of a backend server.
+// printServer prints the services of a backend server and the models and adapters that are resident
+// on each of its accelerators.
 func printServer(w *tabwriter.Writer, s fleet.Server) {
 	if len(s.Services) > 0 {
 		fmt.Fprintf(w, "%s\t-\t-\t-\t%s\n", s.ID, strings.Join(s.Services, " "))
--- a/internal/cli/summary.go
+++ b/internal/cli/summary.go
@@ -30,7 +30,7 @@
 		})
 }
 
-// groupingNames lists the groupings for a reader.
+// groupingNames returns the names of all groupings, for help and error messages.
 func groupingNames() string {
 	names := make([]string, len(groupings))
 	for i, g := range groupings {
@@ -68,7 +68,7 @@
 	return report.print(a.out)
 }
 
-// readFile adds the lines of a file, or of standard input for "-".
+// readFile adds the lines of a file, or of in if the file is "-".
 func (s *summary) readFile(file string, in io.Reader) error {
 	if file != "-" {
 		f, err := os.Open(file)
@@ -86,7 +86,6 @@
 	return lines.Err()
 }
 
-// print writes the report as tables.
 func (r *summaryReport) print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s\trequests\tanswered\trefused\tcut\tother\tno holder\tover limit\trefused early\tasked each\tdenied each\twait p50 s\twait p99 s\tfirst byte p50 s\tp99 s\n", r.By)
--- a/internal/cli/summary_report.go
+++ b/internal/cli/summary_report.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// A summaryRow is one row of a report; times are in seconds.
+// A summaryRow is one row of a report. AskedEach and DeniedEach are the mean numbers per request of
+// admissions requested from other gateways and denied by them. Times are in seconds.
 type summaryRow struct {
 	Name         string  `json:"name"`
 	Requests     int     `json:"requests"`
@@ -25,7 +26,7 @@
 	FirstByteP99 float64 `json:"first_byte_p99_s"`
 }
 
-// A summaryMoves tells of moves of models.
+// A summaryMoves counts moves of models. The quantiles are of the time from plan to load, in seconds.
 type summaryMoves struct {
 	Planned         int     `json:"planned"`
 	Loaded          int     `json:"loaded"`
@@ -34,13 +35,13 @@
 	PlanToLoadedP90 float64 `json:"plan_to_loaded_p90_s"`
 }
 
-// A summaryEvent counts one kind of line.
+// A summaryEvent is the number of log lines with one message.
 type summaryEvent struct {
 	Name  string `json:"name"`
 	Times int    `json:"times"`
 }
 
-// A summaryReport is what a summary prints.
+// A summaryReport is the output of a summary.
 type summaryReport struct {
 	By      grouping       `json:"by"`
 	Rows    []summaryRow   `json:"rows"`
@@ -52,8 +53,8 @@
 	Spoiled int            `json:"spoiled"`
 }
 
-// report returns the report with at most so many rows, those with the most refused requests, 0 for
-// all; seconds stand in their order.
+// report returns the report with at most most rows, or all rows if most is 0. Rows with the most
+// refused requests come first and are kept. Rows of seconds are then sorted by time.
 func (s *summary) report(most int) *summaryReport {
 	r := &summaryReport{By: s.by, All: s.all.row("all"), LeftOut: s.leftOut, Lines: s.lines, Spoiled: s.spoiled, Moves: summaryMoves{
 		Planned: s.moves.planned, Loaded: s.moves.loaded, Abandoned: s.moves.abandoned,
--- a/internal/cli/summary_stats.go
+++ b/internal/cli/summary_stats.go
@@ -12,10 +12,9 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// A grouping says what the rows of a summary stand for.
+// A grouping is the attribute by which a summary groups requests into rows.
 type grouping string
 
-// The groupings.
 const (
 	byModel        grouping = "model"
 	byRoute        grouping = "route"
@@ -24,12 +23,13 @@
 	byOrganisation grouping = "organisation"
 )
 
-// groupings are all of them, as the command's help names them.
+// groupings are all groupings in the order of the help text.
 var groupings = []grouping{byModel, byRoute, bySecond, byGateway, byOrganisation}
 
 func (g grouping) isKnown() bool { return slices.Contains(groupings, g) }
 
-// A summaryLine holds the fields of a log line that a summary needs.
+// A summaryLine holds the fields of a log line that a summary uses. At is in milliseconds since the
+// Unix epoch.
 type summaryLine struct {
 	At      float64 `json:"ts"`
 	VM      string  `json:"vm"`
@@ -46,12 +46,13 @@
 	FirstS  float64 `json:"first_s"`
 	TotalS  float64 `json:"total_s"`
 	LeftOut int     `json:"left_out"`
-	// Organisation is whose key it came with, Status that of a request that was refused on its arrival.
+	// Organisation is the owner of the API key. Status is the response status of a request that was
+	// refused on arrival.
 	Organisation string `json:"customer"`
 	Status       int    `json:"status"`
 }
 
-// Messages that a summary counts by themselves; the others that it knows are countedEvents.
+// Log messages whose fields a summary evaluates.
 const (
 	messageRequest   = "request ended"
 	messageRefused   = "request refused"
@@ -60,8 +61,8 @@
 	messageAbandoned = "move abandoned"
 )
 
-// countedEvents are the messages that show what a gateway did without the leader or the store, or that
-// something was lost.
+// countedEvents are log messages that a summary only counts: changes of leadership, failures, and
+// operation without the leader or the store.
 var countedEvents = []string{
 	"leadership gained", "leadership lost", "owner did not answer", "quarantine ended", "report unanswered",
 	"request quarantined", "sent again", "server ended", "server entry not usable", "server gone", "server limit",
@@ -70,11 +71,11 @@
 	"watching the store directly",
 }
 
-// A moveKey names a move under way.
+// A moveKey identifies a planned move of a model to a server.
 type moveKey struct{ server, model string }
 
-// A summary adds up log lines. Its memory grows with the number of rows and of moves under way, not
-// with that of lines.
+// A summary aggregates log lines. Its memory grows with the number of rows and of unfinished moves,
+// not with the number of lines.
 type summary struct {
 	by             grouping
 	all            *requestStats
@@ -83,7 +84,7 @@
 	plannedAt      map[moveKey]float64
 	events         map[string]int
 	lines, spoiled int
-	// leftOut counts answered requests that gateways have not logged.
+	// leftOut counts answered requests that gateways did not log because of the rate limit of their logs.
 	leftOut int
 }
 
@@ -98,8 +99,8 @@
 	return s
 }
 
-// add adds one line. What stands before its first brace is passed over; one that is no log line is
-// counted.
+// add adds one line. Text before the first brace is ignored. A line that is not a JSON log line is
+// counted as spoiled.
 func (s *summary) add(text []byte) {
 	s.lines++
 	i := bytes.IndexByte(text, '{')
@@ -130,8 +131,8 @@
 	}
 }
 
-// refusedEarly counts a request that was refused on its arrival. Its line names no model and no route; those over
-// a limit that were not logged are of any organisation.
+// refusedEarly counts a request that was refused on arrival. Its line names no model and no route.
+// Requests over a limit that were not logged count only in the total, since their organisations are unknown.
 func (s *summary) refusedEarly(l summaryLine) {
 	s.all.refusedEarly(l.Status)
 	s.all.over += l.LeftOut
@@ -140,7 +141,7 @@
 	}
 }
 
-// row returns the row of a request.
+// row returns the row that the request belongs to, which it creates if necessary.
 func (s *summary) row(l summaryLine) *requestStats {
 	name := s.name(l)
 	r := s.rows[name]
@@ -167,7 +168,7 @@
 	return cmp.Or(model, "-")
 }
 
-// loaded counts a model that was loaded.
+// loaded counts a loaded model and, if its plan was read before, the time from plan to load.
 func (s *summary) loaded(l summaryLine) {
 	s.moves.loaded++
 	key := moveKey{l.Server, l.Model}
@@ -177,23 +178,23 @@
 	}
 }
 
-// moveStats counts moves of models; took holds the seconds from plan to loaded.
+// moveStats counts moves of models. took holds the times from plan to load.
 type moveStats struct {
 	planned, loaded, abandoned int
 	took                       histogram
 }
 
-// requestStats adds up requests.
+// requestStats aggregates the requests of one row.
 type requestStats struct {
 	requests, answered, refused, cut, noHolder int
-	// over counts requests over their organisation's limit, early others that were refused on arrival; neither is
-	// among requests.
+	// over counts requests that were refused on arrival because of a rate limit, early those refused on
+	// arrival for another reason. Neither is included in requests.
 	over, early       int
 	asked, denied     int
 	waited, firstByte histogram
 }
 
-// refusedEarly counts a request that was refused on its arrival.
+// refusedEarly counts a request that was refused on arrival with the given status.
 func (r *requestStats) refusedEarly(status int) {
 	if status == http.StatusTooManyRequests {
 		r.over++
--- a/internal/cli/summary_test.go
+++ b/internal/cli/summary_test.go
@@ -14,7 +14,7 @@
 	"rockcleat/internal/cli"
 )
 
-// summaryLog holds lines of two gateways, a spoiled one, and one with a prefix.
+// summaryLog holds log lines of two gateways: two are malformed and one has a prefix.
 const summaryLog = `{"ts":5000,"msg":"move planned","vm":"a","server":"s1","model":"m1","source":"store"}
 {"ts":5200,"msg":"request ended","vm":"a","model":"m1/a1","route":"r","outcome":"answered","sends":1,"asked":2,"denied":1,"waited_s":0.2,"first_s":0.5,"total_s":0.7}
 not JSON at all
@@ -93,7 +93,8 @@
 	}
 }
 
-// TestSummaryByOrganisation counts what was refused on arrival, over a limit and else, by organisation.
+// TestSummaryByOrganisation checks the counts of requests refused on arrival, over a limit or for
+// another reason.
 func TestSummaryByOrganisation(t *testing.T) {
 	const lines = `{"ts":5200,"msg":"request ended","vm":"a","customer":"guild","outcome":"answered","sends":1,"total_s":0.7}
 {"ts":5300,"msg":"request refused","vm":"a","customer":"guild","status":429,"reason":"over the organisation's limit; not run"}
@@ -121,7 +122,7 @@
 	assert.DeepEqual(t, r.All, row{Name: "all", Requests: 1, OverLimit: 9, Early: 2})
 }
 
-// TestSummaryTable checks that the tables name what they count.
+// TestSummaryTable checks the headings and rows of the text output.
 func TestSummaryTable(t *testing.T) {
 	var out, stderr bytes.Buffer
 	code := cli.Run(t.Context(), []string{"summary", "-"}, strings.NewReader(summaryLog), &out, &stderr)
@@ -131,7 +132,6 @@
 	}
 }
 
-// BenchmarkSummary reads lines as a gateway writes them: 32 MB of logs take 0.15 s.
 func BenchmarkSummary(b *testing.B) {
 	log := strings.Repeat(summaryLog, 1000)
 	b.SetBytes(int64(len(log)))
--- a/internal/cli/table_commands.go
+++ b/internal/cli/table_commands.go
@@ -79,7 +79,7 @@
 	}, fs, func(ctx context.Context, args []string) error { return a.check(ctx, args, *replace) })
 }
 
-// countRemoved defines the flag that counts rows that the file does not name as removed.
+// countRemoved defines the flag -replace of commands that only compare a file with the table.
 func countRemoved(fs *flag.FlagSet) *bool {
 	return fs.Bool("replace", false, "count rows that the file does not name as removed")
 }
--- a/internal/cli/table_edit.go
+++ b/internal/cli/table_edit.go
@@ -23,7 +23,7 @@
 	return a.saveAndPrint(ctx, changes)
 }
 
-// set adds a row or changes columns of one.
+// set adds a row or changes columns of an existing one.
 func (a *app) set(ctx context.Context, args []string) error {
 	if err := need(args, 2, -1, "NAME and at least one COLUMN=VALUE"); err != nil {
 		return err
@@ -45,7 +45,6 @@
 	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], Seen: seen, Row: &row}})
 }
 
-// remove removes a row.
 func (a *app) remove(ctx context.Context, args []string) error {
 	if err := need(args, 1, 1, "one NAME"); err != nil {
 		return err
@@ -61,7 +60,7 @@
 	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], Seen: seen}})
 }
 
-// find returns the row of a name and its version, or a new row and 0.
+// find returns the row with the given name and its version, or a new row and version 0.
 func find(rows []table.Row, name string) (table.Row, uint64) {
 	for _, r := range rows {
 		if r.Name == name {
@@ -71,7 +70,7 @@
 	return table.NewRow(name), 0
 }
 
-// readRows reads a CSV file or standard input.
+// readRows reads rows from a CSV file, or from standard input if name is stdinName.
 func (a *app) readRows(name string) ([]table.Row, error) {
 	if name == stdinName {
 		return table.ReadCSV(a.in)
@@ -84,7 +83,8 @@
 	return table.ReadCSV(f)
 }
 
-// changesFrom returns what makes the table in force hold the file's rows.
+// changesFrom returns the changes that bring the current table to the rows of a file, and the current
+// table. With replace, rows that the file lacks are removed.
 func (a *app) changesFrom(ctx context.Context, args []string, replace bool) ([]table.Change, wire.TableAnswer, error) {
 	if err := need(args, 1, 1, "one FILE, or - for standard input"); err != nil {
 		return nil, wire.TableAnswer{}, err
@@ -100,7 +100,7 @@
 	return table.Diff(now.Rows, rows, replace), now, nil
 }
 
-// saveAndPrint saves the changes and prints the version that holds them.
+// saveAndPrint saves the changes as one edit and prints the resulting table version.
 func (a *app) saveAndPrint(ctx context.Context, changes []table.Change) error {
 	version, err := a.save(ctx, changes)
 	if err != nil {
--- a/internal/cli/table_read.go
+++ b/internal/cli/table_read.go
@@ -15,17 +15,17 @@
 	"rockcleat/table"
 )
 
-// stdinName stands for standard input as a file.
+// stdinName is the file name that means standard input or output.
 const stdinName = "-"
 
-// load reads the table in force.
+// load fetches the current table from an entry.
 func (a *app) load(ctx context.Context) (wire.TableAnswer, error) {
 	var t wire.TableAnswer
 	err := a.get(ctx, wire.PathTable, &t)
 	return t, err
 }
 
-// show prints the table in force.
+// show prints the current table.
 func (a *app) show(ctx context.Context, asJSON bool) error {
 	t, err := a.load(ctx)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return w.Flush()
 }
 
-// export writes the table in force as CSV.
+// export writes the current table as CSV to a file or standard output.
 func (a *app) export(ctx context.Context, args []string) error {
 	if err := need(args, 0, 1, "at most one FILE"); err != nil {
 		return err
@@ -62,7 +62,7 @@
 	return errors.Join(table.WriteCSV(f, t.Rows), f.Close())
 }
 
-// diff prints what importing a file would change.
+// diff prints the changes that an import of a file would make.
 func (a *app) diff(ctx context.Context, args []string, replace bool) error {
 	changes, now, err := a.changesFrom(ctx, args, replace)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// check lets an entry check a file without saving it.
+// check lets the first entry validate the rows of a file without saving them.
 func (a *app) check(ctx context.Context, args []string, replace bool) error {
 	changes, now, err := a.changesFrom(ctx, args, replace)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// printErrors prints every error of a check, one a line.
+// printErrors prints each validation error on a line of its own and returns err.
 func (a *app) printErrors(err error) error {
 	var invalid *table.InvalidError
 	if errors.As(err, &invalid) {
@@ -113,7 +113,7 @@
 	return err
 }
 
-// history prints the latest edits.
+// history prints the latest edits in the order of the entry's response.
 func (a *app) history(ctx context.Context, _ []string) error {
 	var h wire.HistoryAnswer
 	if err := a.get(ctx, wire.PathHistory, &h); err != nil {
@@ -135,10 +135,10 @@
 	return w.Flush()
 }
 
-// shownNames is the number of row names that the history prints of an edit.
+// shownNames is the maximum number of row names that the history prints for an edit.
 const shownNames = 5
 
-// shorten joins names, the first shownNames of them if there are more.
+// shorten joins at most shownNames names and states the number of the others.
 func shorten(names []string) string {
 	if len(names) > shownNames {
 		return fmt.Sprintf("%s and %d more", strings.Join(names[:shownNames], " "), len(names)-shownNames)
@@ -146,7 +146,6 @@
 	return strings.Join(names, " ")
 }
 
-// printJSON prints a value as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -17,22 +17,22 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// errNoTrace says that no line speaks of the request.
+// errNoTrace means that no log line matches the request or digest.
 var errNoTrace = errors.New("no line speaks of this request; answered ones are logged up to a rate, see docs/OPERATIONS.md")
 
-// maxLogLine bounds one line of a log, in bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// Fields of a log line that a story does not repeat.
+// skippedFields are the log fields that the output leaves out or shows outside the list of fields.
 var skippedFields = map[string]bool{
 	"level": true, "ts": true, "msg": true, "role": true, "vm": true, "request": true,
 }
 
-// aroundTime is how long before and after a request's lines those on its servers are
-// shown too.
+// aroundTime is how long before the first and after the last line of a request the flag -around
+// extends the output.
 const aroundTime = 3 * time.Second
 
-// A logLine is one line of a process's log.
+// A logLine is one parsed line of a process's log. at is in milliseconds since the Unix epoch.
 type logLine struct {
 	at     float64
 	vm     string
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// readLog reads the JSON lines of a file, or of standard input for "-". What
-// stands before a line's first brace, and lines that are not JSON, are passed over.
+// readLog reads the JSON log lines of a file, or of in if the file is "-". Text before the first brace
+// of a line is ignored, as are lines that are not JSON.
 func readLog(file string, in io.Reader) ([]logLine, error) {
 	if file != "-" {
 		f, err := os.Open(file)
@@ -116,7 +116,7 @@
 	return l, l.msg != ""
 }
 
-// isOf reports whether a line tells of a request, by its id, or of a copy of it, by its digest.
+// isOf reports whether the line concerns the request with the given id, or requests with that digest.
 func (l logLine) isOf(id string) bool {
 	if l.text("request") == id || l.text("digest") == id {
 		return true
@@ -125,8 +125,9 @@
 	return slices.Contains(digests, any(id))
 }
 
-// choose returns the lines of a request, or of all copies with a digest, in the order of time and, with
-// around, those on its servers near it.
+// choose returns the lines of a request, or of all requests with a digest, sorted by time. With around,
+// it also returns other lines within aroundTime that concern the same servers or concern neither a
+// request nor a server.
 func choose(lines []logLine, id string, around bool) []logLine {
 	var story []logLine
 	servers := make(map[string]bool)
@@ -156,7 +157,7 @@
 	return story
 }
 
-// story returns the line for a reader: time, process, what happened, and its fields.
+// story formats the line as time, VM, message and the remaining fields sorted by name.
 func (l logLine) story() string {
 	at := time.UnixMilli(int64(l.at)).UTC().Format("15:04:05.000")
 	var parts []string
--- a/internal/cli/why.go
+++ b/internal/cli/why.go
@@ -13,7 +13,7 @@
 	"rockcleat/internal/wire"
 )
 
-// whyCommand returns the command that prints decisions.
+// whyCommand returns the command that prints the latest decisions of the entries.
 func (a *app) whyCommand() *ffcli.Command {
 	return a.command(help{
 		name: "why", usage: "why [NAME]",
@@ -22,7 +22,7 @@
 	}, a.flags("why"), a.why)
 }
 
-// why prints the decisions of each entry; one that does not answer is reported and left out.
+// why prints the decisions of each entry. Entries that do not answer are reported and skipped.
 func (a *app) why(ctx context.Context, args []string) error {
 	if err := need(args, 0, 1, "at most one NAME"); err != nil {
 		return err
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,6 +1,6 @@
-// Package daemon makes processes out of the gateway, the entry and the agent: it reads the flags
-// and the settings, builds what the process needs, starts it and stops it in order on a signal.
+// Package daemon runs the gateway, the entry and the agent as processes. It reads flags and settings,
+// constructs the dependencies, starts the process and shuts it down gracefully on a signal.
 //
-// It owns nothing beyond the run of a process and decides nothing. The exit code says what went
-// wrong, and the log or, before there is one, the error output says why.
+// It owns the signal handlers and the lifecycle of the process. Its functions return exit codes. Errors
+// are written to the log or, before the log exists, to standard error.
 package daemon
--- a/internal/daemon/entry_agent.go
+++ b/internal/daemon/entry_agent.go
@@ -25,20 +25,20 @@
 	Stop(ctx context.Context) error
 }
 
-// A builder makes a process from a settings file.
+// A builder constructs a process from a settings file.
 type builder func(file string) (process, config.Process, *zap.Logger, error)
 
-// Entry runs the entry daemon until a signal and returns its exit code.
+// Entry runs the entry daemon until SIGTERM or SIGINT and returns its exit code.
 func Entry(args []string, stderr io.Writer) int {
 	return run("rockcleat-entry", args, stderr, buildEntry)
 }
 
-// Agent runs the agent daemon until a signal and returns its exit code.
+// Agent runs the agent daemon until SIGTERM or SIGINT and returns its exit code.
 func Agent(args []string, stderr io.Writer) int {
 	return run("rockcleat-agent", args, stderr, buildAgent)
 }
 
-// run builds a process from its settings file, starts it and stops it on a signal.
+// run constructs a process from its settings file and serves until a signal stops it.
 func run(name string, args []string, stderr io.Writer, build builder) int {
 	signals := takeSignals(false)
 	defer signals.release()
@@ -58,10 +58,11 @@
 	return serve(p, settings, signals, log)
 }
 
-// serve starts the process and stops it on a signal.
+// serve starts the process and stops it on a signal. The stop may take twice the leave time plus the
+// drain time.
 func serve(p process, settings config.Process, signals signals, log *zap.Logger) int {
 	if err := p.Start(); err != nil {
-		log.Error("not started", zap.Error(err))
+		log.Error("start failed", zap.Error(err))
 		return ExitFailed
 	}
 	<-signals.stop
@@ -69,14 +70,13 @@
 	drain, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := p.Stop(drain); err != nil {
-		log.Error("not stopped in order", zap.Error(err))
+		log.Error("graceful shutdown failed", zap.Error(err))
 		return ExitFailed
 	}
 	log.Info("stopped")
 	return ExitOK
 }
 
-// buildEntry makes an entry from its settings file.
 func buildEntry(file string) (process, config.Process, *zap.Logger, error) {
 	var s config.Entry
 	if err := config.Read(file, &s); err != nil {
@@ -100,7 +100,6 @@
 	return e, s.Process, log, nil
 }
 
-// buildAgent makes an agent from its settings file.
 func buildAgent(file string) (process, config.Process, *zap.Logger, error) {
 	var s config.Agent
 	if err := config.Read(file, &s); err != nil {
@@ -112,7 +111,7 @@
 	}
 	traffic := &wire.Traffic{}
 	client := &http.Client{Transport: wire.NewTransport(traffic)}
-	// The backend server is on the same VM and counts for no traffic.
+	// The backend server runs on the same VM, so calls to it are excluded from the traffic counts.
 	beside := &http.Client{Transport: wire.NewTransport(&wire.Traffic{})}
 	var vms agent.VMLister
 	if s.VMs != "" {
@@ -131,7 +130,7 @@
 	return a, s.Process, log, nil
 }
 
-// instruments returns a process's log and metrics.
+// instruments returns the logger and the metrics of a process.
 func instruments(s config.Process, role string) (*zap.Logger, *telemetry.Metrics, error) {
 	log, err := telemetry.NewLogger(s.Log, role, s.ID)
 	if err != nil {
@@ -141,7 +140,7 @@
 	return log, metrics, err
 }
 
-// store returns the client of the platform's key-value service.
+// store returns a client of the platform's key-value service.
 func store(s config.Process, client *http.Client, m *telemetry.Metrics) kv.Store {
 	return kv.NewClient(kv.Options{URL: s.KV, HTTP: client, Counted: m.KVCall})
 }
--- a/internal/daemon/flags.go
+++ b/internal/daemon/flags.go
@@ -10,28 +10,28 @@
 
 // Exit codes of the daemons.
 const (
-	// ExitOK says that the process stopped as asked.
+	// ExitOK means that the process was stopped by a signal and shut down gracefully.
 	ExitOK = 0
-	// ExitFailed says that it could not start, or not stop in order.
+	// ExitFailed means that the process failed to start or to shut down gracefully.
 	ExitFailed = 1
-	// ExitSettings says that its flags or settings are wrong.
+	// ExitSettings means that the flags or settings are invalid.
 	ExitSettings = 2
 )
 
-// envPrefix is the prefix of environment variables that set flags.
+// envPrefix is the prefix of the environment variables that set flags.
 const envPrefix = "ROCKCLEAT"
 
-// A command is what a daemon's help text says of it.
+// A command holds the texts of a daemon's help.
 type command struct {
 	name string
-	// purpose completes the sentence that begins with the name.
+	// purpose is the rest of a sentence that begins with the name.
 	purpose string
-	// example is the path of a settings file.
+	// example is the path of a settings file in the example.
 	example string
 }
 
-// settingsFile returns the path of the settings file that the flags or the environment name.
-// ok is false if they are wrong; what is wrong has been printed.
+// settingsFile returns the path of the settings file from the flags or the environment. If they are
+// invalid, it prints the reason and ok is false.
 func (c command) settingsFile(args []string, stderr io.Writer) (path string, ok bool) {
 	fs := flag.NewFlagSet(c.name, flag.ContinueOnError)
 	fs.SetOutput(stderr)
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -13,10 +13,11 @@
 	"rockcleat/internal/telemetry"
 )
 
-// A GatewayBuilder makes a gateway with a platform's adapter.
+// A GatewayBuilder constructs a gateway with the adapter of a platform.
 type GatewayBuilder func(s config.Gateway, log *zap.Logger) (*gateway.Gateway, error)
 
-// Gateway runs the gateway daemon until a signal and returns its exit code.
+// Gateway runs the gateway daemon until SIGTERM or SIGINT and returns its exit code. SIGHUP reloads the
+// settings.
 func Gateway(args []string, stderr io.Writer, build GatewayBuilder) int {
 	signals := takeSignals(true)
 	defer signals.release()
@@ -42,7 +43,7 @@
 		fmt.Fprintln(stderr, err)
 		return ExitSettings
 	}
-	// The standard library's own lines, such as those on stray answers.
+	// Lines that the standard library logs, such as net/http about unsolicited responses.
 	defer zap.RedirectStdLog(log)()
 	g, err := build(s, log)
 	if err != nil {
@@ -52,11 +53,10 @@
 	return serveGateway(g, file, signals, log)
 }
 
-// serveGateway runs the gateway until a signal stops it; a signal to reload is
-// answered by reading the settings again.
+// serveGateway runs the gateway until a signal stops it, and reloads its settings on a reload signal.
 func serveGateway(g *gateway.Gateway, file string, signals signals, log *zap.Logger) int {
 	if err := g.Start(); err != nil {
-		log.Error("not started", telemetry.Error(err))
+		log.Error("start failed", telemetry.Error(err))
 		return ExitFailed
 	}
 	for {
@@ -74,11 +74,11 @@
 	}
 }
 
-// reloadGateway reads the settings again; wrong ones change nothing.
+// reloadGateway reads and applies the settings file. Invalid settings are logged and change nothing.
 func reloadGateway(g *gateway.Gateway, file string, log *zap.Logger) {
 	var s config.Gateway
 	if err := config.Read(file, &s); err != nil {
-		log.Error("settings not reloaded", telemetry.Error(err))
+		log.Error("settings reload failed", telemetry.Error(err))
 		return
 	}
 	g.Reload(s)
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -6,17 +6,16 @@
 	"syscall"
 )
 
-// A signals holds the signals that a process answers.
+// A signals holds the channels of the signals that a process handles.
 type signals struct {
-	// stop ends the process in order; reload makes it read its settings again, and is nil in
-	// one that does not.
+	// stop requests a graceful shutdown. reload requests that the settings be read again; it is nil if
+	// the process does not support that.
 	stop, reload chan os.Signal
 }
 
-// takeSignals takes over the signals that stop a process, and if it reloads its settings the one
-// for that. It comes before everything else: a stop that comes before it ends the process by the
-// signal, as if it had crashed, and what it has written by then may be lost. A process that was
-// stopped 2 ms after its launch ended so, when settings and metrics came first.
+// takeSignals registers handlers for the signals that stop a process and, if reloads is set, for the
+// one that reloads its settings. It must be called before anything else: a stop signal that arrives
+// earlier kills the process without a graceful shutdown.
 func takeSignals(reloads bool) signals {
 	s := signals{stop: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
@@ -27,7 +26,7 @@
 	return s
 }
 
-// release gives the signals back.
+// release unregisters the signal handlers.
 func (s signals) release() {
 	signal.Stop(s.stop)
 	if s.reload != nil {
--- a/internal/daemon/signals_test.go
+++ b/internal/daemon/signals_test.go
@@ -22,16 +22,13 @@
 	"rockcleat/platform"
 )
 
-// endTime is how long a daemon may take to end.
+// endTime bounds the wait for a daemon to exit.
 const endTime = 10 * time.Second
 
-// A gateway that was stopped 2 ms after its launch ended by the signal, with code -1, as if it had
-// crashed: it took signals only after its settings, its log and its metrics were ready. Here the
-// settings come from a pipe, so that the signal surely comes while they are read.
-
-// TestStopWhileSettingsAreRead checks that a stop during the start is one in order.
+// TestStopWhileSettingsAreRead checks that a stop signal during the start leads to a graceful
+// shutdown. The settings come from a named pipe, so that the signal arrives while they are read.
 func TestStopWhileSettingsAreRead(t *testing.T) {
-	// Without this the signal would end the test itself.
+	// The signal must not terminate the test process.
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM)
 	defer signal.Stop(signals)
@@ -40,7 +37,7 @@
 	code := make(chan int, 1)
 	go func() { code <- daemon.Gateway([]string{"-config", file}, io.Discard, build) }()
 
-	// The pipe opens when the daemon opens it to read.
+	// OpenFile blocks until the daemon opens the pipe for reading.
 	settings, err := os.OpenFile(file, os.O_WRONLY, 0)
 	assert.NilError(t, err)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
@@ -52,11 +49,11 @@
 	case got := <-code:
 		assert.Equal(t, got, daemon.ExitOK)
 	case <-time.After(endTime):
-		t.Fatal("the stop was not noticed")
+		t.Fatal("daemon did not exit after SIGTERM")
 	}
 }
 
-// build makes a gateway whose store has nothing.
+// build returns a gateway with an empty store.
 func build(s config.Gateway, log *zap.Logger) (*gateway.Gateway, error) {
 	store := kvtest.New(clocktest.Real{})
 	return gateway.New(gateway.Options{
@@ -65,7 +62,7 @@
 	}), nil
 }
 
-// minimalSettings returns settings with addresses that are free.
+// minimalSettings returns settings with free loopback addresses.
 func minimalSettings(t *testing.T) []byte {
 	text := "id: g\nhall: h\nstore: 127.0.0.1:1\n"
 	for _, key := range []string{"listen", "ready_listen", "peer_listen"} {
--- a/tools/lab/main.go
+++ b/tools/lab/main.go
@@ -1,5 +1,5 @@
-// Command lab starts rockcleat on loopback with stand-ins for the platform, to
-// try it out and to check it.
+// Command lab starts rockcleat on the loopback interface with simulators of the platform's services,
+// for experiments and for a smoke test.
 package main
 
 import (
--- a/tools/lab/smoke.go
+++ b/tools/lab/smoke.go
@@ -16,7 +16,7 @@
 	"rockcleat/table"
 )
 
-// smokeTime bounds the whole smoke test.
+// smokeTime is the timeout of the whole smoke test.
 const smokeTime = 2 * time.Minute
 
 // Lengths of the smoke test's streams, in tokens.
@@ -25,7 +25,7 @@
 	longStream  = 300
 )
 
-// A smokeTest is one run through every part of the system.
+// A smokeTest runs a small system and uses each of its parts once.
 type smokeTest struct {
 	*lab.System
 	caller *lab.Caller
@@ -60,7 +60,7 @@
 	t.notes = append(t.notes, fmt.Sprintf(format, args...))
 }
 
-// chat sends a streamed chat request and checks that the answer is whole and its own.
+// chat sends a streamed chat request and checks that the response is complete and belongs to the request.
 func (t *smokeTest) chat(ctx context.Context, addr, model, prompt string, tokens int) (lab.Answer, error) {
 	body := lab.ChatBody(model, prompt, tokens, true)
 	a := t.caller.Send(ctx, lab.Request{Addr: addr, Body: body})
@@ -69,7 +69,7 @@
 		return a, err
 	}
 	if !a.Whole || a.Outcome != wire.OutcomeAnswered || a.Text != standin.Text(req, tokens) {
-		return a, eris.Errorf("smoke: %s: not the whole answer: status %d, outcome %q, %d of %d tokens, error %v",
+		return a, eris.Errorf("smoke: %s: incomplete or wrong response: status %d, outcome %q, %d of %d tokens, error %v",
 			model, a.Status, a.Outcome, a.Tokens, tokens, a.Err)
 	}
 	return a, nil
@@ -86,14 +86,15 @@
 	return err
 }
 
-// plainTwice sends a call that may not be repeated through both entries.
+// plainTwice sends a non-idempotent call with the same idempotency key through both entries and checks
+// that it takes effect once.
 func (t *smokeTest) plainTwice(ctx context.Context) error {
 	const key = "household-7"
 	path := lab.SmallPath + "/7"
 	first := t.caller.Send(ctx, lab.Request{Addr: t.Entries[0].Addr, Path: path, Body: []byte("year"), Key: key})
 	second := t.caller.Send(ctx, lab.Request{Addr: t.Entries[1].Addr, Path: path, Body: []byte("year"), Key: key})
 	if first.Outcome != wire.OutcomeAnswered || !second.Replayed || first.Body != second.Body {
-		return eris.Errorf("smoke: plain call: first %+v, second %+v", first, second)
+		return eris.Errorf("smoke: service call: first %+v, second %+v", first, second)
 	}
 	var e standin.EffectsAnswer
 	i := slices.IndexFunc(t.Backends, func(b *lab.Backend) bool { return b.Service })
@@ -101,13 +102,13 @@
 		return err
 	}
 	if e.Total != 1 || e.Effects[key] != 1 {
-		return eris.Errorf("smoke: plain call sent twice had effects %+v", e)
+		return eris.Errorf("smoke: service call sent twice did not take effect exactly once: effects %+v", e)
 	}
 	t.note("two calls with one key, %d effect", e.Total)
 	return nil
 }
 
-// edit saves a row and waits until the new version is in force on every process.
+// edit saves a row and waits until every process uses the new table version.
 func (t *smokeTest) edit(ctx context.Context) error {
 	st, err := t.Status(ctx, t.Entries[0], false)
 	if err != nil {
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// stopEntry stops an entry in order while it passes on a long stream.
+// stopEntry stops an entry gracefully while it relays a long stream, and checks that the stream is complete.
 func (t *smokeTest) stopEntry(ctx context.Context) error {
 	n := t.Entries[1]
 	result := make(chan error, 1)
@@ -151,13 +152,13 @@
 	}
 	code, err := n.Wait(ctx)
 	if err != nil || code != 0 {
-		return eris.Errorf("smoke: stopped entry ended with code %d: %v", code, err)
+		return eris.Errorf("smoke: stopped entry exited with code %d: %v", code, err)
 	}
 	t.note("stream of %d tokens whole under a stopping entry", longStream)
 	return nil
 }
 
-// stopRest stops everything in order and checks that nothing is left.
+// stopRest stops the remaining processes gracefully and checks that none is left.
 func (t *smokeTest) stopRest(ctx context.Context) error {
 	nodes := []*lab.Node{t.Entries[0]}
 	for _, b := range t.Backends {
@@ -168,12 +169,12 @@
 	}
 	for _, n := range nodes {
 		if code, err := n.Wait(ctx); err != nil || code != 0 {
-			return eris.Errorf("smoke: %s ended with code %d: %v", n.ID, code, err)
+			return eris.Errorf("smoke: %s exited with code %d: %v", n.ID, code, err)
 		}
 	}
 	t.Stop()
 	if left := t.Left(); len(left) > 0 {
-		return eris.Errorf("smoke: processes left: %v", left)
+		return eris.Errorf("smoke: processes still running: %v", left)
 	}
 	t.note("no process left")
 	return nil
--- a/tools/names/main.go
+++ b/tools/names/main.go
@@ -1,6 +1,6 @@
-// Command names checks the names in the code. No name of the users' platform stands outside
-// platform/ and deploy/, and platform/ imports no package that decides. Words that were
-// withdrawn for the field's terms do not come back.
+// Command names checks the Go files below the current directory for naming and import rules. Names of
+// the users' platform occur only in platform/, platform/ imports only the packages listed in allowed,
+// and words that were replaced by established terms are not used again.
 package main
 
 import (
@@ -16,20 +16,20 @@
 	"strings"
 )
 
-// adapter is the folder that may know the platform's names.
+// adapter is the folder of the platform's adapter, in which the platform's names are allowed.
 const adapter = "platform"
 
-// names finds names that only the platform uses.
+// names matches names that only the platform uses.
 var names = regexp.MustCompile(`/-/[a-z]|Server-Seal|Server-Limit|Expect-Instance|Not-Run|Deadline-Ms|Token-Count|Store-Era|ApiKeys|RatePerS|PlainTokens|Prefix-Hash|` +
 	`Request-Priority|Pin-Ms|Kv-Backup|Kv-From|Kv-Fetch|Expect-Version|KvCapacity|WeightsMb|op/config|AtHand|RequireFence|SloMs|GapTargetMs|ROCKCLEAT_CONFIG`)
 
-// A withdrawnWord is a word that the code no longer uses, and the term in its place.
+// A withdrawnWord is a word that the code must not use, with the term that replaces it.
 type withdrawnWord struct {
 	pattern *regexp.Regexp
 	instead string
 }
 
-// withdrawn lists the words that docs/GLOSSARY.md replaced.
+// withdrawn lists the words that docs/GLOSSARY.md replaces.
 var withdrawn = []withdrawnWord{
 	{regexp.MustCompile(`\bholders? of orders\b`), "leader"},
 	{regexp.MustCompile(`\b(gives?|giver of|given) (the |its )?orders\b`), "issue orders"},
@@ -43,11 +43,11 @@
 	{regexp.MustCompile(`\bCustomer\b`), "Organisation (customer on the wire stays)"},
 }
 
-// adapterTests holds what the adapter's tests share; it may import no more than the adapter.
+// adapterTests is the folder of helpers for the adapter's tests. The adapter's import rules apply to it.
 const adapterTests = adapter + "/platformtest"
 
-// allowed are the product's packages that platform/ may import: records, interfaces and
-// the bounds of calls, nothing that decides.
+// allowed are the product's packages that platform/ may import: data types, interfaces and timeouts of
+// calls, but no decision logic.
 var allowed = []string{
 	"rockcleat/apikey", "rockcleat/backend", "rockcleat/internal/transfer", "rockcleat/internal/wire", "rockcleat/kv", "rockcleat/table",
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// check prints what is wrong in a file and returns how much.
+// check prints the violations in a file and returns their number.
 func check(path string) int {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return bad + checkNames(path, data)
 }
 
-// checkNames prints the names of the platform in a file.
+// checkNames prints the platform names in a file and returns their number.
 func checkNames(path string, data []byte) int {
 	bad := 0
 	for i, line := range strings.Split(string(data), "\n") {
@@ -104,10 +104,10 @@
 	return bad
 }
 
-// withdrawnField is the one name on the wire that a withdrawn word still stands in.
+// withdrawnField is the only name on the wire that contains a withdrawn word.
 const withdrawnField = `"victims"`
 
-// checkWithdrawn prints the withdrawn words in a file.
+// checkWithdrawn prints the withdrawn words in a file and returns their number.
 func checkWithdrawn(path string, data []byte) int {
 	bad := 0
 	for i, line := range strings.Split(string(data), "\n") {
