--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The developers' commands; README.md explains them.
+# Targets for developers; README.md describes them.
 GO ?= go
 STATICCHECK_VERSION = v0.8.2
 DEADCODE_VERSION = v0.52.0
@@ -8,8 +8,8 @@
 run:
 	$(GO) run ./tools/lab run
 
-# Tests named in KNOWN-RED.txt, a line each, NAME: cause; issue, are printed and not run.
-# A subtest is named TEST/SUBTEST.
+# Tests listed in KNOWN-RED.txt are printed and skipped. Each line has the form NAME: CAUSE; ISSUE, with a
+# subtest named TEST/SUBTEST.
 KNOWN_RED := $(shell sed 's/:.*//; s,/,$$/^,g; s/.*/^&$$/' KNOWN-RED.txt 2>/dev/null | paste -sd'|')
 
 test:
@@ -19,17 +19,18 @@
 smoke:
 	$(GO) run ./tools/lab smoke
 
-# Needs spin (Debian: apt-get install spin) and a C compiler.
+# Requires spin (Debian: apt-get install spin) and a C compiler.
 model:
 	spec/check
 
-# SEED chooses the faults.
+# SEED seeds the random choice of faults.
 SEED ?= 1
 promises:
 	@bash -o pipefail -c "cd internal/proofs && $(GO) test -count=1 -parallel=3 -timeout=20m $(PROOFS) \
 		-args -proofs.report -proofs.seed=$(SEED) | grep -vE '^(ok|PASS)'"
 
-# Real gateways under faults from outside: SEEDS of them from SEED on, TIME of faults each.
+# Runs real gateways with injected faults: SEEDS runs, with the seeds from SEED on. TIME is how long each
+# run injects faults.
 SEEDS ?= 50
 TIME ?= 8s
 soak:
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,32 +1,33 @@
-/* Requests that may not be repeated: one shard of claims, two owners that follow
- * each other, and two entries that send the same key. docs/MODEL.md maps it to
- * the code.
+/* At-most-once execution of non-idempotent requests: one shard of claims, two
+ * successive owners, and two entries that send the same key. docs/MODEL.md maps
+ * the model to the code.
  *
- * Owners append records to numbered slots that are written only if empty; the
- * answer of a write may be lost. The first owner may be paused past its lease at
- * any step. The property is the assertion at the service: one key has at most
- * one effect.
+ * Owners append records to numbered slots, which are written only if empty. The
+ * response to a write may be lost. The first owner may be paused at any step for
+ * longer than its lease. The property is the assertion in Entry: a key has at
+ * most one effect.
  *
  * Variants, each with one mechanism removed, must fail:
- *   -DOVERWRITE   a slot is written whether or not it is empty
- *   -DSEND_UNSURE an entry sends although its claim had no answer
+ *   -DOVERWRITE   a slot is written even if it is not empty
+ *   -DSEND_UNSURE an entry sends although its claim had no response
  *
- * -DNO_TAKEOVER, in which the next owner writes no slot when it opens, holds too:
- * that slot is not what makes claims safe. It lets a former owner lose the race
- * for a slot, instead of the next one, which would close its shard for nothing. */
+ * -DNO_TAKEOVER, in which an owner writes no slot when it opens the shard, holds
+ * as well: safety does not depend on that slot. It makes a former owner lose the
+ * race for the next slot, so that the new owner does not close its shard
+ * needlessly. */
 
 #define SLOTS 5
 #define EMPTY 255
 #define TAKEOVER 254
 
-byte slot[SLOTS];          /* the attempt whose claim is written, or EMPTY, TAKEOVER */
+byte slot[SLOTS];          /* the attempt whose claim is stored, or EMPTY or TAKEOVER */
 byte effects = 0;
 
 chan ask0 = [0] of { byte };
 chan ask1 = [0] of { byte };
-chan reply[2] = [1] of { bool, bool };   /* sure, fresh */
+chan reply[2] = [1] of { bool, bool };   /* sure: the outcome is known; fresh: the claim is new */
 
-/* write appends a record to the owner's next slot; won tells that it is there. */
+/* Appends a record to the owner's next slot; won is true if it is stored. */
 inline write(value) {
   atomic {
     if
@@ -41,13 +42,13 @@
           slot[next] = value; won = true;
           if
           :: sure = true
-          :: sure = false                  /* the answer is lost */
+          :: sure = false                  /* the response is lost */
           fi
 #ifndef OVERWRITE
        :: slot[next] != EMPTY -> won = false; sure = true
 #endif
        fi;
-       /* a lost answer is asked again: the slot holds the own value */
+       /* after a lost response the slot is read: it holds the owner's value */
        if
        :: !sure && next < SLOTS && slot[next] == value -> sure = true
        :: else
@@ -60,7 +61,7 @@
 proctype Owner(byte self) {
   byte next = 0, i, attempt;
   bool claimed = false, won, sure;
-  /* open: read the slots, then take the next one */
+  /* open the shard: read the slots, then claim the next one */
   atomic {
     i = 0;
     do
@@ -101,7 +102,8 @@
   od
 }
 
-/* An entry asks whichever process it thinks owns the shard; it may give up. */
+/* An entry sends its claim to either owner, and sends the request only if the
+ * claim is known to be new. */
 proctype Entry(byte self) {
   bool sure, fresh;
   if
--- a/spec/ledger.pml
+++ b/spec/ledger.pml
@@ -1,15 +1,15 @@
 /* Orders to one backend server: the agent's record, its fencing token and its
  * memory ledger. docs/MODEL.md maps processes and messages to the code.
  *
- * Two agents, of which either may be paused at any step, order loads and unloads
- * of two models on an accelerator with memory for one. Orders may be lost or
- * arrive late. The property is the assertion in the engine: memory is never
+ * Two agents order loads and unloads of two models on an accelerator with memory
+ * for one model. Each agent may be paused at any step. Orders may be lost or
+ * delayed. The property is the assertion in Engine: memory is never
  * overcommitted.
  *
  * Variants, each with one mechanism removed, must fail:
- *   -DNO_INTENTS  the next agent ignores what the record says is outstanding
- *   -DNO_RECORD   an order is sent without writing its intent first
- *   -DOLD_REPORT  a report from before taking over counts as current
+ *   -DNO_INTENTS  a new agent ignores the outstanding intents of the record
+ *   -DNO_RECORD   an order is sent without recording its intent first
+ *   -DOLD_REPORT  a report from before the takeover counts as current
  * With -DCHECKED the engine refuses orders with an old fencing token. */
 
 #define ORDERS 4
@@ -30,14 +30,14 @@
 byte fenceof[ORDERS];
 
 /* The engine. */
-byte loaded = 0;     /* models that hold memory, as bits */
+byte loaded = 0;     /* bit set of the models that occupy memory */
 byte used = 0;
-byte highest = 0;    /* highest fencing token seen */
-byte finished = 0;   /* orders listed as finished, as bits */
+byte highest = 0;    /* highest fencing token received */
+byte finished = 0;   /* bit set of the finished orders */
 
 /* The record in the key-value service. */
 byte owner = 255;
-byte intents = 0;    /* orders that may still take effect, as bits */
+byte intents = 0;    /* bit set of the orders that may still take effect */
 byte fence = 0;
 
 inline popcount(v, n) { n = ((v) & 1) + (((v) >> 1) & 1) }
@@ -79,13 +79,13 @@
 }
 
 proctype Agent(byte self) {
-  byte mine = 0;        /* intents in the ledger, as bits */
-  byte seen = 0;        /* residents of the last report, as bits */
+  byte mine = 0;        /* bit set of the intents in the ledger */
+  byte seen = 0;        /* bit set of the residents in the last report */
   byte token = 0;
   byte i, m, n, pendingLoads;
   bool armed = false, current = false;
   do
-  :: atomic { !armed ->                       /* take the record over */
+  :: atomic { !armed ->                       /* take over the record */
        owner = self; fence++; token = fence; armed = true;
 #ifdef NO_INTENTS
        mine = 0;
@@ -96,19 +96,19 @@
        current = false
 #endif
      }
-  :: atomic {                                 /* settle with a report */
+  :: atomic {                                 /* apply a report */
        seen = loaded; current = true;
        mine = mine & ~finished;
        i = 0;
        do
        :: i < ORDERS ->
-          /* after its lifetime a lost order can no longer arrive */
+          /* a lost order cannot arrive after its lifetime */
           if :: state[i] == LOST -> mine = mine & ~BIT(i) :: else fi;
           i++
        :: else -> break
        od
      }
-  :: atomic { armed && current ->             /* reserve and record */
+  :: atomic { armed && current ->             /* reserve memory and record the intent */
        select(m : 0 .. (MODELS - 1));
        i = 0;
        do
@@ -119,12 +119,12 @@
        :: i == ORDERS -> goto done
        :: else
        fi;
-       /* loads in the ledger that the report does not show */
+       /* count loads in the ledger that the report does not include */
        n = 0; pendingLoads = 0;
        do
        :: n < ORDERS ->
           if
-          :: (mine & BIT(n)) && model[n] == m -> goto skipped   /* busy */
+          :: (mine & BIT(n)) && model[n] == m -> goto skipped   /* an order for the model is outstanding */
           :: (mine & BIT(n)) && model[n] != m && isload[n] && !(seen & BIT(model[n])) -> pendingLoads++
           :: else
           fi;
@@ -148,7 +148,7 @@
        mine = mine | BIT(i);
        intents = mine
      }
-     /* a pause may come here, however long */
+     /* the agent may be paused here for any time */
      atomic { state[i] = ONITSWAY }
 skipped: skip
   od;
--- a/spec/limits.pml
+++ b/spec/limits.pml
@@ -1,37 +1,40 @@
-/* The limit of an organisation over three gateways: who may let how much of its
- * rate run in each tick. docs/MODEL.md maps it to the code.
+/* The rate limit of an organisation, enforced by three gateways: how much of the
+ * rate each gateway may admit in each tick. docs/MODEL.md maps the model to the
+ * code.
  *
- * A tick is the time in which an owner counts on the parts of those that asked
- * it. In each one the network falls apart or heals: a gateway that is cut is
- * alone. The leader, who is outside, may be lost for some ticks; it drops a
- * gateway that has not reported for LIST ticks. A gateway may start anew, with
- * the list that the store has. Every gateway is asked for all that it lets run.
+ * A tick is the time for which an owner may use the parts of the gateways that
+ * sent it requests. In each tick the network partitions or heals; a gateway that
+ * is cut off reaches no other. The leader is a separate process. It may be lost
+ * for some ticks, and it removes a gateway from its list that has not reported
+ * for LIST ticks. A gateway may restart with the list in the store. Demand at
+ * every gateway is at least what it may admit.
  *
- * The property is the assertion on each tick: all together let run no more than
+ * The property is the assertion in each tick: all gateways together admit at most
  * the rate. RATE is divisible by every number of gateways.
  *
  * Variants, each with one mechanism removed, must fail:
- *   -DLONG_SURE      an owner believes for longer than the leader waits
- *   -DNO_LAPSED      who is off the list has no part left
- *   -DNO_AWAITED     a new leader's list counts as if all on it had reported
- *   -DPART_WHILE_SURE a gateway spends its part while the owner may still have it
- *   -DANY_LENDER     an owner without a leader has the parts of all on its list
- *   -DSHORT_STORE    the store's list lacks who was dropped lately
+ *   -DLONG_SURE      an owner trusts its list for longer than the leader waits
+ *   -DNO_LAPSED      a gateway that was removed from the list has no part
+ *   -DNO_AWAITED     all gateways on a new leader's list count as having reported
+ *   -DPART_WHILE_SURE a gateway spends its part while the owner may still use it
+ *   -DANY_LENDER     an owner without a leader uses the parts of all on its list
+ *   -DSHORT_STORE    the list in the store lacks recently removed gateways
  *
- * -DLAPSED_END fails too, and is not mended: who is off the list for longer than
- * its part lasts is forgotten, so that the parts of those on it grow; when it
- * comes back in the same tick in which the owner of the shorter list is cut off,
- * that one's part is too large for as long as it goes on alone. */
+ * -DLAPSED_END fails too, which is a known limitation. A gateway that stays off
+ * the list for longer than its part lasts is forgotten, so that the parts of the
+ * listed gateways grow. If it returns in the tick in which the owner of the
+ * shorter list is cut off, the part of that owner is too large while it continues
+ * without the leader. */
 
 #define N 3
 #define RATE 6
-#define LIST 2               /* ticks without a report after which the leader drops */
-#define ALONE 3              /* ticks after those on the list, of which it spends nothing in the
-                              * first: the leader may still count on its part */
+#define LIST 2               /* ticks without a report after which the leader removes a gateway */
+#define ALONE 3              /* ticks for which a gateway continues after SURE; it spends nothing in
+                              * the first, in which the leader may still count on its part */
 #ifdef LONG_SURE
 #define SURE 3
 #else
-#define SURE 1               /* ticks for which it counts on the leader's list */
+#define SURE 1               /* ticks for which a gateway trusts the leader's list */
 #endif
 #define TICKS 9
 
@@ -40,24 +43,24 @@
 #define OWNER(set) (IN(set, 0) -> 0 : (IN(set, 1) -> 1 : 2))
 
 bool cut[N];
-byte sure[N];                /* ticks left in which the leader's list counts */
-byte alone[N];               /* ticks left after those */
-byte list[N];                /* the list that it knows, one bit a gateway */
-byte lapsed[N];              /* who went off it lately, as far as it knows */
-byte awaited[N];             /* how many of its list have not reported in the term */
+byte sure[N];                /* remaining ticks in which the leader's list is trusted */
+byte alone[N];               /* remaining ticks after those */
+byte list[N];                /* the list that the gateway knows, one bit per gateway */
+byte lapsed[N];              /* recently removed gateways that the gateway knows of */
+byte awaited[N];             /* number of listed gateways without a report in this term */
 
 /* The leader. */
 bool led = true;
-byte lost = 0;               /* ticks left without one */
+byte lost = 0;               /* remaining ticks without a leader */
 byte listed = 7;
-byte quiet[N];               /* ticks since each reported */
-byte gone[N];                /* ticks for which who is off the list keeps a part */
-byte waits = 0;              /* who has not reported in the term */
+byte quiet[N];               /* ticks since the last report of each gateway */
+byte gone[N];                /* remaining ticks for which a removed gateway keeps its part */
+byte waits = 0;              /* gateways that have not reported in this term */
 
 byte total;
 byte g, o, i, count;
 
-/* size is the number of gateways that have a part, as g sees it. */
+/* PARTS is the number of gateways that have a part, as known to g. */
 #ifdef NO_LAPSED
 #define PARTS(g) SIZE(list[g])
 #else
@@ -78,7 +81,7 @@
   :: led ->
      if
      :: skip
-     :: led = false; lost = 2       /* its lease has to end first */
+     :: led = false; lost = 2       /* its lease must expire first */
      fi
   :: !led && lost > 0 -> lost--
   :: !led && lost == 0 ->
@@ -134,7 +137,7 @@
   }
 }
 
-/* restart makes any one gateway start anew, or none. */
+/* Restarts at most one gateway. */
 inline restart() {
   if
   :: skip
@@ -160,13 +163,13 @@
   fi
 }
 
-/* spend adds up what all let run in the tick. */
+/* Sums what all gateways admit in the tick. */
 inline spend() {
   total = 0;
   for (g : 0 .. N - 1) {
     o = OWNER(list[g]);
     if
-    :: list[g] == 0                     /* it knows no gateways */
+    :: list[g] == 0                     /* the gateway knows no list */
     :: list[g] != 0 && o == g && sure[g] > 0 ->
        total = total + RATE * (SIZE(list[g]) - awaited[g] > 0 -> SIZE(list[g]) - awaited[g] : 1) / PARTS(g)
     :: list[g] != 0 && o == g && sure[g] == 0 && alone[g] > 0 && alone[g] < ALONE ->
@@ -176,7 +179,7 @@
 #ifdef ANY_LENDER
          :: IN(list[g], i) -> count++
 #else
-         /* it asks this one: it reaches it, and takes it for the owner */
+         /* gateway i reaches g and considers it the owner */
          :: IN(list[g], i) && (i == g || (!cut[g] && !cut[i] && OWNER(list[i]) == g)) -> count++
 #endif
          :: else
--- a/spec/table.pml
+++ b/spec/table.pml
@@ -1,21 +1,21 @@
-/* Table versions: two operators save edits by compare-and-swap of one head, whose
- * answers may be lost, and two processes take versions from the service or from
- * each other, at times old ones. docs/MODEL.md maps it to the code.
+/* Table versions: two operators save edits by compare-and-swap of one head; the
+ * responses may be lost. Two processes receive versions, possibly old ones, from
+ * the service or from each other. docs/MODEL.md maps the model to the code.
  *
- * Properties: an edit is in the record at most once; one that was told as saved
- * is in it; no process ever goes back to a lower version.
+ * Properties: an edit is in the record at most once; an edit that was reported as
+ * saved is in the record; no process returns to a lower version.
  *
  * Variants, each with one mechanism removed, must fail:
- *   -DNO_ID       an operator that got no answer saves again without looking
+ *   -DNO_ID       an operator without a response retries without a check by edit id
  *   -DNO_SWAP     the head is written without comparing its revision
- *   -DNO_COMPARE  a process takes over whatever version it is offered */
+ *   -DNO_COMPARE  a process accepts every version that it receives */
 
 #define EDITS 2
-byte version = 0;           /* the head: its version stands for its revision too */
-byte holds[EDITS];          /* how often each edit is in the record */
-byte has[2];                /* versions of the processes */
+byte version = 0;           /* version of the head, which also serves as its revision */
+byte holds[EDITS];          /* number of times each edit is in the record */
+byte has[2];                /* current version of each process */
 
-chan wire[2] = [2] of { byte };   /* versions on their way to each process */
+chan wire[2] = [2] of { byte };   /* versions in transit to each process */
 
 proctype Operator(byte edit) {
   byte seen, tries = 0;
@@ -42,7 +42,7 @@
        holds[edit]++;
        assert(holds[edit] <= 1);
 #ifdef NO_SWAP
-       /* a write over another's forgets the edit that the other has told as saved */
+       /* overwriting the head loses the edit that the other operator saved */
        if
        :: holds[1 - edit] > 0 && seen == 0 -> holds[1 - edit] = 0
        :: else
@@ -50,7 +50,7 @@
 #endif
        if
        :: known = true
-       :: known = false                      /* the answer is lost */
+       :: known = false                      /* the response is lost */
        fi
 #ifndef NO_SWAP
     :: version != seen -> known = false
@@ -67,7 +67,7 @@
 unknown: skip
 }
 
-/* A process reads the service, or is sent a version by its peer, possibly old. */
+/* A process receives versions from the service or from its peer, possibly old ones. */
 proctype Process(byte self) {
   byte got, before, steps = 0;
   do
