--- a/cmd/rockcleat-gateway/main.go
+++ b/cmd/rockcleat-gateway/main.go
@@ -17,16 +17,16 @@
 	"rockcleat/platform"
 )
 
-func main() { os.Exit(daemon.Gateway(os.Args[1:], os.Stderr, build)) }
+func main() { os.Exit(daemon.Gateway(os.Args[1:], os.Stderr, buildGateway)) }
 
-// build returns a gateway that uses the adapter of the users' platform.
-func build(s config.Gateway, log *zap.Logger) (*gateway.Gateway, error) {
+// buildGateway returns a gateway that uses the adapter of the users' platform.
+func buildGateway(s config.Gateway, log *zap.Logger) (*gateway.Gateway, error) {
 	metrics, err := telemetry.NewGatewayMetrics()
 	if err != nil {
 		return nil, err
 	}
 	client := &http.Client{Transport: wire.NewDirectTransport(s.IdleTime.Std())}
-	store := platform.NewStore(s.Store, s.StoreTimeout.Std(), &http.Client{Transport: wire.NewDirectTransport(storeIdle)}, metrics.StoreCall)
+	store := platform.NewStore(s.Store, s.StoreTimeout.Std(), &http.Client{Transport: wire.NewDirectTransport(storeIdleTimeout)}, metrics.StoreCall)
 	return gateway.New(gateway.Options{
 		Settings:  s,
 		Names:     platform.Names(),
@@ -43,5 +43,5 @@
 	}), nil
 }
 
-// storeIdle is the idle timeout of connections to the store.
-const storeIdle = 10 * time.Second
+// storeIdleTimeout is the idle timeout of connections to the store.
+const storeIdleTimeout = 10 * time.Second
--- a/internal/cli/check_settings.go
+++ b/internal/cli/check_settings.go
@@ -13,7 +13,7 @@
 func (a *app) configCheck() *ffcli.Command {
 	fs := a.flags("check")
 	role := fs.String("role", "entry", "entry, agent or gateway")
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "check", usage: "config check [-role entry|agent|gateway] FILE",
 		short:   "Check a settings file as the daemon would.",
 		example: "rockcleat config check -role agent agent.yaml",
@@ -23,21 +23,21 @@
 
 // checkConfig validates a settings file for a role.
 func (a *app) checkConfig(args []string, role string) error {
-	if err := need(args, 1, 1, "one FILE"); err != nil {
+	if err := checkArgCount(args, 1, 1, "one FILE"); err != nil {
 		return err
 	}
-	var into config.Settings
+	var settings config.Settings
 	switch role {
 	case "entry":
-		into = &config.Entry{}
+		settings = &config.Entry{}
 	case "agent":
-		into = &config.Agent{}
+		settings = &config.Agent{}
 	case "gateway":
-		into = &config.Gateway{}
+		settings = &config.Gateway{}
 	default:
 		return fmt.Errorf("%w: role %q is not entry, agent or gateway", errUsage, role)
 	}
-	if err := config.Read(args[0], into); err != nil {
+	if err := config.Read(args[0], settings); err != nil {
 		return err
 	}
 	fmt.Fprintf(a.out, "%s: ok\n", args[0])
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -31,7 +31,7 @@
 	ExitUnknown = 5
 )
 
-const exitHelp = `Exit codes: 0 done; 1 failed, nothing changed; 2 wrong usage; 3 refused by the
+const exitCodesHelp = `Exit codes: 0 done; 1 failed, nothing changed; 2 wrong usage; 3 refused by the
 checks, nothing saved; 4 another operator changed the row first, nothing saved;
 5 no answer, the save may have taken effect: run "rockcleat table history" to see.`
 
@@ -45,10 +45,10 @@
 type app struct {
 	in       io.Reader
 	out, err io.Writer
-	// entry is the comma-separated list of the entries' control addresses.
-	entry string
-	// file is the path of a file that holds the shared secret; it takes precedence over secret.
-	secret, file string
+	// entryAddrs is the comma-separated list of the entries' control addresses.
+	entryAddrs string
+	// secretFile is the path of a file that holds the shared secret; it takes precedence over secret.
+	secret, secretFile string
 	// author is stored with each edit.
 	author string
 }
@@ -61,11 +61,11 @@
 	if err == nil {
 		err = root.Run(ctx)
 	}
-	return a.exit(err)
+	return a.reportError(err)
 }
 
-// exit prints err, if any, and returns the exit code for it.
-func (a *app) exit(err error) int {
+// reportError prints err, unless it is nil or a request for help, and returns the exit code for it.
+func (a *app) reportError(err error) int {
 	if err == nil {
 		return ExitOK
 	}
@@ -91,26 +91,26 @@
 func (a *app) flags(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(a.err)
-	fs.StringVar(&a.entry, "entry", "127.0.0.1:8081", "control addresses of entries, separated by commas; tried in turn")
+	fs.StringVar(&a.entryAddrs, "entry", "127.0.0.1:8081", "control addresses of entries, separated by commas; tried in turn")
 	fs.StringVar(&a.secret, "secret", "", "shared secret; better set ROCKCLEAT_SECRET or -secret-file")
-	fs.StringVar(&a.file, "secret-file", "", "file that holds the shared secret")
+	fs.StringVar(&a.secretFile, "secret-file", "", "file that holds the shared secret")
 	fs.StringVar(&a.author, "author", os.Getenv("USER"), "name kept with saved edits")
 	return fs
 }
 
-// A run executes a command with its positional arguments.
-type run func(ctx context.Context, args []string) error
+// A commandFunc executes a command with its positional arguments.
+type commandFunc func(ctx context.Context, args []string) error
 
-// A help holds the texts of a command's help.
-type help struct{ name, usage, short, example string }
+// A commandHelp holds the texts of a command's help.
+type commandHelp struct{ name, usage, short, example string }
 
 // command returns a subcommand whose flags can also be set by environment variables.
-func (a *app) command(h help, fs *flag.FlagSet, f run) *ffcli.Command {
+func (a *app) command(h commandHelp, fs *flag.FlagSet, f commandFunc) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       h.name,
 		ShortUsage: "rockcleat " + h.usage,
 		ShortHelp:  h.short,
-		LongHelp:   h.short + "\n\nExample:\n  " + h.example + "\n\n" + exitHelp,
+		LongHelp:   h.short + "\n\nExample:\n  " + h.example + "\n\n" + exitCodesHelp,
 		FlagSet:    fs,
 		Options:    []ff.Option{ff.WithEnvVarPrefix(envPrefix)},
 		Exec:       f,
@@ -122,7 +122,7 @@
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(a.err)
 	return &ffcli.Command{
-		Name: name, ShortUsage: usage, ShortHelp: short, LongHelp: short + "\n\n" + exitHelp,
+		Name: name, ShortUsage: usage, ShortHelp: short, LongHelp: short + "\n\n" + exitCodesHelp,
 		FlagSet: fs, Subcommands: subs,
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) > 0 {
@@ -147,11 +147,11 @@
 	)
 }
 
-// need returns a usage error unless the number of arguments is from low to high. A negative
+// checkArgCount returns a usage error unless the number of arguments is from low to high. A negative
 // high means no upper bound.
-func need(args []string, low, high int, what string) error {
+func checkArgCount(args []string, low, high int, expected string) error {
 	if len(args) < low || high >= 0 && len(args) > high {
-		return fmt.Errorf("%w: expected %s", errUsage, what)
+		return fmt.Errorf("%w: expected %s", errUsage, expected)
 	}
 	return nil
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -22,8 +22,8 @@
 
 const secret = "test-secret-0123456789"
 
-// operators starts a server that implements an entry's table API for operators.
-func operators(t *testing.T) (addr string) {
+// startEntry starts a server that implements an entry's table API for operators.
+func startEntry(t *testing.T) (addr string) {
 	t.Helper()
 	_, store := standintest.KV(t)
 	l := table.NewLog(store, clocktest.Real{}, nil)
@@ -55,7 +55,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func run(t *testing.T, args ...string) (code int, out, stderr string) {
+func commandFunc(t *testing.T, args ...string) (code int, out, stderr string) {
 	t.Helper()
 	var o, e bytes.Buffer
 	code = cli.Run(context.Background(), args, strings.NewReader(""), &o, &e)
@@ -63,7 +63,7 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	addr := operators(t)
+	addr := startEntry(t)
 	file := filepath.Join(t.TempDir(), "t.csv")
 	bad := filepath.Join(t.TempDir(), "bad.csv")
 	assert.NilError(t, os.WriteFile(file, []byte("name,weight\nm,3\n"), 0o600))
@@ -102,7 +102,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			code, out, stderr := run(t, tc.args...)
+			code, out, stderr := commandFunc(t, tc.args...)
 			assert.Equal(t, code, tc.code, "%s%s", out, stderr)
 			assert.Assert(t, strings.Contains(out+stderr, tc.text), "%s%s", out, stderr)
 		})
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -11,8 +11,8 @@
 // client returns a client that authenticates with the shared secret.
 func (a *app) client() (*wire.Client, error) {
 	secret := a.secret
-	if a.file != "" {
-		data, err := os.ReadFile(a.file)
+	if a.secretFile != "" {
+		data, err := os.ReadFile(a.secretFile)
 		if err != nil {
 			return nil, err
 		}
@@ -22,11 +22,11 @@
 }
 
 // entries returns the control addresses in the order in which they are tried.
-func (a *app) entries() []string { return strings.Split(a.entry, ",") }
+func (a *app) entries() []string { return strings.Split(a.entryAddrs, ",") }
 
-// get decodes the response of the first entry that answers into out. If none does, it returns the
+// getFromEntries decodes the response of the first entry that answers into out. If none does, it returns the
 // error of the last one.
-func (a *app) get(ctx context.Context, path string, out any) error {
+func (a *app) getFromEntries(ctx context.Context, path string, out any) error {
 	c, err := a.client()
 	if err != nil {
 		return err
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -22,7 +22,7 @@
 
 // completion returns the command that prints the completion script.
 func (a *app) completion() *ffcli.Command {
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "completion", usage: "completion",
 		short:   "Print a bash completion script.",
 		example: "source <(rockcleat completion)",
--- a/internal/cli/limits.go
+++ b/internal/cli/limits.go
@@ -19,7 +19,7 @@
 	fs := a.flags("limits")
 	gateways := fs.String("gateways", "", "peer_listen addresses of gateways, separated by commas; all of them for whole sums")
 	asJSON := fs.Bool("json", false, "print JSON")
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "limits", usage: "limits -gateways ADDR[,ADDR...] [-json]",
 		short:   "Print the limits of organisations and of servers in need, which gateway grants each, and what was decided since the gateways' start.",
 		example: "rockcleat limits -gateways 10.1.0.38:8144,10.2.0.40:8144",
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	var organisations, servers limitSum
+	var organisations, servers limitTotals
 	for _, addr := range strings.Split(gateways, ",") {
 		var list wire.LimitList
 		if err := c.Get(ctx, addr, wire.PathLimits, &list); err != nil {
@@ -54,28 +54,28 @@
 	return a.printLimitTable("SERVER", servers.items)
 }
 
-// printLimitTable prints limits as a table. The first column has the heading whose.
-func (a *app) printLimitTable(whose string, items []quota.Status) error {
+// printLimitTable prints limits as a table. heading is the heading of the first column.
+func (a *app) printLimitTable(heading string, items []quota.Status) error {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, whose+"\tRATE/S\tBURST\tOWNER\tSHARE\tAVAILABLE\tINSIDE\tOVER\tUNKNOWN\tSPENT")
+	fmt.Fprintln(w, heading+"\tRATE/S\tBURST\tOWNER\tSHARE\tAVAILABLE\tINSIDE\tOVER\tUNKNOWN\tSPENT")
 	for _, s := range items {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%s\t%d\t%d\t%d\t%.0f\n", s.Key, amount(s.Rate), amount(s.Burst), s.Owner,
-			s.Share, amount(s.Available), s.Inside, s.Over, s.Unknown, s.Spent)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%s\t%d\t%d\t%d\t%.0f\n", s.Key, formatAmount(s.Rate), formatAmount(s.Burst), s.Owner,
+			s.Share, formatAmount(s.Available), s.Inside, s.Over, s.Unknown, s.Spent)
 	}
 	return w.Flush()
 }
 
-// amount formats a number in the unit of its limit. Fractions below 100 have two decimal places,
+// formatAmount formats a number in the unit of its limit. Fractions below 100 have two decimal places,
 // all other values none.
-func amount(x float64) string {
+func formatAmount(x float64) string {
 	if x != 0 && x < 100 && x != math.Trunc(x) {
 		return strconv.FormatFloat(x, 'f', 2, 64)
 	}
 	return strconv.FormatFloat(x, 'f', 0, 64)
 }
 
-// A limitSum merges the limits that several gateways report, by key.
-type limitSum struct {
+// limitTotals merges the limits that several gateways report, by key.
+type limitTotals struct {
 	items []quota.Status
 	// index maps a key to its position in items.
 	index map[string]int
@@ -83,7 +83,7 @@
 
 // add merges the limits that one gateway reports. Counts are summed. Of Share and Available, which only
 // the owner of a limit reports, the maximum is kept. All other fields are those of the first report.
-func (l *limitSum) add(list []quota.Status) {
+func (l *limitTotals) add(list []quota.Status) {
 	if l.index == nil {
 		l.index = make(map[string]int)
 	}
--- a/internal/cli/limits_test.go
+++ b/internal/cli/limits_test.go
@@ -16,13 +16,13 @@
 	"rockcleat/quota"
 )
 
-// limitsGateway starts a server that reports limits of organisations as a gateway does.
-func limitsGateway(t *testing.T, items ...quota.Status) (addr string) {
-	return newLimitsGateway(t, wire.LimitList{Items: items})
+// startGateway starts a server that reports limits of organisations as a gateway does.
+func startGateway(t *testing.T, items ...quota.Status) (addr string) {
+	return startLimitServer(t, wire.LimitList{Items: items})
 }
 
-// newLimitsGateway starts a server that responds with the given limits.
-func newLimitsGateway(t *testing.T, list wire.LimitList) (addr string) {
+// startLimitServer starts a server that responds with the given limits.
+func startLimitServer(t *testing.T, list wire.LimitList) (addr string) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Equal(t, r.URL.Path, wire.PathLimits)
 		assert.NilError(t, json.NewEncoder(w).Encode(list))
@@ -37,9 +37,9 @@
 	one, two := guild, guild
 	one.Counts = quota.Counts{Inside: 3, Over: 1, Spent: 4800}
 	two.Share, two.Available, two.Counts = 1, 700, quota.Counts{Inside: 1, Unknown: 2, Spent: 1600}
-	addrs := limitsGateway(t, one) + "," + limitsGateway(t, two, quota.Status{Key: "desk", Rate: 1, Burst: 1})
+	addrs := startGateway(t, one) + "," + startGateway(t, two, quota.Status{Key: "desk", Rate: 1, Burst: 1})
 	server := quota.Status{Key: "i-7", Rate: 1.8, Burst: 1.45, Owner: "g1", Counts: quota.Counts{Inside: 21, Over: 9}}
-	needy := newLimitsGateway(t, wire.LimitList{Servers: []quota.Status{server}})
+	needy := startLimitServer(t, wire.LimitList{Servers: []quota.Status{server}})
 	tests := map[string]struct {
 		args []string
 		code int
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -25,12 +25,12 @@
 	listFlags := flags("list")
 	asJSON := listFlags.Bool("json", false, "print JSON")
 	return []*ffcli.Command{
-		a.command(help{
+		a.command(commandHelp{
 			name: "list", usage: "quarantine list [-gateway ADDR] [-json]",
 			short:   "Print the requests under which servers have ended, and which of them are refused for that.",
 			example: "rockcleat quarantine list -gateway 10.1.0.38:8144",
 		}, listFlags, func(ctx context.Context, _ []string) error { return a.listQuarantine(ctx, gateway, *asJSON) }),
-		a.command(help{
+		a.command(commandHelp{
 			name: "lift", usage: "quarantine lift [-gateway ADDR] DIGEST",
 			short:   "Serve a request again under which servers have ended. All gateways or entries follow within seconds.",
 			example: "rockcleat quarantine lift -gateway 10.1.0.38:8144 08a89246bccc4d27bab354cdd3d288b3",
@@ -62,20 +62,20 @@
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DIGEST\tENDS\tLAST END\tREFUSED FOR\tSERVERS")
 	for _, item := range list.Items {
-		fmt.Fprintf(w, "%s\t%d\t%s ago\t%s\t%s\n", item.Key, len(item.Servers), milliseconds(item.AgeMs),
-			milliseconds(item.HeldMs), strings.Join(item.Servers, " "))
+		fmt.Fprintf(w, "%s\t%d\t%s ago\t%s\t%s\n", item.Key, len(item.Servers), roundedDuration(item.AgeMs),
+			roundedDuration(item.HeldMs), strings.Join(item.Servers, " "))
 	}
 	return w.Flush()
 }
 
-// milliseconds converts a number of milliseconds to a duration rounded to seconds.
-func milliseconds(ms int64) time.Duration {
+// roundedDuration converts milliseconds to a duration rounded to seconds.
+func roundedDuration(ms int64) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second)
 }
 
 // liftQuarantine clears the server ends recorded for a request, so that it is served again.
 func (a *app) liftQuarantine(ctx context.Context, gateway string, args []string) error {
-	if err := need(args, 1, 1, "DIGEST"); err != nil {
+	if err := checkArgCount(args, 1, 1, "DIGEST"); err != nil {
 		return err
 	}
 	var key quarantine.Key
--- a/internal/cli/save.go
+++ b/internal/cli/save.go
@@ -16,10 +16,10 @@
 
 // Attempts of a save.
 const (
-	// saveTries is the maximum number of attempts.
-	saveTries = 4
-	// savePause is the delay between two attempts.
-	savePause = 300 * time.Millisecond
+	// maxSaveAttempts is the maximum number of attempts.
+	maxSaveAttempts = 4
+	// saveRetryDelay is the delay between two attempts.
+	saveRetryDelay = 300 * time.Millisecond
 )
 
 // save saves the changes as one edit and returns the table version that contains it. A save without
@@ -33,19 +33,19 @@
 	}
 	edit := table.Edit{ID: uuid.NewString(), Author: a.author, Time: time.Now().Unix(), Changes: changes}
 	unknown := false
-	for try := range saveTries {
-		addr := a.entries()[try%len(a.entries())]
+	for attempt := range maxSaveAttempts {
+		addr := a.entries()[attempt%len(a.entries())]
 		var ans wire.SaveAnswer
 		err = c.Post(ctx, addr, wire.PathTable, wire.SaveRequest{Edit: edit}, &ans)
 		if err == nil {
 			return ans.Version, nil
 		}
-		final, mayHave := saveError(err)
+		final, maybeSaved := saveError(err)
 		if final != nil && !unknown {
 			return 0, final
 		}
-		unknown = unknown || mayHave
-		time.Sleep(savePause)
+		unknown = unknown || maybeSaved
+		time.Sleep(saveRetryDelay)
 	}
 	if unknown {
 		return 0, fmt.Errorf("%w: edit %s: %w", table.ErrSaveUnknown, edit.ID, err)
@@ -53,9 +53,9 @@
 	return 0, err
 }
 
-// saveError classifies the error of an attempt: final is set if no other attempt is due, and mayHave
+// saveError classifies the error of an attempt: final is set if no other attempt is due, and maybeSaved
 // reports whether the attempt may have taken effect.
-func saveError(err error) (final error, mayHave bool) {
+func saveError(err error) (final error, maybeSaved bool) {
 	var s *wire.StatusError
 	if !errors.As(err, &s) {
 		return nil, !errors.Is(err, wire.ErrNotSent)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -17,7 +17,7 @@
 func (a *app) statusCommand() *ffcli.Command {
 	fs := a.flags("status")
 	asJSON := fs.Bool("json", false, "print JSON")
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "status", usage: "status [-json]",
 		short:   "Print the VMs, backend servers, what is resident, queues and the table version on each VM.",
 		example: "rockcleat status",
@@ -27,7 +27,7 @@
 // status prints an entry's view of VMs, backend servers and table versions.
 func (a *app) status(ctx context.Context, asJSON bool) error {
 	var s wire.StatusAnswer
-	if err := a.get(ctx, wire.PathStatus+"?versions=1", &s); err != nil {
+	if err := a.getFromEntries(ctx, wire.PathStatus+"?versions=1", &s); err != nil {
 		return err
 	}
 	if asJSON {
--- a/internal/cli/summary.go
+++ b/internal/cli/summary.go
@@ -20,13 +20,13 @@
 	by := fs.String("by", string(byModel), "what rows stand for: "+groupingNames())
 	most := fs.Int("most", 20, "rows to show, those with the most refused requests; 0 shows all")
 	asJSON := fs.Bool("json", false, "print JSON instead of tables")
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "summary", usage: "summary [-by model|route|second|gateway|organisation] [-most N] [-json] FILE...",
 		short:   "Sum up the collected logs of many gateways: requests, moves of models, calls past the leader.",
 		example: "rockcleat summary -by second gateway-*.log",
 	}, fs,
 		func(_ context.Context, args []string) error {
-			return a.summary(args, summaryOptions{by: grouping(*by), most: *most, asJSON: *asJSON})
+			return a.summary(args, summaryOptions{by: grouping(*by), maxRows: *most, asJSON: *asJSON})
 		})
 }
 
@@ -41,13 +41,13 @@
 
 // summaryOptions are the flags of a summary.
 type summaryOptions struct {
-	by     grouping
-	most   int
-	asJSON bool
+	by      grouping
+	maxRows int
+	asJSON  bool
 }
 
 func (a *app) summary(files []string, o summaryOptions) error {
-	if err := need(files, 1, -1, "at least one FILE"); err != nil {
+	if err := checkArgCount(files, 1, -1, "at least one FILE"); err != nil {
 		return err
 	}
 	if !o.by.isKnown() {
@@ -59,7 +59,7 @@
 			return err
 		}
 	}
-	report := s.report(o.most)
+	report := s.report(o.maxRows)
 	if o.asJSON {
 		enc := json.NewEncoder(a.out)
 		enc.SetIndent("", "  ")
@@ -99,9 +99,9 @@
 	fmt.Fprintf(w, "\t%d\t%d\t%d\t%.1f\t%.1f\n", m.Planned, m.Loaded, m.Abandoned, m.PlanToLoadedP50, m.PlanToLoadedP90)
 	fmt.Fprintf(w, "\nevent\ttimes\n")
 	for _, e := range r.Events {
-		fmt.Fprintf(w, "%s\t%d\n", e.Name, e.Times)
+		fmt.Fprintf(w, "%s\t%d\n", e.Name, e.Count)
 	}
 	fmt.Fprintf(w, "\nanswered requests that were not logged\t%d\n", r.LeftOut)
-	fmt.Fprintf(w, "lines read\t%d\nlines that are not a log's\t%d\n", r.Lines, r.Spoiled)
+	fmt.Fprintf(w, "lines read\t%d\nlines that are not a log's\t%d\n", r.Lines, r.Malformed)
 	return w.Flush()
 }
--- a/internal/cli/summary_report.go
+++ b/internal/cli/summary_report.go
@@ -38,27 +38,27 @@
 // A summaryEvent is the number of log lines with one message.
 type summaryEvent struct {
 	Name  string `json:"name"`
-	Times int    `json:"times"`
+	Count int    `json:"times"`
 }
 
 // A summaryReport is the output of a summary.
 type summaryReport struct {
-	By      grouping       `json:"by"`
-	Rows    []summaryRow   `json:"rows"`
-	All     summaryRow     `json:"all"`
-	Moves   summaryMoves   `json:"moves"`
-	Events  []summaryEvent `json:"events"`
-	LeftOut int            `json:"left_out"`
-	Lines   int            `json:"lines"`
-	Spoiled int            `json:"spoiled"`
+	By        grouping       `json:"by"`
+	Rows      []summaryRow   `json:"rows"`
+	All       summaryRow     `json:"all"`
+	Moves     summaryMoves   `json:"moves"`
+	Events    []summaryEvent `json:"events"`
+	LeftOut   int            `json:"left_out"`
+	Lines     int            `json:"lines"`
+	Malformed int            `json:"spoiled"`
 }
 
-// report returns the report with at most most rows, or all rows if most is 0. Rows with the most
+// report returns the report with at most maxRows rows, or all rows if maxRows is 0. Rows with the most
 // refused requests come first and are kept. Rows of seconds are then sorted by time.
-func (s *summary) report(most int) *summaryReport {
-	r := &summaryReport{By: s.by, All: s.all.row("all"), LeftOut: s.leftOut, Lines: s.lines, Spoiled: s.spoiled, Moves: summaryMoves{
+func (s *summary) report(maxRows int) *summaryReport {
+	r := &summaryReport{By: s.by, All: s.all.row("all"), LeftOut: s.leftOut, Lines: s.lines, Malformed: s.malformed, Moves: summaryMoves{
 		Planned: s.moves.planned, Loaded: s.moves.loaded, Abandoned: s.moves.abandoned,
-		PlanToLoadedP50: s.moves.took.quantile(0.5), PlanToLoadedP90: s.moves.took.quantile(0.9),
+		PlanToLoadedP50: s.moves.planToLoad.quantile(0.5), PlanToLoadedP90: s.moves.planToLoad.quantile(0.9),
 	}}
 	for name, stats := range s.rows {
 		r.Rows = append(r.Rows, stats.row(name))
@@ -66,14 +66,14 @@
 	slices.SortFunc(r.Rows, func(x, y summaryRow) int {
 		return cmp.Or(cmp.Compare(y.Refused, x.Refused), cmp.Compare(y.OverLimit, x.OverLimit), cmp.Compare(y.Requests, x.Requests), strings.Compare(x.Name, y.Name))
 	})
-	if most > 0 && len(r.Rows) > most {
-		r.Rows = r.Rows[:most]
+	if maxRows > 0 && len(r.Rows) > maxRows {
+		r.Rows = r.Rows[:maxRows]
 	}
 	if s.by == bySecond {
 		slices.SortFunc(r.Rows, func(x, y summaryRow) int { return strings.Compare(x.Name, y.Name) })
 	}
 	for _, name := range countedEvents {
-		r.Events = append(r.Events, summaryEvent{Name: name, Times: s.events[name]})
+		r.Events = append(r.Events, summaryEvent{Name: name, Count: s.events[name]})
 	}
 	return r
 }
@@ -83,8 +83,8 @@
 	return summaryRow{
 		Name: name, Requests: r.requests, Answered: r.answered, Refused: r.refused, Cut: r.cut,
 		Other: r.requests - r.answered - r.refused - r.cut, NoHolder: r.noHolder,
-		OverLimit: r.over, RefusedEarly: r.early,
-		AskedEach: each(r.asked), DeniedEach: each(r.denied),
+		OverLimit: r.overLimit, RefusedEarly: r.refusedOnArrival,
+		AskedEach: each(r.admissionsRequested), DeniedEach: each(r.admissionsDenied),
 		WaitP50: r.waited.quantile(0.5), WaitP99: r.waited.quantile(0.99),
 		FirstByteP50: r.firstByte.quantile(0.5), FirstByteP99: r.firstByte.quantile(0.99),
 	}
--- a/internal/cli/summary_stats.go
+++ b/internal/cli/summary_stats.go
@@ -77,13 +77,13 @@
 // A summary aggregates log lines. Its memory grows with the number of rows and of unfinished moves,
 // not with the number of lines.
 type summary struct {
-	by             grouping
-	all            *requestStats
-	rows           map[string]*requestStats
-	moves          moveStats
-	plannedAt      map[moveKey]float64
-	events         map[string]int
-	lines, spoiled int
+	by               grouping
+	all              *requestStats
+	rows             map[string]*requestStats
+	moves            moveStats
+	plannedAt        map[moveKey]float64
+	events           map[string]int
+	lines, malformed int
 	// leftOut counts answered requests that gateways did not log because of the rate limit of their logs.
 	leftOut int
 }
@@ -100,13 +100,13 @@
 }
 
 // add adds one line. Text before the first brace is ignored. A line that is not a JSON log line is
-// counted as spoiled.
+// counted as malformed.
 func (s *summary) add(text []byte) {
 	s.lines++
 	i := bytes.IndexByte(text, '{')
 	var l summaryLine
 	if i < 0 || json.Unmarshal(text[i:], &l) != nil || l.Message == "" {
-		s.spoiled++
+		s.malformed++
 		return
 	}
 	switch l.Message {
@@ -135,7 +135,7 @@
 // Requests over a limit that were not logged count only in the total, since their organisations are unknown.
 func (s *summary) refusedEarly(l summaryLine) {
 	s.all.refusedEarly(l.Status)
-	s.all.over += l.LeftOut
+	s.all.overLimit += l.LeftOut
 	if s.by != byModel && s.by != byRoute {
 		s.row(l).refusedEarly(l.Status)
 	}
@@ -143,7 +143,7 @@
 
 // row returns the row that the request belongs to, which it creates if necessary.
 func (s *summary) row(l summaryLine) *requestStats {
-	name := s.name(l)
+	name := s.rowName(l)
 	r := s.rows[name]
 	if r == nil {
 		r = &requestStats{}
@@ -152,7 +152,7 @@
 	return r
 }
 
-func (s *summary) name(l summaryLine) string {
+func (s *summary) rowName(l summaryLine) string {
 	switch s.by {
 	case byRoute:
 		return l.Route
@@ -173,40 +173,40 @@
 	s.moves.loaded++
 	key := moveKey{l.Server, l.Model}
 	if at, ok := s.plannedAt[key]; ok {
-		s.moves.took.add((l.At - at) / 1000)
+		s.moves.planToLoad.add((l.At - at) / 1000)
 		delete(s.plannedAt, key)
 	}
 }
 
-// moveStats counts moves of models. took holds the times from plan to load.
+// moveStats counts moves of models. planToLoad holds the times from plan to load.
 type moveStats struct {
 	planned, loaded, abandoned int
-	took                       histogram
+	planToLoad                 histogram
 }
 
 // requestStats aggregates the requests of one row.
 type requestStats struct {
 	requests, answered, refused, cut, noHolder int
-	// over counts requests that were refused on arrival because of a rate limit, early those refused on
-	// arrival for another reason. Neither is included in requests.
-	over, early       int
-	asked, denied     int
-	waited, firstByte histogram
+	// overLimit counts requests that were refused on arrival because of a rate limit, refusedOnArrival those refused
+	// for another reason. Neither is included in requests.
+	overLimit, refusedOnArrival           int
+	admissionsRequested, admissionsDenied int
+	waited, firstByte                     histogram
 }
 
 // refusedEarly counts a request that was refused on arrival with the given status.
 func (r *requestStats) refusedEarly(status int) {
 	if status == http.StatusTooManyRequests {
-		r.over++
+		r.overLimit++
 		return
 	}
-	r.early++
+	r.refusedOnArrival++
 }
 
 func (r *requestStats) add(l summaryLine) {
 	r.requests++
-	r.asked += l.Asked
-	r.denied += l.Denied
+	r.admissionsRequested += l.Asked
+	r.admissionsDenied += l.Denied
 	switch l.Outcome {
 	case "answered":
 		r.answered++
--- a/internal/cli/table_commands.go
+++ b/internal/cli/table_commands.go
@@ -18,7 +18,7 @@
 func (a *app) showCommand() *ffcli.Command {
 	fs := a.flags("show")
 	asJSON := fs.Bool("json", false, "print JSON")
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "show", usage: "table show [-json]",
 		short:   "Print the table in force.",
 		example: "rockcleat table show",
@@ -26,7 +26,7 @@
 }
 
 func (a *app) exportCommand() *ffcli.Command {
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "export", usage: "table export [FILE]",
 		short:   "Write the table as CSV.",
 		example: "rockcleat table export models.csv",
@@ -36,7 +36,7 @@
 func (a *app) importCommand() *ffcli.Command {
 	fs := a.flags("import")
 	replace := fs.Bool("replace", false, "remove the rows that the file does not name")
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "import", usage: "table import [-replace] FILE",
 		short:   "Save the rows of a CSV file as one edit.",
 		example: "rockcleat table import models.csv",
@@ -44,7 +44,7 @@
 }
 
 func (a *app) setCommand() *ffcli.Command {
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "set", usage: "table set NAME COLUMN=VALUE ...",
 		short:   "Add a row or change some of its columns.",
 		example: "rockcleat table set clue-draft tier=premium weight=3 queue_time=2s",
@@ -52,7 +52,7 @@
 }
 
 func (a *app) removeCommand() *ffcli.Command {
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "remove", usage: "table remove NAME",
 		short:   "Remove a row.",
 		example: "rockcleat table remove clue-draft",
@@ -62,7 +62,7 @@
 func (a *app) diffCommand() *ffcli.Command {
 	fs := a.flags("diff")
 	replace := countRemoved(fs)
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "diff", usage: "table diff [-replace] FILE",
 		short:   "Print what importing a CSV file would change.",
 		example: "rockcleat table diff models.csv",
@@ -72,7 +72,7 @@
 func (a *app) checkCommand() *ffcli.Command {
 	fs := a.flags("check")
 	replace := countRemoved(fs)
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "check", usage: "table check [-replace] FILE",
 		short:   "Check a CSV file against the system without saving it.",
 		example: "rockcleat table check models.csv",
@@ -85,7 +85,7 @@
 }
 
 func (a *app) historyCommand() *ffcli.Command {
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "history", usage: "table history",
 		short:   "Print the latest edits, the newest last.",
 		example: "rockcleat table history",
--- a/internal/cli/table_edit.go
+++ b/internal/cli/table_edit.go
@@ -25,14 +25,14 @@
 
 // set adds a row or changes columns of an existing one.
 func (a *app) set(ctx context.Context, args []string) error {
-	if err := need(args, 2, -1, "NAME and at least one COLUMN=VALUE"); err != nil {
+	if err := checkArgCount(args, 2, -1, "NAME and at least one COLUMN=VALUE"); err != nil {
 		return err
 	}
-	t, err := a.load(ctx)
+	t, err := a.fetchTable(ctx)
 	if err != nil {
 		return err
 	}
-	row, seen := find(t.Rows, args[0])
+	row, seen := findRow(t.Rows, args[0])
 	for _, arg := range args[1:] {
 		column, value, ok := strings.Cut(arg, "=")
 		if !ok {
@@ -46,22 +46,22 @@
 }
 
 func (a *app) remove(ctx context.Context, args []string) error {
-	if err := need(args, 1, 1, "one NAME"); err != nil {
+	if err := checkArgCount(args, 1, 1, "one NAME"); err != nil {
 		return err
 	}
-	t, err := a.load(ctx)
+	t, err := a.fetchTable(ctx)
 	if err != nil {
 		return err
 	}
-	_, seen := find(t.Rows, args[0])
+	_, seen := findRow(t.Rows, args[0])
 	if seen == 0 {
 		return fmt.Errorf("no row %q", args[0])
 	}
 	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], Seen: seen}})
 }
 
-// find returns the row with the given name and its version, or a new row and version 0.
-func find(rows []table.Row, name string) (table.Row, uint64) {
+// findRow returns the row with the given name and its version, or a new row and version 0.
+func findRow(rows []table.Row, name string) (table.Row, uint64) {
 	for _, r := range rows {
 		if r.Name == name {
 			return r, r.Version
@@ -86,14 +86,14 @@
 // changesFrom returns the changes that bring the current table to the rows of a file, and the current
 // table. With replace, rows that the file lacks are removed.
 func (a *app) changesFrom(ctx context.Context, args []string, replace bool) ([]table.Change, wire.TableAnswer, error) {
-	if err := need(args, 1, 1, "one FILE, or - for standard input"); err != nil {
+	if err := checkArgCount(args, 1, 1, "one FILE, or - for standard input"); err != nil {
 		return nil, wire.TableAnswer{}, err
 	}
 	rows, err := a.readRows(args[0])
 	if err != nil {
 		return nil, wire.TableAnswer{}, err
 	}
-	now, err := a.load(ctx)
+	now, err := a.fetchTable(ctx)
 	if err != nil {
 		return nil, now, err
 	}
--- a/internal/cli/table_read.go
+++ b/internal/cli/table_read.go
@@ -18,16 +18,16 @@
 // stdinName is the file name that means standard input or output.
 const stdinName = "-"
 
-// load fetches the current table from an entry.
-func (a *app) load(ctx context.Context) (wire.TableAnswer, error) {
+// fetchTable fetches the current table from an entry.
+func (a *app) fetchTable(ctx context.Context) (wire.TableAnswer, error) {
 	var t wire.TableAnswer
-	err := a.get(ctx, wire.PathTable, &t)
+	err := a.getFromEntries(ctx, wire.PathTable, &t)
 	return t, err
 }
 
 // show prints the current table.
 func (a *app) show(ctx context.Context, asJSON bool) error {
-	t, err := a.load(ctx)
+	t, err := a.fetchTable(ctx)
 	if err != nil {
 		return err
 	}
@@ -45,10 +45,10 @@
 
 // export writes the current table as CSV to a file or standard output.
 func (a *app) export(ctx context.Context, args []string) error {
-	if err := need(args, 0, 1, "at most one FILE"); err != nil {
+	if err := checkArgCount(args, 0, 1, "at most one FILE"); err != nil {
 		return err
 	}
-	t, err := a.load(ctx)
+	t, err := a.fetchTable(ctx)
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 		return err
 	}
 	for _, c := range changes {
-		old, seen := find(now.Rows, c.Name)
+		old, seen := findRow(now.Rows, c.Name)
 		if seen > 0 {
 			fmt.Fprintln(a.out, "-", strings.Join(old.Cells(), ","))
 		}
@@ -116,7 +116,7 @@
 // history prints the latest edits in the order of the entry's response.
 func (a *app) history(ctx context.Context, _ []string) error {
 	var h wire.HistoryAnswer
-	if err := a.get(ctx, wire.PathHistory, &h); err != nil {
+	if err := a.getFromEntries(ctx, wire.PathHistory, &h); err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
@@ -130,18 +130,18 @@
 			}
 			names = append(names, name)
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Version, time.Unix(e.Time, 0).UTC().Format(time.RFC3339), e.Author, e.ID, shorten(names))
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Version, time.Unix(e.Time, 0).UTC().Format(time.RFC3339), e.Author, e.ID, joinNames(names))
 	}
 	return w.Flush()
 }
 
-// shownNames is the maximum number of row names that the history prints for an edit.
-const shownNames = 5
+// maxHistoryNames is the maximum number of row names that the history prints for an edit.
+const maxHistoryNames = 5
 
-// shorten joins at most shownNames names and states the number of the others.
-func shorten(names []string) string {
-	if len(names) > shownNames {
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:shownNames], " "), len(names)-shownNames)
+// joinNames joins at most maxHistoryNames names and states the number of the others.
+func joinNames(names []string) string {
+	if len(names) > maxHistoryNames {
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxHistoryNames], " "), len(names)-maxHistoryNames)
 	}
 	return strings.Join(names, " ")
 }
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -17,20 +17,20 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// errNoTrace means that no log line matches the request or digest.
-var errNoTrace = errors.New("no line speaks of this request; answered ones are logged up to a rate, see docs/OPERATIONS.md")
+// errNoLogLine means that no log line matches the request or digest.
+var errNoLogLine = errors.New("no line speaks of this request; answered ones are logged up to a rate, see docs/OPERATIONS.md")
 
 // maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// skippedFields are the log fields that the output leaves out or shows outside the list of fields.
-var skippedFields = map[string]bool{
+// omittedFields are the log fields that the output leaves out or shows outside the list of fields.
+var omittedFields = map[string]bool{
 	"level": true, "ts": true, "msg": true, "role": true, "vm": true, "request": true,
 }
 
-// aroundTime is how long before the first and after the last line of a request the flag -around
+// aroundMargin is how long before the first and after the last line of a request the flag -around
 // extends the output.
-const aroundTime = 3 * time.Second
+const aroundMargin = 3 * time.Second
 
 // A logLine is one parsed line of a process's log. at is in milliseconds since the Unix epoch.
 type logLine struct {
@@ -49,7 +49,7 @@
 	fs := flag.NewFlagSet("trace", flag.ContinueOnError)
 	fs.SetOutput(a.err)
 	around := fs.Bool("around", false, "also tell what the logs say of the request's servers within 3 s of it")
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "trace", usage: "trace [-around] REQUEST|DIGEST FILE...",
 		short:   "Follow one request, or all copies with one digest, through the collected logs of many processes.",
 		example: "rockcleat trace -around 9c41d07be2a35f68 gateway-*.log",
@@ -58,7 +58,7 @@
 }
 
 func (a *app) trace(args []string, around bool) error {
-	if err := need(args, 2, -1, "REQUEST and at least one FILE"); err != nil {
+	if err := checkArgCount(args, 2, -1, "REQUEST and at least one FILE"); err != nil {
 		return err
 	}
 	var lines []logLine
@@ -69,12 +69,12 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := choose(lines, args[0], around)
-	if len(story) == 0 {
-		return errNoTrace
+	selected := selectLines(lines, args[0], around)
+	if len(selected) == 0 {
+		return errNoLogLine
 	}
-	for _, l := range story {
-		fmt.Fprintln(a.out, l.story())
+	for _, l := range selected {
+		fmt.Fprintln(a.out, l.format())
 	}
 	return nil
 }
@@ -116,8 +116,8 @@
 	return l, l.msg != ""
 }
 
-// isOf reports whether the line concerns the request with the given id, or requests with that digest.
-func (l logLine) isOf(id string) bool {
+// matches reports whether the line concerns the request with the given id, or requests with that digest.
+func (l logLine) matches(id string) bool {
 	if l.text("request") == id || l.text("digest") == id {
 		return true
 	}
@@ -125,44 +125,44 @@
 	return slices.Contains(digests, any(id))
 }
 
-// choose returns the lines of a request, or of all requests with a digest, sorted by time. With around,
-// it also returns other lines within aroundTime that concern the same servers or concern neither a
+// selectLines returns the lines of a request, or of all requests with a digest, sorted by time. With around,
+// it also returns other lines within aroundMargin that concern the same servers or concern neither a
 // request nor a server.
-func choose(lines []logLine, id string, around bool) []logLine {
-	var story []logLine
+func selectLines(lines []logLine, id string, around bool) []logLine {
+	var selected []logLine
 	servers := make(map[string]bool)
 	for _, l := range lines {
-		if l.isOf(id) {
-			story = append(story, l)
+		if l.matches(id) {
+			selected = append(selected, l)
 			servers[l.text("server")] = l.text("server") != ""
 		}
 	}
-	if len(story) == 0 {
+	if len(selected) == 0 {
 		return nil
 	}
 	byTime := func(x, y logLine) int { return cmp.Compare(x.at, y.at) }
-	slices.SortStableFunc(story, byTime)
+	slices.SortStableFunc(selected, byTime)
 	if !around {
-		return story
+		return selected
 	}
-	margin := float64(aroundTime / time.Millisecond)
-	from, to := story[0].at-margin, story[len(story)-1].at+margin
+	margin := float64(aroundMargin / time.Millisecond)
+	from, to := selected[0].at-margin, selected[len(selected)-1].at+margin
 	for _, l := range lines {
-		other := !l.isOf(id)
+		other := !l.matches(id)
 		if other && l.at >= from && l.at <= to && (servers[l.text("server")] || l.text("request") == "" && l.text("server") == "") {
-			story = append(story, l)
+			selected = append(selected, l)
 		}
 	}
-	slices.SortStableFunc(story, byTime)
-	return story
+	slices.SortStableFunc(selected, byTime)
+	return selected
 }
 
-// story formats the line as time, VM, message and the remaining fields sorted by name.
-func (l logLine) story() string {
+// format formats the line as time, VM, message and the remaining fields sorted by name.
+func (l logLine) format() string {
 	at := time.UnixMilli(int64(l.at)).UTC().Format("15:04:05.000")
 	var parts []string
 	for name, v := range l.fields {
-		if !skippedFields[name] {
+		if !omittedFields[name] {
 			parts = append(parts, fmt.Sprintf("%s=%v", name, v))
 		}
 	}
--- a/internal/cli/why.go
+++ b/internal/cli/why.go
@@ -15,7 +15,7 @@
 
 // whyCommand returns the command that prints the latest decisions of the entries.
 func (a *app) whyCommand() *ffcli.Command {
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "why", usage: "why [NAME]",
 		short:   "Print the latest decisions, or those about one row, with their reasons.",
 		example: "rockcleat why clue-draft",
@@ -24,7 +24,7 @@
 
 // why prints the decisions of each entry. Entries that do not answer are reported and skipped.
 func (a *app) why(ctx context.Context, args []string) error {
-	if err := need(args, 0, 1, "at most one NAME"); err != nil {
+	if err := checkArgCount(args, 0, 1, "at most one NAME"); err != nil {
 		return err
 	}
 	name := strings.Join(args, "")
--- a/internal/daemon/entry_agent.go
+++ b/internal/daemon/entry_agent.go
@@ -40,8 +40,8 @@
 
 // run constructs a process from its settings file and serves until a signal stops it.
 func run(name string, args []string, stderr io.Writer, build builder) int {
-	signals := takeSignals(false)
-	defer signals.release()
+	signals := notifySignals(false)
+	defer signals.stopNotify()
 	c := command{
 		name: name, purpose: "runs one process of rockcleat until SIGTERM or SIGINT.",
 		example: "/etc/rockcleat/settings.yaml",
@@ -82,7 +82,7 @@
 	if err := config.Read(file, &s); err != nil {
 		return nil, s.Process, nil, err
 	}
-	log, metrics, err := instruments(s.Process, "entry")
+	log, metrics, err := newTelemetry(s.Process, "entry")
 	if err != nil {
 		return nil, s.Process, nil, err
 	}
@@ -90,7 +90,7 @@
 	client := &http.Client{Transport: wire.NewTransport(traffic)}
 	e := entry.New(entry.Options{
 		Settings: s,
-		Store:    store(s.Process, client, metrics),
+		Store:    newStore(s.Process, client, metrics),
 		Platform: inventory.NewClient(client, s.VMs, s.Weights),
 		Clock:    clock.NewSystem(),
 		Log:      log,
@@ -105,14 +105,14 @@
 	if err := config.Read(file, &s); err != nil {
 		return nil, s.Process, nil, err
 	}
-	log, metrics, err := instruments(s.Process, "agent")
+	log, metrics, err := newTelemetry(s.Process, "agent")
 	if err != nil {
 		return nil, s.Process, nil, err
 	}
 	traffic := &wire.Traffic{}
 	client := &http.Client{Transport: wire.NewTransport(traffic)}
 	// The backend server runs on the same VM, so calls to it are excluded from the traffic counts.
-	beside := &http.Client{Transport: wire.NewTransport(&wire.Traffic{})}
+	backendClient := &http.Client{Transport: wire.NewTransport(&wire.Traffic{})}
 	var vms agent.VMLister
 	if s.VMs != "" {
 		vms = inventory.NewClient(client, s.VMs, "")
@@ -120,8 +120,8 @@
 	a := agent.New(agent.Options{
 		Settings: s,
 		VMs:      vms,
-		Store:    store(s.Process, client, metrics),
-		Engine:   engine.NewClient(s.Backend.URL, beside),
+		Store:    newStore(s.Process, client, metrics),
+		Engine:   engine.NewClient(s.Backend.URL, backendClient),
 		Clock:    clock.NewSystem(),
 		Log:      log,
 		Metrics:  metrics,
@@ -130,8 +130,8 @@
 	return a, s.Process, log, nil
 }
 
-// instruments returns the logger and the metrics of a process.
-func instruments(s config.Process, role string) (*zap.Logger, *telemetry.Metrics, error) {
+// newTelemetry returns the logger and the metrics of a process.
+func newTelemetry(s config.Process, role string) (*zap.Logger, *telemetry.Metrics, error) {
 	log, err := telemetry.NewLogger(s.Log, role, s.ID)
 	if err != nil {
 		return nil, nil, err
@@ -140,7 +140,7 @@
 	return log, metrics, err
 }
 
-// store returns a client of the platform's key-value service.
-func store(s config.Process, client *http.Client, m *telemetry.Metrics) kv.Store {
+// newStore returns a client of the platform's key-value service.
+func newStore(s config.Process, client *http.Client, m *telemetry.Metrics) kv.Store {
 	return kv.NewClient(kv.Options{URL: s.KV, HTTP: client, Counted: m.KVCall})
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -19,8 +19,8 @@
 // Gateway runs the gateway daemon until SIGTERM or SIGINT and returns its exit code. SIGHUP reloads the
 // settings.
 func Gateway(args []string, stderr io.Writer, build GatewayBuilder) int {
-	signals := takeSignals(true)
-	defer signals.release()
+	signals := notifySignals(true)
+	defer signals.stopNotify()
 	c := command{
 		name: "rockcleat-gateway",
 		purpose: "runs one entry process of rockcleat on the users' platform until SIGTERM or SIGINT;\n" +
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -13,10 +13,10 @@
 	stop, reload chan os.Signal
 }
 
-// takeSignals registers handlers for the signals that stop a process and, if reloads is set, for the
+// notifySignals registers handlers for the signals that stop a process and, if reloads is set, for the
 // one that reloads its settings. It must be called before anything else: a stop signal that arrives
 // earlier kills the process without a graceful shutdown.
-func takeSignals(reloads bool) signals {
+func notifySignals(reloads bool) signals {
 	s := signals{stop: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
 	if reloads {
@@ -26,8 +26,8 @@
 	return s
 }
 
-// release unregisters the signal handlers.
-func (s signals) release() {
+// stopNotify unregisters the signal handlers.
+func (s signals) stopNotify() {
 	signal.Stop(s.stop)
 	if s.reload != nil {
 		signal.Stop(s.reload)
--- a/internal/daemon/signals_test.go
+++ b/internal/daemon/signals_test.go
@@ -22,8 +22,8 @@
 	"rockcleat/platform"
 )
 
-// endTime bounds the wait for a daemon to exit.
-const endTime = 10 * time.Second
+// exitTimeout bounds the wait for a daemon to exit.
+const exitTimeout = 10 * time.Second
 
 // TestStopWhileSettingsAreRead checks that a stop signal during the start leads to a graceful
 // shutdown. The settings come from a named pipe, so that the signal arrives while they are read.
@@ -35,7 +35,7 @@
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	assert.NilError(t, syscall.Mkfifo(file, 0o600))
 	code := make(chan int, 1)
-	go func() { code <- daemon.Gateway([]string{"-config", file}, io.Discard, build) }()
+	go func() { code <- daemon.Gateway([]string{"-config", file}, io.Discard, buildGateway) }()
 
 	// OpenFile blocks until the daemon opens the pipe for reading.
 	settings, err := os.OpenFile(file, os.O_WRONLY, 0)
@@ -48,13 +48,13 @@
 	select {
 	case got := <-code:
 		assert.Equal(t, got, daemon.ExitOK)
-	case <-time.After(endTime):
+	case <-time.After(exitTimeout):
 		t.Fatal("daemon did not exit after SIGTERM")
 	}
 }
 
-// build returns a gateway with an empty store.
-func build(s config.Gateway, log *zap.Logger) (*gateway.Gateway, error) {
+// buildGateway returns a gateway with an empty store.
+func buildGateway(s config.Gateway, log *zap.Logger) (*gateway.Gateway, error) {
 	store := kvtest.New(clocktest.Real{})
 	return gateway.New(gateway.Options{
 		Settings: s, Names: wire.Names{}, ReadyPath: "/ready", Store: store, Prefixes: store, OwnKeys: store,
--- a/tools/lab/main.go
+++ b/tools/lab/main.go
@@ -22,8 +22,8 @@
 	root := &ffcli.Command{
 		Name: "lab", ShortUsage: "lab run|smoke", FlagSet: flag.NewFlagSet("lab", flag.ExitOnError),
 		Subcommands: []*ffcli.Command{
-			plain("run", "Start a small system until a signal.", runSystem),
-			plain("smoke", "Start a small system, use every part once and stop it.", smoke),
+			command("run", "Start a small system until a signal.", runSystem),
+			command("smoke", "Start a small system, use every part once and stop it.", smoke),
 		},
 		Exec: func(context.Context, []string) error { return flag.ErrHelp },
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-func plain(name, help string, f func(ctx context.Context, bin, dir string) error) *ffcli.Command {
+func command(name, help string, f func(ctx context.Context, bin, dir string) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name: name, ShortUsage: "lab " + name, ShortHelp: help, FlagSet: flag.NewFlagSet(name, flag.ExitOnError),
 		Exec: func(ctx context.Context, _ []string) error {
@@ -51,12 +51,12 @@
 	}
 }
 
-// runPort is the port of the entry that runSystem starts.
-const runPort = 8080
+// entryPort is the port of the entry that runSystem starts.
+const entryPort = 8080
 
 func runSystem(ctx context.Context, bin, dir string) error {
 	o := lab.Small(bin, dir)
-	o.EntryPort = runPort
+	o.EntryPort = entryPort
 	s, err := lab.Start(ctx, o)
 	if err != nil {
 		return err
--- a/tools/lab/smoke.go
+++ b/tools/lab/smoke.go
@@ -16,8 +16,8 @@
 	"rockcleat/table"
 )
 
-// smokeTime is the timeout of the whole smoke test.
-const smokeTime = 2 * time.Minute
+// smokeTimeout is the timeout of the whole smoke test.
+const smokeTimeout = 2 * time.Minute
 
 // Lengths of the smoke test's streams, in tokens.
 const (
@@ -33,17 +33,17 @@
 }
 
 func smoke(ctx context.Context, bin, dir string) error {
-	ctx, cancel := context.WithTimeout(ctx, smokeTime)
+	ctx, cancel := context.WithTimeout(ctx, smokeTimeout)
 	defer cancel()
-	began := time.Now()
+	started := time.Now()
 	s, err := lab.Start(ctx, lab.Small(bin, dir))
 	if err != nil {
 		return eris.Wrapf(err, "logs in %s", dir)
 	}
 	defer s.Stop()
 	t := &smokeTest{System: s, caller: lab.NewCaller()}
-	t.note("placed %.1fs", time.Since(began).Seconds())
-	for _, step := range []func(context.Context) error{t.stream, t.adapter, t.plainTwice, t.edit, t.stopEntry, t.stopRest} {
+	t.note("placed %.1fs", time.Since(started).Seconds())
+	for _, step := range []func(context.Context) error{t.stream, t.adapter, t.repeatedCall, t.edit, t.stopEntry, t.stopAll} {
 		if err := step(ctx); err != nil {
 			return eris.Wrapf(err, "logs in %s", dir)
 		}
@@ -86,9 +86,9 @@
 	return err
 }
 
-// plainTwice sends a non-idempotent call with the same idempotency key through both entries and checks
+// repeatedCall sends a non-idempotent call with the same idempotency key through both entries and checks
 // that it takes effect once.
-func (t *smokeTest) plainTwice(ctx context.Context) error {
+func (t *smokeTest) repeatedCall(ctx context.Context) error {
 	const key = "household-7"
 	path := lab.SmallPath + "/7"
 	first := t.caller.Send(ctx, lab.Request{Addr: t.Entries[0].Addr, Path: path, Body: []byte("year"), Key: key})
@@ -116,7 +116,7 @@
 	}
 	row := table.NewRow("hint")
 	row.Weight, row.Organisation = 7, "guild"
-	began := time.Now()
+	started := time.Now()
 	version, err := t.Save(ctx, []table.Change{{Name: row.Name, Seen: st.TableVersion, Row: &row}})
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 	if err := t.AwaitVersion(ctx, version); err != nil {
 		return err
 	}
-	t.note("edit in force everywhere in %s", time.Since(began).Round(time.Millisecond))
+	t.note("edit in force everywhere in %s", time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// stopRest stops the remaining processes gracefully and checks that none is left.
-func (t *smokeTest) stopRest(ctx context.Context) error {
+// stopAll stops the remaining processes gracefully and checks that none is left.
+func (t *smokeTest) stopAll(ctx context.Context) error {
 	nodes := []*lab.Node{t.Entries[0]}
 	for _, b := range t.Backends {
 		nodes = append(nodes, b.Agent)
--- a/tools/names/main.go
+++ b/tools/names/main.go
@@ -1,5 +1,5 @@
 // Command names checks the Go files below the current directory for naming and import rules. Names of
-// the users' platform occur only in platform/, platform/ imports only the packages listed in allowed,
+// the users' platform occur only in platform/, platform/ imports only the packages in allowedImports,
 // and words that were replaced by established terms are not used again.
 package main
 
@@ -19,14 +19,14 @@
 // adapter is the folder of the platform's adapter, in which the platform's names are allowed.
 const adapter = "platform"
 
-// names matches names that only the platform uses.
-var names = regexp.MustCompile(`/-/[a-z]|Server-Seal|Server-Limit|Expect-Instance|Not-Run|Deadline-Ms|Token-Count|Store-Era|ApiKeys|RatePerS|PlainTokens|Prefix-Hash|` +
+// platformNames matches names that only the platform uses.
+var platformNames = regexp.MustCompile(`/-/[a-z]|Server-Seal|Server-Limit|Expect-Instance|Not-Run|Deadline-Ms|Token-Count|Store-Era|ApiKeys|RatePerS|PlainTokens|Prefix-Hash|` +
 	`Request-Priority|Pin-Ms|Kv-Backup|Kv-From|Kv-Fetch|Expect-Version|KvCapacity|WeightsMb|op/config|AtHand|RequireFence|SloMs|GapTargetMs|ROCKCLEAT_CONFIG`)
 
 // A withdrawnWord is a word that the code must not use, with the term that replaces it.
 type withdrawnWord struct {
-	pattern *regexp.Regexp
-	instead string
+	pattern     *regexp.Regexp
+	replacement string
 }
 
 // withdrawn lists the words that docs/GLOSSARY.md replaces.
@@ -46,14 +46,14 @@
 // adapterTests is the folder of helpers for the adapter's tests. The adapter's import rules apply to it.
 const adapterTests = adapter + "/platformtest"
 
-// allowed are the product's packages that platform/ may import: data types, interfaces and timeouts of
+// allowedImports are the product's packages that platform/ may import: data types, interfaces and timeouts of
 // calls, but no decision logic.
-var allowed = []string{
+var allowedImports = []string{
 	"rockcleat/apikey", "rockcleat/backend", "rockcleat/internal/transfer", "rockcleat/internal/wire", "rockcleat/kv", "rockcleat/table",
 }
 
 func main() {
-	bad := 0
+	violations := 0
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -62,7 +62,7 @@
 			return filepath.SkipDir
 		}
 		if !d.IsDir() && strings.HasSuffix(path, ".go") {
-			bad += check(path)
+			violations += checkFile(path)
 		}
 		return nil
 	})
@@ -70,38 +70,38 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	if bad > 0 {
+	if violations > 0 {
 		os.Exit(1)
 	}
 }
 
-// check prints the violations in a file and returns their number.
-func check(path string) int {
+// checkFile prints the violations in a file and returns their number.
+func checkFile(path string) int {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		fmt.Println(err)
 		return 1
 	}
-	bad := checkWithdrawn(path, data)
+	violations := checkWithdrawn(path, data)
 	switch {
 	case filepath.Dir(path) == adapter, filepath.Dir(path) == filepath.FromSlash(adapterTests):
-		return bad + checkImports(path)
+		return violations + checkImports(path)
 	case strings.HasPrefix(path, adapter+string(filepath.Separator)):
-		return bad
+		return violations
 	}
-	return bad + checkNames(path, data)
+	return violations + checkNames(path, data)
 }
 
 // checkNames prints the platform names in a file and returns their number.
 func checkNames(path string, data []byte) int {
-	bad := 0
+	violations := 0
 	for i, line := range strings.Split(string(data), "\n") {
-		if name := names.FindString(line); name != "" {
+		if name := platformNames.FindString(line); name != "" {
 			fmt.Printf("%s:%d: %q is a name of the platform\n", path, i+1, name)
-			bad++
+			violations++
 		}
 	}
-	return bad
+	return violations
 }
 
 // withdrawnField is the only name on the wire that contains a withdrawn word.
@@ -109,17 +109,17 @@
 
 // checkWithdrawn prints the withdrawn words in a file and returns their number.
 func checkWithdrawn(path string, data []byte) int {
-	bad := 0
+	violations := 0
 	for i, line := range strings.Split(string(data), "\n") {
 		line = strings.ReplaceAll(line, withdrawnField, "")
 		for _, w := range withdrawn {
 			if word := w.pattern.FindString(line); word != "" {
-				fmt.Printf("%s:%d: %q was withdrawn; instead: %s\n", path, i+1, word, w.instead)
-				bad++
+				fmt.Printf("%s:%d: %q was withdrawn; instead: %s\n", path, i+1, word, w.replacement)
+				violations++
 			}
 		}
 	}
-	return bad
+	return violations
 }
 
 func checkImports(path string) int {
@@ -128,14 +128,14 @@
 		fmt.Println(err)
 		return 1
 	}
-	bad := 0
+	violations := 0
 	for _, i := range f.Imports {
 		name, err := strconv.Unquote(i.Path.Value)
-		inner := strings.HasPrefix(name, "rockcleat/") && name != "rockcleat/"+adapter && name != "rockcleat/"+adapterTests
-		if err != nil || inner && !slices.Contains(allowed, name) {
-			fmt.Printf("%s: imports %s, which is none of %v\n", path, name, allowed)
-			bad++
+		isProduct := strings.HasPrefix(name, "rockcleat/") && name != "rockcleat/"+adapter && name != "rockcleat/"+adapterTests
+		if err != nil || isProduct && !slices.Contains(allowedImports, name) {
+			fmt.Printf("%s: imports %s, which is none of %v\n", path, name, allowedImports)
+			violations++
 		}
 	}
-	return bad
+	return violations
 }
