--- a/internal/cli/limits_test.go
+++ b/internal/cli/limits_test.go
@@ -39,7 +39,7 @@
 	two.Share, two.Available, two.Counts = 1, 700, quota.Counts{Inside: 1, Unknown: 2, Spent: 1600}
 	addrs := startGateway(t, one) + "," + startGateway(t, two, quota.Status{Key: "desk", Rate: 1, Burst: 1})
 	server := quota.Status{Key: "i-7", Rate: 1.8, Burst: 1.45, Owner: "g1", Counts: quota.Counts{Inside: 21, Over: 9}}
-	needy := startLimitServer(t, wire.LimitList{Servers: []quota.Status{server}})
+	serverGateway := startLimitServer(t, wire.LimitList{Servers: []quota.Status{server}})
 	tests := map[string]struct {
 		args []string
 		code int
@@ -47,7 +47,7 @@
 	}{
 		"as a table":   {args: []string{"limits", "-gateways", addrs}, want: []string{"guild", "2600", "g2", "1.00", "700", "4", "6400", "desk"}},
 		"as JSON":      {args: []string{"limits", "-gateways", addrs, "-json"}, want: []string{`"inside":4`, `"unknown":2`, `"spent":6400`}},
-		"of servers":   {args: []string{"limits", "-gateways", needy}, want: []string{"SERVER", "i-7", "1.80", "g1", "219"}},
+		"of servers":   {args: []string{"limits", "-gateways", serverGateway}, want: []string{"SERVER", "i-7", "1.80", "g1", "219"}},
 		"no gateways":  {args: []string{"limits"}, code: cli.ExitUsage},
 		"nobody there": {args: []string{"limits", "-gateways", "127.0.0.1:1"}, code: cli.ExitFailed},
 	}
