--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,44 +17,43 @@
 
 // Exit codes of the command.
 const (
-	// ExitOK says that the command did what it was asked.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitFailed says that nothing was changed.
+	// ExitFailed means that the command failed and changed nothing.
 	ExitFailed = 1
-	// ExitUsage says that the command was called wrongly.
+	// ExitUsage means invalid flags or arguments, or that help was printed.
 	ExitUsage = 2
-	// ExitInvalid says that the checks refused the edit.
+	// ExitInvalid means that the edit failed validation.
 	ExitInvalid = 3
-	// ExitConflict says that another operator changed the row first.
+	// ExitConflict means that the row was changed by another operator since it was read.
 	ExitConflict = 4
-	// ExitUnknown says that a save had no answer and may have taken effect.
+	// ExitUnknown means that a save had no response and may have taken effect.
 	ExitUnknown = 5
 )
 
-// exitHelp documents the exit codes in the help.
-const exitHelp = `Exit codes: 0 done; 1 failed, nothing changed; 2 wrong usage; 3 refused by the
+const exitCodesHelp = `Exit codes: 0 done; 1 failed, nothing changed; 2 wrong usage; 3 refused by the
 checks, nothing saved; 4 another operator changed the row first, nothing saved;
 5 no answer, the save may have taken effect: run "rockcleat table history" to see.`
 
-// envPrefix is the prefix of environment variables that set flags.
+// envPrefix is the prefix of the environment variables that set flags.
 const envPrefix = "ROCKCLEAT"
 
-// errUsage says that the command was called wrongly.
+// errUsage is wrapped by all errors for invalid flags or arguments.
 var errUsage = errors.New("wrong usage")
 
-// An app is one run of the command.
+// An app holds the streams and the common flags of one run of the command.
 type app struct {
 	in       io.Reader
 	out, err io.Writer
-	// entry holds the entries' control addresses, separated by commas.
-	entry string
-	// secret is the shared secret, file the file that holds it.
-	secret, file string
-	// author is kept with edits.
+	// entryAddrs is the comma-separated list of the entries' control addresses.
+	entryAddrs string
+	// secretFile is the path of a file that holds the shared secret; it takes precedence over secret.
+	secret, secretFile string
+	// author is stored with each edit.
 	author string
 }
 
-// Run runs the command and returns its exit code.
+// Run parses args, runs the command and returns its exit code. It reads standard input from in.
 func Run(ctx context.Context, args []string, in io.Reader, out, stderr io.Writer) int {
 	a := &app{in: in, out: out, err: stderr}
 	root := a.root()
@@ -62,11 +61,11 @@
 	if err == nil {
 		err = root.Run(ctx)
 	}
-	return a.exit(err)
+	return a.reportError(err)
 }
 
-// exit prints an error and returns its exit code.
-func (a *app) exit(err error) int {
+// reportError prints err, unless it is nil or a request for help, and returns the exit code for it.
+func (a *app) reportError(err error) int {
 	if err == nil {
 		return ExitOK
 	}
@@ -88,42 +87,42 @@
 	return ExitFailed
 }
 
-// flags returns a flag set with the flags that every command has.
+// flags returns a flag set with the flags that most commands share.
 func (a *app) flags(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(a.err)
-	fs.StringVar(&a.entry, "entry", "127.0.0.1:8081", "control addresses of entries, separated by commas; tried in turn")
+	fs.StringVar(&a.entryAddrs, "entry", "127.0.0.1:8081", "control addresses of entries, separated by commas; tried in turn")
 	fs.StringVar(&a.secret, "secret", "", "shared secret; better set ROCKCLEAT_SECRET or -secret-file")
-	fs.StringVar(&a.file, "secret-file", "", "file that holds the shared secret")
+	fs.StringVar(&a.secretFile, "secret-file", "", "file that holds the shared secret")
 	fs.StringVar(&a.author, "author", os.Getenv("USER"), "name kept with saved edits")
 	return fs
 }
 
-// A run is what a command does with its arguments.
-type run func(ctx context.Context, args []string) error
+// A commandFunc executes a command with its positional arguments.
+type commandFunc func(ctx context.Context, args []string) error
 
-// A help is what a command says of itself.
-type help struct{ name, usage, short, example string }
+// A commandHelp holds the texts of a command's help.
+type commandHelp struct{ name, usage, short, example string }
 
-// command returns a subcommand with the common flags.
-func (a *app) command(h help, fs *flag.FlagSet, f run) *ffcli.Command {
+// command returns a subcommand whose flags can also be set by environment variables.
+func (a *app) command(h commandHelp, fs *flag.FlagSet, f commandFunc) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       h.name,
 		ShortUsage: "rockcleat " + h.usage,
 		ShortHelp:  h.short,
-		LongHelp:   h.short + "\n\nExample:\n  " + h.example + "\n\n" + exitHelp,
+		LongHelp:   h.short + "\n\nExample:\n  " + h.example + "\n\n" + exitCodesHelp,
 		FlagSet:    fs,
 		Options:    []ff.Option{ff.WithEnvVarPrefix(envPrefix)},
 		Exec:       f,
 	}
 }
 
-// group returns a command that only has subcommands.
+// group returns a command that has only subcommands and does nothing itself.
 func (a *app) group(name, usage, short string, subs ...*ffcli.Command) *ffcli.Command {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(a.err)
 	return &ffcli.Command{
-		Name: name, ShortUsage: usage, ShortHelp: short, LongHelp: short + "\n\n" + exitHelp,
+		Name: name, ShortUsage: usage, ShortHelp: short, LongHelp: short + "\n\n" + exitCodesHelp,
 		FlagSet: fs, Subcommands: subs,
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) > 0 {
@@ -134,7 +133,7 @@
 	}
 }
 
-// root returns the command with all its subcommands.
+// root returns the top-level command with all its subcommands.
 func (a *app) root() *ffcli.Command {
 	return a.group("rockcleat", "rockcleat COMMAND [flags] [arguments]",
 		"Show and edit the table of models, and see what the system does with it.",
@@ -148,10 +147,11 @@
 	)
 }
 
-// need returns an error unless there are from low to high arguments.
-func need(args []string, low, high int, what string) error {
+// checkArgCount returns a usage error unless the number of arguments is from low to high. A negative
+// high means no upper bound.
+func checkArgCount(args []string, low, high int, expected string) error {
 	if len(args) < low || high >= 0 && len(args) > high {
-		return fmt.Errorf("%w: expected %s", errUsage, what)
+		return fmt.Errorf("%w: expected %s", errUsage, expected)
 	}
 	return nil
 }
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -7,7 +7,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// completionScript completes commands in bash.
+// completionScript is the bash completion script.
 const completionScript = `_rockcleat() {
   local words="${COMP_WORDS[*]:1:COMP_CWORD-1}"
   case "$words" in
@@ -22,7 +22,7 @@
 
 // completion returns the command that prints the completion script.
 func (a *app) completion() *ffcli.Command {
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "completion", usage: "completion",
 		short:   "Print a bash completion script.",
 		example: "source <(rockcleat completion)",
--- a/internal/cli/save.go
+++ b/internal/cli/save.go
@@ -14,17 +14,18 @@
 	"rockcleat/table"
 )
 
-// Tries of a save without an answer.
+// Attempts of a save.
 const (
-	// saveTries is how often a save is sent at most.
-	saveTries = 4
-	// savePause is the time between two tries.
-	savePause = 300 * time.Millisecond
+	// maxSaveAttempts is the maximum number of attempts.
+	maxSaveAttempts = 4
+	// saveRetryDelay is the delay between two attempts.
+	saveRetryDelay = 300 * time.Millisecond
 )
 
-// save saves the changes as one edit and returns the version that holds it. A save without an
-// answer may have taken effect; it is sent again, to the next entry, under the same edit id, which
-// takes effect once. Once a try may have taken effect, no later refusal says that it has not.
+// save saves the changes as one edit and returns the table version that contains it. A save without
+// a response may have taken effect. It is retried at the next entry with the same edit id, which takes
+// effect at most once. After an attempt that may have taken effect, a later rejection does not prove
+// that the edit was not saved, so the outcome stays unknown.
 func (a *app) save(ctx context.Context, changes []table.Change) (uint64, error) {
 	c, err := a.client()
 	if err != nil {
@@ -32,19 +33,19 @@
 	}
 	edit := table.Edit{ID: uuid.NewString(), Author: a.author, Time: time.Now().Unix(), Changes: changes}
 	unknown := false
-	for try := range saveTries {
-		addr := a.entries()[try%len(a.entries())]
+	for attempt := range maxSaveAttempts {
+		addr := a.entries()[attempt%len(a.entries())]
 		var ans wire.SaveAnswer
 		err = c.Post(ctx, addr, wire.PathTable, wire.SaveRequest{Edit: edit}, &ans)
 		if err == nil {
 			return ans.Version, nil
 		}
-		final, mayHave := saveError(err)
+		final, maybeSaved := saveError(err)
 		if final != nil && !unknown {
 			return 0, final
 		}
-		unknown = unknown || mayHave
-		time.Sleep(savePause)
+		unknown = unknown || maybeSaved
+		time.Sleep(saveRetryDelay)
 	}
 	if unknown {
 		return 0, fmt.Errorf("%w: edit %s: %w", table.ErrSaveUnknown, edit.ID, err)
@@ -52,15 +53,15 @@
 	return 0, err
 }
 
-// saveError returns the error that ends a save, and whether the save may have
-// taken effect nevertheless.
-func saveError(err error) (final error, mayHave bool) {
+// saveError classifies the error of an attempt: final is set if no other attempt is due, and maybeSaved
+// reports whether the attempt may have taken effect.
+func saveError(err error) (final error, maybeSaved bool) {
 	var s *wire.StatusError
 	if !errors.As(err, &s) {
 		return nil, !errors.Is(err, wire.ErrNotSent)
 	}
 	var ans wire.SaveAnswer
-	// A body that is no answer leaves the message empty; the status decides.
+	// If the body cannot be decoded, the message stays empty and the status alone decides.
 	_ = json.Unmarshal(s.Body, &ans)
 	switch s.Status {
 	case http.StatusUnprocessableEntity:
--- a/internal/cli/summary.go
+++ b/internal/cli/summary.go
@@ -20,17 +20,17 @@
 	by := fs.String("by", string(byModel), "what rows stand for: "+groupingNames())
 	most := fs.Int("most", 20, "rows to show, those with the most refused requests; 0 shows all")
 	asJSON := fs.Bool("json", false, "print JSON instead of tables")
-	return a.command(help{
+	return a.command(commandHelp{
 		name: "summary", usage: "summary [-by model|route|second|gateway|organisation] [-most N] [-json] FILE...",
 		short:   "Sum up the collected logs of many gateways: requests, moves of models, calls past the leader.",
 		example: "rockcleat summary -by second gateway-*.log",
 	}, fs,
 		func(_ context.Context, args []string) error {
-			return a.summary(args, summaryOptions{by: grouping(*by), most: *most, asJSON: *asJSON})
+			return a.summary(args, summaryOptions{by: grouping(*by), maxRows: *most, asJSON: *asJSON})
 		})
 }
 
-// groupingNames lists the groupings for a reader.
+// groupingNames returns the names of all groupings, for help and error messages.
 func groupingNames() string {
 	names := make([]string, len(groupings))
 	for i, g := range groupings {
@@ -41,13 +41,13 @@
 
 // summaryOptions are the flags of a summary.
 type summaryOptions struct {
-	by     grouping
-	most   int
-	asJSON bool
+	by      grouping
+	maxRows int
+	asJSON  bool
 }
 
 func (a *app) summary(files []string, o summaryOptions) error {
-	if err := need(files, 1, -1, "at least one FILE"); err != nil {
+	if err := checkArgCount(files, 1, -1, "at least one FILE"); err != nil {
 		return err
 	}
 	if !o.by.isKnown() {
@@ -59,7 +59,7 @@
 			return err
 		}
 	}
-	report := s.report(o.most)
+	report := s.report(o.maxRows)
 	if o.asJSON {
 		enc := json.NewEncoder(a.out)
 		enc.SetIndent("", "  ")
@@ -68,7 +68,7 @@
 	return report.print(a.out)
 }
 
-// readFile adds the lines of a file, or of standard input for "-".
+// readFile adds the lines of a file, or of in if the file is "-".
 func (s *summary) readFile(file string, in io.Reader) error {
 	if file != "-" {
 		f, err := os.Open(file)
@@ -86,7 +86,6 @@
 	return lines.Err()
 }
 
-// print writes the report as tables.
 func (r *summaryReport) print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s\trequests\tanswered\trefused\tcut\tother\tno holder\tover limit\trefused early\tasked each\tdenied each\twait p50 s\twait p99 s\tfirst byte p50 s\tp99 s\n", r.By)
@@ -100,9 +99,9 @@
 	fmt.Fprintf(w, "\t%d\t%d\t%d\t%.1f\t%.1f\n", m.Planned, m.Loaded, m.Abandoned, m.PlanToLoadedP50, m.PlanToLoadedP90)
 	fmt.Fprintf(w, "\nevent\ttimes\n")
 	for _, e := range r.Events {
-		fmt.Fprintf(w, "%s\t%d\n", e.Name, e.Times)
+		fmt.Fprintf(w, "%s\t%d\n", e.Name, e.Count)
 	}
 	fmt.Fprintf(w, "\nanswered requests that were not logged\t%d\n", r.LeftOut)
-	fmt.Fprintf(w, "lines read\t%d\nlines that are not a log's\t%d\n", r.Lines, r.Spoiled)
+	fmt.Fprintf(w, "lines read\t%d\nlines that are not a log's\t%d\n", r.Lines, r.Malformed)
 	return w.Flush()
 }
--- a/tools/lab/smoke.go
+++ b/tools/lab/smoke.go
@@ -16,8 +16,8 @@
 	"rockcleat/table"
 )
 
-// smokeTime bounds the whole smoke test.
-const smokeTime = 2 * time.Minute
+// smokeTimeout is the timeout of the whole smoke test.
+const smokeTimeout = 2 * time.Minute
 
 // Lengths of the smoke test's streams, in tokens.
 const (
@@ -25,7 +25,7 @@
 	longStream  = 300
 )
 
-// A smokeTest is one run through every part of the system.
+// A smokeTest runs a small system and uses each of its parts once.
 type smokeTest struct {
 	*lab.System
 	caller *lab.Caller
@@ -33,17 +33,17 @@
 }
 
 func smoke(ctx context.Context, bin, dir string) error {
-	ctx, cancel := context.WithTimeout(ctx, smokeTime)
+	ctx, cancel := context.WithTimeout(ctx, smokeTimeout)
 	defer cancel()
-	began := time.Now()
+	started := time.Now()
 	s, err := lab.Start(ctx, lab.Small(bin, dir))
 	if err != nil {
 		return eris.Wrapf(err, "logs in %s", dir)
 	}
 	defer s.Stop()
 	t := &smokeTest{System: s, caller: lab.NewCaller()}
-	t.note("placed %.1fs", time.Since(began).Seconds())
-	for _, step := range []func(context.Context) error{t.stream, t.adapter, t.plainTwice, t.edit, t.stopEntry, t.stopRest} {
+	t.note("placed %.1fs", time.Since(started).Seconds())
+	for _, step := range []func(context.Context) error{t.stream, t.adapter, t.repeatedCall, t.edit, t.stopEntry, t.stopAll} {
 		if err := step(ctx); err != nil {
 			return eris.Wrapf(err, "logs in %s", dir)
 		}
@@ -60,7 +60,7 @@
 	t.notes = append(t.notes, fmt.Sprintf(format, args...))
 }
 
-// chat sends a streamed chat request and checks that the answer is whole and its own.
+// chat sends a streamed chat request and checks that the response is complete and belongs to the request.
 func (t *smokeTest) chat(ctx context.Context, addr, model, prompt string, tokens int) (lab.Answer, error) {
 	body := lab.ChatBody(model, prompt, tokens, true)
 	a := t.caller.Send(ctx, lab.Request{Addr: addr, Body: body})
@@ -69,7 +69,7 @@
 		return a, err
 	}
 	if !a.Whole || a.Outcome != wire.OutcomeAnswered || a.Text != standin.Text(req, tokens) {
-		return a, eris.Errorf("smoke: %s: not the whole answer: status %d, outcome %q, %d of %d tokens, error %v",
+		return a, eris.Errorf("smoke: %s: incomplete or wrong response: status %d, outcome %q, %d of %d tokens, error %v",
 			model, a.Status, a.Outcome, a.Tokens, tokens, a.Err)
 	}
 	return a, nil
@@ -86,14 +86,15 @@
 	return err
 }
 
-// plainTwice sends a call that may not be repeated through both entries.
-func (t *smokeTest) plainTwice(ctx context.Context) error {
+// repeatedCall sends a non-idempotent call with the same idempotency key through both entries and checks
+// that it takes effect once.
+func (t *smokeTest) repeatedCall(ctx context.Context) error {
 	const key = "household-7"
 	path := lab.SmallPath + "/7"
 	first := t.caller.Send(ctx, lab.Request{Addr: t.Entries[0].Addr, Path: path, Body: []byte("year"), Key: key})
 	second := t.caller.Send(ctx, lab.Request{Addr: t.Entries[1].Addr, Path: path, Body: []byte("year"), Key: key})
 	if first.Outcome != wire.OutcomeAnswered || !second.Replayed || first.Body != second.Body {
-		return eris.Errorf("smoke: plain call: first %+v, second %+v", first, second)
+		return eris.Errorf("smoke: service call: first %+v, second %+v", first, second)
 	}
 	var e standin.EffectsAnswer
 	i := slices.IndexFunc(t.Backends, func(b *lab.Backend) bool { return b.Service })
@@ -101,13 +102,13 @@
 		return err
 	}
 	if e.Total != 1 || e.Effects[key] != 1 {
-		return eris.Errorf("smoke: plain call sent twice had effects %+v", e)
+		return eris.Errorf("smoke: service call sent twice did not take effect exactly once: effects %+v", e)
 	}
 	t.note("two calls with one key, %d effect", e.Total)
 	return nil
 }
 
-// edit saves a row and waits until the new version is in force on every process.
+// edit saves a row and waits until every process uses the new table version.
 func (t *smokeTest) edit(ctx context.Context) error {
 	st, err := t.Status(ctx, t.Entries[0], false)
 	if err != nil {
@@ -115,7 +116,7 @@
 	}
 	row := table.NewRow("hint")
 	row.Weight, row.Organisation = 7, "guild"
-	began := time.Now()
+	started := time.Now()
 	version, err := t.Save(ctx, []table.Change{{Name: row.Name, Seen: st.TableVersion, Row: &row}})
 	if err != nil {
 		return err
@@ -123,11 +124,11 @@
 	if err := t.AwaitVersion(ctx, version); err != nil {
 		return err
 	}
-	t.note("edit in force everywhere in %s", time.Since(began).Round(time.Millisecond))
+	t.note("edit in force everywhere in %s", time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
-// stopEntry stops an entry in order while it passes on a long stream.
+// stopEntry stops an entry gracefully while it relays a long stream, and checks that the stream is complete.
 func (t *smokeTest) stopEntry(ctx context.Context) error {
 	n := t.Entries[1]
 	result := make(chan error, 1)
@@ -151,14 +152,14 @@
 	}
 	code, err := n.Wait(ctx)
 	if err != nil || code != 0 {
-		return eris.Errorf("smoke: stopped entry ended with code %d: %v", code, err)
+		return eris.Errorf("smoke: stopped entry exited with code %d: %v", code, err)
 	}
 	t.note("stream of %d tokens whole under a stopping entry", longStream)
 	return nil
 }
 
-// stopRest stops everything in order and checks that nothing is left.
-func (t *smokeTest) stopRest(ctx context.Context) error {
+// stopAll stops the remaining processes gracefully and checks that none is left.
+func (t *smokeTest) stopAll(ctx context.Context) error {
 	nodes := []*lab.Node{t.Entries[0]}
 	for _, b := range t.Backends {
 		nodes = append(nodes, b.Agent)
@@ -168,12 +169,12 @@
 	}
 	for _, n := range nodes {
 		if code, err := n.Wait(ctx); err != nil || code != 0 {
-			return eris.Errorf("smoke: %s ended with code %d: %v", n.ID, code, err)
+			return eris.Errorf("smoke: %s exited with code %d: %v", n.ID, code, err)
 		}
 	}
 	t.Stop()
 	if left := t.Left(); len(left) > 0 {
-		return eris.Errorf("smoke: processes left: %v", left)
+		return eris.Errorf("smoke: processes still running: %v", left)
 	}
 	t.note("no process left")
 	return nil
