--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -9,35 +9,35 @@
 	"rockcleat/table"
 )
 
-// revokeShare is the part of the time in which a key that was taken away must open nothing up to which a
-// gateway relies on a configuration that it has heard nothing of. A request is judged when its header has
-// been read, so that the rest need only cover clocks that differ in rate and the time from there to the
-// server.
+// revokeShare is the fraction of the revocation time after which a gateway that cannot confirm its
+// configuration stops accepting keys. A request is checked once its header has been read; the remainder covers
+// clock drift and the time until the request reaches the server.
 const revokeShare = 0.8
 
-// retryBehind is when a caller should come back whose key cannot be judged: news that was late by one watch
-// of the leader has come by then, and other gateways may know already.
+// retryBehind is the Retry-After for a request whose key cannot be checked. By then an update that the leader's
+// watch delivered late has arrived, and other gateways may already have it.
 const retryBehind = 500 * time.Millisecond
 
-// An access judges callers' keys by the configuration, and whether that is recent enough to do so.
+// An access authenticates callers by the API keys in the configuration. It accepts a key only while the
+// configuration is known to be recent.
 type access struct {
-	// currentAt returns when the configuration in force surely was the newest.
+	// currentAt returns the latest time at which the configuration in force was known to be the newest.
 	currentAt func() time.Time
-	// revokeTime is that of the settings, 0 for none; knownTime returns how old the configuration may be
-	// for a key to count as unknown.
+	// revokeTime is the configured time within which a revoked key must stop working; 0 disables the check.
+	// knownTime returns the maximum age of a configuration that may reject a key as unknown.
 	revokeTime time.Duration
 	knownTime  func() time.Duration
 }
 
-// configAge returns how long before a time the configuration in force surely was the newest.
+// configAge returns the time since the configuration in force was last known to be the newest.
 func (a *access) configAge(now time.Time) time.Duration { return now.Sub(a.currentAt()) }
 
-// check returns the organisation that a request comes from, by a configuration of an age; the zero Organisation
-// if it needs no key.
+// check returns the organisation that owns the request's key, or the zero Organisation if the request needs no
+// key. age is that of the configuration, as configAge returns it.
 //
-// Whoever cannot prove that its configuration is recent answers 503: the key may have been taken away. A
-// key that is not known gets 401 only from a gateway whose configuration is as recent as in calm times: it
-// may be new elsewhere.
+// If the configuration is too old, the key may have been revoked and the answer is 503. An unknown key is
+// answered with 401 only if the configuration is recent enough; otherwise the key may be newer than the
+// configuration, and the answer is 503 too.
 func (a *access) check(r *http.Request, routing *table.Routing, route table.Route, age time.Duration) (table.Organisation, *refusal) {
 	if !routing.NeedsKeys() || route.Open {
 		return table.Organisation{}, nil
@@ -54,15 +54,15 @@
 	return table.Organisation{}, &refusal{status: http.StatusUnauthorized, reason: err.Error(), challenge: true}
 }
 
-// isTooOld reports whether a configuration of an age no longer proves that a key was not taken away.
+// isTooOld reports whether a configuration of the given age may still contain a revoked key.
 func (a *access) isTooOld(age time.Duration) bool {
 	return a.revokeTime > 0 && float64(age) > revokeShare*float64(a.revokeTime)
 }
 
-// errUnknownKey says that no organisation holds a key.
+// errUnknownKey reports that the key belongs to no organisation.
 var errUnknownKey = errors.New("unknown key")
 
-// keyHolder returns the organisation whose key a request carries.
+// keyHolder returns the organisation that owns the request's API key.
 func keyHolder(r *http.Request, routing *table.Routing) (table.Organisation, error) {
 	k, err := apikey.FromHeader(r.Header.Values(apikey.Header))
 	if err != nil {
@@ -75,7 +75,7 @@
 	return organisation, nil
 }
 
-// withOrganisation returns a refusal with the organisation that its log line names.
+// withOrganisation sets the organisation that the refusal's log line names, and returns the refusal.
 func withOrganisation(f *refusal, o table.Organisation) *refusal {
 	f.organisation = o.Name
 	return f
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -9,11 +9,11 @@
 	"rockcleat/dispatch"
 )
 
-// maxHeldAnswer bounds an answer that is read whole before any of it is passed on, in
-// bytes: until then a server's loss can be made good elsewhere.
+// maxHeldAnswer is the number of bytes of a non-streaming answer that are buffered before any are forwarded.
+// While an answer is buffered, the request can still be retried on another server.
 const maxHeldAnswer = 256 << 10
 
-// passWhole passes an answer on that is no stream, and reports whether the request is over.
+// passWhole forwards a non-streaming answer and reports whether the request is finished.
 func (f *forwarder) passWhole(ctx context.Context, res *dispatch.Reservation, resp *http.Response) bool {
 	res.FirstByte()
 	if resp.StatusCode >= http.StatusInternalServerError && f.mayRetry() && f.proxy.budgets.take(f.in) {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// finish ends a request whose answer was passed on whole.
+// finish records the result of a request whose answer was forwarded completely.
 func (f *forwarder) finish(res *dispatch.Reservation, status int) {
 	f.record.status = status
 	if status >= http.StatusInternalServerError {
@@ -57,7 +57,7 @@
 	f.record.outcome = outcomeAnswered
 }
 
-// begin copies an answer's header to the caller.
+// begin copies the answer's header to the caller's response.
 func (f *forwarder) begin(resp *http.Response) {
 	f.answering.Store(true)
 	f.record.firstByte = f.proxy.clock.Now()
@@ -68,7 +68,7 @@
 	removeConnectionHeaders(h)
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := h[name]; !ok {
-			// net/http would add one.
+			// A nil value keeps net/http from adding the header.
 			h[name] = nil
 		}
 	}
--- a/internal/gateway/bounded_lines.go
+++ b/internal/gateway/bounded_lines.go
@@ -8,8 +8,8 @@
 	"golang.org/x/time/rate"
 )
 
-// boundedLines bounds the log lines of one kind, and counts those left out for the next one that is written. It is safe
-// for concurrent use.
+// boundedLines limits the rate of one kind of log line and counts the suppressed lines. It is safe for concurrent
+// use.
 type boundedLines struct {
 	limiter *rate.Limiter
 	leftOut atomic.Uint64
@@ -19,7 +19,8 @@
 	return &boundedLines{limiter: rate.NewLimiter(perSecond, burst)}
 }
 
-// next reports whether a line may be written now, and returns the field that tells how many were left out before it.
+// next reports whether a line may be written now. If so, leftOut is a field with the number of lines suppressed
+// since the last one.
 func (b *boundedLines) next(now time.Time) (leftOut zap.Field, ok bool) {
 	if !b.limiter.AllowN(now, 1) {
 		b.leftOut.Add(1)
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -10,13 +10,13 @@
 	"rockcleat/table"
 )
 
-// A configuration holds the operators' configuration in force; versions only rise. One goroutine
-// offers new ones, any may read it.
+// A configuration holds the operators' configuration in force. Its version never decreases. Only one goroutine may
+// call Offer; all other methods are safe for concurrent use.
 type configuration struct {
 	decoder Decoder
 	log     *zap.Logger
 	current atomic.Pointer[table.Routing]
-	// onChange, if not nil, is called after a configuration was put in force.
+	// onChange, if not nil, is called after a new configuration has taken effect.
 	onChange func()
 }
 
@@ -24,7 +24,7 @@
 	return &configuration{decoder: d, log: log}
 }
 
-// routing returns the configuration in force, or nil before there is one.
+// routing returns the configuration in force, or nil if none has been received yet.
 func (c *configuration) routing() *table.Routing { return c.current.Load() }
 
 // Offer implements configsync.Holder.
@@ -45,8 +45,8 @@
 	return r.Version(), nil
 }
 
-// cacheTokens returns the cache memory of a service's engines in tokens; 0 for a plain
-// service and before there is a configuration.
+// cacheTokens returns the KV cache capacity, in tokens, of a service's engines. It returns 0 for a service without
+// engines and while there is no configuration.
 func (c *configuration) cacheTokens(service string) int {
 	r := c.current.Load()
 	if r == nil {
@@ -59,8 +59,8 @@
 	return s.Engine.CacheTokens
 }
 
-// connLimits returns how long a caller's connection may rest and how long a header may
-// take; 0 is no limit.
+// connLimits returns the idle timeout of callers' connections and the timeout for reading a header; 0 means no
+// limit.
 func (c *configuration) connLimits() (idle, header time.Duration) {
 	r := c.current.Load()
 	if r == nil {
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -15,51 +15,49 @@
 	"rockcleat/clock"
 )
 
-// connState is the state of a caller's connection.
 type connState int
 
-// The states of a connection; it goes round from connReading on with each request.
+// States of a connection. After the first request it cycles through connReading, connServing and connResting.
 const (
-	// connFresh has not carried a byte yet.
+	// connFresh: no byte has been received yet.
 	connFresh connState = iota
-	// connReading has carried a part of a request's header.
+	// connReading: a request header has been received in part.
 	connReading
-	// connServing has a request that is being answered.
+	// connServing: a request is being answered.
 	connServing
-	// connResting waits for its next request.
+	// connResting: the connection is idle between two requests.
 	connResting
-	// connRefused got an answer that its header took too long.
+	// connRefused: a 408 was sent because the header took too long.
 	connRefused
 )
 
-// connEnd is whether a connection is being ended: its read deadline is then past, so that
-// a read returns.
+// connEnd says whether a connection is being ended. A connection is ended by setting its read deadline to a time in
+// the past, so that a pending read returns.
 type connEnd int
 
-// The ways of ending a connection.
 const (
-	// endNot: it goes on, and reads have the server's deadline.
+	// endNot: the connection stays open, and reads use the deadline that http.Server set.
 	endNot connEnd = iota
-	// endIfUnused: it ends unless a request is coming.
+	// endIfUnused: the connection ends unless bytes of a request have arrived.
 	endIfUnused
-	// endAlways: it ends, whether or not a request has come.
+	// endAlways: the connection ends even if bytes of a request have arrived.
 	endAlways
 )
 
-// A callerConn is a caller's connection that can be ended between two requests.
+// A callerConn is a caller's connection that can be closed between requests without losing one.
 //
-// http.Server takes a connection for idle until a header has been read whole, so its
-// own shutdown can close one whose request is being read, and it drops what it has
-// read by then. A callerConn looks at the bytes themselves.
+// http.Server considers a connection idle until it has read a complete header. Its Shutdown can therefore close
+// a connection while a request is being read, and discard what was read. A callerConn tracks the received bytes
+// instead.
 type callerConn struct {
 	*net.TCPConn
 	clock clock.Service
 
 	mu    sync.Mutex
 	state connState
-	// since is when the state began.
+	// since is the time at which the current state was entered.
 	since time.Time
-	// deadline is the server's own bound on reads, in force while end is endNot.
+	// deadline is the read deadline that http.Server set; it applies while end is endNot.
 	deadline time.Time
 	end      connEnd
 }
@@ -68,8 +66,7 @@
 	return &callerConn{TCPConn: conn, clock: c, since: c.Now()}
 }
 
-// Read reads as the connection does, and returns io.EOF on one that was ended while
-// it waited for a request.
+// Read reads from the connection. It returns io.EOF if the connection was ended while it waited for a request.
 func (c *callerConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.TCPConn.Read(p)
@@ -89,7 +86,7 @@
 	}
 }
 
-// SetReadDeadline sets the server's bound on reads.
+// SetReadDeadline stores the deadline of http.Server, and applies it unless the connection is being ended.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,15 +97,15 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// readVerdict says what follows from a read whose deadline has passed.
+// readVerdict says how Read continues after its deadline has passed.
 type readVerdict int
 
 const (
-	// readTimedOut: the deadline was the server's own.
+	// readTimedOut: http.Server's own deadline has passed.
 	readTimedOut readVerdict = iota
-	// readEnded: the connection was ended and nothing has come on it.
+	// readEnded: the connection was ended.
 	readEnded
-	// readAgain: it was to be ended, but a request is coming.
+	// readAgain: bytes of a request have arrived on a connection that was to be ended only if unused.
 	readAgain
 )
 
@@ -128,7 +125,7 @@
 	return readAgain
 }
 
-// waits reports whether no byte of a request has been read.
+// waits reports whether no byte of the next request has been read. The caller must hold c.mu.
 func (c *callerConn) waits() bool { return c.state == connFresh || c.state == connResting }
 
 func (c *callerConn) enter(s connState) {
@@ -136,7 +133,7 @@
 	c.since = c.clock.Now()
 }
 
-// received notes that bytes were read.
+// received records that bytes were read.
 func (c *callerConn) received() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,8 +142,7 @@
 	}
 }
 
-// begin notes that a request's header has been read whole, and reports whether the
-// request may be served.
+// begin records that a complete request header was read, and reports whether the request may be served.
 func (c *callerConn) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,8 +153,7 @@
 	return true
 }
 
-// rest notes that an answer is over and the connection waits for a request; last says that
-// it is to take none.
+// rest records that an answer is complete and the connection is idle. If last is set, the connection is ended.
 func (c *callerConn) rest(last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,14 +163,14 @@
 	}
 }
 
-// endReads makes reads return; the connection is locked. One that takes no deadline is
-// closed already.
+// endReads makes pending and later reads return. The caller must hold c.mu. SetReadDeadline fails only on a closed
+// connection, whose reads return anyway.
 func (c *callerConn) endReads(how connEnd) {
 	c.end = how
 	_ = c.TCPConn.SetReadDeadline(past)
 }
 
-// endWaiting ends the connection if it has waited for a request for longer than it may.
+// endWaiting ends the connection if it has been idle for at least resting, or for fresh if it never carried a byte.
 func (c *callerConn) endWaiting(now time.Time, fresh, resting time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,11 +184,10 @@
 	c.endReads(endIfUnused)
 }
 
-// past is a deadline that ends a read at once.
+// past is a deadline that makes a read return immediately.
 var past = time.Unix(1, 0)
 
-// refuseSlow answers 408 and closes the connection if its header has taken longer
-// than limit.
+// refuseSlow answers 408 and closes the connection if its header has been incomplete for at least limit.
 func (c *callerConn) refuseSlow(now time.Time, limit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,18 +195,18 @@
 		return
 	}
 	c.enter(connRefused)
-	// Errors need nothing done: the connection is closed either way.
+	// Errors are ignored: the connection is closed in any case.
 	answer := http.Response{StatusCode: http.StatusRequestTimeout, ProtoMajor: 1, ProtoMinor: 1, Close: true}
 	_ = c.SetWriteDeadline(clock.SystemDeadline(refusalTime))
 	_ = answer.Write(c.TCPConn)
 	_ = c.TCPConn.Close()
 }
 
-// refusalTime bounds the sending of a refusal that nobody may be reading.
+// refusalTime is the write timeout of a 408 answer.
 const refusalTime = 50 * time.Millisecond
 
-// hasUnread reports whether bytes have come on a connection that nobody has read. One whose
-// state cannot be read is closed: it has none.
+// hasUnread reports whether the socket's receive buffer holds unread bytes. It returns false if the socket cannot
+// be queried, which means that it is closed.
 func hasUnread(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -11,23 +11,21 @@
 	"rockcleat/clock"
 )
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// conns holds callers' open connections and ends those that have rested for too long or
-// whose header takes too long. The bounds may change while connections last, which the
-// settings of http.Server cannot. It is safe for concurrent use.
+// conns tracks callers' open connections, and ends those that are idle for too long or send a header too slowly. Unlike
+// the timeouts of http.Server, its limits may change while a connection is open. It is safe for concurrent use.
 type conns struct {
 	clock clock.Service
-	// limits returns how long a connection may rest and how long a header may take; 0 is
-	// no limit.
+	// limits returns the idle timeout and the header timeout; 0 means no limit.
 	limits func() (idle, header time.Duration)
 
-	// draining says that no connection is to take a further request after its answer.
+	// draining says that each connection is ended after its current answer.
 	draining atomic.Bool
 
 	mu   sync.Mutex
@@ -38,7 +36,7 @@
 	return &conns{clock: c, limits: limits, open: make(map[*callerConn]struct{})}
 }
 
-// callerListener accepts callers' connections.
+// callerListener accepts connections and wraps each in a callerConn.
 type callerListener struct {
 	*net.TCPListener
 	clock clock.Service
@@ -53,7 +51,7 @@
 	return newCallerConn(conn, l.clock), nil
 }
 
-// note is called by the server with each change of a connection's state.
+// note is the ConnState hook of the http.Server.
 func (c *conns) note(conn net.Conn, s http.ConnState) {
 	caller, ok := conn.(*callerConn)
 	if !ok {
@@ -73,14 +71,14 @@
 	}
 }
 
-// begin notes that a request's header has been read whole, and reports whether the
-// request may be served.
+// begin records that a complete request header was read on the connection in ctx, and reports whether the request may
+// be served.
 func (c *conns) begin(ctx context.Context) bool {
 	caller, ok := ctx.Value(connKey{}).(*callerConn)
 	return !ok || caller.begin()
 }
 
-// sweep ends connections that are over their bounds.
+// sweep ends the connections that exceed the idle timeout or the header timeout.
 func (c *conns) sweep(now time.Time) {
 	idle, header := c.limits()
 	for _, caller := range c.list() {
@@ -93,13 +91,12 @@
 	}
 }
 
-// freshTime is how long a connection that has carried nothing yet is left at a stop. With
-// noticeTime it stays under the three seconds within which requests are still taken
-// (docs/FINDINGS.md, LOST).
+// freshTime is how long, during a stop, a connection on which nothing was received stays open. noticeTime and
+// freshTime together are shorter than the 3 s within which a stopping gateway still accepts requests.
 const freshTime = 400 * time.Millisecond
 
-// drain ends the connections that wait for a request, and the others with their answers,
-// and returns how many are open.
+// drain ends the idle connections, makes the others end after their current answer, and returns the number of open
+// connections.
 func (c *conns) drain(now time.Time) int {
 	c.draining.Store(true)
 	list := c.list()
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -10,33 +10,33 @@
 	"rockcleat/relay"
 )
 
-// A directory holds the list of gateways that the leader last sent. It is safe for
-// concurrent use.
+// A directory holds the list of gateways that the leader last sent. It is safe for concurrent use. All addresses
+// in it are peer addresses, at which gateways receive messages from one another.
 type directory struct {
-	// self is where this gateway takes messages.
+	// self is the address of this gateway.
 	self string
 
 	mu sync.Mutex
-	// addrs is where each gateway takes messages, by id; others lists the other ones.
+	// addrs maps gateway ids to addresses. others holds the addresses of all gateways but this one.
 	addrs  map[string]string
 	others []string
 	number int
-	// listed is the list itself.
+	// listed is the list as the leader sent it.
 	listed []placer.Gateway
-	// leader is where the gateway takes messages that replied last that it leads.
+	// leader is the address of the gateway that last replied as the leader; empty if there is none.
 	leader string
-	// tree is that of the listed gateways.
+	// tree is the distribution tree of the listed gateways.
 	tree *relay.Tree
-	// seeds are where the gateways take messages that the settings name, without this one; isSeed
-	// says that it is one of them.
+	// seeds holds the addresses of gateways from the settings, without this one. isSeed says that the settings
+	// name this gateway.
 	seeds  []string
 	isSeed bool
-	// firstStart says that the whole system starts for the first time.
+	// firstStart says that the whole system is started for the first time.
 	firstStart bool
 }
 
-// newDirectory returns a directory that assumes a number of gateways until it has a list; seeds are
-// where some of them take messages.
+// newDirectory returns a directory that assumes the given number of gateways until it receives a list. seeds are
+// the addresses in the settings.
 func newDirectory(self string, assumed int, seeds []string, firstStart bool) *directory {
 	others := slices.DeleteFunc(slices.Clone(seeds), func(addr string) bool { return addr == self })
 	return &directory{
@@ -45,7 +45,7 @@
 	}
 }
 
-// set sets the list and returns it as a Dispatcher needs it.
+// set replaces the list of gateways and returns it in the form that dispatch.Dispatcher takes.
 func (d *directory) set(gateways []placer.Gateway) []dispatch.Gateway {
 	list := make([]dispatch.Gateway, len(gateways))
 	addrs := make(map[string]string, len(gateways))
@@ -65,14 +65,13 @@
 	return list
 }
 
-// list returns the gateways that the leader last sent.
 func (d *directory) list() []placer.Gateway {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listed
 }
 
-// noteLeader notes whether the gateway at an address replied that it leads.
+// noteLeader records whether the gateway at an address replied as the leader.
 func (d *directory) noteLeader(addr string, leads bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,8 +83,8 @@
 	}
 }
 
-// leaderOr returns where the leader takes messages: as it replied itself, or else as the lease's
-// record says.
+// leaderOr returns the address of the gateway that last replied as the leader, or record, the address in the
+// lease's record, if there is none.
 func (d *directory) leaderOr(record string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,22 +101,22 @@
 	return max(d.number, 1)
 }
 
-// isListed reports whether the list of gateways is known.
+// isListed reports whether a list of gateways has been received.
 func (d *directory) isListed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.addrs) > 0
 }
 
-// addr returns where a gateway takes messages; empty if that is not known.
+// addr returns the address of a gateway, or an empty string if it is not known.
 func (d *directory) addr(id string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addrs[id]
 }
 
-// random returns where any other gateway but one takes messages, by the list or else by the settings;
-// empty if there is none.
+// random returns the address of a random gateway other than this one and but. It uses the seeds while there is no
+// list, and returns an empty string if there is no such gateway.
 func (d *directory) random(but string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -132,7 +131,6 @@
 	return list[rand.IntN(len(list))]
 }
 
-// gatewayIDs returns the ids of gateways.
 func gatewayIDs(list []placer.Gateway) []string {
 	ids := make([]string, len(list))
 	for i, g := range list {
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,29 +1,29 @@
-// Package gateway is the entry process in front of backend servers that it speaks to
-// directly: it takes callers' requests, chooses a server for each (package dispatch),
-// passes answers and streams on, and reports to the leader among the gateways (package
-// placer), which decides what engines hold.
+// Package gateway implements the gateway process, which accepts callers' requests and forwards each directly to a
+// backend server. Package dispatch chooses the server. Gateways report load and demand to a leader elected among
+// them, and the leader (package placer) decides which models the engines load.
 //
-// A Gateway joins parts that each own their state:
+// A Gateway consists of parts that each own their state:
 //
-//   - conns: callers' connections, and when they end;
-//   - lifecycle: requests in progress, and the stop;
-//   - configuration, which a configsync.Syncer keeps up to date, and serverList, kept by a
-//     follower: the view of the store;
-//   - directory: the list of gateways, and this one's position in the tree of them, which decides
-//     whom it asks and when it asks the store itself;
-//   - reporter: the reports to the leader, and what it has been sent;
-//   - feed: the view of the store, from the parent in the tree of gateways;
-//   - proxy: the way of a request, with an inbound (what is known at its start), a
-//     forwarder (the loop that tries servers) and a record (what happened);
-//   - quarantineRole: requests under which servers have ended (package quarantine), with an
-//     endDetector that finds out whether a server ended, and a quarantineKeeper that keeps in the
-//     store what must outlast all gateways;
-//   - retryBudgets, requestLog: retries allowed; log lines and metrics.
+//   - conns: callers' connections and their timeouts;
+//   - lifecycle: requests in progress, and shutdown;
+//   - configuration (kept up to date by a configsync.Syncer) and serverList (kept up to date by a serverFollower):
+//     the gateway's view of the store;
+//   - directory: the list of gateways, and this gateway's position in their distribution tree;
+//   - reporter: reports to the leader, and the state exchanged with it;
+//   - feed: updates of the store view, read from the parent in the tree;
+//   - proxy: request handling, with an inbound (the parsed request), a forwarder (the retry loop) and a record (the
+//     result);
+//   - quarantineRole: requests that repeatedly terminate servers (package quarantine), with an endDetector, which
+//     detects the termination of a server, and a quarantineKeeper, which persists the quarantine;
+//   - serverLimits: rate limits that backend servers announce in their answers (package serverlimit);
+//   - fleetKeeper: the list of gateways that the leader keeps in the store;
+//   - retryBudgets: the number of retries allowed;
+//   - requestLog: log lines and metrics.
 //
-// It relies on the store and the leader for news only: while both are away it serves from
-// its last view, whose age the log shows. Nothing of it outlives the process but the requests in
-// quarantine, which the leader keeps in the store. Header names
-// and formats of records come from the platform's adapter through wire.Names and Decoder.
+// While the store and the leader are unreachable, a gateway serves from its last view. Only the quarantine and the
+// list of gateways outlast the process; the leader writes both to the store. Header names and record formats are
+// defined by the platform's adapter, through wire.Names and Decoder.
 //
-// Callers get outcomes, never errors of this package: docs/DECISIONS.md lists the rules.
+// Callers receive HTTP answers, never errors of this package. Log fields and message fields carry their unit in
+// their name, as in waited_s and read_ms.
 package gateway
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -13,73 +13,70 @@
 	"rockcleat/kv"
 )
 
-// Pace of the feed, by which the leader's view of the store goes down a tree of gateways. A gateway
-// asks its parent, which answers when there is something new, so that news takes one hop's time a
-// level. When each gateway watched the store for itself, 103 of them made 14,200 calls to it on a
-// calm day, two a second each.
+// Timing of the feed, which distributes the leader's view of the store down the tree of gateways. A gateway sends a
+// long poll to its parent, which answers as soon as there is a change, so that an update takes one network hop
+// per level.
 const (
-	// feedSteps is the number of steps that the age which a view may have is divided into: one that
-	// is a step newer is handed on without a change. More than the three watches of the leader in
-	// that time, so that the end of each goes down the tree at once.
+	// feedSteps is the number of steps into which the maximum age of a view is divided. A view that is one step
+	// newer is sent even without changes. It is larger than the number of watches that the leader makes within the
+	// maximum age, so that the end of each watch propagates at once.
 	feedSteps = 4
-	// feedHoldShare is the part of the age that a view may have for which a question waits for
-	// something new.
+	// feedHoldShare is the fraction of a view's maximum age for which a poll waits for a change.
 	feedHoldShare = 0.6
-	// feedSlack is how long a gateway may take to answer beside that, and the bound of each time in
-	// which no more of the answer arrives.
+	// feedSlack is the time allowed for an answer in addition to the hold time, and the timeout of each read of the
+	// answer's body.
 	feedSlack = 500 * time.Millisecond
-	// feedRest is the least time between two questions, so that changes which come close together
-	// cost one.
+	// feedRest is the minimum time between two polls; changes within it are sent together.
 	feedRest = 100 * time.Millisecond
-	// feedAvoid is the mean time for which a gateway that gave no answer, or none that is fresh, is
-	// not asked again, with jitter of half to one and a half.
+	// feedAvoid is the mean time for which a gateway that did not answer, or had a stale view, is not polled. The
+	// actual time varies between half and one and a half of it.
 	feedAvoid = time.Second
 )
 
-// feedHold returns how long a question waits for something new, by the age that a view may have.
+// feedHold returns how long a poll waits for a change, given the maximum age of a view.
 func feedHold(maxAge time.Duration) time.Duration {
 	return time.Duration(feedHoldShare * float64(maxAge))
 }
 
-// A feedRequest asks a gateway for what has changed in the store.
+// A feedRequest polls a gateway for changes in the store.
 type feedRequest struct {
-	// Revisions is up to which revision the asking gateway knows the prefixes that it follows, 0 for
-	// one of which it knows nothing.
+	// Revisions holds, for each prefix that the sender follows, the revision up to which it has the changes; 0 if
+	// it has none.
 	Revisions map[string]kv.Revision `json:"seen"`
-	// ConfigVersion is the version of the configuration that it holds, Addr is where it takes
-	// messages.
+	// ConfigVersion is the version of the sender's configuration, Addr its peer address.
 	ConfigVersion uint64 `json:"config"`
 	Addr          string `json:"addr"`
 }
 
-// A feedReply is the answer to a feedRequest.
+// A feedReply answers a feedRequest.
 type feedReply struct {
 	Changes map[string]kv.Batch `json:"changes,omitempty"`
 	Config  configsync.News     `json:"news"`
-	// HeldMs is how long the question waited for the answer, in milliseconds.
+	// HeldMs is how long the poll waited, in milliseconds.
 	HeldMs int64 `json:"held"`
 }
 
-// A feed keeps a gateway's view of the store up to date from its parent in the tree of gateways.
+// A feed updates this gateway's view of the store from its parent in the tree of gateways.
 type feed struct {
 	self     string
 	gateways *directory
 	fanout   *kv.Fanout
 	configs  *configsync.Syncer
 	peers    *peerClient
-	// isLeader reports whether this gateway leads, leader returns where the leader takes messages,
-	// as far as that is known.
+	// isLeader reports whether this gateway is the leader. leader returns the leader's address, or an empty string
+	// if it is not known.
 	isLeader func() bool
 	leader   func() string
 	clock    clock.Service
 	log      *zap.Logger
 
-	// The rest belongs to run. source is who was asked last, avoided until when others are not asked.
+	// Used by the goroutine of run only. source is the gateway that last sent a fresh view; avoided holds the time until
+	// which a gateway is not polled.
 	source  string
 	avoided map[string]time.Time
 }
 
-// run asks one gateway after the other until ctx ends.
+// run polls until ctx ends.
 func (f *feed) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if addr := f.next(); addr != "" {
@@ -89,8 +86,8 @@
 	}
 }
 
-// next returns whom to ask: the parent, else the one above it and so on up to the leader, whoever is
-// not avoided; empty if there is nobody, and for the leader itself.
+// next returns the address to poll: that of the nearest ancestor in the tree that is not avoided. It returns an empty
+// string if there is none, and on the leader.
 func (f *feed) next() string {
 	if f.isLeader() {
 		return ""
@@ -104,8 +101,8 @@
 	return ""
 }
 
-// ask asks the gateway at an address and applies its answer. One that gives none is avoided for a
-// while, and so is one whose view is too old although it has been asked for it.
+// ask polls the gateway at addr and applies its answer. A gateway that does not answer, or whose view is stale
+// even so, is avoided for a while.
 func (f *feed) ask(ctx context.Context, addr string) {
 	requested := f.clock.Now()
 	timeout := feedHold(f.fanout.MaxAge()) + feedSlack
@@ -129,7 +126,7 @@
 	}
 }
 
-// avoid does not ask a gateway for a while, and logs it once for each time that it is left.
+// avoid excludes a gateway from polling for a while. It logs the change if that gateway was the current source.
 func (f *feed) avoid(addr, reason string, err error) {
 	f.avoided[addr] = f.clock.Now().Add(feedAvoid/2 + rand.N(feedAvoid))
 	if addr == f.source {
--- a/internal/gateway/fleet_keeper.go
+++ b/internal/gateway/fleet_keeper.go
@@ -19,39 +19,38 @@
 	"rockcleat/quota"
 )
 
-// keyGateways is where the store has the list of gateways, among the product's own keys.
+// keyGateways is the store key of the list of gateways, relative to the product's own prefix.
 const keyGateways = "gateways"
 
-// Pace of keeping the list of gateways.
 const (
-	// fleetKeepInterval is the time between two looks at the list.
+	// fleetKeepInterval is the interval of fleetKeeper.step.
 	fleetKeepInterval = 100 * time.Millisecond
-	// fleetSettleTime is for how long a list must be the same before it is written, so that gateways which
-	// start together cost one write, and a store that came back from a copy has again what operators wrote.
+	// fleetSettleTime is how long a list must be unchanged before it is written. Gateways that start together then
+	// cost one write, and a store restored from a backup has received the operators' writes again.
 	fleetSettleTime = 3 * time.Second
-	// fleetMemory is for how long a gateway that is off the leader's list stays on the one in the store: as long
-	// as it may spend its part of limits, and somewhat longer. Gateways that restart in turn cost no writes.
+	// fleetMemory is how long a gateway that left the leader's list stays on the stored one. It exceeds the time for
+	// which such a gateway may use its share of rate limits. Restarting gateways one after another costs no writes.
 	fleetMemory = quota.AloneTime + 2*time.Second
-	// fleetLoadTime is how long after its start a gateway that has no list reads it from the store: a leader
-	// that is there has sent it by then.
+	// fleetLoadTime is how long after its start a gateway without a list reads it from the store. A running leader
+	// has sent its list by then.
 	fleetLoadTime = 150 * time.Millisecond
-	// fleetLoadPause is the time between two tries to read it.
+	// fleetLoadPause is the time between two attempts to read the list.
 	fleetLoadPause = 500 * time.Millisecond
 )
 
-// A fleetKeeper keeps the list of gateways in the store, so that it outlasts the loss of all of them. The leader
-// writes it when it has changed; a gateway reads it that has started anew and has heard of no leader, or leads
-// without having heard of one.
+// A fleetKeeper persists the list of gateways in the store, so that it survives the loss of all gateways. The leader
+// writes it after a change. A gateway reads it if it has started and found no leader, or has become the leader without
+// having received a list.
 //
-// Without it gateways that restart together know nothing of each other until one leads, two to three seconds
-// later, and refuse all requests of organisations with a limit: no one can tell what the others let run. After
-// the loss of all 24 of a fleet it was 1,285 to 2,069 requests each time (lines of three such losses).
+// Without the stored list, gateways that restart together do not know of one another until one becomes the leader.
+// Until then they refuse all requests of organisations with a rate limit, because the share used by the other gateways is
+// unknown.
 //
 // Its state belongs to the goroutine that calls step.
 type fleetKeeper struct {
 	ctx      context.Context
 	gateways *directory
-	// onLoad takes over a list that was read.
+	// onLoad applies a list read from the store.
 	onLoad     func([]placer.Gateway)
 	store      Store
 	keys       kv.PrefixStore
@@ -62,28 +61,29 @@
 	log        *zap.Logger
 	timeout    time.Duration
 
-	// term is the token under which this gateway wrote last.
+	// term is the leader token under which this gateway last wrote.
 	term lease.Token
-	// recent is when each gateway was on the leader's list last.
+	// recent holds the time at which each gateway was last on the leader's list.
 	recent map[placer.Gateway]time.Time
-	// seen is the list of those at the last look, and since when; stored is the one in the store.
+	// seen is the last result of withRecent, unchanged since seenSince. stored is the list last written to the store.
 	seen      []placer.Gateway
 	seenSince time.Time
 	stored    []placer.Gateway
-	// informed says that this gateway knows who was there before it; nextLoad is when the store may be read.
+	// informed says that this gateway knows the previous list of gateways, if there was one. nextLoad is the
+	// earliest time of the next read from the store.
 	informed bool
 	nextLoad time.Time
 }
 
-// A storedFleet is the value of keyGateways.
+// A storedFleet is the value stored under keyGateways.
 type storedFleet struct {
 	Gateways []placer.Gateway `json:"gateways"`
-	// Era is that of the store when this was written: by then it had again what was written before it came back
-	// from a copy, if it did.
+	// Era is the era of the store at the time of the write. A list with the current era shows that writes lost when the store
+	// was restored from a backup have been repeated.
 	Era int64 `json:"era,omitempty"`
 }
 
-// step is called every fleetKeepInterval. In a new term everything is written anew: the store may have lost it.
+// step is called every fleetKeepInterval. A new leader writes the list again, since the store may have lost it.
 func (k *fleetKeeper) step(now time.Time) {
 	token, leads := k.lease.Held()
 	if leads && token != k.term {
@@ -99,7 +99,7 @@
 	}
 }
 
-// save writes the leader's list, with those that were on it lately, once it has stayed the same for a while.
+// save writes the leader's list, including recently listed gateways, once it has been unchanged for fleetSettleTime.
 func (k *fleetKeeper) save(list []placer.Gateway, now time.Time) {
 	list = k.withRecent(list, now)
 	if !slices.Equal(list, k.seen) {
@@ -116,7 +116,7 @@
 	k.stored = list
 }
 
-// withRecent returns a list with the gateways that were on it lately, in the order of their ids.
+// withRecent returns the list together with the gateways that were on it within fleetMemory, sorted by id.
 func (k *fleetKeeper) withRecent(list []placer.Gateway, now time.Time) []placer.Gateway {
 	for _, g := range list {
 		k.recent[g] = now
@@ -138,7 +138,7 @@
 	return err
 }
 
-// load reads the list as the last leader wrote it.
+// load reads the list that the last leader wrote.
 func (k *fleetKeeper) load(now time.Time) {
 	if now.Sub(k.startedAt) < fleetLoadTime {
 		return
@@ -157,7 +157,7 @@
 	k.onLoad(stored.Gateways)
 }
 
-// read reads what the store has; nothing if it has nothing that can be read.
+// read returns the stored list. It returns an empty one if there is none or it cannot be decoded.
 func (k *fleetKeeper) read(ctx context.Context) (storedFleet, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.timeout)
 	defer cancel()
@@ -175,8 +175,8 @@
 	return stored, nil
 }
 
-// isSettled reports whether a leader has written in an era of the store, when that had again what was written
-// before it came back from a copy.
+// isSettled reports whether a leader has written the list in the given era of the store. By then, writes lost when the
+// store was restored from a backup have been repeated.
 func (k *fleetKeeper) isSettled(ctx context.Context, era int64) (bool, error) {
 	stored, err := k.read(ctx)
 	return stored.Era == era, err
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -11,8 +11,8 @@
 	"rockcleat/kv"
 )
 
-// storeHealth logs when the store becomes unreachable and reachable again; whoever reads the
-// store shares one, so that each change is logged once.
+// storeHealth logs when the store becomes unreachable and reachable again. All followers share one, so that each change
+// is logged once.
 type storeHealth struct {
 	ctx  context.Context
 	log  *zap.Logger
@@ -37,13 +37,13 @@
 	}
 }
 
-// A serverFollower keeps the list of backend servers.
+// A serverFollower keeps a serverList up to date with the store.
 type serverFollower struct {
 	*storeHealth
 	servers *serverList
-	// known holds the names of the servers that were listed last.
+	// known holds the names of the servers in the list.
 	known map[string]bool
-	// unusable holds, by name, why entries describe no server.
+	// unusable maps the names of undecodable entries to the decoding error.
 	unusable map[string]string
 }
 
@@ -68,7 +68,7 @@
 	f.servers.replace(list)
 }
 
-// logMissing logs the servers that were known before and are not in a new list.
+// logMissing logs the previously known servers that are not in the new list.
 func (f *serverFollower) logMissing(list []backend.Server) {
 	listed := make(map[string]bool, len(list))
 	for _, s := range list {
@@ -95,7 +95,7 @@
 	f.servers.apply(changes)
 }
 
-// change decodes a change of one server and logs it, if more than what it holds changes.
+// change decodes a change of one server. It logs new servers and changes of their leaving state.
 func (f *serverFollower) change(e kv.Event) backend.Change {
 	name := f.servers.decoder.ServerID(e.Entry.Key)
 	if e.Deleted {
@@ -118,8 +118,7 @@
 	return c
 }
 
-// decode decodes an entry. One that describes no server is logged when it becomes so or is so for
-// another reason, not with each of its revisions.
+// decode decodes an entry. An undecodable entry is logged once for each distinct error, not for each revision.
 func (f *serverFollower) decode(e kv.Entry) backend.Change {
 	name := f.servers.decoder.ServerID(e.Key)
 	s, err := f.servers.decoder.Server(e.Key, e.Value)
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -15,26 +15,26 @@
 	"rockcleat/dispatch"
 )
 
-// A forwarder sends one request to servers until it has an answer or is given up.
+// A forwarder sends one request to servers until it is answered or abandoned.
 type forwarder struct {
 	proxy *proxy
 	in    *inbound
 	w     http.ResponseWriter
-	// ctx ends with the request's deadline, with its caller, or with the gateway.
+	// ctx ends with the request's deadline, the caller's connection or the gateway.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// req is in.needs with what became known on the way.
+	// req is in.needs, updated with the servers to exclude and other results of earlier sends.
 	req    dispatch.Request
 	record record
-	// answering says that the caller has the header of an answer.
+	// answering says that the header of an answer has been sent to the caller.
 	answering atomic.Bool
-	// retryPaid says that the budget has paid for a retry when this send ends.
+	// retryPaid says that the retry after the current send is already charged to the retry budget.
 	retryPaid atomic.Bool
-	// lastEvent is the id of the last event that the caller has.
+	// lastEvent is the id of the last event forwarded to the caller.
 	lastEvent string
 }
 
-// run sends the request until it is over.
+// run sends the request until it is finished.
 func (f *forwarder) run() {
 	defer f.watchQuarantine()()
 	if f.proxy.quarantine.Ends(f.in.key) > 0 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// giveUp ends a request that no server is left for.
+// giveUp ends a request for which no server could be acquired.
 func (f *forwarder) giveUp(err error) {
 	var limited *dispatch.LimitedError
 	switch {
@@ -87,24 +87,23 @@
 	}
 }
 
-// callerGone reports whether the caller no longer waits.
+// callerGone reports whether the caller has disconnected.
 func (f *forwarder) callerGone() bool { return f.in.Context().Err() != nil }
 
-// Pauses between sends that servers refuse, and how many refusals end a request.
 const (
-	// refusedPause doubles with each send.
+	// refusedPause is the base of the pause before the next send after a refusal; it doubles with each send.
 	refusedPause = 30 * time.Millisecond
-	// maxRefusals is the number of sends after which a refusal is final.
+	// maxRefusals is the number of refused sends after which the request itself is refused.
 	maxRefusals = 4
 )
 
-// maxRefusalBody bounds what is read of a server's refusal, in bytes.
+// maxRefusalBody is the number of bytes that are read of a refusal's body.
 const maxRefusalBody = 4 << 10
 
-// maxUnsent bounds the servers that one request could not be sent to.
+// maxUnsent is the number of failed connection attempts after which a request is refused.
 const maxUnsent = 6
 
-// notSent handles a send that did not reach its server, and reports whether the request is over.
+// notSent handles a send that did not reach its server, and reports whether the request is finished.
 func (f *forwarder) notSent(res *dispatch.Reservation, err error) bool {
 	res.Done(dispatch.Failed)
 	f.proxy.lines.sendFailed(f, res, "not sent", err)
@@ -117,11 +116,11 @@
 	return true
 }
 
-// refusedBy handles a server's word that it has not run the request, and reports whether
-// the request is over.
+// refusedBy handles an answer in which the server says that it did not run the request. It reports whether the request is
+// finished.
 func (f *forwarder) refusedBy(res *dispatch.Reservation, resp *http.Response) bool {
 	res.Done(refusalResult(resp))
-	// The body is read so that the connection is kept; an error only closes it.
+	// Reading the body lets the connection be reused; after an error it is closed.
 	_, _ = io.CopyN(io.Discard, resp.Body, maxRefusalBody)
 	f.proxy.lines.sendFailed(f, res, "refused", eris.Errorf("status %d", resp.StatusCode))
 	if f.answering.Load() {
@@ -135,7 +134,7 @@
 		f.refuse(outcomeRefused, notRun("the servers are full", retryAfterLoad()))
 		return true
 	}
-	// Only the last server is left out: the others may have room again.
+	// Only the last server is excluded: the others may have capacity again.
 	f.req.Exclude = []string{res.Server().ID}
 	if f.record.sends > 1 {
 		clock.Sleep(f.ctx, f.proxy.clock, refusedPause<<f.record.sends)
@@ -143,7 +142,7 @@
 	return false
 }
 
-// refusalResult returns what a server's refusal says of the server.
+// refusalResult returns the result of a refused send for the dispatcher.
 func refusalResult(resp *http.Response) dispatch.SendResult {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return dispatch.Misdirected
@@ -151,8 +150,7 @@
 	return dispatch.Refused
 }
 
-// lost handles a send that may have run and brought no usable answer, and reports whether
-// the request is over.
+// lost handles a send that may have run but returned no usable answer. It reports whether the request is finished.
 func (f *forwarder) lost(res *dispatch.Reservation, err error) bool {
 	res.Done(dispatch.Failed)
 	f.proxy.lines.sendFailed(f, res, "lost", err)
@@ -173,7 +171,7 @@
 	return true
 }
 
-// expired ends a request whose time is up after it was sent.
+// expired ends a request whose context ended after it was sent.
 func (f *forwarder) expired() {
 	if f.callerGone() {
 		f.record.outcome = outcomeGone
@@ -189,7 +187,7 @@
 	f.refuse(outcomeTimeout, &refusal{status: http.StatusGatewayTimeout, reason: "no answer in time"})
 }
 
-// server names the server of the last send.
+// server returns a log field with the server of the last send.
 func (f *forwarder) server() zap.Field {
 	if f.record.reservation == nil {
 		return zap.Skip()
@@ -197,18 +195,18 @@
 	return zap.String(fieldServer, f.record.reservation.Server().ID)
 }
 
-// exclude keeps the request from a server.
+// exclude removes a server from the candidates for further sends.
 func (f *forwarder) exclude(res *dispatch.Reservation) {
 	f.req.Exclude = append(f.req.Exclude, res.Server().ID)
 }
 
-// refuse ends the request with an answer of the gateway's own.
+// refuse ends the request with an answer made by the gateway.
 func (f *forwarder) refuse(outcome string, r *refusal) {
 	f.record.outcome, f.record.status = outcome, r.status
 	f.proxy.write(f.w, r)
 }
 
-// cut ends an answer that cannot be completed, so that it does not look whole.
+// cut aborts an answer that cannot be completed, so that the caller sees a broken connection, not a complete answer.
 func (f *forwarder) cut(err error) {
 	f.record.outcome = outcomeCut
 	f.proxy.lines.cut(f, err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,54 +18,53 @@
 	"rockcleat/table"
 )
 
-// A Decoder decodes entries of the platform's store into the product's records.
+// A Decoder decodes entries of the platform's store.
 type Decoder interface {
-	// ConfigKey is the key of the configuration, ServerPrefix the prefix of the backend
-	// servers' keys.
+	// ConfigKey returns the key of the configuration, ServerPrefix the key prefix of backend servers.
 	ConfigKey() string
 	ServerPrefix() string
-	// Routing decodes a configuration, Server a backend server's record.
+	// Routing decodes a configuration, Server the record of a backend server.
 	Routing(value []byte) (*table.Routing, error)
 	Server(key string, value []byte) (backend.Server, error)
-	// ServerID returns the id in a backend server's key.
+	// ServerID returns the server id in the key of a backend server.
 	ServerID(key string) string
-	// IsOlderServer reports whether a backend server's record is an older word than another one; known is false if
-	// they are of two runs.
+	// IsOlderServer reports whether value is an older record of the same server instance than another one. known is
+	// false if the records are of different instances.
 	IsOlderServer(value, than []byte) (older, known bool)
 }
 
-// A Store is where the gateways keep what must outlast them; kv.Store describes each call.
+// A Store holds the data that must outlast the gateways; kv.Store describes its methods.
 type Store interface {
 	lease.Store
 	Delete(ctx context.Context, key string, expect kv.Revision) error
 }
 
-// Eras calls a function with each era of the store that is newer than those before.
+// Eras calls a function with each new era of the store. Eras only increase.
 type Eras interface{ OnEra(f func(era int64)) }
 
-// Options are what a Gateway is made of.
+// Options configure a Gateway.
 type Options struct {
 	Settings config.Gateway
 	Names    wire.Names
-	// ReadyPath is where the balancer asks whether the process is ready.
+	// ReadyPath is the path of the readiness endpoint, which the load balancer polls.
 	ReadyPath string
-	// Store is where the leader's lease and the requests in quarantine are kept.
+	// Store holds the leader's lease and the quarantine.
 	Store Store
-	// Prefixes are all keys of the store, OwnKeys those that the product writes.
+	// Prefixes gives access to all keys of the store, OwnKeys only to those that the product writes.
 	Prefixes kv.PrefixStore
 	OwnKeys  kv.PrefixStore
-	// Eras, if not nil, tells when the store comes back from a copy.
+	// Eras, if not nil, reports when the store was restored from a backup.
 	Eras    Eras
 	Decoder Decoder
 	Engines backend.EngineClient
 	Clock   clock.Service
 	Log     *zap.Logger
 	Metrics Metrics
-	// Peers, if not nil, carries the calls to other gateways.
+	// Peers, if not nil, is the transport of calls to other gateways.
 	Peers http.RoundTripper
 }
 
-// A Gateway is the entry process in front of servers that it speaks to directly.
+// A Gateway accepts callers' requests and forwards them to backend servers.
 type Gateway struct {
 	settings   config.Gateway
 	decoder    Decoder
@@ -87,17 +86,17 @@
 	pauses     *pauseDetector
 	quarantine *quarantineRole
 	keeper     *quarantineKeeper
-	// serverLimits are those that backend servers name for themselves.
+	// serverLimits holds the rate limits that backend servers announce.
 	serverLimits *serverLimits
 	fleet        *fleetKeeper
-	// stops end the subscriptions to the clock.
+	// stops unsubscribes from the clock.
 	stops []func()
-	// ctx ends with the gateway, after its last request.
+	// ctx ends when the gateway stops, after its last request.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// New returns a Gateway that does nothing until Start.
+// New returns a Gateway, which is idle until Start is called.
 func New(o Options) *Gateway {
 	if o.Metrics == nil {
 		o.Metrics = noMetrics{}
@@ -125,13 +124,13 @@
 	return g
 }
 
-// expireInterval is the time between two looks for what is too old.
+// expireInterval is the interval at which outdated state is removed.
 const expireInterval = 200 * time.Millisecond
 
-// sweepInterval is the time between two looks for connections that are over their bounds.
+// sweepInterval is the interval at which connections and quarantine entries are checked for expiry.
 const sweepInterval = time.Second
 
-// Start binds the listeners and starts the gateway's parts.
+// Start binds the listeners and starts the gateway's goroutines.
 func (g *Gateway) Start() error {
 	if err := g.listeners.start(); err != nil {
 		return err
@@ -151,7 +150,7 @@
 	return nil
 }
 
-// follow keeps a follower up to date with a prefix of the store.
+// follow starts to keep f up to date with a prefix of the store.
 func (g *Gateway) follow(prefix string, f kv.Follower) {
 	go kv.Follow(g.ctx, kv.FollowOptions{
 		Store: g.prefixes, Prefix: prefix, Round: g.settings.WatchTime.Std(), Clock: g.clock, Follower: f,
@@ -162,7 +161,7 @@
 	g.stops = append(g.stops, g.clock.Subscribe(every, f))
 }
 
-// ready reports whether the gateway should get new connections, and why not.
+// ready reports whether the gateway should receive new connections, and if not, why.
 func (g *Gateway) ready() (bool, string) {
 	switch {
 	case g.lifecycle.isStopping():
@@ -177,8 +176,8 @@
 	return true, ""
 }
 
-// Reload takes new settings. The retry budget changes at once; what cannot change while the
-// gateway runs stays, and the log says that a restart is needed.
+// Reload applies new settings. Only the retry budget changes at run time; other settings keep their values, and the log
+// line says whether a restart is needed.
 func (g *Gateway) Reload(s config.Gateway) {
 	changed := g.budgets.set(s.Retry)
 	g.log.Info("settings reloaded", zap.Bool("retry_changed", changed),
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -18,37 +18,37 @@
 	"rockcleat/table"
 )
 
-// An inbound is a caller's request, as known at its start; it does not change.
+// An inbound is a caller's request with what was determined when it arrived. It does not change afterwards.
 type inbound struct {
 	*http.Request
 	id string
-	// key identifies the request's content: copies of it have other ids.
+	// key identifies the request by its content; copies of a request share it.
 	key     quarantine.Key
 	route   table.Route
 	service table.Service
-	// organisation is whose key the request came with; the zero Organisation if it needs none.
+	// organisation owns the key that the request came with; the zero Organisation if none is needed.
 	organisation table.Organisation
-	// withoutKey says that the system keeps the caller's key and names the organisation itself.
+	// withoutKey says that the API key is not forwarded to servers.
 	withoutKey bool
-	// target is the model and adapter asked for; empty for a plain service's requests.
+	// target is the requested model and adapter; empty for services without engines.
 	target backend.Adapter
-	// configVersion is that of the configuration that the request was matched with.
+	// configVersion is the version of the configuration that matched the request.
 	configVersion uint64
-	// body is read whole, so that it can be sent again.
+	// body is buffered completely, so that the request can be sent again.
 	body    []byte
 	arrived time.Time
-	// deadline is when the caller or the route stops waiting.
+	// deadline is the earlier of the caller's and the route's deadline.
 	deadline time.Time
-	// cost is what it counts against the organisation's limit, in that limit's unit.
+	// cost is charged to the organisation's rate limit, in the limit's unit.
 	cost float64
-	// needs is the request as the dispatcher sees it.
+	// needs is the initial request to the dispatcher.
 	needs dispatch.Request
 }
 
-// read reads and checks a request, and refuses one that surely cannot be served.
+// read reads and validates a request. It refuses requests that cannot be served.
 func (p *proxy) read(w http.ResponseWriter, r *http.Request) (*inbound, *refusal) {
 	now := p.clock.Now()
-	// The age is taken before the configuration: one that comes in between is newer, never older.
+	// The age is computed before the configuration is loaded: a configuration that arrives in between is newer.
 	configAge := p.access.configAge(now)
 	routing := p.config.routing()
 	if routing == nil {
@@ -88,15 +88,15 @@
 	return in, nil
 }
 
-// keyOf returns the key of a request and its body. The caller is known by its credentials, and not at all
-// without them: its address says nothing, for one caller sends copies from many.
+// keyOf returns the quarantine key of a request with the given body. The caller is identified by its credentials only:
+// the same caller may send copies from many addresses.
 func keyOf(r *http.Request, body []byte) quarantine.Key {
 	return quarantine.KeyOf(quarantine.Request{
 		Caller: r.Header.Get("Authorization"), Method: r.Method, Host: r.Host, Target: r.RequestURI, Body: body,
 	})
 }
 
-// resolve fills in the service, the deadline and what the request needs.
+// resolve sets the request's service, deadline, cost and dispatcher request.
 func (p *proxy) resolve(in *inbound, routing *table.Routing) *refusal {
 	var ok bool
 	in.service, ok = routing.Service(in.route.Pick(rand.Uint64()))
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// mayBeServed reports whether the service's servers can ever serve the request: engines only
-// load models that are configured. Adapters are configured by number, so they are not
-// looked at, and a service without servers may get some while the request waits.
+// mayBeServed reports whether the service can ever serve the request's model: engines load only configured models.
+// Adapters are not checked, since the configuration contains only their number. A service without servers is
+// accepted, since it may get some while the request waits.
 func (in *inbound) mayBeServed() bool {
 	if in.service.Engine == nil || in.target.Model == "" {
 		return true
@@ -127,7 +127,7 @@
 	return ok
 }
 
-// headerBytes returns the size of a request's header as it was sent, about.
+// headerBytes returns the approximate size of a request's header on the wire.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -138,7 +138,7 @@
 	return n
 }
 
-// readBody reads the whole body of at most limit bytes, if there is a limit.
+// readBody reads the complete body. If limit is positive, it refuses a body of more than limit bytes.
 func (p *proxy) readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *refusal) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
@@ -147,7 +147,7 @@
 	if limit > 0 && r.ContentLength > limit {
 		return nil, tooLong
 	}
-	// A connection that takes no deadline is closed or about to be: reading says so.
+	// Setting the deadline fails only on a closed connection, which the read below reports.
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(clock.SystemDeadline(p.bodyTime))
 	var src io.Reader = r.Body
@@ -168,10 +168,10 @@
 	return body, nil
 }
 
-// maxPresized bounds the buffer that is made for a body by its announced length alone.
+// maxPresized is the largest announced body length for which a buffer of that size is allocated at once, in bytes.
 const maxPresized = 1 << 20
 
-// readAll reads to the end, into one buffer if the size is announced.
+// readAll reads until EOF. If size is positive and at most maxPresized, it reads exactly size bytes into one buffer.
 func readAll(r io.Reader, size int64) ([]byte, error) {
 	if size <= 0 || size > maxPresized {
 		return io.ReadAll(r)
@@ -186,11 +186,11 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// defaultTimeout is how long a request may take whose route and caller set no limit.
+// defaultTimeout applies to requests for which neither the route nor the caller sets a timeout.
 const defaultTimeout = time.Minute
 
-// deadlineOf returns when a request ends: after the shorter of the route's time and the
-// caller's, in milliseconds. It reports false if the caller's is not a number.
+// deadlineOf returns the deadline of a request: its arrival plus the shorter of the route's timeout and the caller's,
+// a number of milliseconds in header. It returns false if header is not such a number.
 func deadlineOf(arrived time.Time, timeout time.Duration, header string) (time.Time, bool) {
 	if header != "" {
 		ms, err := strconv.ParseInt(strings.TrimSpace(header), 10, 64)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -12,7 +12,7 @@
 	"rockcleat/table"
 )
 
-// newLimiter returns what keeps the limits of organisations together with the other gateways.
+// newLimiter returns the limiter that enforces organisations' rate limits together with the other gateways.
 func (p *parts) newLimiter(o Options) *quota.Limiter {
 	s := o.Settings.Quota
 	return quota.New(quota.Options{
@@ -21,7 +21,7 @@
 	})
 }
 
-// limit returns the limit of an organisation, as a quota.Limiter needs it.
+// limit returns the rate limit of an organisation, and whether it has one.
 func (c *configuration) limit(organisation string) (quota.Limit, bool) {
 	r := c.current.Load()
 	if r == nil {
@@ -31,12 +31,11 @@
 	return quota.Limit{Rate: o.Limit.PerSecond, Burst: o.Limit.Burst}, ok && o.Limit.IsLimited()
 }
 
-// sortByKey sorts limits by whose they are.
 func sortByKey(list []quota.Status) {
 	slices.SortFunc(list, func(a, b quota.Status) int { return strings.Compare(a.Key, b.Key) })
 }
 
-// limitStatus returns what this gateway knows of all limits, in the order of the names of whose they are.
+// limitStatus returns this gateway's state of all rate limits, sorted by key.
 func (p *parts) limitStatus() wire.LimitList {
 	list := wire.LimitList{Items: []quota.Status{}}
 	r := p.config.routing()
@@ -54,12 +53,12 @@
 	return list
 }
 
-// retryUnknownLimit is when a caller should come back while nobody can say whether its organisation is inside
-// its limit: about what it takes until another gateway leads or grants.
+// retryUnknownLimit is the Retry-After while the state of an organisation's rate limit is unknown. It is about the time
+// until another gateway leads or grants.
 const retryUnknownLimit = 500 * time.Millisecond
 
-// charge counts a request against its organisation's limit, or refuses it before it costs a server, an
-// admission or demand of its model: what is over its limit must not push others aside.
+// charge charges a request to its organisation's rate limit, or refuses it. It runs before the request takes a server, an
+// admission or part of the model's demand, so that requests over the limit do not displace others.
 func (p *proxy) charge(ctx context.Context, in *inbound) *refusal {
 	if in.organisation.Name == "" {
 		return nil
@@ -79,14 +78,14 @@
 	return withOrganisation(notRun("the organisation's limit is not known now", retryUnknownLimit), in.organisation)
 }
 
-// refund gives back what a request was charged that has not run.
+// refund returns the charge of a request that has not run.
 func (p *proxy) refund(in *inbound) {
 	if in.organisation.Name != "" {
 		p.limiter.GiveBack(in.organisation.Name, in.cost)
 	}
 }
 
-// costOf returns what a request counts against its organisation's limit.
+// costOf returns the charge of a request against its organisation's rate limit, in the limit's unit.
 func (p *proxy) costOf(in *inbound) float64 {
 	if in.organisation.Limit.Unit != table.UnitTokens {
 		return in.organisation.Limit.Cost(0)
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -16,15 +16,14 @@
 	"rockcleat/internal/wire"
 )
 
-// Bounds of callers' connections that net/http sets before the configuration is known.
+// Limits on requests that the HTTP servers enforce independently of the configuration.
 const (
-	// headerTime bounds the reading of a header.
+	// headerTime is the timeout for reading a header.
 	headerTime = 10 * time.Second
-	// maxHeader bounds a header, in bytes; the configuration's own bound is checked after it.
+	// maxHeader is the maximum size of a header, in bytes. The limit in the configuration is checked afterwards.
 	maxHeader = 128 << 10
 )
 
-// listenerOptions are what listeners are made of.
 type listenerOptions struct {
 	settings                     config.Gateway
 	log                          *zap.Logger
@@ -36,15 +35,15 @@
 type listeners struct {
 	log     *zap.Logger
 	servers []boundServer
-	// front is where callers' connections are accepted, after start.
+	// front accepts callers' connections; it is set by start.
 	front net.Listener
 }
 
-// A boundServer is a server and the address that it listens on.
+// A boundServer is an HTTP server and its listen address.
 type boundServer struct {
 	addr   string
 	server *http.Server
-	// wrap is set for callers' connections, and wraps their listener.
+	// wrap, if not nil, wraps the listener; it is set for callers' connections.
 	wrap func(*net.TCPListener) net.Listener
 }
 
@@ -64,7 +63,7 @@
 	return &listeners{log: o.log, servers: servers}
 }
 
-// start binds all addresses and answers on them.
+// start binds all addresses and serves them in the background.
 func (l *listeners) start() error {
 	for _, s := range l.servers {
 		bound, err := net.Listen("tcp", s.addr)
@@ -87,10 +86,10 @@
 	}
 }
 
-// closeFront ends the accepting of callers' connections; those that are open stay.
+// closeFront stops accepting callers' connections; open connections stay.
 func (l *listeners) closeFront() { l.logClose(l.front.Close()) }
 
-// close ends everything.
+// close closes all servers and their connections.
 func (l *listeners) close() {
 	for _, s := range l.servers {
 		l.logClose(s.server.Close())
@@ -103,7 +102,7 @@
 	}
 }
 
-// readyRouter answers the balancer, and a health check.
+// readyRouter serves the readiness and health endpoints.
 func readyRouter(path string, ready server.Readiness) http.Handler {
 	e := server.NewRouter()
 	e.GET(path, ready.Answer)
--- a/internal/gateway/needs.go
+++ b/internal/gateway/needs.go
@@ -8,33 +8,31 @@
 	"rockcleat/dispatch"
 )
 
-// How long a request may wait for a server before it is sent.
+// Parameters of the time that a request may wait for a server.
 const (
-	// minPatience is the shortest time after which callers leave a stream that has sent
-	// nothing.
+	// minPatience is the minimum time for which a caller is assumed to wait for the first byte.
 	minPatience = 2 * time.Second
-	// patienceFactor times the objective for the first byte is when callers leave, or
-	// twice as many times the objective for the gap between events.
+	// patienceFactor is multiplied with the objective for the first byte, or with twice the objective for the gap
+	// between events, to estimate how long a caller waits.
 	patienceFactor = 4
-	// waitShare is the part of a caller's patience that a request may wait.
+	// waitShare is the fraction of the caller's estimated patience that may be spent waiting for a server.
 	waitShare = 0.8
-	// sendByShare is the part of the objective, in percent, by which a request must be
-	// sent for its answer to begin in time.
+	// sendByShare is the percentage of the first-byte objective within which a request must be sent to meet it.
 	sendByShare = 70
-	// answerReserve is left of the deadline for the answer itself.
+	// answerReserve is the part of the deadline that is reserved for the answer.
 	answerReserve = 400 * time.Millisecond
 )
 
-// waitTime returns how long the request may wait for a server: as long as its caller should
-// still be there when the answer begins, and as its deadline leaves time for an answer.
+// waitTime returns how long the request may wait for a server. It is limited by the caller's estimated patience and
+// by the deadline less answerReserve.
 func (in *inbound) waitTime() time.Duration {
 	patience := max(minPatience, patienceFactor*in.route.FirstByteObjective, 2*patienceFactor*in.route.EventGapObjective)
 	wait := time.Duration(float64(patience) * waitShare)
 	return max(min(wait, in.deadline.Sub(in.arrived)-answerReserve), 0)
 }
 
-// needsOf returns the request as the dispatcher sees it. A header of a model that is
-// malformed is logged and counts as missing: the server judges it.
+// needsOf returns the dispatcher's view of a request. Malformed model headers are logged and ignored; the server
+// decides whether to accept them.
 func (p *proxy) needsOf(in *inbound) dispatch.Request {
 	needs := dispatch.Request{
 		Service: in.service.Name, Priority: in.route.Priority,
@@ -55,14 +53,14 @@
 	return needs
 }
 
-// tokenCounts decodes a header PROMPT,OUTPUT; either may be missing.
+// tokenCounts parses the header PROMPT,OUTPUT; either number may be missing.
 func (p *proxy) tokenCounts(in *inbound) (prompt, output int) {
 	header := in.Header.Get(p.names.Tokens)
 	promptText, outputText, _ := strings.Cut(header, ",")
 	return p.tokens(in, promptText), p.tokens(in, outputText)
 }
 
-// tokens decodes a number of tokens; 0 if there is none that can be.
+// tokens parses a number of tokens. It returns 0 if the number is missing or malformed.
 func (p *proxy) tokens(in *inbound, text string) int {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -76,7 +74,7 @@
 	return n
 }
 
-// prefixBlocks decodes a list of blocks ID:TOKENS; malformed ones are left out.
+// prefixBlocks parses a comma-separated list of ID:TOKENS blocks. Malformed blocks are skipped.
 func (p *proxy) prefixBlocks(in *inbound) []dispatch.PrefixBlock {
 	header := in.Header.Get(p.names.Prefix)
 	if header == "" {
--- a/internal/gateway/outgoing.go
+++ b/internal/gateway/outgoing.go
@@ -9,23 +9,22 @@
 	"rockcleat/apikey"
 )
 
-// headerLastEvent is the event after which a stream is to go on. A caller may send it too.
+// headerLastEvent names the event after which a stream resumes. Callers may send it too.
 const headerLastEvent = "Last-Event-Id"
 
-// connectionHeaders concern one connection only and are not passed on.
+// connectionHeaders are hop-by-hop headers, which are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// maxPriority is the least urgent rank that engines know, as the users' platform defines it
-// (docs/design/0008).
+// maxPriority is the least urgent priority that engines accept, as the platform defines it (docs/design/0008).
 const maxPriority = 9
 
-// outgoingHeader returns the header with which a request goes to a server, for every send of
-// every request: first sends, retries and resumed streams, to engines and plain servers.
+// outgoingHeader returns the header of a request to a server. It is used for first sends, retries and resumed streams,
+// to engines and other servers alike.
 //
-// The caller's headers are passed on but for those of one connection and those that only
-// the system may set (wire.Names.Reserved): engines obey them whoever sent them.
+// It forwards the caller's headers except hop-by-hop headers and those in wire.Names.Reserved, which only the system may
+// set: engines obey them whoever the sender is.
 func (f *forwarder) outgoingHeader(server string) http.Header {
 	names := f.proxy.names
 	h := f.in.Header.Clone()
@@ -35,7 +34,7 @@
 	}
 	f.in.setOrganisation(h, names.Organisation)
 	if _, ok := h["User-Agent"]; !ok {
-		// net/http would add its own.
+		// A nil value keeps net/http from adding its own.
 		h["User-Agent"] = nil
 	}
 	h.Set(names.Deadline, formatMilliseconds(f.in.deadline.Sub(f.proxy.clock.Now())))
@@ -50,8 +49,8 @@
 	return h
 }
 
-// setOrganisation names the organisation to the server in place of the caller's key, which servers are never
-// shown. A configuration without organisations leaves both headers to the caller.
+// setOrganisation replaces the caller's API key with the organisation's name. It leaves the headers unchanged if the
+// configuration has no organisations.
 func (in *inbound) setOrganisation(h http.Header, header string) {
 	if !in.withoutKey {
 		return
@@ -63,13 +62,12 @@
 	}
 }
 
-// formatMilliseconds writes a time in whole milliseconds, at least one.
+// formatMilliseconds formats d in whole milliseconds, at least 1.
 func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatInt(max(d.Milliseconds(), 1), 10)
 }
 
-// removeConnectionHeaders removes the headers that concern one connection only, and those
-// that Connection names.
+// removeConnectionHeaders removes hop-by-hop headers, including those that Connection lists.
 func removeConnectionHeaders(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for _, name := range strings.Split(list, ",") {
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -18,14 +18,14 @@
 	"rockcleat/serverlimit"
 )
 
-// utilization is the part of an engine's slots and memory that is used: at full use running
-// streams are preempted.
+// utilization is the fraction of an engine's slots and memory that is used. An engine at full utilization preempts running
+// streams.
 const utilization = 0.92
 
 // leaseName is the name of the leader's lease in the store.
 const leaseName = "placer"
 
-// parts are what a gateway consists of, beside its listeners and loops.
+// parts are the components of a gateway, except its listeners and background loops.
 type parts struct {
 	lines      *requestLog
 	config     *configuration
@@ -42,20 +42,19 @@
 	configs    *configsync.Syncer
 	pauses     *pauseDetector
 	quarantine quarantineRole
-	// serverLimits are those that backend servers name for themselves.
+	// serverLimits holds the rate limits that backend servers announce.
 	serverLimits *serverLimits
 	limiter      *quota.Limiter
-	// quotas are all that need to know of the leader and its list of gateways.
+	// quotas holds all limiters, which depend on the leader and its list of gateways.
 	quotas quotas
 	fleet  *fleetKeeper
-	// listing is held while a list of gateways is taken over, so that all who need it have the same one.
+	// listing is held while a list of gateways is applied, so that all components see the same list.
 	listing sync.Mutex
-	// urgent is sent when a report to the leader should not wait.
+	// urgent triggers an immediate report to the leader.
 	urgent signal
 }
 
-// newParts makes the parts in an order in which each needs only those before it. Their work
-// ends with ctx.
+// newParts creates the components in dependency order. Their work ends with ctx.
 func newParts(ctx context.Context, o Options) *parts {
 	s := o.Settings
 	p := &parts{
@@ -95,16 +94,14 @@
 	return p
 }
 
-// A leaderRole is what a gateway needs to lead.
+// A leaderRole holds the components that a gateway needs to act as the leader.
 type leaderRole struct {
 	lease *lease.Holder
-	// fanout carries the watches that the leader makes for all gateways.
+	// fanout distributes the leader's watches of the store to all gateways.
 	fanout *kv.Fanout
 	placer *placer.Placer
 }
 
-// newLeaderRole returns the leader's role: the lease, the watches that its holder makes for all
-// gateways, and the placer.
 func (p *parts) newLeaderRole(o Options) leaderRole {
 	s := o.Settings
 	l := leaderRole{lease: lease.New(o.Store, o.Clock, lease.Options{
@@ -124,14 +121,14 @@
 	return l
 }
 
-// isHeld reports whether this gateway leads.
+// isHeld reports whether this gateway is the leader.
 func (l leaderRole) isHeld() bool {
 	_, held := l.lease.Held()
 	return held
 }
 
-// leaderAddr returns where the leader takes messages, as far as that is known: as it replied itself,
-// or else as the lease's record says.
+// leaderAddr returns the leader's peer address: that of the gateway that last replied as the leader, or else the one
+// in the lease's record. It is empty if neither is known.
 func (p *parts) leaderAddr() string {
 	record, own := p.leader.placer.Leader()
 	if own {
@@ -140,7 +137,7 @@
 	return p.gateways.leaderOr(record)
 }
 
-// probePause returns for how long this gateway does not ask a store that failed.
+// probePause returns how long this gateway waits before it calls a failed store again.
 func (p *parts) probePause() time.Duration {
 	if p.leader.isHeld() {
 		return 0
@@ -148,23 +145,21 @@
 	return p.gateways.probePause(p.leaderAddr())
 }
 
-// viewMaxAge returns how old what others hand on of the store may be on the first level: half of a
-// watch.
+// viewMaxAge returns the maximum age of a store view on the first level of the tree: half the duration of a watch.
 func viewMaxAge(s config.Gateway) time.Duration { return s.WatchTime.Std() / 2 }
 
-// extraAge returns a function that returns how much older it may be in this gateway.
+// extraAge returns a function that returns this gateway's addition to viewMaxAge.
 func (p *parts) extraAge(s config.Gateway) func() time.Duration {
 	return func() time.Duration { return p.gateways.extraAge(p.leaderAddr(), viewMaxAge(s)) }
 }
 
-// newsMaxAge returns a function that returns how old the news of the configuration may be: as old as
-// all that is handed on.
+// newsMaxAge returns a function that returns the maximum age of the configuration in this gateway; it is the same as
+// for all other views of the store.
 func (p *parts) newsMaxAge(s config.Gateway) func() time.Duration {
 	extra := p.extraAge(s)
 	return func() time.Duration { return viewMaxAge(s) + extra() }
 }
 
-// newFeed returns what keeps the view of the store up to date from other gateways.
 func (p *parts) newFeed(o Options) *feed {
 	return &feed{
 		self: o.Settings.PeerListen, gateways: p.gateways, fanout: p.leader.fanout, configs: p.configs, peers: p.peers,
@@ -172,7 +167,6 @@
 	}
 }
 
-// newReporter returns what reports to the leader.
 func (p *parts) newReporter(o Options) *reporter {
 	s := o.Settings
 	return &reporter{
@@ -184,7 +178,6 @@
 	}
 }
 
-// newQuarantineKeeper returns what keeps the quarantine in the store.
 func (p *parts) newQuarantineKeeper(ctx context.Context, o Options) *quarantineKeeper {
 	return &quarantineKeeper{
 		ctx: ctx, role: &p.quarantine, store: o.Store, keys: p.breaker.View(o.OwnKeys), lease: p.leader.lease,
@@ -192,7 +185,6 @@
 	}
 }
 
-// newFleetKeeper returns what keeps the list of gateways in the store.
 func (p *parts) newFleetKeeper(ctx context.Context, o Options) *fleetKeeper {
 	return &fleetKeeper{
 		ctx: ctx, gateways: p.gateways, onLoad: p.useStored, recent: make(map[placer.Gateway]time.Time), store: o.Store, keys: p.breaker.View(o.OwnKeys),
@@ -201,8 +193,8 @@
 	}
 }
 
-// useStored takes over the list of gateways that was in the store. If a leader has sent one already, or this
-// gateway leads, it only tells who was there before.
+// useStored applies the list of gateways read from the store. If the leader has already sent a list, or this gateway
+// leads, the stored one only adds former gateways to the limiters.
 func (p *parts) useStored(list []placer.Gateway) {
 	p.listing.Lock()
 	defer p.listing.Unlock()
@@ -213,20 +205,19 @@
 	p.setGateways(list)
 }
 
-// useGateways takes over the leader's list of gateways.
+// useGateways applies the leader's list of gateways.
 func (p *parts) useGateways(list []placer.Gateway) {
 	p.listing.Lock()
 	defer p.listing.Unlock()
 	p.setGateways(list)
 }
 
-// setGateways passes a list of gateways on to all who need it.
+// setGateways distributes a list of gateways to all components that use it. The caller must hold p.listing.
 func (p *parts) setGateways(list []placer.Gateway) {
 	p.dispatcher.SetGateways(p.gateways.set(list))
 	p.quotas.setGateways(gatewayIDs(list))
 }
 
-// newProxy returns what serves callers.
 func (p *parts) newProxy(o Options) *proxy {
 	return &proxy{
 		names: o.Names, config: p.config, access: p.newAccess(o.Settings), limiter: p.limiter, dispatcher: p.dispatcher, budgets: p.budgets, lines: p.lines,
@@ -235,12 +226,10 @@
 	}
 }
 
-// newAccess returns what judges callers' keys.
 func (p *parts) newAccess(s config.Gateway) *access {
 	return &access{currentAt: p.configs.CurrentAt, revokeTime: s.RevokeTime.Std(), knownTime: p.newsMaxAge(s)}
 }
 
-// newPeerServer returns what serves other gateways.
 func (p *parts) newPeerServer(c clock.Service) *peerServer {
 	return &peerServer{
 		placer: p.leader.placer, fanout: p.leader.fanout, configs: p.configs, gateways: p.gateways,
--- a/internal/gateway/peer_client.go
+++ b/internal/gateway/peer_client.go
@@ -19,87 +19,83 @@
 	"rockcleat/serverlimit"
 )
 
-// Paths of the interface between gateways.
+// Paths of the endpoints between gateways.
 const (
-	// pathReport is where gateways report to the leader.
+	// pathReport takes reports to the leader.
 	pathReport = "/v1/gateway"
-	// pathFeed is where a gateway is asked for what has changed in the store.
+	// pathFeed returns changes in the store.
 	pathFeed = "/v1/feed"
-	// pathConfig is where a gateway is asked for its configuration.
+	// pathConfig returns the configuration.
 	pathConfig = "/v1/config"
-	// pathAdmission is where a gateway is asked for admission at the engines that it owns.
+	// pathAdmission grants admission to the engines that the gateway owns.
 	pathAdmission = "/v1/place"
-	// pathGrant is where a gateway is asked for a grant of an organisation's limit.
+	// pathGrant grants part of an organisation's rate limit.
 	pathGrant = "/v1/quota"
-	// pathPermit is where a gateway is asked for a permit of a backend server's limit.
+	// pathPermit grants permits of a backend server's rate limit.
 	pathPermit = "/v1/permit"
 )
 
-// Bounds of calls between gateways.
+// Timeouts of calls between gateways.
 const (
-	// reportTimeout bounds the time until a report is answered, and each time in which no more
-	// of the answer arrives.
+	// reportTimeout is the timeout for the answer to a report, and for each read of its body.
 	reportTimeout = 700 * time.Millisecond
-	// configTimeout is the same for a request for the configuration. It is the time after which
-	// the store is read instead, so it is as short as that of a report.
+	// configTimeout is the same for a request for the configuration. The store is read instead after it.
 	configTimeout = 700 * time.Millisecond
-	// admissionTimeout bounds one request for admission; it takes 1.4 to 3 ms
-	// (docs/design/0009).
+	// admissionTimeout is the timeout of an admission request (docs/design/0009).
 	admissionTimeout = 150 * time.Millisecond
-	// grantTimeout bounds one request for a grant, which takes as long.
+	// grantTimeout is the timeout of a request for a grant or a permit.
 	grantTimeout = 150 * time.Millisecond
 )
 
 // A reportMessage is a gateway's report to the leader.
 type reportMessage struct {
 	placer.Report
-	// ConfigVersion is the version of the configuration that the gateway holds.
+	// ConfigVersion is the version of the configuration in force.
 	ConfigVersion uint64 `json:"config"`
-	// Quarantine tells of requests under which servers have ended.
+	// Quarantine holds new information on requests under which servers have terminated.
 	Quarantine quarantine.Message `json:"quarantine,omitzero"`
-	// ServerLimits tells of what backend servers said of their limits.
+	// ServerLimits holds new information on the rate limits that backend servers announced.
 	ServerLimits serverlimit.Message `json:"limits,omitzero"`
-	// Uninformed says that the gateway does not know yet what was in quarantine before its start.
+	// Uninformed says that the sender does not yet know the quarantine from before its start.
 	Uninformed bool `json:"uninformed,omitempty"`
 }
 
-// A replyMessage is the answer to a report.
+// A replyMessage answers a report.
 type replyMessage struct {
 	placer.Reply
-	// Leader is where the leader takes messages, if the answering gateway does not lead.
+	// Leader is the leader's peer address if the replying gateway is not the leader; empty if it is not known.
 	Leader string `json:"holder,omitempty"`
-	// Config is what the answering gateway knows of the configuration.
+	// Config describes the configuration of the replying gateway.
 	Config configsync.News `json:"news"`
-	// Quarantine is what is new for the reporting gateway of such requests; nil if nothing is.
+	// Quarantine holds what the reporting gateway lacks; nil if it lacks nothing.
 	Quarantine *quarantine.Reply `json:"quarantine,omitempty"`
-	// ServerLimits is what is new for the reporting gateway of what servers said; nil if nothing is.
+	// ServerLimits holds what the reporting gateway lacks; nil if it lacks nothing.
 	ServerLimits *serverlimit.Reply `json:"limits,omitempty"`
-	// Lapsed is the number of gateways that went off the list lately, for a quota.Limiter.
+	// Lapsed is the number of gateways that recently left the leader's list, for quota.Limiter.
 	Lapsed int `json:"lapsed,omitempty"`
-	// Informed tells a gateway that is uninformed whether the answering one is not.
+	// Informed says, in reply to an uninformed gateway, that the replying gateway knows the quarantine.
 	Informed bool `json:"informed,omitempty"`
 }
 
-// A peerClient calls other gateways; it is a dispatch.Owners, a configsync.Peers and a quota.Asker.
+// A peerClient calls other gateways. It implements dispatch.Owners, configsync.Peers and quota.Asker.
 type peerClient struct {
 	http     *wire.Client
 	gateways *directory
 }
 
-// newPeerClient returns a client whose calls a transport carries.
 func newPeerClient(gateways *directory, t http.RoundTripper) *peerClient {
 	return &peerClient{http: wire.NewClient("", t), gateways: gateways}
 }
 
-// report sends a report.
+// report sends a report to the gateway at addr.
 func (p *peerClient) report(ctx context.Context, addr string, m reportMessage) (replyMessage, error) {
 	var reply replyMessage
 	err := p.http.PostWithin(ctx, reportTimeout, addr, pathReport, m, &reply)
 	return reply, err
 }
 
-// feed asks the gateway at an address for what has changed in the store; the answer must begin within
-// a time and then go on without a pause that is longer.
+// feed polls the gateway at addr for changes in the store. timeout applies to the start of the answer and to each read of
+// its body.
 func (p *peerClient) feed(ctx context.Context, addr string, timeout time.Duration, r feedRequest) (feedReply, error) {
 	var reply feedReply
 	err := p.http.PostWithin(ctx, timeout, addr, pathFeed, r, &reply)
@@ -127,14 +123,14 @@
 	return reply, noteEnded(err)
 }
 
-// askPermit asks a gateway for a permit of a backend server's limit.
+// askPermit requests a permit of a backend server's rate limit from another gateway.
 func (p *peerClient) askPermit(ctx context.Context, gateway string, m permitMessage) (permitReply, error) {
 	var reply permitReply
 	err := p.askGateway(ctx, grantTimeout, gateway, pathPermit, m, &reply)
 	return reply, noteEnded(err)
 }
 
-// noteEnded makes the error of a call to a process that has ended a quota.ErrEnded.
+// noteEnded wraps a refused connection in quota.ErrEnded, since it shows that the other process has ended.
 func noteEnded(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("%w: %w", quota.ErrEnded, err)
@@ -142,7 +138,7 @@
 	return err
 }
 
-// askGateway posts a message to the gateway of an id, within a time.
+// askGateway posts a message to the gateway with the given id and decodes the answer into out.
 func (p *peerClient) askGateway(ctx context.Context, timeout time.Duration, gateway, path string, in, out any) error {
 	addr := p.gateways.addr(gateway)
 	if addr == "" {
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -19,7 +19,7 @@
 	"rockcleat/quota"
 )
 
-// A peerServer answers the other gateways.
+// A peerServer handles the requests of other gateways.
 type peerServer struct {
 	placer     *placer.Placer
 	fanout     *kv.Fanout
@@ -28,14 +28,14 @@
 	dispatcher *dispatch.Dispatcher
 	quarantine *quarantine.Table
 	limiter    *quota.Limiter
-	// serverLimits are those of backend servers, lapsed the number of gateways that went off the list lately.
+	// lapsed returns the number of gateways that recently left the leader's list.
 	serverLimits *serverLimits
 	lapsed       func() int
-	// limits returns what this gateway knows of all limits.
+	// limits returns this gateway's state of all rate limits.
 	limits   func() wire.LimitList
 	informed *atomic.Bool
 	clock    clock.Service
-	// leaseKey is the key of the leader's lease.
+	// leaseKey is the store key of the leader's lease.
 	leaseKey string
 }
 
@@ -52,9 +52,8 @@
 	return e
 }
 
-// answerReport answers a report: with the leader's reply, if this gateway leads, and with the
-// leader's address otherwise; the news of the configuration goes with both. Requests that wait make
-// the leader act soon.
+// answerReport handles a report. The leader applies it and replies; any other gateway replies with the leader's address.
+// If requests are waiting for a server, the leader plans immediately.
 func (p *peerServer) answerReport(c echo.Context) error {
 	var m reportMessage
 	if err := c.Bind(&m); err != nil {
@@ -75,7 +74,7 @@
 	return c.JSON(http.StatusOK, a)
 }
 
-// answerConfig answers a gateway that asks for the configuration.
+// answerConfig handles a request for the configuration.
 func (p *peerServer) answerConfig(c echo.Context) error {
 	var r configsync.Request
 	if err := c.Bind(&r); err != nil {
@@ -88,8 +87,8 @@
 	return c.JSON(http.StatusOK, t)
 }
 
-// answerFeed answers a gateway that asks for what has changed in the store, as soon as there is
-// something new for it.
+// answerFeed handles a poll for changes in the store. It answers as soon as there is a change or a newer view, and after the
+// hold time at the latest.
 func (p *peerServer) answerFeed(c echo.Context) error {
 	var r feedRequest
 	if err := c.Bind(&r); err != nil {
@@ -104,7 +103,7 @@
 	})
 }
 
-// awaitNews waits until there is something new for a gateway, at most for feedHold of its time.
+// awaitNews waits until there is something new for the polling gateway, for at most the hold time.
 func (p *peerServer) awaitNews(ctx context.Context, r feedRequest, asked time.Time) {
 	before := p.fanout.Views(r.Revisions)
 	maxAge := p.fanout.MaxAge()
@@ -119,15 +118,14 @@
 	}
 }
 
-// markLeaseCurrent notes that the lease's key has not changed up to now, if this gateway holds the
-// lease.
+// markLeaseCurrent records that the lease's key has not changed until now, if this gateway holds the lease.
 func (p *peerServer) markLeaseCurrent() {
 	if _, leads := p.placer.Leader(); leads {
 		p.fanout.MarkCurrent(p.leaseKey)
 	}
 }
 
-// hasWaiting reports whether a gateway has requests that wait for a server.
+// hasWaiting reports whether requests are waiting for a server, according to a report.
 func hasWaiting(r placer.Report) bool {
 	for _, d := range r.Demands {
 		if d.Waiting > 0 {
@@ -145,7 +143,7 @@
 	return c.JSON(http.StatusOK, p.dispatcher.Admit(r))
 }
 
-// answerGrant answers a gateway that asks for a grant of an organisation's limit.
+// answerGrant handles a request for a grant of an organisation's rate limit.
 func (p *peerServer) answerGrant(c echo.Context) error {
 	var r quota.Request
 	if err := c.Bind(&r); err != nil {
@@ -154,7 +152,7 @@
 	return c.JSON(http.StatusOK, p.limiter.Grant(r))
 }
 
-// answerPermit answers a gateway that asks for a permit of a backend server's limit.
+// answerPermit handles a request for a permit of a backend server's rate limit.
 func (p *peerServer) answerPermit(c echo.Context) error {
 	var m permitMessage
 	if err := c.Bind(&m); err != nil {
--- a/internal/gateway/position.go
+++ b/internal/gateway/position.go
@@ -5,36 +5,33 @@
 	"time"
 )
 
-// Who asks the store when the leader's view does not come.
+// Timing of the fallback to the store, when the leader's view does not arrive.
 const (
-	// levelPatience is the part of the age that a view may have by which each level of the tree waits
-	// longer before it asks the store itself: the level above has asked by then and hands on what it
-	// got.
+	// levelPatience is the fraction of a view's maximum age by which each level of the tree waits longer than the
+	// one above before it reads the store itself. The level above has then read the store and passes on the result.
 	levelPatience = 0.25
-	// listPatience is how long a gateway that starts waits for the list of servers and the
-	// configuration from others, firstListPatience the same when the whole system starts for the first
-	// time, without callers yet. A gateway that runs answers within some 50 ms; where all have
-	// restarted together nobody does, and callers wait: with 0.6 s 126 requests instead of 311 were in
-	// time in the 2 s after all had lost their power.
+	// listPatience is how long a starting gateway waits to get the servers and the configuration from other gateways
+	// before it reads the store. It is short because, after a restart of all gateways, none can answer and callers wait.
+	// firstListPatience applies when the whole system is started for the first time and has no callers yet.
 	listPatience      = 150 * time.Millisecond
 	firstListPatience = 600 * time.Millisecond
-	// contentionStep is how much longer each level leaves a free lease to the one above, with as much
-	// jitter: some ten times what it takes to write the record and hand it on.
+	// contentionStep is the additional delay, per level of the tree, before a gateway contends for a free lease. A
+	// random delay of up to the same amount is added. It is long enough to write the record and distribute it.
 	contentionStep = 300 * time.Millisecond
-	// fleetProbes is the number of calls a second that all gateways below the first level make
-	// together to a store that fails.
+	// fleetProbes is the number of calls per second that all gateways below the first level together make to a
+	// failed store.
 	fleetProbes = 8
 )
 
-// extraAge returns how much longer this gateway waits than those of the first level before it asks
-// the store itself, by the age that their view may have.
+// extraAge returns how much longer this gateway waits than the first level before it reads the store itself. maxAge
+// is the maximum age of a view on the first level.
 func (d *directory) extraAge(leader string, maxAge time.Duration) time.Duration {
 	levels := max(d.depth(leader)-1, 0)
 	return time.Duration(levelPatience * float64(levels) * float64(maxAge))
 }
 
-// probePause returns for how long this gateway does not ask a store that failed: the leader and the
-// first level ask it always.
+// probePause returns how long this gateway waits before it calls a failed store again. It is 0 for the leader and the
+// first level.
 func (d *directory) probePause(leader string) time.Duration {
 	if d.depth(leader) <= 1 {
 		return 0
@@ -43,8 +40,8 @@
 	return pause/2 + rand.N(pause)
 }
 
-// contentionDelay returns how long this gateway leaves a free lease to others: none on the first
-// level, longer on each further one, so that not all gateways contend at once.
+// contentionDelay returns how long this gateway waits before it contends for a free lease. The delay is 0 on the first
+// level and grows with each further one, so that not all gateways contend at once.
 func (d *directory) contentionDelay(leader string) time.Duration {
 	depth := d.depth(leader)
 	if depth <= 1 {
@@ -53,8 +50,8 @@
 	return time.Duration(depth-1)*contentionStep + rand.N(contentionStep)
 }
 
-// depth returns the level of this gateway in the tree. While it does not know the tree, one that
-// others ask first is on the first level, and so is one that knows nobody to ask.
+// depth returns this gateway's level in the tree. While the tree is not known, seeds and gateways that know no other
+// gateway count as first level, all others as second.
 func (d *directory) depth(leader string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,12 +64,12 @@
 	return 2
 }
 
-// hasNobodyToAsk reports whether a gateway that does not know the tree goes to the store at once: it
-// knows no other, or is one that others ask first. The directory is locked.
+// hasNobodyToAsk reports whether this gateway reads the store immediately while the tree is not known: it knows
+// no other gateway, or is a seed itself. The caller must hold d.mu.
 func (d *directory) hasNobodyToAsk() bool { return len(d.seeds) == 0 || d.isSeed }
 
-// sources returns whom this gateway asks for changes of the store, the first one first: those above
-// it in the tree; while it does not know the tree, the gateways that its settings name.
+// sources returns the addresses that this gateway polls for changes in the store, in order of preference: its ancestors
+// in the tree or, while the tree is not known, the leader and the seeds.
 func (d *directory) sources(leader string) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -89,7 +86,7 @@
 	return list
 }
 
-// listWait returns how long a gateway that knows nothing yet waits for others to tell.
+// listWait returns how long a starting gateway waits for data from other gateways before it reads the store.
 func (d *directory) listWait() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gateway/process_pause.go
+++ b/internal/gateway/process_pause.go
@@ -7,24 +7,24 @@
 	"go.uber.org/zap"
 )
 
-// Noticing that the process was paused.
+// Timing of the detection of process pauses.
 const (
-	// pauseCheckInterval is the time between two checks.
+	// pauseCheckInterval is the interval of pauseDetector.check.
 	pauseCheckInterval = 500 * time.Millisecond
-	// maxCheckInterval is the time between two checks beyond which the process was paused.
+	// maxCheckInterval is the time between two checks above which the process is considered to have been paused.
 	maxCheckInterval = 1500 * time.Millisecond
-	// pauseAftermath is for how long after a pause what breaks may have broken during it.
+	// pauseAftermath is how long after a pause failures are still attributed to it.
 	pauseAftermath = time.Second
 )
 
-// A pauseDetector notices when the whole process was paused: all that it knew was as old as
-// that, and requests in progress have waited for as long. It is safe for concurrent use.
+// A pauseDetector detects that the whole process was paused. After a pause its state is outdated, and connections may
+// have failed because of the pause. It is safe for concurrent use.
 type pauseDetector struct {
 	log        *zap.Logger
 	inProgress func() int64
 
 	mu sync.Mutex
-	// last is when the last check was made, paused when the last pause was noticed.
+	// last is the time of the last check, paused that of the last detected pause.
 	last, paused time.Time
 }
 
@@ -40,13 +40,13 @@
 	}
 }
 
-// isPause reports whether the time between two checks shows a pause.
+// isPause reports whether the time between two checks indicates a pause.
 func (p *pauseDetector) isPause(last, now time.Time) bool {
 	return !last.IsZero() && now.Sub(last) > maxCheckInterval
 }
 
-// isOverdue reports whether the process was paused just now: a pause was noticed within pauseAftermath,
-// or the next check is so late that it will notice one.
+// isOverdue reports whether the process was paused recently: a pause was detected within pauseAftermath, or the next
+// check is late enough to detect one.
 func (p *pauseDetector) isOverdue(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -13,8 +13,8 @@
 	"rockcleat/serverlimit"
 )
 
-// A proxy serves callers' requests: it reads each whole, forwards it to a server and passes
-// the answer on.
+// A proxy is the HTTP handler for callers' requests. It reads each request completely, forwards it to a server and
+// forwards the answer.
 type proxy struct {
 	names      wire.Names
 	config     *configuration
@@ -28,19 +28,19 @@
 	quarantine *quarantine.Table
 	ends       *endDetector
 	suspects   suspects
-	// serverLimits hears what each answer of a server says of its limit.
+	// serverLimits receives the rate limit announced in each answer.
 	serverLimits *serverlimit.Table
 	clock        clock.Service
 	transport    http.RoundTripper
-	// bodyTime bounds the reading of a request's body.
+	// bodyTime is the timeout for reading a request body.
 	bodyTime time.Duration
 }
 
-// ServeHTTP serves one request of a caller.
+// ServeHTTP implements http.Handler.
 func (p *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer p.lifecycle.begin()()
 	if !p.conns.begin(r.Context()) {
-		// The caller has its answer already: its header took too long.
+		// The caller has already received a 408.
 		panic(http.ErrAbortHandler)
 	}
 	in, refused := p.read(w, r)
@@ -64,13 +64,13 @@
 	f.run()
 }
 
-// write sends a refusal; while the gateway stops it also ends the connection.
+// write sends a refusal. While the gateway is stopping, it also closes the connection.
 func (p *proxy) write(w http.ResponseWriter, f *refusal) {
 	f.closeConn = f.closeConn || p.lifecycle.isStopping()
 	f.write(w)
 }
 
-// ended records what became of a request.
+// ended records the result of a request in the dispatcher, the log and the metrics.
 func (p *proxy) ended(f *forwarder) {
 	if f.record.outcome == outcomeRefused {
 		f.record.holders = p.dispatcher.HolderCount(&f.req)
