--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -28,7 +28,8 @@
 	dispatcher *dispatch.Dispatcher
 	quarantine *quarantine.Table
 	limiter    *quota.Limiter
-	// lapsed returns the number of gateways that recently left the leader's list.
+	// serverLimits holds the rate limits of backend servers. lapsed returns the number of gateways that recently left
+	// the leader's list.
 	serverLimits *serverLimits
 	lapsed       func() int
 	// limits returns this gateway's state of all rate limits.
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -12,16 +12,16 @@
 	"rockcleat/quarantine"
 )
 
-// errQuarantined ends what is done for a request when it comes into quarantine.
+// errQuarantined cancels a request that is placed in quarantine.
 var errQuarantined = eris.New("gateway: request quarantined")
 
-// quarantineChanged logs the begin or the end of a request's quarantine.
+// quarantineChanged logs the start or the end of a request's quarantine.
 func (l *requestLog) quarantineChanged(c quarantine.Change) {
 	server.LogQuarantine(l.log, c, l.clock.Now())
 }
 
-// watchQuarantine gives the request up when it comes into quarantine while it waits for a server or for
-// an answer: a copy that a server has not begun yet then never runs. An answer that has begun goes on.
+// watchQuarantine cancels the request if it is placed in quarantine before its answer begins, so that copies that no
+// server has started never run. An answer that has begun continues.
 func (f *forwarder) watchQuarantine() (stop func()) {
 	return f.proxy.quarantine.Watch(f.in.key, func() {
 		if !f.answering.Load() {
@@ -30,20 +30,18 @@
 	})
 }
 
-// isQuarantined reports whether the request is in quarantine.
 func (f *forwarder) isQuarantined() bool {
 	_, held := f.proxy.quarantine.Until(f.in.key)
 	return held
 }
 
-// gaveUpForQuarantine reports whether the request was given up since it came into quarantine.
+// gaveUpForQuarantine reports whether the request was cancelled because it was placed in quarantine.
 func (f *forwarder) gaveUpForQuarantine() bool {
 	return errors.Is(context.Cause(f.ctx), errQuarantined)
 }
 
-// refuseQuarantined ends a request that is in quarantine. One that has not run gets 503 and the time that is
-// left of the quarantine, before which no gateway sends it; one that may have run gets 502, which promises
-// nothing and invites nobody back.
+// refuseQuarantined refuses a request in quarantine. If it has not run, the answer is 503 with the remaining time of the
+// quarantine, during which no gateway sends it. If it may have run, the answer is 502 without a Retry-After.
 func (f *forwarder) refuseQuarantined() {
 	if f.answering.Load() {
 		f.cut(errQuarantined)
@@ -57,7 +55,7 @@
 	f.refuse(outcomeQuarantined, notRun("servers have ended under copies of this request", left))
 }
 
-// noteBreak notes that the connection to a server broke under the request.
+// noteBreak reports a failed connection to the endDetector.
 func (f *forwarder) noteBreak(res *dispatch.Reservation, err error) {
 	if isBreak(err) {
 		f.proxy.ends.requestBroke(res.Server(), f.in.key)
--- a/internal/gateway/quarantine_role.go
+++ b/internal/gateway/quarantine_role.go
@@ -10,26 +10,25 @@
 	"rockcleat/quarantine"
 )
 
-// Learning after a start what is in quarantine.
+// Timing of how a starting gateway learns the quarantine.
 const (
-	// informTime is after which time without one that knows the store is read.
+	// informTime is the time after which the store is read, if no other gateway has sent the quarantine.
 	informTime = 300 * time.Millisecond
-	// maxInformTime is after which time the gateway calls itself ready all the same.
+	// maxInformTime is the time after which the gateway is ready even if it does not know the quarantine.
 	maxInformTime = time.Second
 )
 
-// A quarantineRole is what a gateway needs to refuse requests under which servers have ended.
+// A quarantineRole holds the components that a gateway needs to refuse requests under which servers have terminated.
 type quarantineRole struct {
 	table *quarantine.Table
-	// informed says that the gateway knows what was in quarantine before its start: at the first start
-	// of the whole system nothing was.
-	informed *atomic.Bool
-	ends     *endDetector
-	// startedAt is when the gateway was made.
+	// informed says that the gateway knows the quarantine from before its start. It is set from the beginning if the
+	// whole system is started for the first time.
+	informed  *atomic.Bool
+	ends      *endDetector
 	startedAt time.Time
 }
 
-// newQuarantineRole returns the role. An end is reported to the leader at once.
+// newQuarantineRole returns the role. The termination of a server triggers an immediate report to the leader.
 func (p *parts) newQuarantineRole(ctx context.Context, o Options) quarantineRole {
 	s := o.Settings.Quarantine
 	r := quarantineRole{
@@ -47,12 +46,12 @@
 	return r
 }
 
-// isInformed reports whether the gateway may believe that it knows what is in quarantine.
+// isInformed reports whether the gateway knows the quarantine or has waited for it for maxInformTime.
 func (r *quarantineRole) isInformed(now time.Time) bool {
 	return r.informed.Load() || now.Sub(r.startedAt) > maxInformTime
 }
 
-// subscribe starts the role's regular work and returns what ends it.
+// subscribe starts the periodic work and returns the functions that stop it.
 func (r *quarantineRole) subscribe(c clock.Service, keeper *quarantineKeeper) (stops []func()) {
 	return []func(){
 		c.Subscribe(expireInterval, r.ends.check),
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -15,24 +15,24 @@
 	"rockcleat/quarantine"
 )
 
-// quarantinePrefix is the prefix of the requests in quarantine among the product's own keys.
+// quarantinePrefix is the key prefix of the requests in quarantine, relative to the product's own prefix.
 const quarantinePrefix = "quarantine/"
 
-// keepInterval is the time between two looks for what the store does not have yet.
+// keepInterval is the interval of quarantineKeeper.step.
 const keepInterval = 250 * time.Millisecond
 
-// A storedQuarantine is the value of a request's key in the store.
+// A storedQuarantine is the stored value of a request in quarantine.
 type storedQuarantine struct {
 	quarantine.Record
-	// EndedAtMs is when the last server ended, in Unix milliseconds: the age in the record is that at the
-	// time of writing.
+	// EndedAtMs is when the last server terminated, in Unix milliseconds. The age in Record is relative to the time of
+	// writing.
 	EndedAtMs int64 `json:"at"`
 }
 
-// A quarantineKeeper keeps the requests in quarantine in the store, so that they outlast the loss of all
-// gateways: the leader writes each once, removes it when its quarantine is over, and reads all when it
-// begins to lead. Beside it only a gateway reads them that has started anew and finds no other that knows
-// them. All else about them is exchanged between gateways.
+// A quarantineKeeper persists the quarantine in the store, so that it survives the loss of all gateways. The leader writes
+// each request once, deletes it when its quarantine is over, and reads all of them when it becomes the leader. Any
+// other gateway reads the store only if it has just started and no other gateway has sent it the quarantine. All other
+// updates are exchanged between gateways.
 //
 // Its state belongs to the goroutine that calls step.
 type quarantineKeeper struct {
@@ -45,11 +45,11 @@
 	log     *zap.Logger
 	timeout time.Duration
 
-	// term is that in which the store was read.
+	// term is the leader token under which the store was last read.
 	term lease.Token
-	// stored are the requests that the store holds, with the number of ends.
+	// stored maps the requests in the store to their number of terminated servers.
 	stored map[quarantine.Key]int
-	// failing says that the last call failed.
+	// failing says that the last call to the store failed.
 	failing bool
 }
 
@@ -73,14 +73,14 @@
 	}
 }
 
-// inform reads the store in a gateway that nobody has told what is in quarantine: all have started anew.
+// inform reads the store if no other gateway has sent the quarantine within informTime.
 func (k *quarantineKeeper) inform(ctx context.Context, now time.Time) {
 	if !k.role.informed.Load() && now.Sub(k.role.startedAt) > informTime {
 		k.note(k.load(ctx))
 	}
 }
 
-// load reads the store: at the begin of a term, and in a gateway that is not informed.
+// load reads the stored quarantine and merges it into the table.
 func (k *quarantineKeeper) load(ctx context.Context) error {
 	entries, _, err := k.keys.ListPrefix(ctx, quarantinePrefix)
 	if err != nil {
@@ -104,8 +104,7 @@
 	return nil
 }
 
-// save writes the requests that are in quarantine and removes those that are not any more, the rest
-// after an error with the next step.
+// save writes new and changed entries and deletes expired ones. After an error, the next step continues.
 func (k *quarantineKeeper) save(ctx context.Context, now time.Time) error {
 	held := make(map[quarantine.Key]bool)
 	for _, r := range k.role.table.Held() {
@@ -129,7 +128,7 @@
 	return nil
 }
 
-// put writes one request.
+// put writes the entry of one request.
 func (k *quarantineKeeper) put(ctx context.Context, r quarantine.Record, now time.Time) error {
 	value, err := json.Marshal(storedQuarantine{Record: r, EndedAtMs: now.UnixMilli() - r.AgeMs})
 	if err != nil {
@@ -142,7 +141,7 @@
 	return nil
 }
 
-// note logs when calls begin to fail and when they go well again.
+// note logs the first failure of a series, and the first success after it.
 func (k *quarantineKeeper) note(err error) {
 	if failing := err != nil; failing != k.failing {
 		k.failing = failing
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -6,7 +6,7 @@
 	"rockcleat/dispatch"
 )
 
-// Outcomes of requests, as logs and metrics name them.
+// Outcomes of requests, as used in log lines and metrics.
 const (
 	outcomeAnswered = "answered"
 	outcomeFailed   = "failed"
@@ -15,38 +15,35 @@
 	outcomeTimeout  = "timeout"
 	outcomeCut      = "cut"
 	outcomeGone     = "caller_gone"
-	// outcomeQuarantined says that servers have ended under copies of the request.
+	// outcomeQuarantined: servers have terminated under copies of the request.
 	outcomeQuarantined = "quarantined"
 )
 
-// A record collects what happened to one request.
+// A record holds what happened to one request.
 type record struct {
-	// sends counts the sends that reached a server, runs those that may have run, unsent
-	// those that reached none.
+	// sends counts the sends that reached a server, runs those that may have run, and unsent those that did not
+	// reach a server.
 	sends, runs, unsent int
-	// waited is the time to the first send.
+	// waited is the time from arrival to the first send.
 	waited time.Duration
-	// reservation is the last one; nil if there was none.
+	// reservation is the last one; nil if no server was acquired.
 	reservation *dispatch.Reservation
-	// firstByte is when the caller got the header of an answer.
+	// firstByte is when the answer's header was sent to the caller.
 	firstByte time.Time
-	// events counts the events of a stream that were passed on, longestGap is the
-	// longest time between two.
+	// events counts the events of a stream that were forwarded. longestGap is the longest time between two of them.
 	events     int
 	longestGap time.Duration
 	outcome    string
 	status     int
-	// holders is the number of servers that held the model when the request was refused.
+	// holders is the number of servers that had the model loaded when the request was refused.
 	holders int
 }
 
-// lateResult is the result of a late answer for load shedding, between 0 for none and 1 for
-// one in time: it still serves its caller, but less than half as well.
+// lateResult is the result of a late answer, for load shedding. A late answer still has some value to its caller.
 const lateResult = 0.3
 
-// result returns how well the request was served, from 0 (not at all) to 1 (in time), and
-// whether that was a matter of load: a server that was lost, or a model that no server
-// holds, says nothing about it.
+// result returns how well the request was served, from 0 (not at all) to 1 (in time). ok is false if the outcome does
+// not depend on load, for instance because a server was lost or no server had the model loaded.
 func (r *record) result(in *inbound) (result float64, ok bool) {
 	switch r.outcome {
 	case outcomeRefused:
@@ -62,13 +59,13 @@
 	return 0, false
 }
 
-// inTime reports whether the answer began and went on within the route's objectives.
+// inTime reports whether the answer met the route's objectives for the first byte and the gap between events.
 func (r *record) inTime(in *inbound) bool {
 	gap := in.route.EventGapObjective
 	return r.firstByte.Sub(in.arrived) <= in.route.FirstByteObjective && (gap == 0 || r.longestGap <= gap)
 }
 
-// untilFirstByte returns the time from the arrival to the first byte; 0 if there was none.
+// untilFirstByte returns the time from arrival to the first byte; 0 if there was no first byte.
 func (r *record) untilFirstByte(in *inbound) time.Duration {
 	if r.firstByte.IsZero() {
 		return 0
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -10,21 +10,21 @@
 	"rockcleat/apikey"
 )
 
-// A refusal is an answer of the gateway's own.
+// A refusal is an answer that the gateway makes itself, without a server.
 type refusal struct {
 	status int
 	reason string
-	// retryAfter is when to come back; 0 says nothing of it.
+	// retryAfter is the value of the Retry-After header; 0 omits the header.
 	retryAfter time.Duration
-	// closeConn ends the connection after the answer.
+	// closeConn closes the connection after the answer.
 	closeConn bool
-	// challenge says that the request needs a key.
+	// challenge adds a WWW-Authenticate header.
 	challenge bool
-	// organisation is whose key the request came with; empty if that is not known.
+	// organisation owns the key that the request came with; empty if it is not known.
 	organisation string
 }
 
-// write sends the refusal. An error of the connection needs nothing done: the caller is gone.
+// write sends the refusal. Write errors are ignored, since they mean that the caller has disconnected.
 func (f *refusal) write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
@@ -43,46 +43,45 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// Times to come back. Under load capacity comes free with each request that ends, and a
-// request that comes back waits here again and is served as soon as there is some, or as its
-// model has been loaded: so soon is best for its caller.
+// Values of Retry-After. Under load they are short: capacity becomes free with each finished request, and a request that
+// is sent again waits in the gateway for a server.
 const (
-	// retrySoon is the least time to come back.
+	// retrySoon is the shortest Retry-After.
 	retrySoon = 200 * time.Millisecond
-	// retryUnready is the time to come back while there is no configuration: a gateway
-	// reads it within half a second of its start.
+	// retryUnready is the Retry-After while the gateway has no configuration, which it normally gets within half a
+	// second of its start.
 	retryUnready = 500 * time.Millisecond
-	// retryConfigured is the time to come back for a model that is not configured: a
-	// configuration that another gateway knows already is in force here by then.
+	// retryConfigured is the Retry-After for a model that is not configured. By then, a configuration that another
+	// gateway already has is in force here.
 	retryConfigured = 2 * time.Second
-	// shedShare is the part of its objective after which a request that was shed may
-	// come back (docs/design/0010).
+	// shedShare is the fraction of the first-byte objective after which a shed request may be sent again
+	// (docs/design/0010).
 	shedShare = 0.2
 )
 
-// retryAfterLoad returns when a caller should come back whom no server could take, spread
-// so that those refused together do not come back together.
+// retryAfterLoad returns the Retry-After for a request that no server could take. It is randomised, so that
+// requests refused together do not return together.
 func retryAfterLoad() time.Duration { return retrySoon + rand.N(2*retrySoon) }
 
-// retryAfterShed returns when a request that was shed should come back, spread likewise.
+// retryAfterShed returns the randomised Retry-After for a request that was shed.
 func retryAfterShed(in *inbound) time.Duration {
 	share := time.Duration(shedShare * float64(in.route.FirstByteObjective))
 	return max(share, retrySoon) + rand.N(2*retrySoon)
 }
 
-// retryAfterLimit returns when a request should come back whose organisation is over its limit, by when it may
-// be inside again: spread, since others of that organisation wait too.
+// retryAfterLimit returns the randomised Retry-After for a request over a rate limit that allows the next request after
+// wait.
 func retryAfterLimit(wait time.Duration) time.Duration {
 	wait = max(wait, retrySoon)
 	return wait + rand.N(wait)
 }
 
-// notRun returns a refusal of a request that surely has not run.
+// notRun returns the refusal of a request that has certainly not run.
 func notRun(reason string, retryAfter time.Duration) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, reason: reason + "; not run", retryAfter: retryAfter}
 }
 
-// mayHaveRun returns the answer to a request that may have run and has no answer.
+// mayHaveRun returns the refusal of a request that may have run but has no answer.
 func mayHaveRun(reason string) *refusal {
 	return &refusal{status: http.StatusBadGateway, reason: reason}
 }
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -19,11 +19,10 @@
 	"rockcleat/serverlimit"
 )
 
-// minReportInterval is the time between two reports when something is urgent, such as a request that
-// waits for a model that no server holds.
+// minReportInterval is the time between reports when there is something urgent.
 const minReportInterval = 40 * time.Millisecond
 
-// A signal wakes a loop; sending never blocks, and signals that come together are one.
+// A signal wakes a goroutine. Sending never blocks; signals sent before it wakes are merged.
 type signal chan struct{}
 
 func (s signal) send() {
@@ -33,11 +32,10 @@
 	}
 }
 
-// A sender identifies a gateway in its reports.
+// A sender identifies this gateway in its reports.
 type sender struct{ id, addr, hall string }
 
-// A reporter reports to the leader and applies its replies. All of its state belongs to the
-// goroutine of run.
+// A reporter reports to the leader and applies its replies. Its state belongs to the goroutine of run.
 type reporter struct {
 	self       sender
 	dispatcher *dispatch.Dispatcher
@@ -49,30 +47,29 @@
 	peers      *peerClient
 	clock      clock.Service
 	log        *zap.Logger
-	// quarantine exchanges with whoever is reported to.
+	// quarantine exchanges the quarantine with the gateway that receives the reports.
 	quarantine *quarantine.Link
-	// serverLimits exchanges with the same, what backend servers said of their limits.
+	// serverLimits exchanges the rate limits of backend servers with it.
 	serverLimits *serverlimit.Link
-	// quotas are to know when the leader was heard, useGateways takes over its list of gateways.
+	// quotas are notified when the leader has replied. useGateways applies the leader's list of gateways.
 	quotas      quotas
 	useGateways func([]placer.Gateway)
-	// informed says that this gateway knows what was in quarantine before its start.
+	// informed says that this gateway knows the quarantine from before its start.
 	informed *atomic.Bool
-	// urgent is sent when a report should not wait: a request waits for a model that no server holds,
-	// a server has ended, or one has named another limit than before.
+	// urgent triggers an immediate report: a request waits for a model that no server has loaded, a server has
+	// terminated, or one has announced a changed rate limit.
 	urgent signal
 
-	// unanswered says that the last report got no reply.
+	// unanswered says that the last report failed.
 	unanswered bool
-	// wasLeader says that this gateway led at the last report.
+	// wasLeader says that this gateway was the leader at the time of the last report.
 	wasLeader bool
-	// leader is where the leader takes messages, as the last reply shows; empty if it does not.
+	// leader is the leader's address according to the last reply; empty if it is not known.
 	leader string
-	// record is where the lease's record says that it does; oldRecord is the same if the
-	// gateway there has replied that it does not lead.
+	// record is the leader's address in the lease's record. oldRecord is an address from that record whose gateway
+	// has replied that it is not the leader.
 	record, oldRecord string
-	// term is the token of the leader that replied last; the rest is what that leader
-	// has been sent and has sent.
+	// term is the token of the leader that replied last. The fields below hold what was exchanged with that leader.
 	term             int64
 	gatewaysVersion  uint64
 	residencyVersion int64
@@ -89,8 +86,8 @@
 	}
 }
 
-// rest waits for the next report: for the interval between reports, less what the last one
-// took, or until there is something urgent, but for minReportInterval at least.
+// rest waits until the next report is due: for the report interval less the duration of the last report, or until a
+// report is urgent, but at least for minReportInterval.
 func (r *reporter) rest(ctx context.Context, started time.Time) {
 	interval := placer.ReportInterval(r.gateways.count())
 	total := max(interval-r.clock.Now().Sub(started), minReportInterval)
@@ -100,7 +97,7 @@
 	}
 }
 
-// report reports to the leader and applies its reply.
+// report sends one report to the leader and applies its reply.
 func (r *reporter) report(ctx context.Context) {
 	record, own := r.placer.Leader()
 	r.record = record
@@ -125,7 +122,7 @@
 	}
 }
 
-// reportTo reports to the gateway at an address, which should lead.
+// reportTo reports to the gateway at addr, which is presumed to be the leader.
 func (r *reporter) reportTo(ctx context.Context, addr string) {
 	m, demands := r.message()
 	requested := r.clock.Now()
@@ -152,15 +149,14 @@
 	r.configs.Heard(reply.Config, addr, requested)
 	r.noteLeader(addr, reply)
 	if !reply.IsLeader && r.gateways.depth(r.leader) <= 1 {
-		// The leader that this gateway followed is none any more. The first level looks for the next
-		// one at the store; the others hear of it from there.
+		// The followed gateway is no longer the leader. The first level looks for the new leader in the store; the
+		// other levels learn of it from the first.
 		r.fanout.Invalidate()
 	}
 	r.apply(reply.Reply, demands)
 }
 
-// noteLeader notes what the reply of the gateway at an address shows of who leads: that one, the
-// one that it takes for the leader, or nobody.
+// noteLeader updates the known leader from the reply of the gateway at addr.
 func (r *reporter) noteLeader(addr string, reply replyMessage) {
 	r.gateways.noteLeader(addr, reply.IsLeader)
 	switch {
@@ -177,10 +173,9 @@
 	}
 }
 
-// target returns where to report: to the leader, as the last reply or the lease's record says, or
-// to any gateway, which says who leads. A record that names a gateway which said that it does not
-// lead is old; asking that one on kept gateways from the leader for ten seconds while the one that
-// had led did not reach the store (TestLeaderIsFoundDespiteAnOldRecord).
+// target returns the address to report to: the leader according to the last reply, the leader according to the lease's
+// record, or any other gateway, which replies with the leader's address. It ignores a record whose gateway has replied
+// that it is not the leader, because the record may be outdated while the store is unreachable.
 func (r *reporter) target() string {
 	switch {
 	case r.leader != "":
@@ -191,17 +186,16 @@
 	if addr := r.gateways.random(r.oldRecord); addr != "" {
 		return addr
 	}
-	// Nobody else is known: the gateway of the record may have become the leader again. After a
-	// restart of all gateways those that knew no other never reported to it, for they had asked it
-	// before it led.
+	// No other gateway is known. The gateway in the record may have become the leader since it was last asked, so it
+	// is asked again.
 	if r.record != r.self.addr {
 		return r.record
 	}
 	return ""
 }
 
-// noReply forgets a leader that did not reply, and asks another gateway next every other
-// time, since the store may not know a new leader yet.
+// noReply forgets a leader that did not reply. With probability 1/2 it selects a random other gateway as the next target,
+// because the store's record may not show a new leader yet.
 func (r *reporter) noReply(addr string, err error) {
 	if !r.unanswered {
 		r.unanswered = true
@@ -214,7 +208,7 @@
 	}
 }
 
-// answered notes that a report got a reply.
+// answered records that a report was answered.
 func (r *reporter) answered(addr string) {
 	if r.unanswered {
 		r.unanswered = false
@@ -222,7 +216,7 @@
 	}
 }
 
-// message returns the next report, and all demand as it stands with it.
+// message returns the next report, and the complete demand that it is based on.
 func (r *reporter) message() (placer.Report, map[string]dispatch.Demand) {
 	demands := r.dispatcher.Demands()
 	if !r.servers.registry.HasResidency() {
@@ -241,7 +235,7 @@
 	}, demands
 }
 
-// apply applies the leader's reply to a report that was made when demand stood at demands.
+// apply applies the leader's reply. demands is the demand at the time of the report.
 func (r *reporter) apply(a placer.Reply, demands map[string]dispatch.Demand) {
 	if !a.IsLeader {
 		return
@@ -256,8 +250,8 @@
 	r.dispatcher.SetRemote(a.Loads, a.BusiestOnly)
 }
 
-// remember keeps what the leader knows now. A new leader was sent only what has changed
-// since the last one's reply, so it is sent everything next.
+// remember records what the leader now knows. A new leader has received only changes relative to its predecessor's last
+// reply, so the next report is complete.
 func (r *reporter) remember(a placer.Reply, demands map[string]dispatch.Demand) {
 	r.residencyVersion = a.ResidencyVersion
 	r.gatewaysVersion = a.GatewaysVersion
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -15,7 +15,7 @@
 	"rockcleat/serverlimit"
 )
 
-// Messages of the lines that touch a request; docs/OPERATIONS-GATEWAY.md explains them.
+// Messages of log lines about requests; docs/OPERATIONS-GATEWAY.md explains them.
 const (
 	msgEnded       = "request ended"
 	msgRefused     = "request refused"
@@ -33,7 +33,7 @@
 	msgServerLimit = "server limit"
 )
 
-// Names of the fields of these lines; docs/OPERATIONS-GATEWAY.md lists them with units.
+// Fields of these log lines; docs/OPERATIONS-GATEWAY.md lists them with their units.
 const (
 	fieldRequest   = "request"
 	fieldDigest    = "digest"
@@ -78,49 +78,48 @@
 	fieldPerSecond = "per_second"
 )
 
-// Rates of lines, in lines per second and lines together.
+// Rate limits of log lines, in lines per second, and their bursts, in lines.
 const (
-	// answeredRate and answeredBurst bound the lines on answered requests.
+	// answeredRate and answeredBurst limit lines about answered requests.
 	answeredRate  = 20
-	answeredBurst = 40 // two seconds of them
-	// quarantinedRate and quarantinedBurst bound those on requests in quarantine, whose callers may send
-	// them without end.
+	answeredBurst = 40
+	// quarantinedRate and quarantinedBurst limit lines about requests in quarantine, which callers may repeat at any
+	// rate.
 	quarantinedRate  = 5
-	quarantinedBurst = 10 // two seconds of them
-	// overLimitRate and overLimitBurst bound those on requests over their organisation's limit, likewise.
+	quarantinedBurst = 10
+	// overLimitRate and overLimitBurst limit lines about requests over a rate limit, likewise.
 	overLimitRate  = 5
-	overLimitBurst = 10 // two seconds of them
-	// malformedRate and malformedBurst bound the lines on malformed headers.
+	overLimitBurst = 10
+	// malformedRate and malformedBurst limit lines about malformed headers.
 	malformedRate  = 1
-	malformedBurst = 5 // a series of one caller
-	// serverLimitRate and serverLimitBurst bound those on servers' limits, which a server may name and end as
-	// often as it answers.
+	malformedBurst = 5
+	// serverLimitRate and serverLimitBurst limit lines about servers' rate limits, which can change with each
+	// answer.
 	serverLimitRate  = 5
-	serverLimitBurst = 60 // all servers of a data hall at once
+	serverLimitBurst = 60 // covers all servers of a data hall
 )
 
-// Metrics counts what becomes of requests.
+// Metrics records metrics of a gateway.
 type Metrics interface {
-	// Handler shows the figures as text.
+	// Handler serves the metrics in text format.
 	Handler() http.Handler
-	// Ended counts a request of a route by its outcome, with the times to its first byte
-	// and its end in seconds; first is 0 if there was no byte.
+	// Ended counts a request of a route by its outcome. first and total are the times to the first byte and to the end,
+	// in seconds; first is 0 if there was no first byte.
 	Ended(route, outcome string, first, total float64)
-	// Sent counts a send to a backend server; retry says that it was not the first.
+	// Sent counts a send to a backend server; retry says that it was not the request's first.
 	Sent(service string, retry bool)
-	// Admissions counts what other gateways answered when they were asked for admission.
+	// Admissions counts the answers of other gateways to admission requests; silent ones did not answer.
 	Admissions(granted, denied, silent int)
-	// Charged counts a request that was charged to an organisation's limit, by what that said ("inside", "over",
-	// "unknown"), with its cost in the limit's unit.
+	// Charged counts a request charged to an organisation's rate limit, with its cost in the limit's unit. outcome is
+	// "inside", "over" or "unknown".
 	Charged(organisation, outcome string, cost float64)
-	// ServerLimit counts limits that servers have named, changed and ended, by state.
+	// ServerLimit counts changes of the rate limits that servers announce, by state.
 	ServerLimit(state string)
-	// Permit counts a request for a permit at a server with a limit, by what it brought ("inside", "over", "unknown").
+	// Permit counts requests for a permit at a server with a rate limit. outcome is "inside", "over" or "unknown".
 	Permit(outcome string)
-	// ServerEnded counts the end of a server of a service under requests.
+	// ServerEnded counts terminations of servers under requests, by service.
 	ServerEnded(service string)
-	// ConfigTransfer counts a transfer of the configuration, with its bytes as they were sent;
-	// err says that it failed.
+	// ConfigTransfer counts a transfer of the configuration and its size on the wire; err is not nil if it failed.
 	ConfigTransfer(from string, bytes int, err error)
 }
 
@@ -136,19 +135,18 @@
 func (noMetrics) Admissions(int, int, int)               {}
 func (noMetrics) ConfigTransfer(string, int, error)      {}
 
-// A requestLog writes the lines that touch requests, and counts them in metrics. It is safe
-// for concurrent use.
+// A requestLog writes the log lines about requests and updates the metrics. It is safe for concurrent use.
 type requestLog struct {
 	log     *zap.Logger
 	metrics Metrics
 	clock   clock.Service
 	names   wire.Names
-	// answered and quarantined bound the lines on such requests, leftOut counts the others.
+	// answered and quarantined limit the lines about such requests; leftOut counts the suppressed ones.
 	answered    *rate.Limiter
 	quarantined *rate.Limiter
 	leftOut     atomic.Uint64
 	malformed   *rate.Limiter
-	// overLimit bounds the lines on requests over their organisation's limit, serverLimit those on servers' limits.
+	// overLimit limits the lines about requests over a rate limit, serverLimit those about servers' rate limits.
 	overLimit, serverLimit *boundedLines
 }
 
@@ -163,8 +161,8 @@
 	}
 }
 
-// ended counts and logs what became of a request. Answered ones, and those in quarantine, are logged up to a rate;
-// those left out are counted in the next line.
+// ended counts and logs a finished request. Lines about answered and quarantined requests are rate-limited; the next
+// line contains the number of suppressed ones.
 func (l *requestLog) ended(in *inbound, req *dispatch.Request, r *record) {
 	now := l.clock.Now()
 	first := r.untilFirstByte(in)
@@ -186,7 +184,7 @@
 	l.log.Info(msgEnded, fields...)
 }
 
-// isLogged reports whether the rates of lines have room for one on a request with an outcome.
+// isLogged reports whether a line about a request with the given outcome is within the rate limits.
 func (l *requestLog) isLogged(outcome string, now time.Time) bool {
 	switch outcome {
 	case outcomeAnswered:
@@ -197,7 +195,7 @@
 	return true
 }
 
-// endFields describe a request that has ended.
+// endFields returns the fields of a finished request.
 func (l *requestLog) endFields(in *inbound, req *dispatch.Request, r *record, now time.Time) []zap.Field {
 	return []zap.Field{
 		zap.String(fieldRequest, in.id), zap.Stringer(fieldDigest, in.key),
@@ -213,7 +211,7 @@
 	}
 }
 
-// heldBackField tells how often a request was held back for servers' limits, if it was.
+// heldBackField returns a field with the number of times that servers' rate limits delayed the request, if any.
 func heldBackField(req *dispatch.Request) zap.Field {
 	if req.PermitsDenied == 0 {
 		return zap.Skip()
@@ -221,7 +219,7 @@
 	return zap.Int(fieldHeldBack, req.PermitsDenied)
 }
 
-// choiceFields describe the last choice of a server and what it was made from.
+// choiceFields returns fields that describe the last chosen server and the reasons for the choice.
 func choiceFields(res *dispatch.Reservation) []zap.Field {
 	if res == nil {
 		return nil
@@ -234,8 +232,8 @@
 	}
 }
 
-// refusedEarly logs a request that was refused before it could wait for a server; those over a limit up to a
-// rate.
+// refusedEarly logs a request that was refused before it waited for a server. Lines about requests over a rate limit are
+// rate-limited.
 func (l *requestLog) refusedEarly(r *http.Request, f *refusal) {
 	leftOut := zap.Skip()
 	if f.status == http.StatusTooManyRequests {
@@ -249,7 +247,7 @@
 		customerField(f.organisation), leftOut)
 }
 
-// customerField names the organisation of a request, if it is known.
+// customerField returns a field with the request's organisation, if it is known.
 func customerField(organisation string) zap.Field {
 	if organisation == "" {
 		return zap.Skip()
@@ -257,21 +255,21 @@
 	return zap.String(fieldCustomer, organisation)
 }
 
-// malformedHeader logs, up to a rate, a header that cannot be decoded and is ignored.
+// malformedHeader logs a malformed request header that is ignored. The lines are rate-limited.
 func (l *requestLog) malformedHeader(in *inbound, header, value string) {
 	if l.malformed.AllowN(l.clock.Now(), 1) {
 		l.log.Info(msgMalformed, zap.String(fieldRequest, in.id), zap.String("header", header), zap.String("value", value))
 	}
 }
 
-// malformedLimit logs, up to a rate, an answer whose server names a limit that is no rate.
+// malformedLimit logs a malformed rate limit in a server's answer. The lines are rate-limited.
 func (l *requestLog) malformedLimit(server, header string, values []string) {
 	if l.malformed.AllowN(l.clock.Now(), 1) {
 		l.log.Info(msgMalformed, zap.String(fieldServer, server), zap.String("header", header), zap.Strings("value", values))
 	}
 }
 
-// serverLimitChanged counts a limit that a server has named, changed or ended, and logs it up to a rate.
+// serverLimitChanged counts and logs a change of a server's rate limit. The lines are rate-limited.
 func (l *requestLog) serverLimitChanged(c serverlimit.Change) {
 	l.metrics.ServerLimit(string(c.State))
 	leftOut, ok := l.serverLimit.next(l.clock.Now())
@@ -293,46 +291,46 @@
 		zap.String(fieldLastEvent, f.lastEvent))
 }
 
-// sendFailed logs a send that brought no usable answer.
+// sendFailed logs a send without a usable answer.
 func (l *requestLog) sendFailed(f *forwarder, res *dispatch.Reservation, reason string, err error) {
 	l.log.Info(msgSendFailed, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key),
 		zap.String(fieldServer, res.Server().ID), zap.String(fieldAddr, res.Server().Addr), zap.String(fieldReason, reason), zap.Int(fieldRuns, f.record.runs),
 		l.age(f.in), telemetry.Error(err))
 }
 
-// age is the time since a request's arrival.
+// age returns a field with the time since the request's arrival.
 func (l *requestLog) age(in *inbound) zap.Field {
 	return zap.Float64(fieldAge, l.clock.Now().Sub(in.arrived).Seconds())
 }
 
-// cut logs an answer that had begun and could not be completed.
+// cut logs an answer that was aborted after it had begun.
 func (l *requestLog) cut(f *forwarder, err error) {
 	l.log.Info(msgCut, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key), f.server(),
 		zap.String(fieldLastEvent, f.lastEvent), telemetry.Error(err))
 }
 
-// stalled logs that a request stays with a stalled server, since no other can take it or
-// the retry budget is spent.
+// stalled logs that a request stays with a stalled server, because no other server can take it or the retry budget is
+// spent.
 func (l *requestLog) stalled(in *inbound, res *dispatch.Reservation) {
 	l.log.Info(msgStalled, zap.String(fieldRequest, in.id), zap.String(fieldServer, res.Server().ID), l.age(in))
 }
 
-// ownerSilent logs a gateway that did not answer when it was asked for admission.
+// ownerSilent logs a failed admission request to another gateway.
 func (l *requestLog) ownerSilent(owner string, err error) {
 	l.log.Warn(msgOwner, zap.String("owner", owner), telemetry.Error(err))
 }
 
-// limitOwnerSilent logs a gateway that did not grant when it was asked as the owner of an organisation's limit.
+// limitOwnerSilent logs a failed request for a grant to the owner of an organisation's rate limit.
 func (l *requestLog) limitOwnerSilent(organisation, gateway string, err error) {
 	l.log.Warn(msgLimitOwner, customerField(organisation), zap.String("owner", gateway), telemetry.Error(err))
 }
 
-// permitOwnerSilent logs a gateway that did not grant when it was asked as the owner of a backend server's limit.
+// permitOwnerSilent logs a failed request for a permit to the owner of a backend server's rate limit.
 func (l *requestLog) permitOwnerSilent(server, gateway string, err error) {
 	l.log.Warn(msgPermitOwner, zap.String(fieldServer, server), zap.String("owner", gateway), telemetry.Error(err))
 }
 
-// watchSwitched logs whether a prefix is watched at the store or through the leader.
+// watchSwitched logs whether a prefix is now watched at the store or through the leader.
 func (l *requestLog) watchSwitched(prefix string, direct bool) {
 	msg := msgReceiving
 	if direct {
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -10,12 +10,11 @@
 	"rockcleat/table"
 )
 
-// retryReserve is the part of the retry budget that is used, since gateways count at
-// slightly different times.
+// retryReserve is the fraction of the retry budget that is used. The rest covers clock differences between gateways.
 const retryReserve = 0.8
 
-// retryBudgets hold the budget of retries of each service, which all gateways share: each
-// uses its own first tries and its part of the fixed number. It is safe for concurrent use.
+// retryBudgets holds the retry budget of each service. All gateways share the budgets: each may use a ratio of its own
+// first sends and its share of the fixed number. It is safe for concurrent use.
 type retryBudgets struct {
 	clock    clock.Service
 	gateways *directory
@@ -23,15 +22,16 @@
 	mu        sync.Mutex
 	settings  config.Retry
 	byService map[string]*retry.Window
-	// firstStart says that the gateway had no former life; countsFrom is when its budget is over.
+	// firstStart says that the whole system is started for the first time. countsFrom is the end of the first window
+	// after a restart, before which the share of the fixed number is 0.
 	firstStart bool
 	countsFrom time.Time
-	// most is the largest number of gateways since mostAt.
+	// most is the largest number of gateways observed since mostAt.
 	most   int
 	mostAt time.Time
 }
 
-// newRetryBudgets returns the budgets of a gateway; firstStart says that it had no former life.
+// newRetryBudgets returns the budgets of a gateway. firstStart says that no budget was used before.
 func newRetryBudgets(s config.Retry, firstStart bool, c clock.Service, gateways *directory) *retryBudgets {
 	b := &retryBudgets{
 		settings: s, clock: c, gateways: gateways, byService: make(map[string]*retry.Window),
@@ -43,14 +43,12 @@
 	return b
 }
 
-// countMemory is for how many windows the largest number of gateways counts: those that are cut off,
-// or that a new leader has not heard of, still use their part.
+// countMemory is the number of windows for which the largest number of gateways is remembered. Gateways that are cut
+// off, or not known to a new leader, still use their share.
 const countMemory = 6
 
-// share returns the part of the fixed number that is this gateway's own, 0 to 1: none in the first
-// window after a restart, since it does not know what it used before, nor as long as it does not know how
-// many gateways there are. A third of 103 gateways that restarted together and took six for their number
-// sent 2,125 requests again within ten seconds, where 1,877 were allowed.
+// share returns this gateway's share of the fixed number of retries, from 0 to 1. It is 0 in the first window after a
+// restart, because the use before the restart is not known, and while the number of gateways is not known.
 func (b *retryBudgets) share(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,7 +62,7 @@
 	return 1 / float64(b.most)
 }
 
-// set sets the settings, forgets all counts if they differ, and reports whether they do.
+// set applies new settings and reports whether they differ. If they do, all counts are reset.
 func (b *retryBudgets) set(s config.Retry) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,18 +90,17 @@
 	return w
 }
 
-// first counts the first try of a request.
+// first counts the first send of a request.
 func (b *retryBudgets) first(in *inbound) { b.of(in.service.Name).First(in.arrived) }
 
-// take counts a retry and reports whether the budget has room for it.
+// take charges a retry to the budget, and reports whether the budget allows it.
 func (b *retryBudgets) take(in *inbound) bool {
 	now := b.clock.Now()
 	return b.of(in.service.Name).Allow(now, b.share(now))
 }
 
-// mayRetry reports whether the request may be sent to a further server after one that may
-// have run it: its route must allow a further run, and what the caller has of the answer
-// must fit a second one.
+// mayRetry reports whether the request may be sent again after a send that may have run. The route must allow another
+// run, and the rest of the answer must be available: either nothing was sent to the caller, or the stream can resume.
 func (f *forwarder) mayRetry() bool {
 	if f.record.runs >= f.in.route.Attempts {
 		return false
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -15,10 +15,10 @@
 	"rockcleat/serverlimit"
 )
 
-// errStalled ends a send whose server has stalled.
+// errStalled cancels a send whose server has stalled.
 var errStalled = eris.New("gateway: server stalled")
 
-// send sends the request to one server and reports whether it is over.
+// send sends the request to one server and reports whether the request is finished.
 func (f *forwarder) send(res *dispatch.Reservation) bool {
 	ctx, cancel := context.WithCancelCause(f.ctx)
 	defer cancel(nil)
@@ -50,7 +50,7 @@
 	return f.passWhole(ctx, res, resp)
 }
 
-// cause prefers the reason for which a send was cancelled to the transport's error.
+// cause returns the cause of ctx's cancellation if there is one, and err otherwise.
 func cause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil {
 		return c
@@ -58,7 +58,7 @@
 	return err
 }
 
-// noAnswer handles a send without an answer's header and reports whether the request is over.
+// noAnswer handles a send that failed before an answer's header arrived. It reports whether the request is finished.
 func (f *forwarder) noAnswer(res *dispatch.Reservation, err error) bool {
 	if f.callerGone() {
 		res.Done(dispatch.Abandoned)
@@ -74,8 +74,7 @@
 	return f.lost(res, err)
 }
 
-// check returns an error if an answer is not one to this request, or cannot go on where the
-// caller's answer stands.
+// check returns an error if resp does not answer this request, or cannot continue an answer that was begun.
 func (f *forwarder) check(resp *http.Response) error {
 	if id := resp.Header.Get(f.proxy.names.RequestID); id != f.in.id {
 		return eris.Errorf("gateway: answer to another request %q", id)
@@ -89,8 +88,8 @@
 	return nil
 }
 
-// noteServerLimit takes in what an answer says of its server's limit: any answer to this request, but for one
-// of a server at the address of another. sent is when the request was sent.
+// noteServerLimit records the rate limit in an answer. It ignores answers to other requests and answers of a misdirected
+// server, which belong to another server. sent is when the request was sent.
 func (f *forwarder) noteServerLimit(res *dispatch.Reservation, resp *http.Response, sent time.Time) {
 	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(f.proxy.names.RequestID) != f.in.id {
 		return
@@ -103,7 +102,7 @@
 	f.proxy.serverLimits.Observe(res.Server().ID, r, sent)
 }
 
-// outgoing makes the request to a server.
+// outgoing returns the request to the reserved server.
 func (f *forwarder) outgoing(ctx context.Context, res *dispatch.Reservation) *http.Request {
 	s := res.Server()
 	out := &http.Request{
@@ -118,8 +117,8 @@
 	return sendOnceContext(ctx, out)
 }
 
-// sendOnceContext keeps the transport from sending a request without a body twice, which it
-// does when a kept connection breaks under it.
+// sendOnceContext returns r with ctx. It keeps the transport from repeating a request without a body, which it does when
+// a reused connection breaks.
 func sendOnceContext(ctx context.Context, r *http.Request) *http.Request {
 	if r.Body == nil {
 		r.Body = emptyBody{}
@@ -127,7 +126,7 @@
 	return r.WithContext(ctx)
 }
 
-// emptyBody is a body that the transport does not know to be empty.
+// emptyBody is an empty body that the transport cannot recognise as empty.
 type emptyBody struct{}
 
 // Read implements io.Reader.
@@ -136,7 +135,7 @@
 // Close implements io.Closer.
 func (emptyBody) Close() error { return nil }
 
-// target returns the URL that sends the request line's target as it came.
+// target returns a URL that transmits the caller's request target unchanged.
 func target(requestURI, addr string) *url.URL {
 	return &url.URL{Scheme: "http", Host: addr, Opaque: requestURI}
 }
--- a/internal/gateway/server_ends.go
+++ b/internal/gateway/server_ends.go
@@ -15,45 +15,45 @@
 	"rockcleat/quarantine"
 )
 
-// Finding out whether a server has ended.
+// Parameters of the detection of terminated servers.
 const (
-	// endWait is for how long after a break a server that goes off the list counts as ended: three
-	// heartbeats of 1.2 s and the time in which the change is noticed.
+	// endWait is how long after a connection failed the server counts as terminated if it leaves the list. It covers
+	// three heartbeats of 1.2 s and the time to notice the change.
 	endWait = 6 * time.Second
-	// maxSuspects bounds the requests that one server's end is charged to.
+	// maxSuspects is the maximum number of requests that the termination of one server is attributed to.
 	maxSuspects = 256
-	// loggedDigests bounds those that a log line names.
+	// loggedDigests is the maximum number of digests in a log line.
 	loggedDigests = 16
 )
 
-// A brokenServer is a run of a server at which requests broke off.
+// A brokenServer is a server instance to which connections failed during requests.
 type brokenServer struct {
 	server *backend.Server
-	// at is when the last request broke off.
+	// at is when the last connection failed.
 	at time.Time
-	// probing says that a probe is under way.
+	// probing says that a probe is running, ended that the instance has terminated.
 	probing, ended bool
-	// suspects are the requests that broke off there and may have been at its end.
+	// suspects are the requests whose connection failed, possibly because the server terminated.
 	suspects []quarantine.Key
 }
 
-// An endDetector finds out whether a server has ended under the requests that broke off there, and charges
-// its end to all of them: any may be the cause. It is safe for concurrent use.
+// An endDetector detects that a server has terminated, and attributes the termination to all requests whose connection
+// failed at that time, since any of them may be the cause. It is safe for concurrent use.
 //
-// A broken connection alone is no end: links are cut, answers break off, gateways are paused. A server has
-// ended if nobody listens at its address any more, or if the platform takes that run off its list soon
-// after, and in both cases if it had not said that it leaves.
+// A failed connection alone does not count, because network links fail, answers are cut short and gateways are paused.
+// A server has terminated if nothing listens at its address any more or if the platform removes the instance from its
+// list soon afterwards, provided that it had not announced that it is leaving.
 type endDetector struct {
-	// ctx ends with the gateway, and the probes with it.
+	// ctx ends with the gateway and stops the probes.
 	ctx     context.Context
 	clock   clock.Service
 	table   *quarantine.Table
 	servers *backend.Registry
 	// dial connects to an address and closes the connection.
 	dial func(ctx context.Context, addr string) error
-	// isPaused reports whether this process itself was paused just now.
+	// isPaused reports whether this process was recently paused.
 	isPaused func(now time.Time) bool
-	// onEnd is called after each end that was charged.
+	// onEnd is called after each attributed termination.
 	onEnd   func()
 	log     *zap.Logger
 	metrics Metrics
@@ -62,7 +62,7 @@
 	broken map[string]*brokenServer
 }
 
-// requestBroke notes that the connection broke on which a request was at a server.
+// requestBroke records that the connection to s failed during the request with key k.
 func (d *endDetector) requestBroke(s *backend.Server, k quarantine.Key) {
 	now := d.clock.Now()
 	listed, ok := d.servers.Snapshot().Server(s.ID)
@@ -76,8 +76,8 @@
 	d.onEnd()
 }
 
-// suspect adds a request to the suspects of a server, unless that is known to have ended, and begins a
-// probe if none is under way.
+// suspect adds a request to the suspects of a server, and starts a probe if none is running. It returns false if the
+// server is already known to have terminated.
 func (d *endDetector) suspect(s *backend.Server, k quarantine.Key, now time.Time) (added bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,8 +100,8 @@
 	return true
 }
 
-// probe finds out whether a server lives. Requests that broke off before it took a connection broke off for
-// other reasons than its end; those that broke off later need another probe.
+// probe tests whether a server is alive. If the server accepts a connection, the requests that failed before the attempt
+// failed for other reasons; those that failed later need another attempt.
 func (d *endDetector) probe(b *brokenServer) {
 	before := 0
 	p := wire.Probe{Clock: d.clock, Connect: d.dial, BeforeAttempt: func() { before = d.suspectCount(b) }}
@@ -117,15 +117,14 @@
 	}
 }
 
-// suspectCount returns the number of suspects of a server.
 func (d *endDetector) suspectCount(b *brokenServer) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(b.suspects)
 }
 
-// goesOn applies the result of an attempt to connect, made after a number of suspects, and reports whether
-// others need a further one.
+// goesOn applies the result of a connection attempt. before is the number of suspects when the attempt began. It reports
+// whether another attempt is needed for later suspects.
 func (d *endDetector) goesOn(b *brokenServer, before int, result wire.ProbeResult) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,7 +135,7 @@
 	return b.probing
 }
 
-// ended charges the end of a server to the requests that broke off there.
+// ended attributes the termination of a server to its suspects.
 func (d *endDetector) ended(b *brokenServer) {
 	suspects, first := d.takeSuspects(b)
 	if !first {
@@ -149,7 +148,7 @@
 	d.onEnd()
 }
 
-// takeSuspects notes the end of a server and returns the suspects; first says that it was not known.
+// takeSuspects marks a server as terminated and removes its suspects; first is false if it was marked before.
 func (d *endDetector) takeSuspects(b *brokenServer) (suspects []quarantine.Key, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -161,8 +160,8 @@
 	return suspects, true
 }
 
-// check charges the ends of servers that have gone off the list since a request broke off there, and
-// forgets old breaks. It is called every expireInterval.
+// check handles servers that have left the list since a connection failed, and removes old entries. It is called every
+// expireInterval.
 func (d *endDetector) check(now time.Time) {
 	snapshot := d.servers.Snapshot()
 	var gone []*brokenServer
@@ -182,8 +181,8 @@
 	}
 }
 
-// isBreak reports whether an error of a send means that its connection broke, as opposed to a time that
-// is over, an answer that is none, or a send that was given up.
+// isBreak reports whether a send failed because its connection did, and not because of a timeout, a cancellation or an
+// invalid answer.
 func isBreak(err error) bool {
 	var timeout net.Error
 	switch {
--- a/internal/gateway/server_limits.go
+++ b/internal/gateway/server_limits.go
@@ -10,23 +10,24 @@
 	"rockcleat/serverlimit"
 )
 
-// unknownPermitWait is the time after which the owner of a server's limit is asked again that did not answer, or
-// does not know yet how much it may grant.
+// unknownPermitWait is how long to wait before the owner of a server's rate limit is asked again, after it did not answer
+// or did not know how much it may grant.
 const unknownPermitWait = 200 * time.Millisecond
 
-// serverLimits keeps the limits that backend servers name for themselves, together with the other gateways; it is a
+// serverLimits enforces the rate limits that backend servers announce, together with the other gateways. It implements
 // dispatch.Permits.
 //
-// What a server says reaches one gateway with one answer, and its limit holds for all of them: the table spreads the
-// word, with each report to the leader and each request for a permit, and the limiter has one gateway, the limit's
-// owner, grant for all.
+// A server announces its limit in an answer to one gateway, but the limit applies to all gateways. The table distributes
+// it with each report to the leader and each request for a permit. The limiter assigns each limit an owner, a gateway
+// that grants permits to all others.
 type serverLimits struct {
 	*serverlimit.Table
 	limiter *quota.Limiter
 	metrics Metrics
 }
 
-// newServerLimits returns the limits of backend servers. A word of a server is reported to the leader at once.
+// newServerLimits returns the limits of backend servers. An announcement received by this gateway triggers an immediate
+// report to the leader.
 func (p *parts) newServerLimits(o Options) *serverLimits {
 	l := &serverLimits{metrics: o.Metrics}
 	l.Table = serverlimit.New(serverlimit.Options{Clock: o.Clock, OnChange: func(c serverlimit.Change) {
@@ -43,19 +44,19 @@
 	return l
 }
 
-// isInNeed reports whether a server takes too few requests for its slots to be of use, and has for some time.
+// isInNeed reports whether a server's rate limit has, for some time, been too low to use its slots.
 func (l *serverLimits) isInNeed(s *backend.Server) bool {
 	status, ok := l.Status(s.ID)
 	return ok && serverlimit.IsInNeed(status, s.Slots)
 }
 
-// quota returns a server's limit as the limiter needs it.
+// quota returns a server's rate limit in the form that the limiter takes.
 func (l *serverLimits) quota(server string) (quota.Limit, bool) {
 	perSecond, ok := l.Limit(server)
 	return serverlimit.Quota(perSecond), ok
 }
 
-// statuses returns what this gateway knows of all limits of servers, in no order.
+// statuses returns this gateway's state of all servers' rate limits, in no particular order.
 func (l *serverLimits) statuses() []quota.Status {
 	var list []quota.Status
 	for _, s := range l.List() {
@@ -74,7 +75,7 @@
 	case d.Outcome == quota.Inside:
 		granted = true
 	case !limited:
-		// The owner knows that the server's limit has ended.
+		// The owner knows that the limit has ended.
 		granted = true
 	case d.Outcome == quota.Over:
 		wait = d.RetryAfter
@@ -88,7 +89,7 @@
 // GiveBack implements dispatch.Permits.
 func (l *serverLimits) GiveBack(server string) { l.limiter.GiveBack(server, 1) }
 
-// subscribe starts the regular work and returns what ends it.
+// subscribe starts the periodic work and returns the function that stops it.
 func (l *serverLimits) subscribe(c clock.Service) (stop func()) {
 	return c.Subscribe(sweepInterval, func(time.Time) {
 		l.Expire()
@@ -96,19 +97,19 @@
 	})
 }
 
-// A permitMessage asks the owner of a server's limit for a permit, and tells it what the server said.
+// A permitMessage asks the owner of a server's rate limit for a permit, and contains the sender's record of that limit.
 type permitMessage struct {
 	quota.Request
 	Limit serverlimit.Record `json:"limit"`
 }
 
-// A permitReply is its answer, with what the owner knows of the server.
+// A permitReply answers a permitMessage, and contains the owner's record of the limit.
 type permitReply struct {
 	quota.Reply
 	Limit serverlimit.Record `json:"limit"`
 }
 
-// A permitAsker asks the owners of servers' limits for permits; it is a quota.Asker.
+// A permitAsker requests permits from the owners of servers' rate limits. It implements quota.Asker.
 type permitAsker struct {
 	peers  *peerClient
 	limits *serverlimit.Table
@@ -125,7 +126,7 @@
 	return reply.Reply, err
 }
 
-// grantPermit answers a gateway that asks for a permit.
+// grantPermit handles a request for a permit.
 func (l *serverLimits) grantPermit(m permitMessage) permitReply {
 	l.Merge([]serverlimit.Record{m.Limit})
 	reply := permitReply{Reply: l.limiter.Grant(m.Request)}
@@ -133,29 +134,28 @@
 	return reply
 }
 
-// quotas are the limiters of a gateway; all rest on the same gateways.
+// quotas are the limiters of a gateway. All use the same list of gateways.
 type quotas []*quota.Limiter
 
-// heard notes that a leader replied, as quota.Limiter.Heard does.
+// heard calls quota.Limiter.Heard on each limiter.
 func (q quotas) heard(asked time.Time, a quota.Absence) {
 	for _, l := range q {
 		l.Heard(asked, a)
 	}
 }
 
-// setGateways sets the list of gateways.
 func (q quotas) setGateways(ids []string) {
 	for _, l := range q {
 		l.SetGateways(ids)
 	}
 }
 
-// noteFormer tells of gateways that were there before this one started.
+// noteFormer adds gateways that existed before this one started.
 func (q quotas) noteFormer(ids []string) {
 	for _, l := range q {
 		l.NoteFormer(ids)
 	}
 }
 
-// lapsed returns the number of gateways that went off the leader's list lately.
+// lapsed returns the number of gateways that recently left the leader's list.
 func (q quotas) lapsed() int { return q[0].Lapsed() }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -13,21 +13,21 @@
 	"rockcleat/kv"
 )
 
-// A serverSink is whoever needs the servers as they are now; dispatch.Dispatcher is one.
+// A serverSink receives the current servers after each change; dispatch.Dispatcher implements it.
 type serverSink interface{ SetServers(*backend.Snapshot) }
 
-// A serverList holds the backend servers and passes each change on to its sink.
+// A serverList holds the backend servers and notifies its sink of changes.
 type serverList struct {
 	decoder  Decoder
 	clock    clock.Service
 	log      *zap.Logger
 	sink     serverSink
 	registry backend.Registry
-	// seed makes digests, which are compared within this process only.
+	// seed is the seed of digests, which are compared only within this process.
 	seed   maphash.Seed
 	listed atomic.Bool
-	// unstarted are the servers that were left out last since they do not name their start. Only
-	// the goroutine that follows the store uses it.
+	// unstarted holds the servers that were last excluded because their record does not contain a start. It is used
+	// only by the goroutine that follows the store.
 	unstarted []string
 }
 
@@ -35,13 +35,13 @@
 	return &serverList{decoder: d, clock: c, log: log, sink: sink, seed: maphash.MakeSeed()}
 }
 
-// isListed reports whether the store's list has been read.
+// isListed reports whether the list has been read from the store.
 func (s *serverList) isListed() bool { return s.listed.Load() }
 
-// refresh passes the servers on as they are now.
+// refresh sends the current servers to the sink.
 func (s *serverList) refresh() { s.sink.SetServers(s.registry.Snapshot()) }
 
-// replace sets the store's list.
+// replace replaces the list read from the store.
 func (s *serverList) replace(list []backend.Server) {
 	restarts := s.registry.Replace(list, s.clock.Now())
 	s.listed.Store(true)
@@ -49,13 +49,13 @@
 	s.changed(restarts)
 }
 
-// apply applies changes of the store's list.
+// apply applies changes to the list.
 func (s *serverList) apply(changes []backend.Change) {
 	s.changed(s.registry.Apply(changes, s.clock.Now()))
 }
 
-// changed logs what is special about the last change of the list and passes the servers on. What is
-// kept of a server goes with its run: every table names servers by their IDs.
+// changed logs restarted and excluded servers and notifies the sink. State kept about a restarted server needs no reset,
+// because each instance has its own ID.
 func (s *serverList) changed(restarts []backend.Restart) {
 	for _, r := range restarts {
 		s.log.Info("server restarted", zap.String("server", r.Now.ID), zap.String("former", r.Former.ID),
@@ -69,7 +69,7 @@
 	s.refresh()
 }
 
-// setResidency applies the leader's word on what engines hold: all of it, or what has changed.
+// setResidency applies the leader's record of what engines have loaded. all says that the record is complete.
 func (s *serverList) setResidency(held map[string]backend.Residency, all bool) {
 	now := s.clock.Now()
 	if all {
@@ -79,19 +79,18 @@
 	s.registry.MergeResidency(held, now)
 }
 
-// expire forgets what is too old.
+// expire removes outdated residency.
 func (s *serverList) expire(now time.Time) {
 	if s.registry.Expire(now) {
 		s.refresh()
 	}
 }
 
-// unusableDigest is the digest of every entry that describes no server.
+// unusableDigest is the digest of all entries that cannot be decoded.
 const unusableDigest = 1
 
-// digest returns a digest of what other gateways need to know of an entry: of a server its Listing and,
-// as long as the leader does not publish that, what its engine holds; of an entry that describes no
-// server just that.
+// digest returns a digest of the parts of an entry that other gateways need. For a server these are its Listing and, while
+// the leader does not publish the server's residency, the residents in the entry.
 func (s *serverList) digest(prefix string, e kv.Entry) uint64 {
 	if prefix != s.decoder.ServerPrefix() {
 		return uint64(e.Revision)
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -11,20 +11,18 @@
 	"rockcleat/table"
 )
 
-// How long a server may send nothing before a request that may be sent again leaves it
-// (docs/design/0010, stalled servers).
+// Parameters of stall detection: how long a server may send nothing before a request that may be retried is sent to
+// another one (docs/design/0010).
 const (
-	// stallShare is the part of the objective for the first byte that a plain request
-	// waits for it.
+	// stallShare is the fraction of the first-byte objective after which a non-streaming request is stalled.
 	stallShare = 0.5
-	// minStallTime is how long a plain request waits at least.
+	// minStallTime is the minimum stall time of a non-streaming request.
 	minStallTime = 250 * time.Millisecond
-	// streamStallTime is how long a stream waits for its first event at least, and for
-	// each further one.
+	// streamStallTime is the minimum stall time of a stream before its first event, and its stall time between events.
 	streamStallTime = 1500 * time.Millisecond
 )
 
-// stallTime returns how long a server may send nothing before its first byte.
+// stallTime returns how long a server may take to send its first byte.
 func stallTime(route table.Route) time.Duration {
 	d := max(time.Duration(float64(route.FirstByteObjective)*stallShare), minStallTime)
 	if route.Stream {
@@ -33,22 +31,19 @@
 	return d
 }
 
-// A stallTimer ends a send whose server has stalled, if the request can go on elsewhere; a
-// nil one ends none.
-//
-// A stall alone is no reason to give up what the server may still answer: the send goes on
-// unless another server can take the request now and the budget pays for the retry.
+// A stallTimer cancels a send whose server has stalled, if another server can take the request now and the retry budget
+// allows it. Otherwise the send continues, since the server may still answer. A nil stallTimer does nothing.
 type stallTimer struct {
 	f           *forwarder
 	reservation *dispatch.Reservation
-	// elsewhere is the request as another server would get it.
+	// elsewhere is the dispatcher request with the current server excluded.
 	elsewhere dispatch.Request
 	cancel    context.CancelCauseFunc
 	timer     clock.Timer
 	stopped   atomic.Bool
 }
 
-// watchStall returns the timer of a send, or nil if the request may not be sent again.
+// watchStall starts the timer of a send. It returns nil if the request may not be sent again.
 func (f *forwarder) watchStall(res *dispatch.Reservation, cancel context.CancelCauseFunc) *stallTimer {
 	if f.record.runs+1 >= f.in.route.Attempts || f.in.route.Retry == table.RetryNever {
 		return nil
@@ -59,7 +54,7 @@
 	return s
 }
 
-// expired ends the send if the request can go on elsewhere, and waits on otherwise.
+// expired cancels the send if another server can take the request, and otherwise restarts the timer.
 func (s *stallTimer) expired() {
 	if s.stopped.Load() {
 		return
@@ -74,7 +69,7 @@
 	s.timer.Reset(streamStallTime)
 }
 
-// progress starts the time anew.
+// progress restarts the timer.
 func (s *stallTimer) progress() {
 	if s != nil {
 		s.timer.Reset(streamStallTime)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -11,27 +11,24 @@
 	"rockcleat/clock"
 )
 
-// Times of a stop. New requests are taken for three seconds after the signal at most, so
-// that each that the balancer still sends is answered.
+// Timing of a stop. New requests are accepted for at most 3 s after the signal, so that requests that the load balancer
+// still sends are answered.
 const (
-	// noticeTime is how long a stopping gateway still takes new connections, so that the
-	// balancer learns of the stop first.
+	// noticeTime is how long a stopping gateway accepts new connections, so that the load balancer can notice the stop.
 	noticeTime = 2500 * time.Millisecond
-	// lastAnswers is left of the time to stop for answers to requests that have none
-	// yet.
+	// lastAnswers is the part of the time to stop that is reserved for refusing requests without an answer.
 	lastAnswers = 400 * time.Millisecond
-	// drainPause is the pause between two looks for open connections.
+	// drainPause is the time between two checks for open connections.
 	drainPause = 10 * time.Millisecond
-	// processEnd is left of the grace for the process's own end
-	// (docs/FINDINGS.md, killed at the end of the grace).
+	// processEnd is the part of the grace period that is reserved for the exit of the process.
 	processEnd = 700 * time.Millisecond
 )
 
-// A lifecycle counts the requests in progress and says when the gateway is stopping.
+// A lifecycle counts the requests in progress and records that the gateway is stopping.
 type lifecycle struct {
 	inProgress atomic.Int64
 	stopping   atomic.Bool
-	// lastCall ends when requests without an answer must get one.
+	// lastCall ends when requests without an answer are cancelled.
 	lastCall    context.Context
 	endLastCall context.CancelFunc
 }
@@ -42,7 +39,7 @@
 	return l
 }
 
-// begin counts a request and returns what ends it.
+// begin counts a request; end must be called when it has finished.
 func (l *lifecycle) begin() (end func()) {
 	l.inProgress.Add(1)
 	return func() { l.inProgress.Add(-1) }
@@ -51,11 +48,11 @@
 func (l *lifecycle) requests() int64  { return l.inProgress.Load() }
 func (l *lifecycle) isStopping() bool { return l.stopping.Load() }
 
-// Stop turns readiness off, answers what comes while the balancer learns of it, lets
-// requests end until ctx does, and closes.
+// Stop makes the gateway unready, keeps accepting requests until the load balancer has noticed, waits for requests to
+// finish until ctx ends, and closes all listeners.
 //
-// Streams go on until their end or the end of ctx; each answer ends its connection. It
-// returns an error if connections were left open.
+// Streams continue until they finish or ctx ends; each connection is closed after its answer. Stop returns an error if
+// connections were still open when ctx ended.
 func (g *Gateway) Stop(ctx context.Context) error {
 	g.lifecycle.stopping.Store(true)
 	g.log.Info("leaving", zap.Int64("requests", g.lifecycle.requests()))
@@ -80,8 +77,8 @@
 	return nil
 }
 
-// drain waits until callers' connections are closed or ctx ends, and returns how many are
-// left. Those that wait for a request are ended, the others with their answer.
+// drain closes idle connections, and waits until all connections are closed or ctx ends. It returns the number of
+// connections still open.
 func (g *Gateway) drain(ctx context.Context) int {
 	for {
 		left := g.conns.drain(g.clock.Now())
@@ -92,8 +89,7 @@
 	}
 }
 
-// untilLastCall returns after which time requests without an answer are given up, so that
-// each still gets one before the process ends.
+// untilLastCall returns the time until requests without an answer are cancelled.
 func (g *Gateway) untilLastCall(ctx context.Context) time.Duration {
 	end, ok := ctx.Deadline()
 	if !ok {
@@ -102,5 +98,5 @@
 	return max(time.Until(end)-lastAnswers, 0)
 }
 
-// Grace returns how long Stop may take.
+// Grace returns the maximum duration of Stop.
 func (g *Gateway) Grace() time.Duration { return g.settings.Grace.Std() - processEnd }
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -8,11 +8,11 @@
 	"rockcleat/kv"
 )
 
-// serverWriteTime is within what time each backend server that lives writes its record again after the store came
-// back from a copy: the users say about two seconds.
+// serverWriteTime is the time within which each live backend server writes its record again after the store was restored
+// from a backup. Servers normally need about 2 s.
 const serverWriteTime = 3 * time.Second
 
-// serverRecords are the records of backend servers, which write them again and again.
+// serverRecords implements kv.Writers for the records that backend servers write periodically.
 type serverRecords struct{ decoder Decoder }
 
 // IsOlder implements kv.Writers.
@@ -23,7 +23,7 @@
 // WriteTime implements kv.Writers.
 func (serverRecords) WriteTime() time.Duration { return serverWriteTime }
 
-// serverWriters returns who writes under a prefix: the backend servers under theirs.
+// serverWriters returns a function that returns the writers of a prefix, or nil if it is not the prefix of servers.
 func serverWriters(d Decoder) func(prefix string) kv.Writers {
 	return func(prefix string) kv.Writers {
 		if prefix == d.ServerPrefix() {
@@ -33,8 +33,7 @@
 	}
 }
 
-// storeCameBack follows a store that came back from a copy of itself: what was written since the copy is gone, the
-// lease too, whoever held it.
+// storeCameBack handles the restoration of the store from a backup: later writes are lost, including the lease.
 func (g *Gateway) storeCameBack(era int64) {
 	g.log.Warn("store came back from a copy", zap.Int64("era", era))
 	g.lease.EndEra(era)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,18 +14,17 @@
 	"rockcleat/dispatch"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
+// maxEvent is the maximum size of one event, in bytes.
 const maxEvent = 64 << 10
 
-// errEventTooLong says that an event is over maxEvent.
+// errEventTooLong reports an event of more than maxEvent bytes.
 var errEventTooLong = eris.New("gateway: event too long")
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 2<<10) }}
 
-// readEvent reads one event with its empty line into buf and returns its id.
+// readEvent reads one event, including its empty line, into buf and returns the event's id.
 //
-// At the end of the stream it returns io.EOF, and io.ErrUnexpectedEOF if that
-// comes inside an event.
+// It returns io.EOF at the end of the stream, and io.ErrUnexpectedEOF if the stream ends within an event.
 func readEvent(r *bufio.Reader, buf *bytes.Buffer) (id string, err error) {
 	buf.Reset()
 	for {
@@ -51,7 +50,7 @@
 	}
 }
 
-// passStream passes a stream on, event by event, and reports whether the request is over.
+// passStream forwards a stream event by event, and reports whether the request is finished.
 func (f *forwarder) passStream(ctx context.Context, res *dispatch.Reservation, resp *http.Response, stall *stallTimer) bool {
 	r := readers.Get().(*bufio.Reader)
 	r.Reset(resp.Body)
@@ -94,8 +93,8 @@
 	return true
 }
 
-// passEvent sends one event to the caller, after the header if it is the first. An error
-// says that the caller no longer reads.
+// passEvent sends one event to the caller, and the header before the first one. It returns an error if the caller has
+// disconnected.
 func (f *forwarder) passEvent(resp *http.Response, event []byte) error {
 	if !f.answering.Load() {
 		f.begin(resp)
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -8,18 +8,17 @@
 	"rockcleat/quarantine"
 )
 
-// suspects keeps copies of a request under which a server has ended apart: while one is on its way to a server the
-// others wait for what becomes of it. Several that were sent together ended the next server under each of them, and
-// what the first one showed came too late for the rest.
+// suspects serialises the copies of a request under which a server has terminated: only one copy is sent at a time, so
+// that copies sent together cannot terminate several servers before the first termination is detected.
 //
-// Its zero value holds none. It is safe for concurrent use.
+// Its zero value is ready to use. It is safe for concurrent use.
 type suspects struct {
 	mu sync.Mutex
-	// busy is closed when the copy that is on its way has ended.
+	// busy maps a request to a channel that is closed when its active copy has finished.
 	busy map[quarantine.Key]chan struct{}
 }
 
-// enter waits until no other copy is on its way, or until ctx ends, and returns what lets the next one go.
+// enter waits until no other copy is active or ctx ends. leave lets the next copy proceed.
 func (s *suspects) enter(ctx context.Context, key quarantine.Key) (leave func()) {
 	for {
 		ended, ok := s.take(key)
@@ -34,8 +33,8 @@
 	}
 }
 
-// take makes the caller's copy the one on its way if there is none; otherwise it returns what is closed when that
-// one has ended.
+// take makes the caller's copy the active one if there is none. Otherwise it returns a channel that is closed when the
+// active copy has finished.
 func (s *suspects) take(key quarantine.Key) (ended chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,11 +55,11 @@
 	delete(s.busy, key)
 }
 
-// suspectRest is how long after a copy that a server did not answer the next one is kept back: by then it is known
-// whether the server has ended.
+// suspectRest is how long the next copy is delayed after one that was not answered; by then the termination of the
+// server has been detected.
 const suspectRest = 500 * time.Millisecond
 
-// leaveSuspects lets the next copy go, at once if this one was answered or not sent.
+// leaveSuspects lets the next copy proceed: immediately if this one was answered or has not run, else after suspectRest.
 func (f *forwarder) leaveSuspects(leave func()) {
 	if f.record.runs == 0 || f.record.outcome == outcomeAnswered {
 		leave()
