--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -45,7 +45,7 @@
 	return r.Version(), nil
 }
 
-// cacheTokens returns the KV cache capacity, in tokens, of a service's engines. It returns 0 for a service without
+// cacheTokens returns the cache capacity, in tokens, of a service's engines. It returns 0 for a service without
 // engines and while there is no configuration.
 func (c *configuration) cacheTokens(service string) int {
 	r := c.current.Load()
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -101,8 +101,8 @@
 	return ""
 }
 
-// ask polls the gateway at addr and applies its answer. A gateway that does not answer, or whose view is stale
-// even so, is avoided for a while.
+// ask polls the gateway at addr and applies its answer. A gateway that does not answer, or whose view is stale,
+// is avoided for a while.
 func (f *feed) ask(ctx context.Context, addr string) {
 	requested := f.clock.Now()
 	timeout := feedHold(f.fanout.MaxAge()) + feedSlack
--- a/internal/gateway/fleet_keeper.go
+++ b/internal/gateway/fleet_keeper.go
@@ -109,7 +109,7 @@
 		return
 	}
 	if err := k.put(list); err != nil {
-		k.log.Warn("list of gateways not written", telemetry.Error(err))
+		k.log.Warn("writing the list of gateways failed", telemetry.Error(err))
 		k.seenSince = now
 		return
 	}
@@ -146,7 +146,7 @@
 	k.nextLoad = now.Add(fleetLoadPause)
 	stored, err := k.read(k.ctx)
 	if err != nil {
-		k.log.Warn("list of gateways not read", telemetry.Error(err))
+		k.log.Warn("reading the list of gateways failed", telemetry.Error(err))
 		return
 	}
 	k.informed = true
@@ -168,7 +168,7 @@
 	var stored storedFleet
 	for _, e := range entries {
 		if err := json.Unmarshal(e.Value, &stored); err != nil {
-			k.log.Warn("list of gateways not readable, ignored", telemetry.Error(err))
+			k.log.Warn("stored list of gateways cannot be decoded, ignored", telemetry.Error(err))
 			return storedFleet{}, nil
 		}
 	}
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -11,8 +11,8 @@
 	"rockcleat/kv"
 )
 
-// storeHealth logs when the store becomes unreachable and reachable again. All followers share one, so that each change
-// is logged once.
+// storeHealth logs when the store becomes unreachable and reachable again. All readers of the store share one, so that
+// each change is logged once.
 type storeHealth struct {
 	ctx  context.Context
 	log  *zap.Logger
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -73,7 +73,7 @@
 	case f.gaveUpForQuarantine():
 		f.refuseQuarantined()
 	case f.answering.Load():
-		f.cut(eris.Wrap(err, "gateway: no server to go on with"))
+		f.cut(eris.Wrap(err, "gateway: no server to resume the stream on"))
 	case f.record.runs > 0:
 		f.refuse(outcomeUnknown, mayHaveRun("the request may have run"))
 	case errors.As(err, &limited):
@@ -93,7 +93,7 @@
 const (
 	// refusedPause is the base of the pause before the next send after a refusal; it doubles with each send.
 	refusedPause = 30 * time.Millisecond
-	// maxRefusals is the number of refused sends after which the request itself is refused.
+	// maxRefusals is the maximum number of sends that are repeated after a refusal.
 	maxRefusals = 4
 )
 
@@ -124,7 +124,7 @@
 	_, _ = io.CopyN(io.Discard, resp.Body, maxRefusalBody)
 	f.proxy.lines.sendFailed(f, res, "refused", eris.Errorf("status %d", resp.StatusCode))
 	if f.answering.Load() {
-		f.cut(eris.New("gateway: refused in the middle of a stream"))
+		f.cut(eris.New("gateway: server refused to resume the stream"))
 	}
 	if f.record.runs > 0 {
 		f.refuse(outcomeUnknown, mayHaveRun("the request may have run"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -127,7 +127,7 @@
 // expireInterval is the interval at which outdated state is removed.
 const expireInterval = 200 * time.Millisecond
 
-// sweepInterval is the interval at which connections and quarantine entries are checked for expiry.
+// sweepInterval is the interval at which connections, quarantine entries and server limits are checked for expiry.
 const sweepInterval = time.Second
 
 // Start binds the listeners and starts the gateway's goroutines.
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -98,7 +98,7 @@
 
 func (l *listeners) logClose(err error) {
 	if err != nil && !errors.Is(err, net.ErrClosed) {
-		l.log.Warn("listener not closed", telemetry.Error(err))
+		l.log.Warn("closing a listener failed", telemetry.Error(err))
 	}
 }
 
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -54,7 +54,7 @@
 }
 
 // answerReport handles a report. The leader applies it and replies; any other gateway replies with the leader's address.
-// If requests are waiting for a server, the leader plans immediately.
+// If the report shows requests waiting for a server, the leader plans at once.
 func (p *peerServer) answerReport(c echo.Context) error {
 	var m reportMessage
 	if err := c.Bind(&m); err != nil {
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -92,7 +92,7 @@
 	for _, e := range entries {
 		var s storedQuarantine
 		if err := json.Unmarshal(e.Value, &s); err != nil {
-			k.log.Warn("stored quarantine not readable, ignored", zap.String("key", e.Key), telemetry.Error(err))
+			k.log.Warn("stored quarantine cannot be decoded, ignored", zap.String("key", e.Key), telemetry.Error(err))
 			continue
 		}
 		s.AgeMs = max(now.UnixMilli()-s.EndedAtMs, 0)
@@ -145,6 +145,6 @@
 func (k *quarantineKeeper) note(err error) {
 	if failing := err != nil; failing != k.failing {
 		k.failing = failing
-		k.log.Info("quarantine kept in the store", zap.Bool("ok", !failing), telemetry.Error(err))
+		k.log.Info("access to the stored quarantine", zap.Bool("ok", !failing), telemetry.Error(err))
 	}
 }
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -47,8 +47,8 @@
 // off, or not known to a new leader, still use their share.
 const countMemory = 6
 
-// share returns this gateway's share of the fixed number of retries, from 0 to 1. It is 0 in the first window after a
-// restart, because the use before the restart is not known, and while the number of gateways is not known.
+// share returns this gateway's share of the fixed number of retries, from 0 to 1. After a restart it is 0 in the first
+// window, because earlier retries are not known, and until the list of gateways has been received.
 func (b *retryBudgets) share(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -83,7 +83,7 @@
 		return eris.New("gateway: answer without a signature")
 	}
 	if f.answering.Load() && resp.StatusCode != http.StatusOK {
-		return eris.Errorf("gateway: status %d in the middle of a stream", resp.StatusCode)
+		return eris.Errorf("gateway: status %d in answer to a resumed stream", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -26,7 +26,7 @@
 	// seed is the seed of digests, which are compared only within this process.
 	seed   maphash.Seed
 	listed atomic.Bool
-	// unstarted holds the servers that were last excluded because their record does not contain a start. It is used
+	// unstarted holds the servers that were last excluded because their record has no instance id. It is used
 	// only by the goroutine that follows the store.
 	unstarted []string
 }
@@ -64,7 +64,7 @@
 	unstarted := s.registry.Snapshot().Unstarted()
 	if !slices.Equal(unstarted, s.unstarted) {
 		s.unstarted = unstarted
-		s.log.Warn("servers without a start are not used", zap.Strings("servers", unstarted))
+		s.log.Warn("servers without an instance id are not used", zap.Strings("servers", unstarted))
 	}
 	s.refresh()
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -67,7 +67,7 @@
 		stop()
 	}
 	if left > 0 {
-		g.log.Warn("requests cut by the end of the grace", zap.Int64("requests", g.lifecycle.requests()), zap.Int("connections", left))
+		g.log.Warn("requests aborted at the end of the grace period", zap.Int64("requests", g.lifecycle.requests()), zap.Int("connections", left))
 	}
 	g.listeners.close()
 	g.log.Info("stopped")
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -55,8 +55,8 @@
 	delete(s.busy, key)
 }
 
-// suspectRest is how long the next copy is delayed after one that was not answered; by then the termination of the
-// server has been detected.
+// suspectRest is how long the next copy is delayed after one that was not answered. By then it is known whether the
+// server has terminated.
 const suspectRest = 500 * time.Millisecond
 
 // leaveSuspects lets the next copy proceed: immediately if this one was answered or has not run, else after suspectRest.
