--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -18,17 +18,17 @@
 	"rockcleat/table"
 )
 
-// Organisations of the tests, each with a key.
+// Organisations of the tests and their keys.
 const (
 	guild, guildKey = "guild", "k7b2ex5wa5xwyhks8nbk"
 	desk, deskKey   = "desk", "asnmgkcuyj8pjbvk9m68"
 	unknownKey      = "n0b0dyh0ldsth1skey00"
 )
 
-// pathOpen is a route that needs no key.
+// pathOpen is the prefix of a route that needs no key.
 const pathOpen = "/open/"
 
-// useKeys makes the world's configuration need keys.
+// useKeys adds organisations and keys to the configuration.
 func useKeys(w *world) {
 	urgent := 0
 	open := w.routing.Routes[1]
@@ -40,7 +40,7 @@
 	}
 }
 
-// newKeyWorld starts a gateway whose configuration needs keys.
+// newKeyWorld starts a gateway with a configuration that requires keys.
 func newKeyWorld(t *testing.T, change func(*config.Gateway), workers ...*worker) *world {
 	w := prepareWorld(t, change, workers...)
 	useKeys(w)
@@ -51,7 +51,7 @@
 
 func bearer(key string) string { return "Bearer " + key }
 
-// TestKeys checks who may have a request run, and what the server is shown of its key.
+// TestKeys checks which requests are authorised, and that servers receive the organisation instead of the key.
 func TestKeys(t *testing.T) {
 	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
 	w := newKeyWorld(t, func(*config.Gateway) {}, x)
@@ -59,7 +59,7 @@
 		path    string
 		headers []string
 		status  int
-		// organisation is the one that is named to the server.
+		// organisation is the one that the server must receive.
 		organisation string
 	}{
 		"a key":                        {headers: []string{apikey.Header, bearer(guildKey)}, status: 200, organisation: guild},
@@ -100,7 +100,7 @@
 	checkNoKeyLogged(t, w)
 }
 
-// TestTwoKeys sends two Authorization headers, each with a key that is known: which one counts is open.
+// TestTwoKeys checks that a request with two Authorization headers is rejected, since it is ambiguous which one counts.
 func TestTwoKeys(t *testing.T) {
 	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
 	w := newKeyWorld(t, func(*config.Gateway) {}, x)
@@ -110,8 +110,8 @@
 	assert.Equal(t, x.count(), 0)
 }
 
-// TestWithoutOrganisationsKeysPass checks that a configuration without organisations leaves the callers'
-// headers alone.
+// TestWithoutOrganisationsKeysPass checks that the callers' headers are forwarded unchanged if the configuration has no
+// organisations.
 func TestWithoutOrganisationsKeysPass(t *testing.T) {
 	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
 	w := newWorld(t, x)
@@ -121,7 +121,7 @@
 	assert.Equal(t, x.call(0).Header.Get(names.Organisation), "any")
 }
 
-// checkNoKeyLogged checks that no log line holds a key.
+// checkNoKeyLogged checks that no log line contains a key.
 func checkNoKeyLogged(t *testing.T, w *world) {
 	t.Helper()
 	for _, line := range w.logs.All() {
@@ -132,7 +132,7 @@
 	}
 }
 
-// TestOrganisationPriority checks that an organisation's priority goes before the route's.
+// TestOrganisationPriority checks that an organisation's priority overrides the route's.
 func TestOrganisationPriority(t *testing.T) {
 	x := newWorker(t, "e", stream(1))
 	w := newKeyWorld(t, func(*config.Gateway) {})
@@ -143,7 +143,7 @@
 	assert.Equal(t, x.call(1).Header.Get(names.Priority), "1", "the route's")
 }
 
-// TestMovedKey moves a key from one organisation to another and takes one away.
+// TestMovedKey checks that a key can be moved from one organisation to another, and that a removed key is rejected.
 func TestMovedKey(t *testing.T) {
 	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
 	w := newKeyWorld(t, func(*config.Gateway) {}, x)
@@ -157,7 +157,7 @@
 	assert.Equal(t, x.call(before).Header.Get(names.Organisation), desk)
 }
 
-// awaitStatus waits until a request with a key gets a status.
+// awaitStatus waits until a request with key is answered with status.
 func (w *world) awaitStatus(status int, key string) {
 	w.t.Helper()
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
@@ -168,9 +168,9 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// TestRevokedWhileTheStoreIsAway takes a key away while a gateway does not reach the store: it refuses all
-// requests with a key before the bound is over, and serves those that need none; when the store is back the key
-// is unknown and others are served.
+// TestRevokedWhileTheStoreIsAway checks that a gateway without access to the store rejects requests with a key before
+// the revocation time has passed, but serves those that need none. When the store is back, revoked keys are unknown and
+// the others work.
 func TestRevokedWhileTheStoreIsAway(t *testing.T) {
 	const revokeTime = 2 * time.Second
 	away := map[string]func(w *world) (back func()){
@@ -215,8 +215,8 @@
 	}
 }
 
-// TestRevokedDuringSuspension suspends the machine while its store is away: as soon as that is noticed, keys that
-// may have been taken away meanwhile are refused.
+// TestRevokedDuringSuspension checks that keys that may have been revoked during a suspension of the machine are
+// rejected once the suspension is detected.
 func TestRevokedDuringSuspension(t *testing.T) {
 	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
 	machine := clocktest.NewMachine()
@@ -233,7 +233,7 @@
 	w.awaitStatus(http.StatusOK, guildKey)
 }
 
-// TestUnboundedRevocation checks that without a bound keys count for as long as the store is away.
+// TestUnboundedRevocation checks that keys stay valid during a store outage if no revocation time is configured.
 func TestUnboundedRevocation(t *testing.T) {
 	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
 	machine := clocktest.NewMachine()
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -45,9 +45,9 @@
 	tests := map[string]struct {
 		script script
 		path   string
-		// status is what the caller gets; 0 is an answer that does not come whole.
+		// status is the expected status; 0 means that the answer must be incomplete.
 		status int
-		// runs is how often the request may reach a server.
+		// runs is the maximum number of times that the request may reach a server.
 		runs int
 	}{
 		"reset before the answer, may not be repeated": {
@@ -131,8 +131,7 @@
 	}
 }
 
-// TestSurplusAnswers sends a second answer after each whole one, early and late:
-// no later request may get it.
+// TestSurplusAnswers checks that a second, unsolicited answer on a connection is never returned for a later request.
 func TestSurplusAnswers(t *testing.T) {
 	for name, late := range map[string]bool{"at once": false, "when the first one is delivered": true} {
 		t.Run(name, func(t *testing.T) {
@@ -222,8 +221,7 @@
 	}
 }
 
-// TestFailedResumptionIsNoEnd answers the resumption of a stream with an error:
-// the caller must not take the stream for complete.
+// TestFailedResumptionIsNoEnd checks that a stream whose resumption fails does not look complete to the caller.
 func TestFailedResumptionIsNoEnd(t *testing.T) {
 	both := inTurn(func(c *call) bool { c.write(c.streamHead(), event(1)); return false }, answer(500, "sorry"))
 	w := newWorld(t, newWorker(t, "a", both), newWorker(t, "b", both))
@@ -231,9 +229,8 @@
 	assert.Assert(t, got.err != nil, "%+v", got)
 }
 
-// TestStalledServerIsWaitedFor lets a server stall in the middle of a stream that
-// could go on elsewhere, while no other server is there or the retry budget is
-// spent: its answer is passed on when it comes.
+// TestStalledServerIsWaitedFor checks that a stalled stream is not abandoned if no other server is available or the retry
+// budget is spent, and that its remaining events are forwarded when they arrive.
 func TestStalledServerIsWaitedFor(t *testing.T) {
 	tests := map[string]struct {
 		change  func(*config.Gateway)
@@ -273,7 +270,7 @@
 	}
 }
 
-// waitLine waits until the gateway has logged a message.
+// waitLine waits until a log line with the given message exists.
 func (w *world) waitLine(msg string) {
 	w.t.Helper()
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -15,7 +15,7 @@
 	"rockcleat/clock/clocktest"
 )
 
-// connected returns the two ends of a connection of which a conns knows.
+// connected returns both ends of a connection that c tracks.
 func connected(t *testing.T, c *conns) (server *callerConn, client net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,7 +33,7 @@
 	return conn.(*callerConn), client
 }
 
-// send writes from the client's end and waits until the bytes have come.
+// send writes text at the client's end and waits until it has arrived at the server.
 func send(t *testing.T, server *callerConn, client net.Conn, text string) {
 	t.Helper()
 	_, err := io.WriteString(client, text)
@@ -46,7 +46,7 @@
 	})
 }
 
-// receive reads a text at the server's end.
+// receive reads text at the server's end.
 func receive(t *testing.T, server *callerConn, text string) {
 	t.Helper()
 	got := make([]byte, len(text))
@@ -55,15 +55,15 @@
 	assert.Equal(t, string(got), text)
 }
 
-// TestConnectionBounds looks at connections after some time has passed on them.
+// TestConnectionBounds checks which connections a sweep ends after a given time.
 func TestConnectionBounds(t *testing.T) {
 	const idle, header = 10 * time.Second, 3 * time.Second
 	const half = "GET / HT"
 	tests := map[string]struct {
 		follow func(t *testing.T, c *conns, server *callerConn, client net.Conn)
 		after  time.Duration
-		// status is that of the answer to the client, 0 if the connection ends without
-		// one; open says that it stays open.
+		// status is the status of the answer to the client; 0 means that the connection ends without one. open means
+		// that the connection stays open.
 		status int
 		open   bool
 	}{
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestRefusedConnectionServesNothing checks that a header that was refused as too slow
-// and comes whole all the same is not served.
+// TestRefusedConnectionServesNothing checks that a request is not served if its header is completed after it was refused
+// as too slow.
 func TestRefusedConnectionServesNothing(t *testing.T) {
 	c := newConns(clocktest.Real{}, nil)
 	server, client := connected(t, c)
@@ -130,14 +130,14 @@
 	assert.Assert(t, !c.begin(withConn(context.Background(), server)))
 }
 
-// TestDrain drains connections that rest, on which a request has come that nobody has
-// read, on which a part of one was read, and that are new: only what waits is ended.
+// TestDrain checks that draining ends only idle connections, not those on which bytes of a request have arrived, nor
+// recent ones.
 func TestDrain(t *testing.T) {
 	const request, half = "GET / HTTP/1.1\r\n\r\n", "GET / HT"
 	tests := map[string]struct {
 		follow func(t *testing.T, c *conns, server *callerConn, client net.Conn)
 		after  time.Duration
-		// rest is what can still be read of what was sent; ended says that nothing can.
+		// rest is the data that can still be read from the connection; ended says that there is none.
 		rest  string
 		ended bool
 	}{
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestServersDeadlineHolds checks that the server's own bound on reads holds after a
-// connection was to be ended and was not.
+// TestServersDeadlineHolds checks that the read deadline of http.Server is in force again after a connection that was to
+// be ended stays open.
 func TestServersDeadlineHolds(t *testing.T) {
 	c := newConns(clocktest.Real{}, nil)
 	server, client := connected(t, c)
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -42,8 +42,7 @@
 	counted            *countedStore
 }
 
-// startFleet starts gateways beside the first one of a world; the first one names itself as a seed
-// and the others name it.
+// startFleet starts n gateways in addition to that of w. All of them have w's gateway as a seed.
 func startFleet(t *testing.T, w *world, n int) []*member {
 	t.Helper()
 	members := make([]*member, n)
@@ -56,7 +55,6 @@
 	return members
 }
 
-// startMember starts one gateway.
 func startMember(t *testing.T, w *world, id, seed string) *member {
 	t.Helper()
 	s := gatewaySettings(t, id)
@@ -68,7 +66,7 @@
 	return m
 }
 
-// await waits until a request to the gateway gets a status.
+// await waits until a request to the gateway is answered with status.
 func (m *member) await(t *testing.T, w *world, path string, status int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -83,8 +81,8 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// TestFleetFollowsTheStoreThroughOneGateway starts more gateways than a tree's first level holds:
-// changes reach all of them while only the leader and, as they start, few others ask the store.
+// TestFleetFollowsTheStoreThroughOneGateway checks that changes reach all gateways of a fleet with more than one tree
+// level, while gateways that do not lead make almost no calls to the store.
 func TestFleetFollowsTheStoreThroughOneGateway(t *testing.T) {
 	w := newWorld(t, newWorker(t, "s1", answer(http.StatusOK, "one")))
 	members := startFleet(t, w, relay.Width+4)
@@ -112,8 +110,7 @@
 	assert.Assert(t, calls()-before < int64(len(members)), "%d calls to the store by gateways that do not lead", calls()-before)
 }
 
-// TestGatewayStartsWithoutTheStore starts a gateway that does not reach the store: it serves with
-// what another gateway knows.
+// TestGatewayStartsWithoutTheStore checks that a gateway without access to the store gets its state from another gateway.
 func TestGatewayStartsWithoutTheStore(t *testing.T) {
 	w := newWorld(t, newWorker(t, "s1", answer(http.StatusOK, "one")))
 	s := gatewaySettings(t, "late")
@@ -125,8 +122,7 @@
 	m.await(t, w, pathSafe, http.StatusOK)
 }
 
-// TestFleetWithoutItsLeader cuts the leader from the other gateways and the store: a change reaches
-// all the others.
+// TestFleetWithoutItsLeader checks that a change reaches all other gateways after the leader was stopped.
 func TestFleetWithoutItsLeader(t *testing.T) {
 	w := newWorld(t, newWorker(t, "s1", answer(http.StatusOK, "one")))
 	members := startFleet(t, w, relay.Width+4)
--- a/internal/gateway/find_leader_test.go
+++ b/internal/gateway/find_leader_test.go
@@ -19,15 +19,11 @@
 	"rockcleat/lease"
 )
 
-// A gateway asked for ten seconds another one that had led before, whose record of the lease was
-// the last it had seen: that one no longer reached the store, so it knew of no other leader either,
-// and said so in each reply. Meanwhile no residency and no change came from the leader.
-
-// repliers is a transport to gateways of which one leads; none knows which.
+// repliers is a transport to gateways of which one leads. The others reply without the leader's address.
 type repliers struct {
 	t      *testing.T
 	leader string
-	// asked are the addresses of those asked, in order.
+	// asked holds the addresses of the requests, in order.
 	asked []string
 }
 
@@ -39,11 +35,11 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body)), Request: r}, nil
 }
 
-// TestLeaderIsFoundDespiteAnOldRecord checks that a gateway finds the leader though the record
-// that it has names one that leads no longer, and then stays with it.
+// TestLeaderIsFoundDespiteAnOldRecord checks that a gateway finds the leader even if its record of the lease names a
+// gateway that no longer leads, and that it keeps reporting to the leader. Otherwise it would get no residency and no
+// changes until the record is updated.
 func TestLeaderIsFoundDespiteAnOldRecord(t *testing.T) {
-	// tries is enough for asking seven gateways at random: not to find the one is a chance of
-	// one in ten million.
+	// tries is large enough to make the probability of missing the leader negligible.
 	const tries = 100
 	store := kvtest.New(clocktest.Real{})
 	peers := &repliers{t: t, leader: "g5:1"}
--- a/internal/gateway/fleet_keeper_test.go
+++ b/internal/gateway/fleet_keeper_test.go
@@ -16,15 +16,14 @@
 	"rockcleat/table"
 )
 
-// keyGateways is where the store has the list of gateways.
+// keyGateways is the store key of the list of gateways.
 const keyGateways = "gateways"
 
-// A storedFleet is what the store has there.
+// A storedFleet is the value stored under keyGateways.
 type storedFleet struct {
 	Gateways []placer.Gateway `json:"gateways"`
 }
 
-// storedGateways returns the list in the store.
 func (w *world) storedGateways() []placer.Gateway {
 	e, err := w.store.Get(w.t.Context(), keyGateways)
 	if err != nil {
@@ -35,8 +34,7 @@
 	return stored.Gateways
 }
 
-// TestListOfGatewaysIsKept checks that the leader writes the list of gateways to the store, once while it stays
-// the same.
+// TestListOfGatewaysIsKept checks that the leader writes the list of gateways to the store.
 func TestListOfGatewaysIsKept(t *testing.T) {
 	w := newWorld(t, newWorker(t, "s1", answer(http.StatusOK, "one")))
 	startFleet(t, w, 3)
@@ -48,8 +46,8 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// TestLimitAfterTheLossOfAllGateways starts a gateway after all were lost, while the lease of the one that led has
-// not ended: it knows from the store that it is one of two and lets an organisation run its part of the rate.
+// TestLimitAfterTheLossOfAllGateways checks that a gateway started after the loss of all gateways, while the former
+// leader's lease is still valid, gets its share of a rate limit from the stored list.
 func TestLimitAfterTheLossOfAllGateways(t *testing.T) {
 	w := newKeyWorld(t, func(*config.Gateway) {}, newWorker(t, "s1", answer(http.StatusOK, "one")))
 	w.routing.Organisations[0].Limit = table.Limit{Unit: table.UnitRequests, PerSecond: 10, Burst: 10}
@@ -71,7 +69,7 @@
 	assert.Equal(t, w.logs.FilterMessage("list of gateways read").Len(), 1)
 }
 
-// copyStore returns a store with the world's configuration and servers.
+// copyStore returns a new store with the configuration and servers of w's store.
 func (w *world) copyStore() *kvtest.Store {
 	w.t.Helper()
 	s := kvtest.New(w.clock)
--- a/internal/gateway/followers_test.go
+++ b/internal/gateway/followers_test.go
@@ -15,10 +15,10 @@
 	"rockcleat/table"
 )
 
-// spoiled is a value that describes no server.
+// spoiled is a value that cannot be decoded.
 const spoiled = "spoiled"
 
-// plainDecoder takes a key for the server's id.
+// plainDecoder uses the key as the server's id.
 type plainDecoder struct{}
 
 func (plainDecoder) ConfigKey() string    { return "config" }
@@ -37,8 +37,7 @@
 
 func (plainDecoder) ServerID(key string) string { return key }
 
-// TestNewListShowsWhoIsGone checks that a server which went while the store was not
-// watched is logged once.
+// TestNewListShowsWhoIsGone checks that a server that was removed while the store was not watched is logged once.
 func TestNewListShowsWhoIsGone(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
@@ -56,9 +55,8 @@
 	assert.DeepEqual(t, gone, []string{"s2", "s1"})
 }
 
-// TestSpoiledEntries checks that an entry which describes no server takes that server away and no
-// other, in a list and as a change, that it is back when the entry is mended, and that the log has
-// one line for each time, not one for each heartbeat.
+// TestSpoiledEntries checks that an undecodable entry removes only its own server, in lists and changes, that the server
+// returns when the entry is valid again, and that the log has one line per occurrence, not one per heartbeat.
 func TestSpoiledEntries(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
@@ -89,9 +87,9 @@
 	assert.Equal(t, list.digest("servers/", bad("s1", 5)), list.digest("servers/", bad("s1", 6)), "heartbeats are not handed on")
 }
 
-// TestResidentsAreHandedOnWithoutALeader checks that a change of what an engine holds matters to other
-// gateways as long as no leader publishes that, and not when one does: after all gateways had restarted
-// one request in five went to an engine that no longer held its model.
+// TestResidentsAreHandedOnWithoutALeader checks that the digest of a server depends on what its engine has loaded only
+// while no leader publishes residency. Otherwise gateways without a leader would send requests to engines that no longer
+// have the model loaded.
 func TestResidentsAreHandedOnWithoutALeader(t *testing.T) {
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
 	list := newServerList(residentDecoder{}, clocktest.Real{}, zap.NewNop(), d)
@@ -102,7 +100,7 @@
 	assert.Equal(t, list.digest("servers/", entry("m1")), list.digest("servers/", entry("m2")))
 }
 
-// residentDecoder takes an entry's value for the model that the server holds.
+// residentDecoder uses the entry's value as the loaded model.
 type residentDecoder struct{ plainDecoder }
 
 func (residentDecoder) Server(key string, value []byte) (backend.Server, error) {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -36,14 +36,14 @@
 	Organisation: "X-Organisation", Reserved: []string{"X-Hold", "X-Pin"},
 }
 
-// Keys and paths of the tests' platform.
+// Store keys and paths of the platform that the tests simulate.
 const (
 	keyConfig = "config"
 	prefix    = "servers/"
 	readyPath = "/ready"
 )
 
-// A decoder reads JSON of the product's own records.
+// A decoder decodes the product's records from JSON.
 type decoder struct{}
 
 type routingFile struct {
@@ -51,7 +51,7 @@
 	Routes   []table.Route
 	Services []table.Service
 	Limits   table.RequestLimits
-	// Organisations are there if requests need keys, which Keys names by organisation.
+	// Organisations is empty if requests need no keys. Keys lists the keys by organisation.
 	Organisations []table.Organisation
 	Keys          []apikey.Holder
 }
@@ -62,7 +62,7 @@
 
 func (decoder) ServerID(key string) string { return strings.TrimPrefix(key, prefix) }
 
-// IsOlderServer reports whether the record of a leaving server is not: records of tests have no count.
+// IsOlderServer reports whether value is not leaving and than is: the tests' records have no sequence number.
 func (decoder) IsOlderServer(value, than []byte) (older, known bool) {
 	var s, other backend.Server
 	known = json.Unmarshal(value, &s) == nil && json.Unmarshal(than, &other) == nil
@@ -87,7 +87,7 @@
 	return s, err
 }
 
-// noEngines takes no orders.
+// noEngines is a backend.EngineClient whose calls all fail.
 type noEngines struct{}
 
 func (noEngines) Report(context.Context, *backend.Server) (backend.Report, error) {
@@ -98,7 +98,7 @@
 	return backend.OrderUnanswered, io.EOF
 }
 
-// A world is a gateway with its store and backend servers.
+// A world is a gateway with a store and backend servers.
 type world struct {
 	t       *testing.T
 	store   *kvtest.Store
@@ -113,7 +113,7 @@
 	logs    *observer.ObservedLogs
 }
 
-// Hosts and paths of the tests' routes.
+// Host and path prefixes of the tests' routes.
 const (
 	host       = "app.example"
 	pathUnsafe = "/unsafe/"
@@ -137,30 +137,28 @@
 	}
 }
 
-// ownHost is a loopback address that only this process uses: a port that is free on
-// it when a test looks stays free, while other processes take ports of 127.0.0.1.
+// ownHost returns a loopback address derived from the process id, so that other processes do not take its ports.
 func ownHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// firstPort is the first port that tests listen on: below those that the kernel gives
-// to whoever asks for any.
+// firstPort is the first port that tests listen on. It is below the kernel's range of ephemeral ports.
 const firstPort = 20000
 
-// lastPort counts the ports that tests have taken.
+// lastPort counts the ports allocated by freeAddr.
 var lastPort atomic.Int64
 
-// freeAddr returns an address that no other call of this process returns. A port that
-// the kernel names when it is asked for any may be named again by the next call.
+// freeAddr returns an address that no other call in this process returns. Asking the kernel for a free port would not
+// guarantee that, since it may return the same port again.
 func freeAddr() string { return fmt.Sprintf("%s:%d", ownHost(), firstPort+lastPort.Add(1)) }
 
-// newWorld starts a gateway before the backend servers.
+// newWorld starts a gateway with default settings for the given servers.
 func newWorld(t *testing.T, workers ...*worker) *world {
 	return newWorldWith(t, func(*config.Gateway) {}, workers...)
 }
 
-// newWorldWith starts a gateway with other settings before the backend servers.
+// newWorldWith starts a gateway with changed settings for the given servers.
 func newWorldWith(t *testing.T, change func(*config.Gateway), workers ...*worker) *world {
 	w := prepareWorld(t, change, workers...)
 	w.putConfig()
@@ -177,7 +175,7 @@
 	return prepareWorldOn(t, clocktest.Real{}, change, workers...)
 }
 
-// prepareWorldOn is prepareWorld with another clock of the gateways.
+// prepareWorldOn is prepareWorld with a given clock for the gateways.
 func prepareWorldOn(t *testing.T, c clock.Service, change func(*config.Gateway), workers ...*worker) *world {
 	core, logs := observer.New(zap.InfoLevel)
 	w := &world{t: t, clock: c, log: zap.New(core), logs: logs, store: kvtest.New(clocktest.Real{}), client: &http.Client{Transport: &http.Transport{}}}
@@ -200,7 +198,7 @@
 	return w
 }
 
-// gatewaySettings returns settings with addresses that are free.
+// gatewaySettings returns settings with free addresses.
 func gatewaySettings(t *testing.T, id string) config.Gateway {
 	var s config.Gateway
 	config.Defaults(&s)
@@ -244,7 +242,7 @@
 	w.store.Set(prefix+s.Name(), value)
 }
 
-// waitReady waits until the gateway answers the balancer with a status.
+// waitReady waits until the readiness endpoint returns status.
 func (w *world) waitReady(status int) {
 	w.t.Helper()
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
@@ -260,7 +258,7 @@
 	})
 }
 
-// waitServers waits until the gateway knows a number of servers, listed or seen after that.
+// waitServers waits until the gateway knows at least n servers.
 func (w *world) waitServers(n int) {
 	w.t.Helper()
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
@@ -286,20 +284,19 @@
 	return req
 }
 
-// A reply is what a caller got.
+// A reply is the answer that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// closes says that the answer ends its connection.
+	// closes says that the answer closes its connection.
 	closes bool
-	// err says that the answer did not come whole.
+	// err is not nil if the answer is incomplete.
 	err error
 }
 
 func (w *world) do(req *http.Request) reply { return doWith(w.client, req) }
 
-// doWith sends a request with a client.
 func doWith(client *http.Client, req *http.Request) reply {
 	resp, err := client.Do(req)
 	if err != nil {
@@ -314,7 +311,7 @@
 	return w.do(w.request(http.MethodGet, path, "", headers...))
 }
 
-// post sends a request that the client's transport does not repeat by itself.
+// post sends a request that http.Transport does not retry by itself.
 func (w *world) post(path, body string, headers ...string) reply {
 	return w.do(w.request(http.MethodPost, path, body, headers...))
 }
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -14,7 +14,7 @@
 	"rockcleat/table"
 )
 
-// newLimitWorld starts a gateway, which leads, in front of a server for an organisation with a limit.
+// newLimitWorld starts a gateway, waits until it leads, and gives the first organisation a rate limit.
 func newLimitWorld(t *testing.T, limit table.Limit, workers ...*worker) *world {
 	w := prepareWorld(t, func(*config.Gateway) {}, workers...)
 	useKeys(w)
@@ -25,7 +25,7 @@
 	return w
 }
 
-// awaitLimit waits until a request with the guild's key that costs tokens gets a status.
+// awaitLimit waits until a request of the limited organisation with the given token counts is answered with status.
 func (w *world) awaitLimit(status int, tokens string) {
 	w.t.Helper()
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
@@ -36,8 +36,8 @@
 	})
 }
 
-// TestOverTheLimit checks that an organisation over its limit is refused at once, with a time to come back, that
-// no server sees it, and that others and routes without a key are not touched by it.
+// TestOverTheLimit checks that a request over its organisation's rate limit is refused immediately with a Retry-After and
+// reaches no server, and that other organisations and routes without keys are not affected.
 func TestOverTheLimit(t *testing.T) {
 	tests := map[string]struct {
 		limit  table.Limit
@@ -70,8 +70,7 @@
 	}
 }
 
-// TestRefusedIsGivenBack checks that a request that has not run does not count against its organisation's limit:
-// servers refuse it, and the next one is inside the limit all the same.
+// TestRefusedIsGivenBack checks that a request that servers refuse is not charged to its organisation's rate limit.
 func TestRefusedIsGivenBack(t *testing.T) {
 	x := newWorker(t, "full", refuse)
 	w := newLimitWorld(t, table.Limit{Unit: table.UnitRequests, PerSecond: 0.3, Burst: 1}, x)
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -14,8 +14,7 @@
 	"rockcleat/quarantine"
 )
 
-// TestMessagesBetweenGateways pins the form of what gateways send to each other: during an
-// upgrade gateways of two versions run side by side.
+// TestMessagesBetweenGateways pins the wire format between gateways, since two versions run side by side during an upgrade.
 func TestMessagesBetweenGateways(t *testing.T) {
 	load := dispatch.Load{Running: 1, PrefillMs: 2, UsedTokens: 3}
 	tests := map[string]struct {
--- a/internal/gateway/outgoing_test.go
+++ b/internal/gateway/outgoing_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHeadersSentToServers sends headers that are the system's to set, headers of one
-// connection and others by each way to a server, and checks which arrive.
+// TestHeadersSentToServers checks which headers reach servers, for first sends, retries and resumed streams: reserved and
+// hop-by-hop headers are dropped, others are forwarded.
 func TestHeadersSentToServers(t *testing.T) {
 	reset := func(c *call) bool { return c.reset() }
 	cutAfterFirst := func(c *call) bool { c.write(c.streamHead(), event(1)); return false }
-	// lastEvents are those that the sends ask to go on after; callers name 7.
+	// lastEvents are the Last-Event-Id values of all sends, sorted; callers send 7.
 	tests := map[string]struct {
 		path       string
 		play       script
--- a/internal/gateway/quarantine_failures_test.go
+++ b/internal/gateway/quarantine_failures_test.go
@@ -18,7 +18,7 @@
 	"rockcleat/quarantine"
 )
 
-// quarantined sends copies until all of a number of gateways have the request in quarantine.
+// quarantined sends copies of the request until the given number of gateways have it in quarantine.
 func (p *pacedCaller) quarantined(gateways int) {
 	p.w.t.Helper()
 	for range quarantine.DefaultEnds {
@@ -27,15 +27,15 @@
 	p.w.waitLines("request quarantined", gateways)
 }
 
-// stopNow stops the first gateway of a world with no grace.
+// stopNow stops w's gateway without a grace period.
 func stopNow(w *world) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	// The gateway says that requests were cut.
+	// Stop returns an error because requests were aborted.
 	_ = w.gateway.Stop(ctx)
 }
 
-// waitLines waits until a message was logged a number of times.
+// waitLines waits until at least n log lines have the given message.
 func (w *world) waitLines(message string, n int) {
 	w.t.Helper()
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
@@ -46,7 +46,7 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// refused checks that the next copies are refused at each gateway and reach no server.
+// refused checks that one copy per gateway is refused and reaches no server.
 func (p *pacedCaller) refused(servers *fragileServers) {
 	p.w.t.Helper()
 	before := servers.ends.Load()
@@ -58,7 +58,7 @@
 	assert.Equal(p.w.t, servers.ends.Load(), before)
 }
 
-// newQuarantineFleet starts three gateways before fragile servers.
+// newQuarantineFleet starts three gateways with fragile servers.
 func newQuarantineFleet(t *testing.T) (*pacedCaller, *fragileServers) {
 	w, servers := newFragileWorld(t, 8, answer(http.StatusOK, "fine"))
 	caller := &pacedCaller{w: w, path: pathUnsafe, fronts: []string{w.front}}
@@ -68,8 +68,8 @@
 	return caller, servers
 }
 
-// TestQuarantineIsKnownToARestartedGateway starts a gateway that had a former life while a request is in
-// quarantine: it refuses the first copy that it gets once it is ready.
+// TestQuarantineIsKnownToARestartedGateway checks that a restarted gateway refuses a quarantined request as soon as it is
+// ready.
 func TestQuarantineIsKnownToARestartedGateway(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	caller.quarantined(3)
@@ -81,14 +81,14 @@
 	caller.refused(servers)
 }
 
-// command runs the operators' command and returns its exit code and what it prints.
+// command runs the operators' command-line tool and returns its exit code and output.
 func (w *world) command(args ...string) (code int, printed string) {
 	var out bytes.Buffer
 	code = cli.Run(w.t.Context(), args, nil, &out, &out)
 	return code, out.String()
 }
 
-// awaitReady waits until a gateway calls itself ready.
+// awaitReady waits until the gateway with settings s is ready.
 func awaitReady(t *testing.T, s config.Gateway) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -104,7 +104,7 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// TestQuarantineOutlastsTheLeader stops the leader while a request is in quarantine.
+// TestQuarantineOutlastsTheLeader checks that a request stays in quarantine when the leader stops.
 func TestQuarantineOutlastsTheLeader(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	caller.quarantined(3)
@@ -114,8 +114,8 @@
 	caller.refused(servers)
 }
 
-// TestQuarantineOutlastsAllGateways stops all gateways while a request is in quarantine and starts one
-// that knows nothing: it finds the request in the store.
+// TestQuarantineOutlastsAllGateways checks that a gateway started after the loss of all gateways reads the quarantine from
+// the store.
 func TestQuarantineOutlastsAllGateways(t *testing.T) {
 	w, servers := newFragileWorld(t, 8, answer(http.StatusOK, "fine"))
 	caller := &pacedCaller{w: w, path: pathUnsafe, fronts: []string{w.front}}
@@ -136,8 +136,8 @@
 	caller.refused(servers)
 }
 
-// TestQuarantineWithoutTheStore takes the store away before the first end, so that nobody leads: gateways
-// tell each other.
+// TestQuarantineWithoutTheStore checks that gateways exchange the quarantine while the store is unreachable and there is
+// no leader.
 func TestQuarantineWithoutTheStore(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	caller.w.store.Fail(func(string) error { return errors.New("away") })
@@ -146,8 +146,7 @@
 	caller.refused(servers)
 }
 
-// TestQuarantineIsLifted lifts a quarantine at one gateway: all serve the request again, which is a sound
-// one by now.
+// TestQuarantineIsLifted checks that a quarantine lifted at one gateway is lifted at all of them.
 func TestQuarantineIsLifted(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	caller.quarantined(3)
@@ -166,8 +165,8 @@
 	assert.Equal(t, code, 1, "there is nothing left to lift")
 }
 
-// TestCopiesAtOnce sends copies at the same moment at all gateways, again and again: those on their way
-// with the third end may end servers, none that comes later does.
+// TestCopiesAtOnce checks that, with copies sent to all gateways concurrently, only copies already in flight at the third
+// termination can terminate further servers.
 func TestCopiesAtOnce(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	atOnce := 2 * len(caller.fronts)
@@ -180,14 +179,14 @@
 		copies.Wait()
 	}
 	caller.w.waitLines("request quarantined", 3)
-	// Two ends before the last copies went out, and one under each of those.
+	// Two servers may terminate before the last batch, and one under each copy of that batch.
 	most := quarantine.DefaultEnds - 1 + atOnce
 	assert.Assert(t, servers.ends.Load() <= int64(most), "%d servers ended", servers.ends.Load())
 	caller.refused(servers)
 }
 
-// TestCopyThatMayGoOnElsewhere sends a request that may be repeated and one whose stream may be resumed:
-// neither is sent again once it is in quarantine, and the answer says that it may have run.
+// TestCopyThatMayGoOnElsewhere checks that a request in quarantine is neither retried nor resumed, and is answered with
+// the status of one that may have run.
 func TestCopyThatMayGoOnElsewhere(t *testing.T) {
 	for name, path := range map[string]string{"repeated": pathSafe, "resumed": pathResume} {
 		t.Run(name, func(t *testing.T) {
@@ -203,8 +202,8 @@
 	}
 }
 
-// TestCopyThatHasNotBegunIsGivenUp keeps a copy at a server, as in its queue, while three servers end
-// under others: its caller gets an answer at once and the server is rid of it.
+// TestCopyThatHasNotBegunIsGivenUp checks that a copy still waiting at a server is cancelled when its request is placed in
+// quarantine: its caller is answered, and the connection to the server is closed.
 func TestCopyThatHasNotBegunIsGivenUp(t *testing.T) {
 	w, servers := newFragileWorld(t, 8, answer(http.StatusOK, "fine"))
 	servers.keepsNext.Store(true)
@@ -228,7 +227,7 @@
 	caller.refused(servers)
 }
 
-// TestEndsThatAreNone breaks requests off in ways that are no end of a server under a request.
+// TestEndsThatAreNone checks that broken connections and invalid answers do not count as terminations of a server.
 func TestEndsThatAreNone(t *testing.T) {
 	tests := map[string]script{
 		"the connection is closed": func(*call) bool { return false },
@@ -258,13 +257,9 @@
 	}
 }
 
-// TestCopiesOfASuspect holds what a day of our own showed: a server ended under copies of a request, and five more copies
-// that had come to one gateway meanwhile were sent to the next server at the same moment, when it had room. Each of
-// them began there, so that what the first one did to that server came too late for the others. The proof was in the
-// gateway's log: one digest five times under one end of a server, 0.6 to 1.6 s old.
-//
-// Copies of a request under which one server has ended are sent one at a time: two more servers end, and the other
-// copies are refused.
+// TestCopiesOfASuspect checks that copies of a request under which a server has terminated are sent one at a time, so that
+// concurrent copies cannot terminate more servers before the quarantine begins. Two more servers terminate, and the
+// other copies are refused.
 func TestCopiesOfASuspect(t *testing.T) {
 	const copies = 6
 	w, servers := newFragileWorld(t, 8, answer(http.StatusOK, "fine"))
--- a/internal/gateway/quarantine_scale_test.go
+++ b/internal/gateway/quarantine_scale_test.go
@@ -12,7 +12,7 @@
 	"rockcleat/quarantine"
 )
 
-// A quarantineFleet is a simulated fleet whose gateways exchange what they know of requests under which servers end.
+// A quarantineFleet is a simulated fleet whose gateways exchange the quarantine.
 type quarantineFleet struct {
 	*simulatedFleet[quarantine.Record]
 	tables []*quarantine.Table
@@ -36,13 +36,13 @@
 	return f
 }
 
-// end ends a server under requests of one gateway, which reports soon.
+// end records the termination of a server under requests of one gateway, and schedules an urgent report.
 func (f *quarantineFleet) end(server string, gateway int, keys ...quarantine.Key) {
 	f.tables[gateway].Ended(server, keys...)
 	f.reportSoon(gateway)
 }
 
-// allHold reports whether every gateway has a request in quarantine.
+// allHold reports whether all gateways have a request in quarantine.
 func (f *quarantineFleet) allHold(k quarantine.Key) bool {
 	for _, t := range f.tables {
 		if _, held := t.Until(k); !held {
@@ -52,10 +52,9 @@
 	return true
 }
 
-// TestQuarantineIsKnownInTime ends three servers under a request, each seen by another gateway with the 24
-// requests that ran there, and takes the time until all gateways have it in quarantine. The longest of 20
-// seeds, without the time of the network: 0.08 s with 6 gateways, 0.17 s with 24, 0.67 s with 103 and 1.04 s
-// with 340; all messages together have 6, 11, 32 and 90 KB.
+// TestQuarantineIsKnownInTime checks that all gateways have a request in quarantine within 2 s of the third termination.
+// Each termination is observed by a random gateway, together with other requests on the same server. Network latency is not
+// simulated.
 func TestQuarantineIsKnownInTime(t *testing.T) {
 	const seeds, requests, step = 20, 24, 10 * time.Millisecond
 	for _, gateways := range []int{6, 24, 103, 340} {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -14,37 +14,37 @@
 	"rockcleat/relay"
 )
 
-// poison is the body of a request under which servers end.
+// poison is the body of a request that terminates the server running it.
 const poison = "ends whoever runs it"
 
-// contactTime is how long gateways may take to learn of the third end, maxLateSends how many sends are
-// allowed after that: the users' rule.
+// contactTime is the maximum time until all gateways know of the third termination. maxLateSends is the number of sends
+// allowed after it. Both are requirements of the platform.
 const (
 	contactTime  = 3 * time.Second
 	maxLateSends = 3
 )
 
-// restartTime is the time from a fragile server's end to its next run.
+// restartTime is the time from the termination of a fragile server to its restart.
 const restartTime = 300 * time.Millisecond
 
-// Fragile servers end under poison, are back after restartTime as a new run at the same address, and
-// answer everything else.
+// fragileServers terminate when they receive poison, and restart after restartTime as a new instance at the same address.
+// They answer all other requests.
 type fragileServers struct {
 	t    *testing.T
 	rest script
 	ends atomic.Int64
-	// mended says that poison does no harm any more, keepsNext that the next copy is kept unanswered
-	// until its sender closes the connection.
+	// mended says that poison is harmless. keepsNext says that the next copy is left unanswered until the gateway
+	// closes its connection.
 	mended, keepsNext atomic.Bool
-	// world lists the new runs.
+	// world is where restarted servers are listed.
 	world *world
-	// restarts are those to come; over says that the test is, and there are no more.
+	// restarts counts the pending restarts. over says that no more may be scheduled.
 	mu       sync.Mutex
 	over     bool
 	restarts sync.WaitGroup
 }
 
-// newFragileWorld starts a gateway before fragile servers.
+// newFragileWorld starts a gateway with n fragile servers.
 func newFragileWorld(t *testing.T, n int, rest script) (*world, *fragileServers) {
 	f := &fragileServers{t: t, rest: rest}
 	var list []*worker
@@ -56,7 +56,7 @@
 	return f.world, f
 }
 
-// start starts a run of a server.
+// start starts an instance of a server.
 func (f *fragileServers) start(name, addr string, run int) *worker {
 	var x *worker
 	var end sync.Once
@@ -82,7 +82,7 @@
 	return x
 }
 
-// restart makes a call after restartTime.
+// restart schedules call after restartTime.
 func (f *fragileServers) restart(call func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,7 +96,7 @@
 	})
 }
 
-// stop waits for the restarts that are to come.
+// stop waits for the pending restarts.
 func (f *fragileServers) stop() {
 	f.mu.Lock()
 	f.over = true
@@ -104,17 +104,15 @@
 	f.restarts.Wait()
 }
 
-// A paced caller sends copies of one request to gateways in turn, each with another id and from another
-// address.
+// A pacedCaller sends copies of one request to gateways in turn, each with a new request id and from a different address.
 type pacedCaller struct {
 	w      *world
 	fronts []string
 	path   string
-	// sent counts the copies.
+	// sent is the number of copies sent.
 	sent int
 }
 
-// copy sends the next copy.
 func (p *pacedCaller) copy() reply {
 	req := p.w.request(http.MethodPost, p.path, poison)
 	req.URL.Host = p.fronts[p.sent%len(p.fronts)]
@@ -126,14 +124,9 @@
 	return doWith(&http.Client{Transport: transport}, req)
 }
 
-// TestRequestUnderWhichServersEnd holds what users of a deployment with six gateways saw: streams broke
-// off or failed for a minute, while engine after engine ended, 16 under one request and 17 under another.
-//
-// Each time the caller of that request got a 502 and sent it again, as a new request with an id of its
-// own, to whichever gateway took its connection; that gateway knew nothing of the ends before and sent it
-// to the next engine. The proof was in the gateways' logs: at each end one request was 0.06 to 0.19 s old
-// and had no event yet, always on the same route and at another gateway each time, and no gateway had sent
-// it twice.
+// TestRequestUnderWhichServersEnd checks that a request that terminates servers is quarantined at all gateways. Without
+// that, a caller that resends the request under a new id, to a different gateway each time, terminates one server after
+// another.
 func TestRequestUnderWhichServersEnd(t *testing.T) {
 	const pace = 100 * time.Millisecond
 	w, servers := newFragileWorld(t, 12, answer(http.StatusOK, "fine"))
--- a/internal/gateway/reporter_test.go
+++ b/internal/gateway/reporter_test.go
@@ -14,7 +14,7 @@
 	"rockcleat/kv"
 )
 
-// A cutStore is a store that one gateway no longer reaches once it is cut.
+// A cutStore is a gateway's view of the store, which becomes unreachable when cut is set.
 type cutStore struct {
 	kv.PrefixStore
 	cut atomic.Bool
@@ -44,8 +44,7 @@
 	return events, at, err
 }
 
-// secondGateway starts a second gateway whose way to the store can be cut; requests
-// go to it from then on.
+// secondGateway starts a second gateway, directs requests to it and returns its view of the store.
 func secondGateway(t *testing.T, w *world) *cutStore {
 	t.Helper()
 	store := &cutStore{PrefixStore: w.store}
@@ -56,9 +55,8 @@
 	return store
 }
 
-// TestGatewayCutFromTheStoreLearnsOfChanges cuts one of two gateways from the store:
-// it learns from the leader of servers that leave and come, and of a
-// new configuration.
+// TestGatewayCutFromTheStoreLearnsOfChanges checks that a gateway without access to the store receives changes of servers
+// and of the configuration from the leader.
 func TestGatewayCutFromTheStoreLearnsOfChanges(t *testing.T) {
 	first, second := newWorker(t, "s1", answer(http.StatusOK, "one")), newWorker(t, "s2", answer(http.StatusOK, "two"))
 	w := newWorld(t, first)
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -63,8 +63,7 @@
 	}
 }
 
-// TestBothFramings sends a request with a length and chunks, where a server that
-// went by the length would find a second request: only one arrives.
+// TestBothFramings checks that a request with both Content-Length and chunked encoding cannot smuggle a second request.
 func TestBothFramings(t *testing.T) {
 	x := newWorker(t, "a", answer(200, "ok"))
 	w := newWorld(t, x)
@@ -97,7 +96,7 @@
 	assert.Equal(t, w.post(pathUnsafe, "x").status, http.StatusOK)
 }
 
-// eventually waits until a request gets a status.
+// eventually waits until a request is answered with status.
 func (w *world) eventually(path string, status int) {
 	w.t.Helper()
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
@@ -213,7 +212,7 @@
 	}
 }
 
-// putEngine lists a server of the service of models.
+// putEngine adds an engine that has the given models loaded.
 func (w *world) putEngine(x *worker, models ...string) {
 	s := backend.Server{ID: x.id, Service: "llm", Addr: x.addr, Hall: "h", Slots: 4}
 	for _, m := range models {
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -14,9 +14,8 @@
 	"rockcleat/table"
 )
 
-// TestFleetKeepsOneBudget restarts a third of a fleet that knows no leader, and one of its gateways
-// again and again: all of them together repeat no more than is allowed in any window, also when each
-// repeats as much as it may.
+// TestFleetKeepsOneBudget checks that a fleet never exceeds the shared retry budget, even if each gateway uses its full
+// share, a third of them restart without a leader, and one restarts repeatedly.
 func TestFleetKeepsOneBudget(t *testing.T) {
 	const gateways, restarted = 103, 34
 	settings := config.Retry{Window: config.Duration(10 * time.Second), Ratio: 0.2, Fixed: 246}
@@ -65,8 +64,8 @@
 	assert.Equal(t, repeat(), restarted, "then they have theirs again")
 }
 
-// TestFewerGatewaysAreNotBelievedAtOnce checks that a gateway does not take a larger part when the
-// leader knows fewer: those that are cut off from it still use theirs.
+// TestFewerGatewaysAreNotBelievedAtOnce checks that a gateway's share does not grow immediately when the list of gateways
+// shrinks: gateways cut off from the leader still use theirs.
 func TestFewerGatewaysAreNotBelievedAtOnce(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := newDirectory("a0", 6, nil, false)
--- a/internal/gateway/server_ends_test.go
+++ b/internal/gateway/server_ends_test.go
@@ -19,14 +19,14 @@
 	"rockcleat/quarantine"
 )
 
-// TestEndDetector breaks a request off at a server and checks whether the server's end is charged to it.
+// TestEndDetector checks whether a failed connection is counted as the termination of its server.
 func TestEndDetector(t *testing.T) {
 	key := quarantine.KeyOf(quarantine.Request{Target: "/t"})
 	server := backend.Server{ID: "s", Service: "app", Addr: "10.0.0.1:1"}
 	tests := map[string]struct {
-		// dial is the result of a connection to the server's address.
+		// dial is the result of a connection attempt to the server's address.
 		dial error
-		// before and after change the list before and after the break.
+		// before and after change the list of servers before and after the connection failed.
 		before, after func(r *backend.Registry, now time.Time)
 		paused        bool
 		dials, want   int
@@ -56,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := clocktest.New(time.Unix(1000, 0))
 			registry := &backend.Registry{}
-			// Two servers of one service: one that vanishes alone is not kept.
+			// The registry needs other servers of the service: it does not remove a service's only server.
 			registry.Replace([]backend.Server{server, {ID: "other", Service: "app"}, {ID: "third", Service: "app"}}, c.Now())
 			if test.before != nil {
 				test.before(registry, c.Now())
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestEndAfterABreak breaks a request off at a server that lives, and then another one as the server ends:
-// only the second is charged.
+// TestEndAfterABreak checks that a termination is attributed only to requests whose connection failed after the last
+// successful probe.
 func TestEndAfterABreak(t *testing.T) {
 	first, second := quarantine.KeyOf(quarantine.Request{Target: "/1"}), quarantine.KeyOf(quarantine.Request{Target: "/2"})
 	server := backend.Server{ID: "s", Service: "app", Addr: "10.0.0.1:1"}
@@ -133,7 +133,7 @@
 	assert.Equal(t, d.table.Ends(first), 1, "it broke off after the end was known")
 }
 
-// TestIsBreak checks which errors of a send say that its connection broke.
+// TestIsBreak checks which errors of a send indicate a failed connection.
 func TestIsBreak(t *testing.T) {
 	tests := map[string]struct {
 		err  error
@@ -154,7 +154,7 @@
 	}
 }
 
-// A timeoutError is a time-out of the network.
+// A timeoutError is a net.Error that reports a timeout.
 type timeoutError struct{}
 
 func (timeoutError) Error() string   { return "i/o timeout" }
--- a/internal/gateway/server_limit_failures_test.go
+++ b/internal/gateway/server_limit_failures_test.go
@@ -9,20 +9,20 @@
 	"gotest.tools/v3/poll"
 )
 
-// TestServerLimitUnderFailures lets two plain servers in need get requests at three gateways while something fails:
-// they get no more than they take all the while, and what they take once it is over.
+// TestServerLimitUnderFailures checks that rate-limited servers do not get more requests than allowed during a failure,
+// and that they are fully used again after a recoverable one.
 func TestServerLimitUnderFailures(t *testing.T) {
 	const (
 		pace   = 25 * time.Millisecond
 		before = 4 * time.Second
 		after  = 9 * time.Second
-		// last is the end of the time after, in which all is well again.
+		// last is the final part of after, by which the system has recovered.
 		last = 4 * time.Second
 	)
 	tests := map[string]struct {
-		// fails returns how many gateways are left, the last ones.
+		// fails causes the failure and returns the number of remaining gateways, which are the last ones in fronts.
 		fails func(w *world) int
-		// recovers says that the servers get what they take in the end.
+		// recovers says that the servers must be fully used at the end.
 		recovers bool
 	}{
 		"the leader stops": {fails: func(w *world) int {
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestServerIsUsedAgain lets the only two servers of a service be in need of any rate, and then not: all requests are
-// served again within seconds.
+// TestServerIsUsedAgain checks that all requests are served again within seconds after the only servers of a service stop
+// announcing a rate limit.
 func TestServerIsUsedAgain(t *testing.T) {
 	for name, limit := range map[string]string{"few": "2", "none": "0"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/server_limit_scale_test.go
+++ b/internal/gateway/server_limit_scale_test.go
@@ -12,7 +12,7 @@
 	"rockcleat/serverlimit"
 )
 
-// A limitFleet is a simulated fleet whose gateways exchange what servers said of their limits.
+// A limitFleet is a simulated fleet whose gateways exchange the rate limits of servers.
 type limitFleet struct {
 	*simulatedFleet[serverlimit.Record]
 	tables []*serverlimit.Table
@@ -31,7 +31,7 @@
 	return f
 }
 
-// answers lets a number of servers name their limits to one gateway each.
+// answers simulates one answer with a rate limit from each server, received by a random gateway.
 func (f *limitFleet) answers(servers int, r *rand.Rand) {
 	for i := range servers {
 		g := r.IntN(len(f.tables))
@@ -40,7 +40,7 @@
 	}
 }
 
-// allKnow reports whether every gateway knows a number of limits.
+// allKnow reports whether all gateways know at least the given number of rate limits.
 func (f *limitFleet) allKnow(servers int) bool {
 	for _, t := range f.tables {
 		if len(t.List()) < servers {
@@ -50,16 +50,16 @@
 	return true
 }
 
-// TestServerLimitsAreKnownInTime lets all servers of a data hall name limits at once, each to one gateway only, and
-// takes the time until all gateways know them: two seconds at most, so that the third of contactTime is left for asks.
-// Then it takes the bytes that a gateway exchanges while the limits stand.
+// TestServerLimitsAreKnownInTime checks that rate limits announced by all servers of a data hall, each to one gateway only,
+// reach all gateways within 2 s, which leaves the rest of contactTime for requests for permits. It also checks the
+// traffic per gateway while the limits stay in force.
 func TestServerLimitsAreKnownInTime(t *testing.T) {
 	const (
 		servers = 146
 		step    = 10 * time.Millisecond
 		stands  = 20 * time.Second
 		pace    = time.Second
-		// budget is what a gateway may exchange for control, in bytes a second.
+		// budget is the maximum control traffic of a gateway, in bytes per second.
 		budget = 5000
 	)
 	for _, gateways := range []int{6, 24, 103, 340} {
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -13,15 +13,15 @@
 	"rockcleat/backend"
 )
 
-// The users' bound on what a server in need gets: from contactTime after it first named a limit, in any
-// limitWindow at most limitFactor times what the limit allows and limitSlack requests more.
+// Requirements for a rate-limited server: from contactTime after it first announced a limit, any limitWindow may contain
+// at most limitFactor times the requests that the limit allows, plus limitSlack.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// A needyServer is a backend server that names a limit in its answers while it is in need.
+// A needyServer is a backend server that announces a rate limit in its answers while one is set.
 type needyServer struct {
 	*worker
 	mu       sync.Mutex
@@ -30,7 +30,7 @@
 	arrivals []time.Time
 }
 
-// newNeedyServer starts a server that answers with the end of a script's answer after its head.
+// newNeedyServer starts a server that answers each request with its current rate limit.
 func newNeedyServer(t *testing.T, id string, isEngine bool) *needyServer {
 	s := &needyServer{}
 	s.worker = newWorker(t, id, func(c *call) bool {
@@ -48,7 +48,7 @@
 	return s
 }
 
-// note counts a request and returns the limit to name, if any.
+// note records a request and returns the limit to announce, if any.
 func (s *needyServer) note() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,14 +59,14 @@
 	return s.limit
 }
 
-// setLimit sets the limit that the server names from now on; empty if it is not in need.
+// setLimit sets the limit to announce; empty means none.
 func (s *needyServer) setLimit(limit string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit, s.namedAt = limit, time.Time{}
 }
 
-// arrived returns the number of requests in a span of time.
+// arrived returns the number of requests received in [from, to).
 func (s *needyServer) arrived(from, to time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,10 +79,11 @@
 	return n
 }
 
-// since returns the number of requests since a time.
+// since returns the number of requests received since a time.
 func (s *needyServer) since(from time.Time) int { return s.arrived(from, time.Now()) }
 
-// mostInWindow returns the most requests in any limitWindow, from contactTime after the limit was first named.
+// mostInWindow returns the largest number of requests in any limitWindow, starting contactTime after the limit was first
+// announced.
 func (s *needyServer) mostInWindow() int {
 	s.mu.Lock()
 	from := s.namedAt.Add(contactTime - limitWindow)
@@ -98,7 +99,7 @@
 	return most
 }
 
-// A crowd is many callers, each of which sends one request to a gateway and takes what it gets.
+// A crowd simulates many callers, each of which sends one request and does not retry.
 type crowd struct {
 	w       *world
 	fronts  []string
@@ -110,13 +111,13 @@
 	results []result
 }
 
-// A result is what one caller got.
+// A result is the outcome of one request.
 type result struct {
 	reply
 	sent, took time.Duration
 }
 
-// sends lets callers arrive at the gateways in turn, one every pace for a time.
+// sends sends one request per pace to the gateways in turn, for a duration.
 func (c *crowd) sends(pace, during time.Duration) {
 	began := time.Now()
 	ticker := time.NewTicker(pace)
@@ -141,8 +142,9 @@
 	c.results = append(c.results, result{reply: got, sent: sent.Sub(began), took: time.Since(sent)})
 }
 
-// refusals checks that all who were not served were refused, with a time to come back, and that of those sent later
-// than a time after the first not more waited in vain than were served. It returns how many were refused then.
+// refusals checks that all requests that were not served were refused with a Retry-After. It also checks that, of the
+// requests sent later than after the start by after, no more waited before their refusal than were served in total. It
+// returns the number of refusals among them.
 func (c *crowd) refusals(t *testing.T, after time.Duration) int {
 	t.Helper()
 	const atOnce = 150 * time.Millisecond
@@ -169,27 +171,21 @@
 	return refused
 }
 
-// TestServerLimitIsKept holds what users of a deployment with six gateways saw: three engines in need named
-// limits of 1.7 to 2.1 requests a second, and went on getting four to six, from all gateways.
-//
-// Nothing that the gateways sent changed when the engines began to name their limits. The proof was in the
-// gateways' logs: all sends were first sends of other requests, as many in the four seconds before as in the
-// four after, and one gateway alone sent an engine more than all together may. The cause: no gateway read the
-// limit, and what a server says in its answers reached one gateway with one answer, while its limit holds for
-// all of them together.
+// TestServerLimitIsKept checks that all gateways together respect a rate limit that a server announces. A server announces
+// its limit in an answer to one gateway, so each gateway on its own would exceed it.
 func TestServerLimitIsKept(t *testing.T) {
 	const (
 		perSecond  = 2.0
 		plainPace  = 25 * time.Millisecond
 		enginePace = 80 * time.Millisecond
-		// during covers contactTime and a window after it.
+		// during covers contactTime and one window after it.
 		during = contactTime + limitWindow + time.Second
 	)
 	tests := map[string]struct {
 		isEngine bool
-		// pace is the time between two callers: one server alone bears them.
+		// pace is the time between two requests; one server alone can serve them.
 		pace time.Duration
-		// needy is how many of the two servers are in need, fronts at how many gateways callers arrive.
+		// needy is the number of servers with a rate limit, fronts the number of gateways that receive requests.
 		needy, fronts int
 	}{
 		"plain service, one of two in need":                 {pace: plainPace, needy: 1, fronts: 3},
@@ -225,7 +221,7 @@
 	}
 }
 
-// newNeedyWorld starts three gateways before servers and returns callers at all of them.
+// newNeedyWorld starts three gateways with the given servers and returns callers of all three.
 func newNeedyWorld(t *testing.T, isEngine bool, servers []*needyServer) *crowd {
 	w := newWorldWithoutConfig(t)
 	for _, s := range servers {
@@ -238,7 +234,7 @@
 		}
 	}
 	if isEngine {
-		// Gateways are known to be ready by requests to the plain service.
+		// Fleet members are considered ready when the plain service answers.
 		w.putServer(newWorker(t, "plain", answer(http.StatusOK, "ok")), false)
 	}
 	w.putConfig()
--- a/internal/gateway/simulated_fleet_test.go
+++ b/internal/gateway/simulated_fleet_test.go
@@ -10,17 +10,16 @@
 	"rockcleat/internal/placer"
 )
 
-// A simulatedFleet is a leader and gateways that report to it at their pace, without a network. Each has a log of
-// records.
+// A simulatedFleet simulates a leader and gateways that report to it at their normal interval, without a network.
 type simulatedFleet[R any] struct {
 	clock *clocktest.Clock
-	// leader answers a report.
+	// leader handles a report.
 	leader func(exchange.Message[R]) *exchange.Reply[R]
 	links  []*exchange.Link[R]
-	// due is when each reports next.
+	// due holds the time of each gateway's next report.
 	due      []time.Time
 	interval time.Duration
-	// bytes counts those of the exchange, as JSON.
+	// bytes is the size of all exchanged messages as JSON.
 	bytes int
 }
 
@@ -32,12 +31,12 @@
 	return f
 }
 
-// reportSoon makes a gateway report as soon as it may.
+// reportSoon schedules an urgent report of a gateway.
 func (f *simulatedFleet[R]) reportSoon(gateway int) {
 	f.due[gateway] = f.clock.Now().Add(minReportInterval)
 }
 
-// step lets a time pass and all report that are due.
+// step advances the clock by d and sends all due reports.
 func (f *simulatedFleet[R]) step(d time.Duration) {
 	f.clock.Advance(d)
 	now := f.clock.Now()
@@ -53,7 +52,7 @@
 	}
 }
 
-// count adds the bytes of one exchange.
+// count adds the size of one exchange to f.bytes.
 func (f *simulatedFleet[R]) count(m exchange.Message[R], reply *exchange.Reply[R]) {
 	if len(m.Records) == 0 && reply == nil {
 		return
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -23,8 +23,8 @@
 	return done
 }
 
-// TestStop checks that a stop turns readiness off, cuts nothing and still answers
-// what comes before the balancer knows.
+// TestStop checks that a stop makes the gateway unready, aborts no answer, and still serves requests that arrive before the
+// load balancer has noticed.
 func TestStop(t *testing.T) {
 	release := make(chan struct{})
 	x := newWorker(t, "a", func(c *call) bool {
@@ -53,8 +53,8 @@
 	assert.NilError(t, <-done)
 }
 
-// TestStopAnswersRequestBeingRead checks that a stop cuts off no request of which a
-// part has been read, while it ends the connections that wait for one.
+// TestStopAnswersRequestBeingRead checks that a stop serves a request that has been read in part, while it closes idle
+// connections.
 func TestStopAnswersRequestBeingRead(t *testing.T) {
 	x := newWorker(t, "a", answer(200, "ok"))
 	w := newWorld(t, x)
@@ -75,9 +75,8 @@
 	assert.NilError(t, <-done)
 }
 
-// TestStopTakesNoRequestAfterALongAnswer lets an answer that began before a stop end after
-// the connections that wait were ended: the request behind it on the same connection is
-// not taken, since nobody would wait for it until its end.
+// TestStopTakesNoRequestAfterALongAnswer checks that a request pipelined behind a long answer is not served once the
+// gateway has closed idle connections, since the gateway would not wait for it to finish.
 func TestStopTakesNoRequestAfterALongAnswer(t *testing.T) {
 	release := make(chan struct{})
 	x := newWorker(t, "a", func(c *call) bool {
@@ -110,7 +109,7 @@
 	assert.Equal(t, x.count(), before+1)
 }
 
-// used returns a connection on which a request has been answered.
+// used returns a connection on which one request has been answered.
 func (w *world) used() net.Conn {
 	conn, err := net.Dial("tcp", w.front)
 	assert.NilError(w.t, err)
@@ -124,8 +123,8 @@
 	return conn
 }
 
-// TestStopAnswersThoseWaiting checks that a request for which there is no server
-// and one whose server is silent get answers before the process ends.
+// TestStopAnswersThoseWaiting checks that requests waiting for a server or for an answer are answered before the process
+// ends.
 func TestStopAnswersThoseWaiting(t *testing.T) {
 	x := newWorker(t, "a", func(c *call) bool { <-c.gone; return false })
 	w := newWorld(t, x)
@@ -148,8 +147,8 @@
 	<-done
 }
 
-// TestRequestsRefusedByAStopReturnSpread checks that requests that wait together when the
-// gateway stops are not all invited back for the same moment.
+// TestRequestsRefusedByAStopReturnSpread checks that requests refused together during a stop get different Retry-After
+// values.
 func TestRequestsRefusedByAStopReturnSpread(t *testing.T) {
 	const requests = 12
 	w := newWorld(t)
--- a/internal/gateway/store_calls_test.go
+++ b/internal/gateway/store_calls_test.go
@@ -9,17 +9,12 @@
 	"rockcleat/kv"
 )
 
-// storeCalls are all kinds of calls to the store.
+// storeCalls lists all kinds of calls to the store.
 var storeCalls = []string{"get", "list", "watch", "put", "delete", "grant", "keep", "revoke"}
 
-// TestNoStoreCallWithoutRest holds what a store saw that had forgotten its history up to its newest revision: some
-// 10,000 list calls a second from one gateway, until something was written. A watch from the revision of the last list
-// was answered as forgotten, the list that followed had the same revision, and so the store was listed again at once.
-// The proof was in the calls by kind: 16,000 lists beside 14 watches in a second and a half.
-//
-// It lets a gateway's store answer one kind of call, or all, with the same error for some
-// time, from the gateway's start on and again once it leads: no loop calls without a rest, whatever it is answered.
-// The users' store takes 2,000 reading calls a second from all gateways; of 24, in equal parts, each may make 83.
+// TestNoStoreCallWithoutRest checks that no loop calls the store without a pause, whatever error the store returns, both
+// when the gateway starts and when it leads. The limit is one gateway's share of the store's capacity of 2,000 reads per
+// second, for 24 gateways.
 func TestNoStoreCallWithoutRest(t *testing.T) {
 	const (
 		during     = 600 * time.Millisecond
@@ -52,7 +47,7 @@
 	}
 }
 
-// checkCallRate checks that the store gets no more than some calls a second for a time.
+// checkCallRate checks that the store gets at most the given number of calls per second.
 func (w *world) checkCallRate(during time.Duration, most int) {
 	w.t.Helper()
 	before := w.storeCalls()
--- a/internal/gateway/store_copy_test.go
+++ b/internal/gateway/store_copy_test.go
@@ -10,11 +10,9 @@
 	"gotest.tools/v3/poll"
 )
 
-// TestStoreComesBackFromACopy lets the store come back from a copy that is older than the configuration in force and
-// lacks a server, has one that had gone, and knows no lease: no gateway goes back to the old configuration or sends
-// to the server that had gone, the new server is used, a leader comes whose token is higher, and the store is called
-// as often as when a leader is lost. Before, each gateway listed the store some 2,000 times a second, and no engine
-// took an order any more.
+// TestStoreComesBackFromACopy restores the store from a backup with an older configuration, different servers and no lease.
+// No gateway may use the old configuration or the removed server, the new server must be used, the next leader must get
+// a higher token, and the number of calls to the store must stay bounded.
 func TestStoreComesBackFromACopy(t *testing.T) {
 	stays, gone := newWorker(t, "stays", answer(http.StatusOK, "yes")), newWorker(t, "gone", answer(http.StatusOK, "yes"))
 	w := newWorld(t, stays, gone)
@@ -72,10 +70,9 @@
 	}, poll.WithTimeout(5*time.Second))
 }
 
-// TestPriceOfACopy counts the calls to the store in the seconds after it comes back from a copy, and after the leader
-// stops: at each number of gateways a copy costs at most twice as many.
+// TestPriceOfACopy checks that a restore of the store causes at most twice as many calls to it as the loss of the leader.
 func TestPriceOfACopy(t *testing.T) {
-	// after covers the term without a leader and the next leader's first round.
+	// after covers the time without a leader and the first round of the next one.
 	const after = 6 * time.Second
 	disturbances := map[string]func(w *world){
 		"leader stops": func(w *world) { stopNow(w) },
@@ -106,7 +103,7 @@
 	}
 }
 
-// storeCalls returns how often the store was called by all.
+// storeCalls returns the total number of calls to the store.
 func (w *world) storeCalls() int {
 	sum := 0
 	for _, call := range storeCalls {
@@ -115,7 +112,7 @@
 	return sum
 }
 
-// lastToken returns the token of the last term.
+// lastToken returns the token of the most recent leader.
 func (w *world) lastToken() int64 {
 	lines := w.logs.FilterMessage("leadership gained").All()
 	return lines[len(lines)-1].ContextMap()["token"].(int64)
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -12,7 +12,7 @@
 	"rockcleat/internal/config"
 )
 
-// newSuspendedWorld starts a gateway that leads, on a machine that a test suspends.
+// newSuspendedWorld starts a gateway that leads, on a simulated machine that can be suspended.
 func newSuspendedWorld(t *testing.T, workers ...*worker) (*world, *clocktest.Machine) {
 	machine := clocktest.NewMachine()
 	w := prepareWorldOn(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, workers...)
@@ -22,8 +22,8 @@
 	return w, machine
 }
 
-// TestSuspendedGatewayNoLongerLeads suspends the machine of the leader for longer than its lease: it does
-// not believe in the lease any more when it wakes, before it has asked the store.
+// TestSuspendedGatewayNoLongerLeads checks that a leader suspended for longer than its lease stops leading when it resumes,
+// without having to ask the store.
 func TestSuspendedGatewayNoLongerLeads(t *testing.T) {
 	w, machine := newSuspendedWorld(t)
 	machine.Suspend(10 * time.Second)
@@ -31,8 +31,7 @@
 	w.waitLines("process paused", 1)
 }
 
-// TestDeadlineCountsSuspension suspends the machine beyond the deadline of a request that waits for its
-// answer: it is ended as soon as the machine wakes.
+// TestDeadlineCountsSuspension checks that a request whose deadline passed during a suspension is ended on resume.
 func TestDeadlineCountsSuspension(t *testing.T) {
 	reached := make(chan struct{})
 	x := newWorker(t, "a", func(c *call) bool {
--- a/internal/gateway/target_test.go
+++ b/internal/gateway/target_test.go
@@ -6,10 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWhereToReport checks whom a gateway reports to by what it knows. After a restart of all gateways
-// the former leader, which its record still named, said that it does not lead, and then became the
-// leader again under the same address: gateways that knew no other reported to nobody for good, so they
-// had no part in the load, the owners of engines or the retry budget.
+// TestWhereToReport checks which gateway is reported to, depending on what is known. In particular, the gateway in the
+// lease's record must be asked again if no other is known, since it may have become the leader again after a restart.
 func TestWhereToReport(t *testing.T) {
 	const self, record, seed = "self", "record", "seed"
 	tests := map[string]struct {
--- a/internal/gateway/worker_test.go
+++ b/internal/gateway/worker_test.go
@@ -14,26 +14,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// A call is one request as a backend server got it.
+// A call is a request that a backend server received.
 type call struct {
 	*http.Request
 	body string
 	conn net.Conn
-	// n counts the calls of the server from 1.
+	// n is the number of the call at this server, from 1.
 	n int
-	// gone is closed when the sender closes the connection.
+	// gone is closed when the gateway closes the connection.
 	gone chan struct{}
 }
 
-// A script answers calls on the bare connection and reports whether the
-// connection goes on.
+// A script answers a call on the raw connection and reports whether the connection stays open.
 type script func(c *call) bool
 
-// A worker is a backend server whose answers a test writes byte by byte.
+// A worker is a backend server whose answers are scripted byte by byte.
 type worker struct {
 	t  *testing.T
 	id string
-	// instance is the name that its runs share; empty if that is id.
+	// instance is the name that successive instances of the server share; empty if it is the same as id.
 	instance string
 	addr     string
 
@@ -48,7 +47,6 @@
 	return newWorkerAt(t, id, "127.0.0.1:0", s)
 }
 
-// newWorkerAt starts a backend server at an address.
 func newWorkerAt(t *testing.T, id, addr string, s script) *worker {
 	l, err := net.Listen("tcp", addr)
 	assert.NilError(t, err)
@@ -99,7 +97,7 @@
 	}
 }
 
-// end ends the server as a crash does: nobody listens at its address, and all its connections break.
+// end simulates a crash: it closes the listener and all connections.
 func (w *worker) end() {
 	w.listener.Close()
 	w.mu.Lock()
@@ -121,7 +119,7 @@
 	return w.calls[i]
 }
 
-// head returns the beginning of an answer to the call.
+// head returns the status line and header of an answer to the call.
 func (c *call) head(status int, more ...string) string {
 	lines := append([]string{
 		fmt.Sprintf("HTTP/1.1 %d %s", status, http.StatusText(status)),
@@ -132,7 +130,7 @@
 
 func (c *call) write(parts ...string) { _, _ = io.WriteString(c.conn, strings.Join(parts, "")) }
 
-// answer answers in good order.
+// answer returns a script that sends a complete, valid answer.
 func answer(status int, body string) script {
 	return func(c *call) bool {
 		c.write(c.head(status, fmt.Sprintf("Content-Length: %d", len(body)), "X-More: kept"), body)
@@ -140,7 +138,7 @@
 	}
 }
 
-// inTurn plays one script for the first call of any server and another for the rest.
+// inTurn returns a script that uses first for the first call on any server and rest for all others.
 func inTurn(first, rest script) script {
 	var calls atomic.Int32
 	return func(c *call) bool {
@@ -151,32 +149,32 @@
 	}
 }
 
-// refuse says that the request was not run.
+// refuse answers that the request was not run.
 func refuse(c *call) bool {
 	c.write(c.head(503, names.NotRun+": 1", "Content-Length: 0"))
 	return true
 }
 
-// reset breaks the connection off with a reset.
+// reset closes the connection with a TCP reset.
 func (c *call) reset() bool {
 	_ = c.conn.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// event returns an event of a stream as one chunk.
+// event returns one event of a stream as an HTTP chunk.
 func event(id int) string {
 	text := fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id)
 	return fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 }
 
-// streamHead returns the head of a stream.
+// streamHead returns the status line and header of a stream.
 func (c *call) streamHead() string {
 	return c.head(200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 }
 
 const lastChunk = "0\r\n\r\n"
 
-// stream answers with events from after the caller's last one up to a number.
+// stream returns a script that sends the events after the caller's Last-Event-Id, up to number to.
 func stream(to int) script {
 	return func(c *call) bool {
 		from := 0
