--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -9,54 +9,54 @@
 	"rockcleat/table"
 )
 
-// revokeShare is the fraction of the revocation time after which a gateway that cannot confirm its
+// revokeFraction is the fraction of the revocation time after which a gateway that cannot confirm its
 // configuration stops accepting keys. A request is checked once its header has been read; the remainder covers
 // clock drift and the time until the request reaches the server.
-const revokeShare = 0.8
+const revokeFraction = 0.8
 
-// retryBehind is the Retry-After for a request whose key cannot be checked. By then an update that the leader's
+// retryStaleConfig is the Retry-After for a request whose key cannot be checked. By then an update that the leader's
 // watch delivered late has arrived, and other gateways may already have it.
-const retryBehind = 500 * time.Millisecond
+const retryStaleConfig = 500 * time.Millisecond
 
-// An access authenticates callers by the API keys in the configuration. It accepts a key only while the
+// An authenticator authenticates callers by the API keys in the configuration. It accepts a key only while the
 // configuration is known to be recent.
-type access struct {
+type authenticator struct {
 	// currentAt returns the latest time at which the configuration in force was known to be the newest.
 	currentAt func() time.Time
 	// revokeTime is the configured time within which a revoked key must stop working; 0 disables the check.
-	// knownTime returns the maximum age of a configuration that may reject a key as unknown.
-	revokeTime time.Duration
-	knownTime  func() time.Duration
+	// unknownKeyMaxAge returns the maximum age of a configuration that may reject a key as unknown.
+	revokeTime       time.Duration
+	unknownKeyMaxAge func() time.Duration
 }
 
 // configAge returns the time since the configuration in force was last known to be the newest.
-func (a *access) configAge(now time.Time) time.Duration { return now.Sub(a.currentAt()) }
+func (a *authenticator) configAge(now time.Time) time.Duration { return now.Sub(a.currentAt()) }
 
-// check returns the organisation that owns the request's key, or the zero Organisation if the request needs no
+// authenticate returns the organisation that owns the request's key, or the zero Organisation if the request needs no
 // key. age is that of the configuration, as configAge returns it.
 //
 // If the configuration is too old, the key may have been revoked and the answer is 503. An unknown key is
 // answered with 401 only if the configuration is recent enough; otherwise the key may be newer than the
 // configuration, and the answer is 503 too.
-func (a *access) check(r *http.Request, routing *table.Routing, route table.Route, age time.Duration) (table.Organisation, *refusal) {
+func (a *authenticator) authenticate(r *http.Request, routing *table.Routing, route table.Route, age time.Duration) (table.Organisation, *refusal) {
 	if !routing.NeedsKeys() || route.Open {
 		return table.Organisation{}, nil
 	}
 	organisation, err := keyHolder(r, routing)
 	switch {
 	case a.isTooOld(age):
-		return table.Organisation{}, withOrganisation(notRun("keys cannot be checked now", retryBehind), organisation)
+		return table.Organisation{}, withOrganisation(notRun("keys cannot be checked now", retryStaleConfig), organisation)
 	case err == nil:
 		return organisation, nil
-	case age > a.knownTime():
-		return table.Organisation{}, notRun("the key is not known here yet", retryBehind)
+	case age > a.unknownKeyMaxAge():
+		return table.Organisation{}, notRun("the key is not known here yet", retryStaleConfig)
 	}
 	return table.Organisation{}, &refusal{status: http.StatusUnauthorized, reason: err.Error(), challenge: true}
 }
 
 // isTooOld reports whether a configuration of the given age may still contain a revoked key.
-func (a *access) isTooOld(age time.Duration) bool {
-	return a.revokeTime > 0 && float64(age) > revokeShare*float64(a.revokeTime)
+func (a *authenticator) isTooOld(age time.Duration) bool {
+	return a.revokeTime > 0 && float64(age) > revokeFraction*float64(a.revokeTime)
 }
 
 // errUnknownKey reports that the key belongs to no organisation.
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -9,36 +9,36 @@
 	"rockcleat/dispatch"
 )
 
-// maxHeldAnswer is the number of bytes of a non-streaming answer that are buffered before any are forwarded.
+// maxBufferedAnswer is the number of bytes of a non-streaming answer that are buffered before any are forwarded.
 // While an answer is buffered, the request can still be retried on another server.
-const maxHeldAnswer = 256 << 10
+const maxBufferedAnswer = 256 << 10
 
-// passWhole forwards a non-streaming answer and reports whether the request is finished.
-func (f *forwarder) passWhole(ctx context.Context, res *dispatch.Reservation, resp *http.Response) bool {
+// forwardAnswer forwards a non-streaming answer and reports whether the request is finished.
+func (f *forwarder) forwardAnswer(ctx context.Context, res *dispatch.Reservation, resp *http.Response) bool {
 	res.FirstByte()
 	if resp.StatusCode >= http.StatusInternalServerError && f.mayRetry() && f.proxy.budgets.take(f.in) {
 		res.Done(dispatch.Failed)
-		f.proxy.lines.sendFailed(f, res, "answered "+strconv.Itoa(resp.StatusCode), nil)
+		f.proxy.requestLog.sendFailed(f, res, "answered "+strconv.Itoa(resp.StatusCode), nil)
 		f.exclude(res)
 		return false
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHeldAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
-		f.noteBreak(res, cause(ctx, err))
-		return f.lost(res, cause(ctx, err))
+		f.noteConnFailure(res, cause(ctx, err))
+		return f.handleLost(res, cause(ctx, err))
 	}
-	f.begin(resp)
-	if len(body) < maxHeldAnswer {
+	f.beginAnswer(resp)
+	if len(body) < maxBufferedAnswer {
 		f.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	f.w.WriteHeader(resp.StatusCode)
 	_, err = f.w.Write(body)
-	if err == nil && len(body) == maxHeldAnswer {
+	if err == nil && len(body) == maxBufferedAnswer {
 		_, err = io.Copy(f.w, resp.Body)
 	}
 	if err != nil {
 		res.Done(dispatch.Abandoned)
-		f.cut(err)
+		f.abort(err)
 	}
 	f.finish(res, resp.StatusCode)
 	return true
@@ -57,9 +57,9 @@
 	f.record.outcome = outcomeAnswered
 }
 
-// begin copies the answer's header to the caller's response.
-func (f *forwarder) begin(resp *http.Response) {
-	f.answering.Store(true)
+// beginAnswer copies the answer's header to the caller's response.
+func (f *forwarder) beginAnswer(resp *http.Response) {
+	f.headerSent.Store(true)
 	f.record.firstByte = f.proxy.clock.Now()
 	h := f.w.Header()
 	for name, values := range resp.Header {
--- a/internal/gateway/bounded_lines.go
+++ b/internal/gateway/bounded_lines.go
@@ -8,25 +8,25 @@
 	"golang.org/x/time/rate"
 )
 
-// boundedLines limits the rate of one kind of log line and counts the suppressed lines. It is safe for concurrent
+// lineLimiter limits the rate of one kind of log line and counts the suppressed lines. It is safe for concurrent
 // use.
-type boundedLines struct {
-	limiter *rate.Limiter
-	leftOut atomic.Uint64
+type lineLimiter struct {
+	limiter    *rate.Limiter
+	suppressed atomic.Uint64
 }
 
-func newBoundedLines(perSecond rate.Limit, burst int) *boundedLines {
-	return &boundedLines{limiter: rate.NewLimiter(perSecond, burst)}
+func newLineLimiter(perSecond rate.Limit, burst int) *lineLimiter {
+	return &lineLimiter{limiter: rate.NewLimiter(perSecond, burst)}
 }
 
-// next reports whether a line may be written now. If so, leftOut is a field with the number of lines suppressed
+// allow reports whether a line may be written now. If so, suppressed is a field with the number of lines suppressed
 // since the last one.
-func (b *boundedLines) next(now time.Time) (leftOut zap.Field, ok bool) {
+func (b *lineLimiter) allow(now time.Time) (suppressed zap.Field, ok bool) {
 	if !b.limiter.AllowN(now, 1) {
-		b.leftOut.Add(1)
+		b.suppressed.Add(1)
 		return zap.Skip(), false
 	}
-	if n := b.leftOut.Swap(0); n > 0 {
+	if n := b.suppressed.Swap(0); n > 0 {
 		return zap.Uint64(fieldLeftOut, n), true
 	}
 	return zap.Skip(), true
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -17,18 +17,18 @@
 
 type connState int
 
-// States of a connection. After the first request it cycles through connReading, connServing and connResting.
+// States of a connection. After the first request it cycles through connReadingHeader, connActive and connIdle.
 const (
-	// connFresh: no byte has been received yet.
-	connFresh connState = iota
-	// connReading: a request header has been received in part.
-	connReading
-	// connServing: a request is being answered.
-	connServing
-	// connResting: the connection is idle between two requests.
-	connResting
-	// connRefused: a 408 was sent because the header took too long.
-	connRefused
+	// connNew: no byte has been received yet.
+	connNew connState = iota
+	// connReadingHeader: a request header has been received in part.
+	connReadingHeader
+	// connActive: a request is being answered.
+	connActive
+	// connIdle: the connection is idle between two requests.
+	connIdle
+	// connTimedOut: a 408 was sent because the header took too long.
+	connTimedOut
 )
 
 // connEnd says whether a connection is being ended. A connection is ended by setting its read deadline to a time in
@@ -36,10 +36,10 @@
 type connEnd int
 
 const (
-	// endNot: the connection stays open, and reads use the deadline that http.Server set.
-	endNot connEnd = iota
-	// endIfUnused: the connection ends unless bytes of a request have arrived.
-	endIfUnused
+	// endNever: the connection stays open, and reads use the deadline that http.Server set.
+	endNever connEnd = iota
+	// endIfIdle: the connection ends unless bytes of a request have arrived.
+	endIfIdle
 	// endAlways: the connection ends even if bytes of a request have arrived.
 	endAlways
 )
@@ -57,7 +57,7 @@
 	state connState
 	// since is the time at which the current state was entered.
 	since time.Time
-	// deadline is the read deadline that http.Server set; it applies while end is endNot.
+	// deadline is the read deadline that http.Server set; it applies while end is endNever.
 	deadline time.Time
 	end      connEnd
 }
@@ -91,44 +91,44 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	if c.end != endNot {
+	if c.end != endNever {
 		return nil
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// readVerdict says how Read continues after its deadline has passed.
-type readVerdict int
+// readResult says how Read continues after its deadline has passed.
+type readResult int
 
 const (
 	// readTimedOut: http.Server's own deadline has passed.
-	readTimedOut readVerdict = iota
+	readTimedOut readResult = iota
 	// readEnded: the connection was ended.
 	readEnded
-	// readAgain: bytes of a request have arrived on a connection that was to be ended only if unused.
-	readAgain
+	// readRetry: bytes of a request have arrived on a connection that was to be ended only if idle.
+	readRetry
 )
 
-func (c *callerConn) afterDeadline() readVerdict {
+func (c *callerConn) afterDeadline() readResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.end == endNot:
+	case c.end == endNever:
 		return readTimedOut
-	case c.end == endAlways, c.waits() && !hasUnread(c.TCPConn):
+	case c.end == endAlways, c.isIdle() && !hasUnread(c.TCPConn):
 		return readEnded
 	}
-	c.end = endNot
+	c.end = endNever
 	if c.TCPConn.SetReadDeadline(c.deadline) != nil {
 		return readEnded
 	}
-	return readAgain
+	return readRetry
 }
 
-// waits reports whether no byte of the next request has been read. The caller must hold c.mu.
-func (c *callerConn) waits() bool { return c.state == connFresh || c.state == connResting }
+// isIdle reports whether no byte of the next request has been read. The caller must hold c.mu.
+func (c *callerConn) isIdle() bool { return c.state == connNew || c.state == connIdle }
 
-func (c *callerConn) enter(s connState) {
+func (c *callerConn) setState(s connState) {
 	c.state = s
 	c.since = c.clock.Now()
 }
@@ -137,27 +137,27 @@
 func (c *callerConn) received() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waits() {
-		c.enter(connReading)
+	if c.isIdle() {
+		c.setState(connReadingHeader)
 	}
 }
 
-// begin records that a complete request header was read, and reports whether the request may be served.
-func (c *callerConn) begin() bool {
+// beginRequest records that a complete request header was read, and reports whether the request may be served.
+func (c *callerConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == connRefused {
+	if c.state == connTimedOut {
 		return false
 	}
-	c.enter(connServing)
+	c.setState(connActive)
 	return true
 }
 
-// rest records that an answer is complete and the connection is idle. If last is set, the connection is ended.
-func (c *callerConn) rest(last bool) {
+// becomeIdle records that an answer is complete and the connection is idle. If last is set, the connection is ended.
+func (c *callerConn) becomeIdle(last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.enter(connResting)
+	c.setState(connIdle)
 	if last {
 		c.endReads(endAlways)
 	}
@@ -167,43 +167,43 @@
 // connection, whose reads return anyway.
 func (c *callerConn) endReads(how connEnd) {
 	c.end = how
-	_ = c.TCPConn.SetReadDeadline(past)
+	_ = c.TCPConn.SetReadDeadline(expiredDeadline)
 }
 
-// endWaiting ends the connection if it has been idle for at least resting, or for fresh if it never carried a byte.
-func (c *callerConn) endWaiting(now time.Time, fresh, resting time.Duration) {
+// endIdle ends the connection if it has been idle for at least idleLimit, or newLimit if it never carried a byte.
+func (c *callerConn) endIdle(now time.Time, newLimit, idleLimit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	limit := resting
-	if c.state == connFresh {
-		limit = fresh
+	limit := idleLimit
+	if c.state == connNew {
+		limit = newLimit
 	}
-	if !c.waits() || c.end != endNot || now.Sub(c.since) < limit {
+	if !c.isIdle() || c.end != endNever || now.Sub(c.since) < limit {
 		return
 	}
-	c.endReads(endIfUnused)
+	c.endReads(endIfIdle)
 }
 
-// past is a deadline that makes a read return immediately.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that makes a read return immediately.
+var expiredDeadline = time.Unix(1, 0)
 
-// refuseSlow answers 408 and closes the connection if its header has been incomplete for at least limit.
-func (c *callerConn) refuseSlow(now time.Time, limit time.Duration) {
+// refuseSlowHeader answers 408 and closes the connection if its header has been incomplete for at least limit.
+func (c *callerConn) refuseSlowHeader(now time.Time, limit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state != connReading || now.Sub(c.since) < limit {
+	if c.state != connReadingHeader || now.Sub(c.since) < limit {
 		return
 	}
-	c.enter(connRefused)
+	c.setState(connTimedOut)
 	// Errors are ignored: the connection is closed in any case.
 	answer := http.Response{StatusCode: http.StatusRequestTimeout, ProtoMajor: 1, ProtoMinor: 1, Close: true}
-	_ = c.SetWriteDeadline(clock.SystemDeadline(refusalTime))
+	_ = c.SetWriteDeadline(clock.SystemDeadline(refusalWriteTimeout))
 	_ = answer.Write(c.TCPConn)
 	_ = c.TCPConn.Close()
 }
 
-// refusalTime is the write timeout of a 408 answer.
-const refusalTime = 50 * time.Millisecond
+// refusalWriteTimeout is the write timeout of a 408 answer.
+const refusalWriteTimeout = 50 * time.Millisecond
 
 // hasUnread reports whether the socket's receive buffer holds unread bytes. It returns false if the socket cannot
 // be queried, which means that it is closed.
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -51,8 +51,8 @@
 	return newCallerConn(conn, l.clock), nil
 }
 
-// note is the ConnState hook of the http.Server.
-func (c *conns) note(conn net.Conn, s http.ConnState) {
+// stateChanged is the ConnState hook of the http.Server.
+func (c *conns) stateChanged(conn net.Conn, s http.ConnState) {
 	caller, ok := conn.(*callerConn)
 	if !ok {
 		return
@@ -63,7 +63,7 @@
 		c.open[caller] = struct{}{}
 		c.mu.Unlock()
 	case http.StateIdle:
-		caller.rest(c.draining.Load())
+		caller.becomeIdle(c.draining.Load())
 	case http.StateClosed, http.StateHijacked:
 		c.mu.Lock()
 		delete(c.open, caller)
@@ -71,11 +71,11 @@
 	}
 }
 
-// begin records that a complete request header was read on the connection in ctx, and reports whether the request may
+// beginRequest records that a complete request header was read on the connection in ctx, and reports whether the request may
 // be served.
-func (c *conns) begin(ctx context.Context) bool {
+func (c *conns) beginRequest(ctx context.Context) bool {
 	caller, ok := ctx.Value(connKey{}).(*callerConn)
-	return !ok || caller.begin()
+	return !ok || caller.beginRequest()
 }
 
 // sweep ends the connections that exceed the idle timeout or the header timeout.
@@ -83,17 +83,17 @@
 	idle, header := c.limits()
 	for _, caller := range c.list() {
 		if header > 0 {
-			caller.refuseSlow(now, header)
+			caller.refuseSlowHeader(now, header)
 		}
 		if idle > 0 {
-			caller.endWaiting(now, idle, idle)
+			caller.endIdle(now, idle, idle)
 		}
 	}
 }
 
-// freshTime is how long, during a stop, a connection on which nothing was received stays open. noticeTime and
-// freshTime together are shorter than the 3 s within which a stopping gateway still accepts requests.
-const freshTime = 400 * time.Millisecond
+// newConnTime is how long, during a stop, a connection on which nothing was received stays open. noticeTime and
+// newConnTime together are shorter than the 3 s within which a stopping gateway still accepts requests.
+const newConnTime = 400 * time.Millisecond
 
 // drain ends the idle connections, makes the others end after their current answer, and returns the number of open
 // connections.
@@ -101,7 +101,7 @@
 	c.draining.Store(true)
 	list := c.list()
 	for _, caller := range list {
-		caller.endWaiting(now, freshTime, 0)
+		caller.endIdle(now, newConnTime, 0)
 	}
 	return len(list)
 }
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -29,7 +29,7 @@
 		_ = client.Close()
 		_ = conn.Close()
 	})
-	c.note(conn, http.StateNew)
+	c.stateChanged(conn, http.StateNew)
 	return conn.(*callerConn), client
 }
 
@@ -68,11 +68,11 @@
 		open   bool
 	}{
 		"rests within the bound": {
-			follow: func(_ *testing.T, c *conns, s *callerConn, _ net.Conn) { c.note(s, http.StateIdle) },
+			follow: func(_ *testing.T, c *conns, s *callerConn, _ net.Conn) { c.stateChanged(s, http.StateIdle) },
 			after:  idle * 9 / 10, open: true,
 		},
 		"rests too long": {
-			follow: func(_ *testing.T, c *conns, s *callerConn, _ net.Conn) { c.note(s, http.StateIdle) },
+			follow: func(_ *testing.T, c *conns, s *callerConn, _ net.Conn) { c.stateChanged(s, http.StateIdle) },
 			after:  idle + time.Second,
 		},
 		"never used": {
@@ -88,7 +88,7 @@
 			follow: func(t *testing.T, c *conns, s *callerConn, client net.Conn) {
 				send(t, s, client, half)
 				receive(t, s, half)
-				assert.Assert(t, c.begin(withConn(context.Background(), s)))
+				assert.Assert(t, c.beginRequest(withConn(context.Background(), s)))
 			}, after: time.Hour, open: true,
 		},
 	}
@@ -126,8 +126,8 @@
 	server, client := connected(t, c)
 	send(t, server, client, "GET")
 	receive(t, server, "GET")
-	server.refuseSlow(time.Now().Add(time.Minute), time.Second)
-	assert.Assert(t, !c.begin(withConn(context.Background(), server)))
+	server.refuseSlowHeader(time.Now().Add(time.Minute), time.Second)
+	assert.Assert(t, !c.beginRequest(withConn(context.Background(), server)))
 }
 
 // TestDrain checks that draining ends only idle connections, not those on which bytes of a request have arrived, nor
@@ -142,17 +142,17 @@
 		ended bool
 	}{
 		"rests": {
-			follow: func(_ *testing.T, c *conns, s *callerConn, _ net.Conn) { c.note(s, http.StateIdle) }, ended: true,
+			follow: func(_ *testing.T, c *conns, s *callerConn, _ net.Conn) { c.stateChanged(s, http.StateIdle) }, ended: true,
 		},
 		"unread request": {
 			follow: func(t *testing.T, c *conns, s *callerConn, client net.Conn) {
-				c.note(s, http.StateIdle)
+				c.stateChanged(s, http.StateIdle)
 				send(t, s, client, request)
 			}, rest: request,
 		},
 		"request half read": {
 			follow: func(t *testing.T, c *conns, s *callerConn, client net.Conn) {
-				c.note(s, http.StateIdle)
+				c.stateChanged(s, http.StateIdle)
 				send(t, s, client, request)
 				receive(t, s, half)
 			}, rest: request[len(half):],
@@ -164,7 +164,7 @@
 			}, rest: request,
 		},
 		"new for long": {
-			follow: func(*testing.T, *conns, *callerConn, net.Conn) {}, after: 2 * freshTime, ended: true,
+			follow: func(*testing.T, *conns, *callerConn, net.Conn) {}, after: 2 * newConnTime, ended: true,
 		},
 	}
 	for name, test := range tests {
@@ -179,7 +179,7 @@
 			} else {
 				receive(t, server, test.rest)
 			}
-			c.note(server, http.StateClosed)
+			c.stateChanged(server, http.StateClosed)
 			assert.Equal(t, c.drain(time.Now()), 0)
 		})
 	}
@@ -190,11 +190,11 @@
 func TestServersDeadlineHolds(t *testing.T) {
 	c := newConns(clocktest.Real{}, nil)
 	server, client := connected(t, c)
-	c.note(server, http.StateIdle)
+	c.stateChanged(server, http.StateIdle)
 	send(t, server, client, "GE")
 	c.drain(time.Now())
 	receive(t, server, "GE")
-	assert.NilError(t, server.SetReadDeadline(past))
+	assert.NilError(t, server.SetReadDeadline(expiredDeadline))
 	_, err := server.Read(make([]byte, 1))
 	assert.Assert(t, isTimeout(err))
 }
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -18,11 +18,11 @@
 
 	mu sync.Mutex
 	// addrs maps gateway ids to addresses. others holds the addresses of all gateways but this one.
-	addrs  map[string]string
-	others []string
-	number int
-	// listed is the list as the leader sent it.
-	listed []placer.Gateway
+	addrs        map[string]string
+	others       []string
+	gatewayCount int
+	// gateways is the list as the leader sent it.
+	gateways []placer.Gateway
 	// leader is the address of the gateway that last replied as the leader; empty if there is none.
 	leader string
 	// tree is the distribution tree of the listed gateways.
@@ -40,7 +40,7 @@
 func newDirectory(self string, assumed int, seeds []string, firstStart bool) *directory {
 	others := slices.DeleteFunc(slices.Clone(seeds), func(addr string) bool { return addr == self })
 	return &directory{
-		self: self, number: assumed, tree: relay.New(nil), seeds: others, isSeed: len(others) < len(seeds),
+		self: self, gatewayCount: assumed, tree: relay.New(nil), seeds: others, isSeed: len(others) < len(seeds),
 		firstStart: firstStart,
 	}
 }
@@ -61,14 +61,14 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.addrs, d.others, d.number, d.listed, d.tree = addrs, others, len(gateways), gateways, relay.New(members)
+	d.addrs, d.others, d.gatewayCount, d.gateways, d.tree = addrs, others, len(gateways), gateways, relay.New(members)
 	return list
 }
 
 func (d *directory) list() []placer.Gateway {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.listed
+	return d.gateways
 }
 
 // noteLeader records whether the gateway at an address replied as the leader.
@@ -98,7 +98,7 @@
 func (d *directory) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(d.number, 1)
+	return max(d.gatewayCount, 1)
 }
 
 // isListed reports whether a list of gateways has been received.
@@ -117,14 +117,14 @@
 
 // random returns the address of a random gateway other than this one and but. It uses the seeds while there is no
 // list, and returns an empty string if there is no such gateway.
-func (d *directory) random(but string) string {
+func (d *directory) random(except string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	others := d.others
 	if len(others) == 0 {
 		others = d.seeds
 	}
-	list := slices.DeleteFunc(slices.Clone(others), func(addr string) bool { return addr == but })
+	list := slices.DeleteFunc(slices.Clone(others), func(addr string) bool { return addr == except })
 	if len(list) == 0 {
 		return ""
 	}
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -13,10 +13,10 @@
 //   - feed: updates of the store view, read from the parent in the tree;
 //   - proxy: request handling, with an inbound (the parsed request), a forwarder (the retry loop) and a record (the
 //     result);
-//   - quarantineRole: requests that repeatedly terminate servers (package quarantine), with an endDetector, which
-//     detects the termination of a server, and a quarantineKeeper, which persists the quarantine;
+//   - quarantineRole: requests that repeatedly terminate servers (package quarantine), with a terminationDetector, which
+//     detects the termination of a server, and a quarantineStore, which persists the quarantine;
 //   - serverLimits: rate limits that backend servers announce in their answers (package serverlimit);
-//   - fleetKeeper: the list of gateways that the leader keeps in the store;
+//   - fleetStore: the list of gateways that the leader keeps in the store;
 //   - retryBudgets: the number of retries allowed;
 //   - requestLog: log lines and metrics.
 //
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -17,25 +17,25 @@
 // long poll to its parent, which answers as soon as there is a change, so that an update takes one network hop
 // per level.
 const (
-	// feedSteps is the number of steps into which the maximum age of a view is divided. A view that is one step
+	// feedAgeSteps is the number of steps into which the maximum age of a view is divided. A view that is one step
 	// newer is sent even without changes. It is larger than the number of watches that the leader makes within the
 	// maximum age, so that the end of each watch propagates at once.
-	feedSteps = 4
-	// feedHoldShare is the fraction of a view's maximum age for which a poll waits for a change.
-	feedHoldShare = 0.6
-	// feedSlack is the time allowed for an answer in addition to the hold time, and the timeout of each read of the
+	feedAgeSteps = 4
+	// feedHoldFraction is the fraction of a view's maximum age for which a poll waits for a change.
+	feedHoldFraction = 0.6
+	// feedTimeoutMargin is the time allowed for an answer in addition to the hold time, and the timeout of each read of the
 	// answer's body.
-	feedSlack = 500 * time.Millisecond
-	// feedRest is the minimum time between two polls; changes within it are sent together.
-	feedRest = 100 * time.Millisecond
-	// feedAvoid is the mean time for which a gateway that did not answer, or had a stale view, is not polled. The
+	feedTimeoutMargin = 500 * time.Millisecond
+	// feedMinInterval is the minimum time between two polls; changes within it are sent together.
+	feedMinInterval = 100 * time.Millisecond
+	// feedBackoff is the mean time for which a gateway that did not answer, or had a stale view, is not polled. The
 	// actual time varies between half and one and a half of it.
-	feedAvoid = time.Second
+	feedBackoff = time.Second
 )
 
 // feedHold returns how long a poll waits for a change, given the maximum age of a view.
 func feedHold(maxAge time.Duration) time.Duration {
-	return time.Duration(feedHoldShare * float64(maxAge))
+	return time.Duration(feedHoldFraction * float64(maxAge))
 }
 
 // A feedRequest polls a gateway for changes in the store.
@@ -70,54 +70,54 @@
 	clock    clock.Service
 	log      *zap.Logger
 
-	// Used by the goroutine of run only. source is the gateway that last sent a fresh view; avoided holds the time until
+	// Used only by the goroutine of run. source is the gateway that last sent a fresh view. backoffUntil holds the time until
 	// which a gateway is not polled.
-	source  string
-	avoided map[string]time.Time
+	source       string
+	backoffUntil map[string]time.Time
 }
 
 // run polls until ctx ends.
 func (f *feed) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if addr := f.next(); addr != "" {
-			f.ask(ctx, addr)
+		if addr := f.nextSource(); addr != "" {
+			f.poll(ctx, addr)
 		}
-		clock.Sleep(ctx, f.clock, feedRest)
+		clock.Sleep(ctx, f.clock, feedMinInterval)
 	}
 }
 
-// next returns the address to poll: that of the nearest ancestor in the tree that is not avoided. It returns an empty
+// nextSource returns the address to poll: that of the nearest ancestor in the tree not in backoff. It returns an empty
 // string if there is none, and on the leader.
-func (f *feed) next() string {
+func (f *feed) nextSource() string {
 	if f.isLeader() {
 		return ""
 	}
 	now := f.clock.Now()
 	for _, addr := range f.gateways.sources(f.leader()) {
-		if addr != f.self && !now.Before(f.avoided[addr]) {
+		if addr != f.self && !now.Before(f.backoffUntil[addr]) {
 			return addr
 		}
 	}
 	return ""
 }
 
-// ask polls the gateway at addr and applies its answer. A gateway that does not answer, or whose view is stale,
-// is avoided for a while.
-func (f *feed) ask(ctx context.Context, addr string) {
+// poll sends a poll to the gateway at addr and applies its answer. A gateway that does not answer, or whose view is stale,
+// is not polled again for a while.
+func (f *feed) poll(ctx context.Context, addr string) {
 	requested := f.clock.Now()
-	timeout := feedHold(f.fanout.MaxAge()) + feedSlack
+	timeout := feedHold(f.fanout.MaxAge()) + feedTimeoutMargin
 	reply, err := f.peers.feed(ctx, addr, timeout, feedRequest{
 		Revisions: f.fanout.Revisions(), ConfigVersion: f.configs.News().Version, Addr: f.self,
 	})
 	if err != nil {
-		f.avoid(addr, "no answer", err)
+		f.backOff(addr, "no answer", err)
 		return
 	}
 	madeAt := requested.Add(time.Duration(reply.HeldMs) * time.Millisecond)
 	f.fanout.Apply(reply.Changes, madeAt)
 	f.configs.Heard(reply.Config, addr, madeAt)
 	if f.fanout.IsOld(reply.Changes) {
-		f.avoid(addr, "too old", nil)
+		f.backOff(addr, "too old", nil)
 		return
 	}
 	if addr != f.source {
@@ -126,9 +126,9 @@
 	}
 }
 
-// avoid excludes a gateway from polling for a while. It logs the change if that gateway was the current source.
-func (f *feed) avoid(addr, reason string, err error) {
-	f.avoided[addr] = f.clock.Now().Add(feedAvoid/2 + rand.N(feedAvoid))
+// backOff excludes a gateway from polling for a while. It logs the change if that gateway was the current source.
+func (f *feed) backOff(addr, reason string, err error) {
+	f.backoffUntil[addr] = f.clock.Now().Add(feedBackoff/2 + rand.N(feedBackoff))
 	if addr == f.source {
 		f.source = ""
 		f.log.Info("store no longer followed through", zap.String("addr", addr), zap.String("reason", reason),
--- a/internal/gateway/find_leader_test.go
+++ b/internal/gateway/find_leader_test.go
@@ -47,7 +47,7 @@
 		Settings: config.Gateway{ID: "g0", PeerListen: "g0:1", Gateways: 8}, Store: store, Prefixes: store, OwnKeys: store,
 		Decoder: plainDecoder{}, Clock: clocktest.Real{}, Log: zap.NewNop(), Metrics: noMetrics{}, Peers: peers,
 	}
-	p := newParts(t.Context(), o)
+	p := newComponents(t.Context(), o)
 	var list []placer.Gateway
 	for _, id := range []string{"g0", "g1", "g2", "g3", "g4", "g5", "g6", "g7"} {
 		list = append(list, placer.Gateway{Gateway: dispatch.Gateway{ID: id}, Addr: id + ":1"})
--- a/internal/gateway/fleet_keeper.go
+++ b/internal/gateway/fleet_keeper.go
@@ -23,22 +23,22 @@
 const keyGateways = "gateways"
 
 const (
-	// fleetKeepInterval is the interval of fleetKeeper.step.
-	fleetKeepInterval = 100 * time.Millisecond
+	// fleetStepInterval is the interval of fleetStore.step.
+	fleetStepInterval = 100 * time.Millisecond
 	// fleetSettleTime is how long a list must be unchanged before it is written. Gateways that start together then
 	// cost one write, and a store restored from a backup has received the operators' writes again.
 	fleetSettleTime = 3 * time.Second
-	// fleetMemory is how long a gateway that left the leader's list stays on the stored one. It exceeds the time for
+	// fleetRetention is how long a gateway that left the leader's list stays on the stored one. It exceeds the time for
 	// which such a gateway may use its share of rate limits. Restarting gateways one after another costs no writes.
-	fleetMemory = quota.AloneTime + 2*time.Second
-	// fleetLoadTime is how long after its start a gateway without a list reads it from the store. A running leader
+	fleetRetention = quota.AloneTime + 2*time.Second
+	// fleetLoadDelay is how long after its start a gateway without a list reads it from the store. A running leader
 	// has sent its list by then.
-	fleetLoadTime = 150 * time.Millisecond
-	// fleetLoadPause is the time between two attempts to read the list.
-	fleetLoadPause = 500 * time.Millisecond
+	fleetLoadDelay = 150 * time.Millisecond
+	// fleetLoadInterval is the time between two attempts to read the list.
+	fleetLoadInterval = 500 * time.Millisecond
 )
 
-// A fleetKeeper persists the list of gateways in the store, so that it survives the loss of all gateways. The leader
+// A fleetStore persists the list of gateways in the store, so that it survives the loss of all gateways. The leader
 // writes it after a change. A gateway reads it if it has started and found no leader, or has become the leader without
 // having received a list.
 //
@@ -47,7 +47,7 @@
 // unknown.
 //
 // Its state belongs to the goroutine that calls step.
-type fleetKeeper struct {
+type fleetStore struct {
 	ctx      context.Context
 	gateways *directory
 	// onLoad applies a list read from the store.
@@ -69,9 +69,9 @@
 	seen      []placer.Gateway
 	seenSince time.Time
 	stored    []placer.Gateway
-	// informed says that this gateway knows the previous list of gateways, if there was one. nextLoad is the
+	// synced says that this gateway knows the previous list of gateways, if there was one. nextLoad is the
 	// earliest time of the next read from the store.
-	informed bool
+	synced   bool
 	nextLoad time.Time
 }
 
@@ -83,24 +83,24 @@
 	Era int64 `json:"era,omitempty"`
 }
 
-// step is called every fleetKeepInterval. A new leader writes the list again, since the store may have lost it.
-func (k *fleetKeeper) step(now time.Time) {
+// step is called every fleetStepInterval. A new leader writes the list again, since the store may have lost it.
+func (k *fleetStore) step(now time.Time) {
 	token, leads := k.lease.Held()
 	if leads && token != k.term {
 		k.term, k.stored, k.seenSince = token, nil, now
 	}
 	list := k.gateways.list()
-	k.informed = k.informed || k.firstStart || len(list) > 0 && !leads
+	k.synced = k.synced || k.firstStart || len(list) > 0 && !leads
 	switch {
-	case !k.informed && !now.Before(k.nextLoad):
+	case !k.synced && !now.Before(k.nextLoad):
 		k.load(now)
-	case k.informed && leads:
+	case k.synced && leads:
 		k.save(list, now)
 	}
 }
 
 // save writes the leader's list, including recently listed gateways, once it has been unchanged for fleetSettleTime.
-func (k *fleetKeeper) save(list []placer.Gateway, now time.Time) {
+func (k *fleetStore) save(list []placer.Gateway, now time.Time) {
 	list = k.withRecent(list, now)
 	if !slices.Equal(list, k.seen) {
 		k.seen, k.seenSince = list, now
@@ -116,18 +116,18 @@
 	k.stored = list
 }
 
-// withRecent returns the list together with the gateways that were on it within fleetMemory, sorted by id.
-func (k *fleetKeeper) withRecent(list []placer.Gateway, now time.Time) []placer.Gateway {
+// withRecent returns the list together with the gateways that were on it within fleetRetention, sorted by id.
+func (k *fleetStore) withRecent(list []placer.Gateway, now time.Time) []placer.Gateway {
 	for _, g := range list {
 		k.recent[g] = now
 	}
-	maps.DeleteFunc(k.recent, func(_ placer.Gateway, at time.Time) bool { return now.Sub(at) > fleetMemory })
+	maps.DeleteFunc(k.recent, func(_ placer.Gateway, at time.Time) bool { return now.Sub(at) > fleetRetention })
 	all := slices.Collect(maps.Keys(k.recent))
 	slices.SortFunc(all, func(a, b placer.Gateway) int { return strings.Compare(a.ID, b.ID) })
 	return all
 }
 
-func (k *fleetKeeper) put(list []placer.Gateway) error {
+func (k *fleetStore) put(list []placer.Gateway) error {
 	value, err := json.Marshal(storedFleet{Gateways: list, Era: kv.Revision(k.term).Era()})
 	if err != nil {
 		return eris.Wrap(err, "gateway: encode list of gateways")
@@ -139,17 +139,17 @@
 }
 
 // load reads the list that the last leader wrote.
-func (k *fleetKeeper) load(now time.Time) {
-	if now.Sub(k.startedAt) < fleetLoadTime {
+func (k *fleetStore) load(now time.Time) {
+	if now.Sub(k.startedAt) < fleetLoadDelay {
 		return
 	}
-	k.nextLoad = now.Add(fleetLoadPause)
+	k.nextLoad = now.Add(fleetLoadInterval)
 	stored, err := k.read(k.ctx)
 	if err != nil {
 		k.log.Warn("reading the list of gateways failed", telemetry.Error(err))
 		return
 	}
-	k.informed = true
+	k.synced = true
 	if len(stored.Gateways) == 0 {
 		return
 	}
@@ -158,7 +158,7 @@
 }
 
 // read returns the stored list. It returns an empty one if there is none or it cannot be decoded.
-func (k *fleetKeeper) read(ctx context.Context) (storedFleet, error) {
+func (k *fleetStore) read(ctx context.Context) (storedFleet, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.timeout)
 	defer cancel()
 	entries, _, err := k.keys.ListPrefix(ctx, keyGateways)
@@ -177,7 +177,7 @@
 
 // isSettled reports whether a leader has written the list in the given era of the store. By then, writes lost when the
 // store was restored from a backup have been repeated.
-func (k *fleetKeeper) isSettled(ctx context.Context, era int64) (bool, error) {
+func (k *fleetStore) isSettled(ctx context.Context, era int64) (bool, error) {
 	stored, err := k.read(ctx)
 	return stored.Era == era, err
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -26,10 +26,10 @@
 	// req is in.needs, updated with the servers to exclude and other results of earlier sends.
 	req    dispatch.Request
 	record record
-	// answering says that the header of an answer has been sent to the caller.
-	answering atomic.Bool
-	// retryPaid says that the retry after the current send is already charged to the retry budget.
-	retryPaid atomic.Bool
+	// headerSent says that the header of an answer has been sent to the caller.
+	headerSent atomic.Bool
+	// retryCharged says that the retry after the current send is already charged to the retry budget.
+	retryCharged atomic.Bool
 	// lastEvent is the id of the last event forwarded to the caller.
 	lastEvent string
 }
@@ -38,18 +38,18 @@
 func (f *forwarder) run() {
 	defer f.watchQuarantine()()
 	if f.proxy.quarantine.Ends(f.in.key) > 0 {
-		defer f.leaveSuspects(f.proxy.suspects.enter(f.ctx, f.in.key))
+		defer f.releaseCopy(f.proxy.copies.acquire(f.ctx, f.in.key))
 	}
 	if f.isQuarantined() {
 		f.refuseQuarantined()
 		return
 	}
-	f.proxy.budgets.first(f.in)
+	f.proxy.budgets.countFirst(f.in)
 	f.proxy.dispatcher.CountArrival(&f.req)
 	for {
 		res, err := f.proxy.dispatcher.Acquire(f.ctx, &f.req)
 		if err != nil {
-			f.giveUp(err)
+			f.endUnserved(err)
 			return
 		}
 		if f.isQuarantined() {
@@ -64,16 +64,16 @@
 	}
 }
 
-// giveUp ends a request for which no server could be acquired.
-func (f *forwarder) giveUp(err error) {
+// endUnserved ends a request for which no server could be acquired.
+func (f *forwarder) endUnserved(err error) {
 	var limited *dispatch.LimitedError
 	switch {
-	case f.callerGone():
+	case f.isCallerGone():
 		f.record.outcome = outcomeGone
-	case f.gaveUpForQuarantine():
+	case f.isCancelledByQuarantine():
 		f.refuseQuarantined()
-	case f.answering.Load():
-		f.cut(eris.Wrap(err, "gateway: no server to resume the stream on"))
+	case f.headerSent.Load():
+		f.abort(eris.Wrap(err, "gateway: no server to resume the stream on"))
 	case f.record.runs > 0:
 		f.refuse(outcomeUnknown, mayHaveRun("the request may have run"))
 	case errors.As(err, &limited):
@@ -87,12 +87,12 @@
 	}
 }
 
-// callerGone reports whether the caller has disconnected.
-func (f *forwarder) callerGone() bool { return f.in.Context().Err() != nil }
+// isCallerGone reports whether the caller has disconnected.
+func (f *forwarder) isCallerGone() bool { return f.in.Context().Err() != nil }
 
 const (
-	// refusedPause is the base of the pause before the next send after a refusal; it doubles with each send.
-	refusedPause = 30 * time.Millisecond
+	// refusalBackoff is the base of the pause before the next send after a refusal; it doubles with each send.
+	refusalBackoff = 30 * time.Millisecond
 	// maxRefusals is the maximum number of sends that are repeated after a refusal.
 	maxRefusals = 4
 )
@@ -103,10 +103,10 @@
 // maxUnsent is the number of failed connection attempts after which a request is refused.
 const maxUnsent = 6
 
-// notSent handles a send that did not reach its server, and reports whether the request is finished.
-func (f *forwarder) notSent(res *dispatch.Reservation, err error) bool {
+// handleNotSent handles a send that did not reach its server, and reports whether the request is finished.
+func (f *forwarder) handleNotSent(res *dispatch.Reservation, err error) bool {
 	res.Done(dispatch.Failed)
-	f.proxy.lines.sendFailed(f, res, "not sent", err)
+	f.proxy.requestLog.sendFailed(f, res, "not sent", err)
 	f.record.unsent++
 	f.exclude(res)
 	if f.record.unsent < maxUnsent {
@@ -116,15 +116,15 @@
 	return true
 }
 
-// refusedBy handles an answer in which the server says that it did not run the request. It reports whether the request is
+// handleRefusal handles an answer in which the server says that it did not run the request. It reports whether the request is
 // finished.
-func (f *forwarder) refusedBy(res *dispatch.Reservation, resp *http.Response) bool {
+func (f *forwarder) handleRefusal(res *dispatch.Reservation, resp *http.Response) bool {
 	res.Done(refusalResult(resp))
 	// Reading the body lets the connection be reused; after an error it is closed.
 	_, _ = io.CopyN(io.Discard, resp.Body, maxRefusalBody)
-	f.proxy.lines.sendFailed(f, res, "refused", eris.Errorf("status %d", resp.StatusCode))
-	if f.answering.Load() {
-		f.cut(eris.New("gateway: server refused to resume the stream"))
+	f.proxy.requestLog.sendFailed(f, res, "refused", eris.Errorf("status %d", resp.StatusCode))
+	if f.headerSent.Load() {
+		f.abort(eris.New("gateway: server refused to resume the stream"))
 	}
 	if f.record.runs > 0 {
 		f.refuse(outcomeUnknown, mayHaveRun("the request may have run"))
@@ -137,7 +137,7 @@
 	// Only the last server is excluded: the others may have capacity again.
 	f.req.Exclude = []string{res.Server().ID}
 	if f.record.sends > 1 {
-		clock.Sleep(f.ctx, f.proxy.clock, refusedPause<<f.record.sends)
+		clock.Sleep(f.ctx, f.proxy.clock, refusalBackoff<<f.record.sends)
 	}
 	return false
 }
@@ -150,39 +150,39 @@
 	return dispatch.Refused
 }
 
-// lost handles a send that may have run but returned no usable answer. It reports whether the request is finished.
-func (f *forwarder) lost(res *dispatch.Reservation, err error) bool {
+// handleLost handles a send that may have run but returned no usable answer. It reports whether the request is finished.
+func (f *forwarder) handleLost(res *dispatch.Reservation, err error) bool {
 	res.Done(dispatch.Failed)
-	f.proxy.lines.sendFailed(f, res, "lost", err)
+	f.proxy.requestLog.sendFailed(f, res, "lost", err)
 	if f.ctx.Err() != nil {
-		f.expired()
+		f.handleExpired()
 		return true
 	}
-	if f.mayRetry() && (f.retryPaid.Load() || f.proxy.budgets.take(f.in)) {
+	if f.mayRetry() && (f.retryCharged.Load() || f.proxy.budgets.take(f.in)) {
 		f.exclude(res)
 		f.req.MayHaveRun = true
 		f.req.WaitUntil = f.in.deadline.Add(-answerReserve)
 		return false
 	}
-	if f.answering.Load() {
-		f.cut(err)
+	if f.headerSent.Load() {
+		f.abort(err)
 	}
 	f.refuse(outcomeUnknown, mayHaveRun("the server was lost; the request may have run"))
 	return true
 }
 
-// expired ends a request whose context ended after it was sent.
-func (f *forwarder) expired() {
-	if f.callerGone() {
+// handleExpired ends a request whose context ended after it was sent.
+func (f *forwarder) handleExpired() {
+	if f.isCallerGone() {
 		f.record.outcome = outcomeGone
 		return
 	}
-	if f.gaveUpForQuarantine() {
+	if f.isCancelledByQuarantine() {
 		f.refuseQuarantined()
 		return
 	}
-	if f.answering.Load() {
-		f.cut(context.DeadlineExceeded)
+	if f.headerSent.Load() {
+		f.abort(context.DeadlineExceeded)
 	}
 	f.refuse(outcomeTimeout, &refusal{status: http.StatusGatewayTimeout, reason: "no answer in time"})
 }
@@ -206,9 +206,9 @@
 	f.proxy.write(f.w, r)
 }
 
-// cut aborts an answer that cannot be completed, so that the caller sees a broken connection, not a complete answer.
-func (f *forwarder) cut(err error) {
+// abort aborts an answer that cannot be completed, so that the caller sees a broken connection, not a complete answer.
+func (f *forwarder) abort(err error) {
 	f.record.outcome = outcomeCut
-	f.proxy.lines.cut(f, err)
+	f.proxy.requestLog.answerAborted(f, err)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,29 +66,29 @@
 
 // A Gateway accepts callers' requests and forwards them to backend servers.
 type Gateway struct {
-	settings   config.Gateway
-	decoder    Decoder
-	clock      clock.Service
-	log        *zap.Logger
-	prefixes   kv.PrefixStore
-	config     *configuration
-	configs    *configsync.Syncer
-	health     *storeHealth
-	servers    *serverList
-	lease      *lease.Holder
-	budgets    *retryBudgets
-	placer     *placer.Placer
-	reporter   *reporter
-	feed       *feed
-	conns      *conns
-	lifecycle  *lifecycle
-	listeners  *listeners
-	pauses     *pauseDetector
-	quarantine *quarantineRole
-	keeper     *quarantineKeeper
+	settings        config.Gateway
+	decoder         Decoder
+	clock           clock.Service
+	log             *zap.Logger
+	prefixes        kv.PrefixStore
+	config          *configuration
+	configs         *configsync.Syncer
+	health          *storeHealth
+	servers         *serverList
+	lease           *lease.Holder
+	budgets         *retryBudgets
+	placer          *placer.Placer
+	reporter        *reporter
+	feed            *feed
+	conns           *conns
+	lifecycle       *lifecycle
+	listeners       *listeners
+	pauses          *pauseDetector
+	quarantine      *quarantineRole
+	quarantineStore *quarantineStore
 	// serverLimits holds the rate limits that backend servers announce.
 	serverLimits *serverLimits
-	fleet        *fleetKeeper
+	fleetStore   *fleetStore
 	// stops unsubscribes from the clock.
 	stops []func()
 	// ctx ends when the gateway stops, after its last request.
@@ -105,17 +105,17 @@
 		o.Peers = wire.NewTransport(&wire.Traffic{})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := newParts(ctx, o)
+	p := newComponents(ctx, o)
 	g := &Gateway{
 		settings: o.Settings, decoder: o.Decoder, clock: o.Clock, log: o.Log, config: p.config, configs: p.configs,
 		health: p.health, servers: p.servers, budgets: p.budgets, conns: p.conns, lifecycle: p.lifecycle,
 		lease: p.leader.lease, prefixes: p.leader.fanout.View(p.breaker.View(o.Prefixes), false), placer: p.leader.placer,
-		reporter: p.newReporter(o), feed: p.newFeed(o), pauses: p.pauses, quarantine: &p.quarantine, keeper: p.newQuarantineKeeper(ctx, o),
-		fleet: p.fleet, serverLimits: p.serverLimits,
+		reporter: p.newReporter(o), feed: p.newFeed(o), pauses: p.pauses, quarantine: &p.quarantine, quarantineStore: p.newQuarantineStore(ctx, o),
+		fleetStore: p.fleetStore, serverLimits: p.serverLimits,
 		ctx: ctx, cancel: cancel,
 	}
 	if o.Eras != nil {
-		o.Eras.OnEra(g.storeCameBack)
+		o.Eras.OnEra(g.storeRestored)
 	}
 	g.listeners = newListeners(listenerOptions{
 		settings: o.Settings, log: o.Log, conns: p.conns, ready: readyRouter(o.ReadyPath, g.ready),
@@ -143,9 +143,9 @@
 	g.subscribe(sweepInterval, g.conns.sweep)
 	g.subscribe(expireInterval, g.servers.expire)
 	g.subscribe(pauseCheckInterval, g.pauses.check)
-	g.subscribe(fleetKeepInterval, g.fleet.step)
+	g.subscribe(fleetStepInterval, g.fleetStore.step)
 	g.stops = append(g.stops, g.serverLimits.subscribe(g.clock))
-	g.stops = append(g.stops, g.quarantine.subscribe(g.clock, g.keeper)...)
+	g.stops = append(g.stops, g.quarantine.subscribe(g.clock, g.quarantineStore)...)
 	g.log.Info("started", zap.String("hall", g.settings.Hall), zap.Bool("first", g.settings.FirstStart))
 	return nil
 }
@@ -170,7 +170,7 @@
 		return false, "no configuration yet"
 	case !g.servers.isListed():
 		return false, "no servers known yet"
-	case !g.quarantine.isInformed(g.clock.Now()):
+	case !g.quarantine.isSynced(g.clock.Now()):
 		return false, "quarantine not known yet"
 	}
 	return true, ""
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -28,8 +28,8 @@
 	service table.Service
 	// organisation owns the key that the request came with; the zero Organisation if none is needed.
 	organisation table.Organisation
-	// withoutKey says that the API key is not forwarded to servers.
-	withoutKey bool
+	// dropsKey says that the API key is not forwarded to servers.
+	dropsKey bool
 	// target is the requested model and adapter; empty for services without engines.
 	target backend.Adapter
 	// configVersion is the version of the configuration that matched the request.
@@ -41,15 +41,15 @@
 	deadline time.Time
 	// cost is charged to the organisation's rate limit, in the limit's unit.
 	cost float64
-	// needs is the initial request to the dispatcher.
-	needs dispatch.Request
+	// requirements is the initial request to the dispatcher.
+	requirements dispatch.Request
 }
 
 // read reads and validates a request. It refuses requests that cannot be served.
 func (p *proxy) read(w http.ResponseWriter, r *http.Request) (*inbound, *refusal) {
 	now := p.clock.Now()
 	// The age is computed before the configuration is loaded: a configuration that arrives in between is newer.
-	configAge := p.access.configAge(now)
+	configAge := p.authenticator.configAge(now)
 	routing := p.config.routing()
 	if routing == nil {
 		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: retryUnready}
@@ -67,7 +67,7 @@
 	if len(ids) != 1 || ids[0] == "" {
 		return nil, &refusal{status: http.StatusBadRequest, reason: "one request id is needed"}
 	}
-	organisation, refused := p.access.check(r, routing, route, configAge)
+	organisation, refused := p.authenticator.authenticate(r, routing, route, configAge)
 	if refused != nil {
 		return nil, refused
 	}
@@ -79,8 +79,8 @@
 		return nil, refused
 	}
 	in := &inbound{
-		Request: r, id: ids[0], key: keyOf(r, body), route: route, configVersion: routing.Version(), body: body, arrived: now,
-		organisation: organisation, withoutKey: routing.NeedsKeys(),
+		Request: r, id: ids[0], key: quarantineKey(r, body), route: route, configVersion: routing.Version(), body: body, arrived: now,
+		organisation: organisation, dropsKey: routing.NeedsKeys(),
 	}
 	if refused := p.resolve(in, routing); refused != nil {
 		return nil, refused
@@ -88,9 +88,9 @@
 	return in, nil
 }
 
-// keyOf returns the quarantine key of a request with the given body. The caller is identified by its credentials only:
+// quarantineKey returns the quarantine key of a request with the given body. The caller is identified by its credentials only:
 // the same caller may send copies from many addresses.
-func keyOf(r *http.Request, body []byte) quarantine.Key {
+func quarantineKey(r *http.Request, body []byte) quarantine.Key {
 	return quarantine.KeyOf(quarantine.Request{
 		Caller: r.Header.Get("Authorization"), Method: r.Method, Host: r.Host, Target: r.RequestURI, Body: body,
 	})
@@ -101,25 +101,25 @@
 	var ok bool
 	in.service, ok = routing.Service(in.route.Pick(rand.Uint64()))
 	if !ok {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "no such service yet", retryAfter: retrySoon}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "no such service yet", retryAfter: minRetryAfter}
 	}
 	in.target = backend.ParseAdapter(in.Header.Get(p.names.Model))
-	if !in.mayBeServed() {
-		return notRun("the model is not configured", retryConfigured)
+	if !in.isServable() {
+		return notRun("the model is not configured", retryUnknownModel)
 	}
 	in.deadline, ok = deadlineOf(in.arrived, in.route.Timeout, in.Header.Get(p.names.Deadline))
 	if !ok {
 		return &refusal{status: http.StatusBadRequest, reason: "the deadline is not a number of milliseconds"}
 	}
 	in.cost = p.costOf(in)
-	in.needs = p.needsOf(in)
+	in.requirements = p.requirementsOf(in)
 	return nil
 }
 
-// mayBeServed reports whether the service can ever serve the request's model: engines load only configured models.
+// isServable reports whether the service can ever serve the request's model: engines load only configured models.
 // Adapters are not checked, since the configuration contains only their number. A service without servers is
 // accepted, since it may get some while the request waits.
-func (in *inbound) mayBeServed() bool {
+func (in *inbound) isServable() bool {
 	if in.service.Engine == nil || in.target.Model == "" {
 		return true
 	}
@@ -168,12 +168,12 @@
 	return body, nil
 }
 
-// maxPresized is the largest announced body length for which a buffer of that size is allocated at once, in bytes.
-const maxPresized = 1 << 20
+// maxPreallocated is the largest announced body length for which a buffer of that size is allocated at once, in bytes.
+const maxPreallocated = 1 << 20
 
-// readAll reads until EOF. If size is positive and at most maxPresized, it reads exactly size bytes into one buffer.
+// readAll reads until EOF. If size is positive and at most maxPreallocated, it reads exactly size bytes into one buffer.
 func readAll(r io.Reader, size int64) ([]byte, error) {
-	if size <= 0 || size > maxPresized {
+	if size <= 0 || size > maxPreallocated {
 		return io.ReadAll(r)
 	}
 	buf := make([]byte, size)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -13,10 +13,10 @@
 )
 
 // newLimiter returns the limiter that enforces organisations' rate limits together with the other gateways.
-func (p *parts) newLimiter(o Options) *quota.Limiter {
+func (p *components) newLimiter(o Options) *quota.Limiter {
 	s := o.Settings.Quota
 	return quota.New(quota.Options{
-		Self: o.Settings.ID, Clock: o.Clock, Asker: p.peers, Limit: p.config.limit, OnOwnerSilent: p.lines.limitOwnerSilent,
+		Self: o.Settings.ID, Clock: o.Clock, Asker: p.peers, Limit: p.config.limit, OnOwnerSilent: p.requestLog.grantFailed,
 		Tolerance: quota.Tolerance{Window: s.Window.Std(), Over: s.Over, Slack: s.Slack},
 	})
 }
@@ -36,7 +36,7 @@
 }
 
 // limitStatus returns this gateway's state of all rate limits, sorted by key.
-func (p *parts) limitStatus() wire.LimitList {
+func (p *components) limitStatus() wire.LimitList {
 	list := wire.LimitList{Items: []quota.Status{}}
 	r := p.config.routing()
 	if r == nil {
@@ -65,7 +65,7 @@
 	}
 	d := p.limiter.Take(ctx, in.organisation.Name, in.cost)
 	if in.organisation.Limit.IsLimited() {
-		p.lines.metrics.Charged(in.organisation.Name, d.Outcome.String(), in.cost)
+		p.requestLog.metrics.Charged(in.organisation.Name, d.Outcome.String(), in.cost)
 	}
 	switch d.Outcome {
 	case quota.Inside:
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -18,10 +18,10 @@
 
 // Limits on requests that the HTTP servers enforce independently of the configuration.
 const (
-	// headerTime is the timeout for reading a header.
-	headerTime = 10 * time.Second
-	// maxHeader is the maximum size of a header, in bytes. The limit in the configuration is checked afterwards.
-	maxHeader = 128 << 10
+	// headerTimeout is the timeout for reading a header.
+	headerTimeout = 10 * time.Second
+	// maxHeaderBytes is the maximum size of a header, in bytes. The limit in the configuration is checked afterwards.
+	maxHeaderBytes = 128 << 10
 )
 
 type listenerOptions struct {
@@ -50,11 +50,11 @@
 func newListeners(o listenerOptions) *listeners {
 	quiet := zap.NewStdLog(zap.NewNop())
 	plain := func(addr string, h http.Handler) boundServer {
-		return boundServer{addr: addr, server: &http.Server{Handler: h, ReadHeaderTimeout: headerTime, ErrorLog: quiet}}
+		return boundServer{addr: addr, server: &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, ErrorLog: quiet}}
 	}
 	front := plain(o.settings.Listen, o.proxy)
-	front.server.MaxHeaderBytes = maxHeader
-	front.server.ConnState, front.server.ConnContext = o.conns.note, withConn
+	front.server.MaxHeaderBytes = maxHeaderBytes
+	front.server.ConnState, front.server.ConnContext = o.conns.stateChanged, withConn
 	front.wrap = func(l *net.TCPListener) net.Listener { return callerListener{TCPListener: l, clock: o.conns.clock} }
 	servers := []boundServer{front, plain(o.settings.ReadyListen, o.ready), plain(o.settings.PeerListen, o.peers)}
 	if o.settings.MetricsListen != "" {
--- a/internal/gateway/needs.go
+++ b/internal/gateway/needs.go
@@ -10,15 +10,15 @@
 
 // Parameters of the time that a request may wait for a server.
 const (
-	// minPatience is the minimum time for which a caller is assumed to wait for the first byte.
-	minPatience = 2 * time.Second
-	// patienceFactor is multiplied with the objective for the first byte, or with twice the objective for the gap
+	// minCallerWait is the minimum time for which a caller is assumed to wait for the first byte.
+	minCallerWait = 2 * time.Second
+	// callerWaitFactor is multiplied with the objective for the first byte, or with twice the objective for the gap
 	// between events, to estimate how long a caller waits.
-	patienceFactor = 4
-	// waitShare is the fraction of the caller's estimated patience that may be spent waiting for a server.
-	waitShare = 0.8
-	// sendByShare is the percentage of the first-byte objective within which a request must be sent to meet it.
-	sendByShare = 70
+	callerWaitFactor = 4
+	// queueTimeFraction is the fraction of the caller's estimated patience that may be spent waiting for a server.
+	queueTimeFraction = 0.8
+	// sendByPercent is the percentage of the first-byte objective within which a request must be sent to meet it.
+	sendByPercent = 70
 	// answerReserve is the part of the deadline that is reserved for the answer.
 	answerReserve = 400 * time.Millisecond
 )
@@ -26,20 +26,20 @@
 // waitTime returns how long the request may wait for a server. It is limited by the caller's estimated patience and
 // by the deadline less answerReserve.
 func (in *inbound) waitTime() time.Duration {
-	patience := max(minPatience, patienceFactor*in.route.FirstByteObjective, 2*patienceFactor*in.route.EventGapObjective)
-	wait := time.Duration(float64(patience) * waitShare)
+	callerWait := max(minCallerWait, callerWaitFactor*in.route.FirstByteObjective, 2*callerWaitFactor*in.route.EventGapObjective)
+	wait := time.Duration(float64(callerWait) * queueTimeFraction)
 	return max(min(wait, in.deadline.Sub(in.arrived)-answerReserve), 0)
 }
 
-// needsOf returns the dispatcher's view of a request. Malformed model headers are logged and ignored; the server
+// requirementsOf returns the dispatcher's view of a request. Malformed model headers are logged and ignored; the server
 // decides whether to accept them.
-func (p *proxy) needsOf(in *inbound) dispatch.Request {
+func (p *proxy) requirementsOf(in *inbound) dispatch.Request {
 	needs := dispatch.Request{
 		Service: in.service.Name, Priority: in.route.Priority,
 		WaitUntil: in.arrived.Add(in.waitTime()), FirstByteObjective: in.route.FirstByteObjective,
 	}
 	if objective := in.route.FirstByteObjective; objective > 0 {
-		needs.SendBy = in.arrived.Add(objective * sendByShare / 100)
+		needs.SendBy = in.arrived.Add(objective * sendByPercent / 100)
 	}
 	if in.service.Engine == nil {
 		return needs
@@ -68,7 +68,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
-		p.lines.malformedHeader(in, p.names.Tokens, text)
+		p.requestLog.malformedHeader(in, p.names.Tokens, text)
 		return 0
 	}
 	return n
@@ -86,7 +86,7 @@
 		id, size, ok := strings.Cut(strings.TrimSpace(item), ":")
 		tokens, err := strconv.Atoi(size)
 		if !ok || err != nil {
-			p.lines.malformedHeader(in, p.names.Prefix, item)
+			p.requestLog.malformedHeader(in, p.names.Prefix, item)
 			continue
 		}
 		blocks = append(blocks, dispatch.PrefixBlock{ID: id, Tokens: tokens})
--- a/internal/gateway/outgoing.go
+++ b/internal/gateway/outgoing.go
@@ -20,12 +20,12 @@
 // maxPriority is the least urgent priority that engines accept, as the platform defines it (docs/design/0008).
 const maxPriority = 9
 
-// outgoingHeader returns the header of a request to a server. It is used for first sends, retries and resumed streams,
+// serverRequestHeader returns the header of a request to a server. It is used for first sends, retries and resumed streams,
 // to engines and other servers alike.
 //
 // It forwards the caller's headers except hop-by-hop headers and those in wire.Names.Reserved, which only the system may
 // set: engines obey them whoever the sender is.
-func (f *forwarder) outgoingHeader(server string) http.Header {
+func (f *forwarder) serverRequestHeader(server string) http.Header {
 	names := f.proxy.names
 	h := f.in.Header.Clone()
 	removeConnectionHeaders(h)
@@ -52,7 +52,7 @@
 // setOrganisation replaces the caller's API key with the organisation's name. It leaves the headers unchanged if the
 // configuration has no organisations.
 func (in *inbound) setOrganisation(h http.Header, header string) {
-	if !in.withoutKey {
+	if !in.dropsKey {
 		return
 	}
 	h.Del(apikey.Header)
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -25,9 +25,9 @@
 // leaseName is the name of the leader's lease in the store.
 const leaseName = "placer"
 
-// parts are the components of a gateway, except its listeners and background loops.
-type parts struct {
-	lines      *requestLog
+// components holds the parts of a gateway, except its listeners and background loops.
+type components struct {
+	requestLog *requestLog
 	config     *configuration
 	gateways   *directory
 	lifecycle  *lifecycle
@@ -45,20 +45,20 @@
 	// serverLimits holds the rate limits that backend servers announce.
 	serverLimits *serverLimits
 	limiter      *quota.Limiter
-	// quotas holds all limiters, which depend on the leader and its list of gateways.
-	quotas quotas
-	fleet  *fleetKeeper
-	// listing is held while a list of gateways is applied, so that all components see the same list.
-	listing sync.Mutex
+	// limiters holds all limiters, which depend on the leader and its list of gateways.
+	limiters   limiters
+	fleetStore *fleetStore
+	// listMu is held while a list of gateways is applied, so that all components see the same list.
+	listMu sync.Mutex
 	// urgent triggers an immediate report to the leader.
 	urgent signal
 }
 
-// newParts creates the components in dependency order. Their work ends with ctx.
-func newParts(ctx context.Context, o Options) *parts {
+// newComponents creates the components in dependency order. Their work ends with ctx.
+func newComponents(ctx context.Context, o Options) *components {
 	s := o.Settings
-	p := &parts{
-		lines: newRequestLog(o.Log, o.Metrics, o.Clock, o.Names), config: newConfiguration(o.Decoder, o.Log),
+	p := &components{
+		requestLog: newRequestLog(o.Log, o.Metrics, o.Clock, o.Names), config: newConfiguration(o.Decoder, o.Log),
 		gateways: newDirectory(s.PeerListen, s.Gateways, s.Seeds, s.FirstStart), lifecycle: newLifecycle(),
 		urgent: make(signal, 1), health: newStoreHealth(ctx, o.Log),
 	}
@@ -68,26 +68,26 @@
 	p.serverLimits = p.newServerLimits(o)
 	p.dispatcher = dispatch.New(dispatch.Options{
 		ID: s.ID, Hall: s.Hall, Clock: o.Clock, Utilization: utilization, CacheTokens: p.config.cacheTokens,
-		Owners: p.peers, OnOwnerSilent: p.lines.ownerSilent, OnModelMissing: p.urgent.send,
+		Owners: p.peers, OnOwnerSilent: p.requestLog.admissionFailed, OnModelMissing: p.urgent.send,
 		Permits: p.serverLimits,
 	})
 	p.servers = newServerList(o.Decoder, o.Clock, o.Log, p.dispatcher)
-	p.pauses = &pauseDetector{log: o.Log, inProgress: p.lifecycle.requests, last: o.Clock.Now()}
+	p.pauses = &pauseDetector{log: o.Log, inProgress: p.lifecycle.requests, lastCheck: o.Clock.Now()}
 	p.quarantine = p.newQuarantineRole(ctx, o)
 	p.breaker = kv.NewBreaker(kv.BreakerOptions{Clock: o.Clock, Pause: p.probePause})
 	p.leader = p.newLeaderRole(o)
 	p.limiter = p.newLimiter(o)
-	p.quotas = quotas{p.limiter, p.serverLimits.limiter}
+	p.limiters = limiters{p.limiter, p.serverLimits.limiter}
 	p.config.onChange = func() {
 		p.servers.refresh()
 		p.leader.fanout.Recheck()
 	}
-	p.fleet = p.newFleetKeeper(ctx, o)
+	p.fleetStore = p.newFleetStore(ctx, o)
 	p.configs = configsync.New(configsync.Options{
 		Store: p.breaker.View(o.Prefixes), Key: o.Decoder.ConfigKey(), Holder: p.config, Peers: p.peers,
-		Health: p.health, Clock: o.Clock, Log: o.Log, IsWatcher: p.leader.isHeld, MaxAge: p.newsMaxAge(s),
-		StartWait: p.gateways.listWait, IsSettled: p.fleet.isSettled,
-		OnSwitch: p.lines.watchSwitched, OnTransfer: func(from configsync.Origin, bytes int, err error) {
+		Health: p.health, Clock: o.Clock, Log: o.Log, IsWatcher: p.leader.isHeld, MaxAge: p.configMaxAge(s),
+		StartWait: p.gateways.listWait, IsSettled: p.fleetStore.isSettled,
+		OnSwitch: p.requestLog.watchSwitched, OnTransfer: func(from configsync.Origin, bytes int, err error) {
 			o.Metrics.ConfigTransfer(string(from), bytes, err)
 		},
 	})
@@ -102,7 +102,7 @@
 	placer *placer.Placer
 }
 
-func (p *parts) newLeaderRole(o Options) leaderRole {
+func (p *components) newLeaderRole(o Options) leaderRole {
 	s := o.Settings
 	l := leaderRole{lease: lease.New(o.Store, o.Clock, lease.Options{
 		Name: leaseName, Holder: s.ID, Addr: s.PeerListen, TTL: s.LeaseTTL.Std(),
@@ -110,13 +110,13 @@
 	})}
 	l.fanout = kv.NewFanout(kv.FanoutOptions{
 		Clock: o.Clock, MaxAge: viewMaxAge(s), IsWatcher: l.isHeld,
-		OnSwitch: p.lines.watchSwitched, Digest: p.servers.digest, ListWait: p.gateways.listWait,
+		OnSwitch: p.requestLog.watchSwitched, Digest: p.servers.digest, ListWait: p.gateways.listWait,
 		ExtraAge: p.extraAge(s), Writers: serverWriters(o.Decoder),
 	})
 	l.placer = placer.New(placer.Options{
 		Lease: l.lease, Keys: l.fanout.View(p.breaker.View(o.OwnKeys), true), Engines: o.Engines, Registry: &p.servers.registry,
 		Routing: p.config.routing, Clock: o.Clock, Log: o.Log, SettleTime: s.LeaseTTL.Std(), FirstStart: s.FirstStart,
-		Gateways: p.gateways.list, PrefillSpeeds: p.dispatcher.PrefillSpeeds, IsInNeed: p.serverLimits.isInNeed,
+		Gateways: p.gateways.list, PrefillSpeeds: p.dispatcher.PrefillSpeeds, IsInNeed: p.serverLimits.isThrottled,
 	})
 	return l
 }
@@ -129,7 +129,7 @@
 
 // leaderAddr returns the leader's peer address: that of the gateway that last replied as the leader, or else the one
 // in the lease's record. It is empty if neither is known.
-func (p *parts) leaderAddr() string {
+func (p *components) leaderAddr() string {
 	record, own := p.leader.placer.Leader()
 	if own {
 		return p.gateways.self
@@ -138,7 +138,7 @@
 }
 
 // probePause returns how long this gateway waits before it calls a failed store again.
-func (p *parts) probePause() time.Duration {
+func (p *components) probePause() time.Duration {
 	if p.leader.isHeld() {
 		return 0
 	}
@@ -149,91 +149,91 @@
 func viewMaxAge(s config.Gateway) time.Duration { return s.WatchTime.Std() / 2 }
 
 // extraAge returns a function that returns this gateway's addition to viewMaxAge.
-func (p *parts) extraAge(s config.Gateway) func() time.Duration {
+func (p *components) extraAge(s config.Gateway) func() time.Duration {
 	return func() time.Duration { return p.gateways.extraAge(p.leaderAddr(), viewMaxAge(s)) }
 }
 
-// newsMaxAge returns a function that returns the maximum age of the configuration in this gateway; it is the same as
+// configMaxAge returns a function that returns the maximum age of the configuration in this gateway; it is the same as
 // for all other views of the store.
-func (p *parts) newsMaxAge(s config.Gateway) func() time.Duration {
+func (p *components) configMaxAge(s config.Gateway) func() time.Duration {
 	extra := p.extraAge(s)
 	return func() time.Duration { return viewMaxAge(s) + extra() }
 }
 
-func (p *parts) newFeed(o Options) *feed {
+func (p *components) newFeed(o Options) *feed {
 	return &feed{
 		self: o.Settings.PeerListen, gateways: p.gateways, fanout: p.leader.fanout, configs: p.configs, peers: p.peers,
-		isLeader: p.leader.isHeld, leader: p.leaderAddr, clock: o.Clock, log: o.Log, avoided: make(map[string]time.Time),
+		isLeader: p.leader.isHeld, leader: p.leaderAddr, clock: o.Clock, log: o.Log, backoffUntil: make(map[string]time.Time),
 	}
 }
 
-func (p *parts) newReporter(o Options) *reporter {
+func (p *components) newReporter(o Options) *reporter {
 	s := o.Settings
 	return &reporter{
 		self: sender{id: s.ID, addr: s.PeerListen, hall: s.Hall}, dispatcher: p.dispatcher, configs: p.configs,
 		servers: p.servers, gateways: p.gateways, placer: p.leader.placer, fanout: p.leader.fanout, peers: p.peers,
 		clock: o.Clock, log: o.Log, quarantine: quarantine.NewLink(p.quarantine.table, quarantine.AllEnds),
-		informed: p.quarantine.informed, quotas: p.quotas, useGateways: p.useGateways, urgent: p.urgent,
+		synced: p.quarantine.synced, limiters: p.limiters, applyGateways: p.applyGateways, urgent: p.urgent,
 		serverLimits: serverlimit.NewLink(p.serverLimits.Table),
 	}
 }
 
-func (p *parts) newQuarantineKeeper(ctx context.Context, o Options) *quarantineKeeper {
-	return &quarantineKeeper{
+func (p *components) newQuarantineStore(ctx context.Context, o Options) *quarantineStore {
+	return &quarantineStore{
 		ctx: ctx, role: &p.quarantine, store: o.Store, keys: p.breaker.View(o.OwnKeys), lease: p.leader.lease,
 		clock: o.Clock, log: o.Log, timeout: o.Settings.StoreTimeout.Std(),
 	}
 }
 
-func (p *parts) newFleetKeeper(ctx context.Context, o Options) *fleetKeeper {
-	return &fleetKeeper{
-		ctx: ctx, gateways: p.gateways, onLoad: p.useStored, recent: make(map[placer.Gateway]time.Time), store: o.Store, keys: p.breaker.View(o.OwnKeys),
+func (p *components) newFleetStore(ctx context.Context, o Options) *fleetStore {
+	return &fleetStore{
+		ctx: ctx, gateways: p.gateways, onLoad: p.applyStoredGateways, recent: make(map[placer.Gateway]time.Time), store: o.Store, keys: p.breaker.View(o.OwnKeys),
 		lease: p.leader.lease, firstStart: o.Settings.FirstStart, startedAt: o.Clock.Now(), clock: o.Clock, log: o.Log,
 		timeout: o.Settings.StoreTimeout.Std(),
 	}
 }
 
-// useStored applies the list of gateways read from the store. If the leader has already sent a list, or this gateway
+// applyStoredGateways applies the list of gateways read from the store. If the leader has already sent a list, or this gateway
 // leads, the stored one only adds former gateways to the limiters.
-func (p *parts) useStored(list []placer.Gateway) {
-	p.listing.Lock()
-	defer p.listing.Unlock()
+func (p *components) applyStoredGateways(list []placer.Gateway) {
+	p.listMu.Lock()
+	defer p.listMu.Unlock()
 	if p.gateways.isListed() {
-		p.quotas.noteFormer(gatewayIDs(list))
+		p.limiters.addFormer(gatewayIDs(list))
 		return
 	}
 	p.setGateways(list)
 }
 
-// useGateways applies the leader's list of gateways.
-func (p *parts) useGateways(list []placer.Gateway) {
-	p.listing.Lock()
-	defer p.listing.Unlock()
+// applyGateways applies the leader's list of gateways.
+func (p *components) applyGateways(list []placer.Gateway) {
+	p.listMu.Lock()
+	defer p.listMu.Unlock()
 	p.setGateways(list)
 }
 
 // setGateways distributes a list of gateways to all components that use it. The caller must hold p.listing.
-func (p *parts) setGateways(list []placer.Gateway) {
+func (p *components) setGateways(list []placer.Gateway) {
 	p.dispatcher.SetGateways(p.gateways.set(list))
-	p.quotas.setGateways(gatewayIDs(list))
+	p.limiters.setGateways(gatewayIDs(list))
 }
 
-func (p *parts) newProxy(o Options) *proxy {
+func (p *components) newProxy(o Options) *proxy {
 	return &proxy{
-		names: o.Names, config: p.config, access: p.newAccess(o.Settings), limiter: p.limiter, dispatcher: p.dispatcher, budgets: p.budgets, lines: p.lines,
-		lifecycle: p.lifecycle, conns: p.conns, quarantine: p.quarantine.table, ends: p.quarantine.ends, serverLimits: p.serverLimits.Table, clock: o.Clock,
+		names: o.Names, config: p.config, authenticator: p.newAuthenticator(o.Settings), limiter: p.limiter, dispatcher: p.dispatcher, budgets: p.budgets, requestLog: p.requestLog,
+		lifecycle: p.lifecycle, conns: p.conns, quarantine: p.quarantine.table, detector: p.quarantine.detector, serverLimits: p.serverLimits.Table, clock: o.Clock,
 		transport: wire.NewDirectTransport(o.Settings.IdleTime.Std()), bodyTime: o.Settings.BodyTime.Std(),
 	}
 }
 
-func (p *parts) newAccess(s config.Gateway) *access {
-	return &access{currentAt: p.configs.CurrentAt, revokeTime: s.RevokeTime.Std(), knownTime: p.newsMaxAge(s)}
+func (p *components) newAuthenticator(s config.Gateway) *authenticator {
+	return &authenticator{currentAt: p.configs.CurrentAt, revokeTime: s.RevokeTime.Std(), unknownKeyMaxAge: p.configMaxAge(s)}
 }
 
-func (p *parts) newPeerServer(c clock.Service) *peerServer {
+func (p *components) newPeerServer(c clock.Service) *peerServer {
 	return &peerServer{
 		placer: p.leader.placer, fanout: p.leader.fanout, configs: p.configs, gateways: p.gateways,
-		dispatcher: p.dispatcher, quarantine: p.quarantine.table, limiter: p.limiter, limits: p.limitStatus, serverLimits: p.serverLimits, lapsed: p.quotas.lapsed,
-		informed: p.quarantine.informed, clock: c, leaseKey: p.leader.lease.Key(),
+		dispatcher: p.dispatcher, quarantine: p.quarantine.table, limiter: p.limiter, limits: p.limitStatus, serverLimits: p.serverLimits, lapsed: p.limiters.lapsed,
+		synced: p.quarantine.synced, clock: c, leaseKey: p.leader.lease.Key(),
 	}
 }
--- a/internal/gateway/peer_client.go
+++ b/internal/gateway/peer_client.go
@@ -112,34 +112,34 @@
 // Admit implements dispatch.Owners.
 func (p *peerClient) Admit(ctx context.Context, owner string, r dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
 	var reply dispatch.AdmissionReply
-	err := p.askGateway(ctx, admissionTimeout, owner, pathAdmission, r, &reply)
+	err := p.postTo(ctx, admissionTimeout, owner, pathAdmission, r, &reply)
 	return reply, err
 }
 
 // AskGrant implements quota.Asker.
 func (p *peerClient) AskGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	var reply quota.Reply
-	err := p.askGateway(ctx, grantTimeout, gateway, pathGrant, r, &reply)
-	return reply, noteEnded(err)
+	err := p.postTo(ctx, grantTimeout, gateway, pathGrant, r, &reply)
+	return reply, wrapEnded(err)
 }
 
-// askPermit requests a permit of a backend server's rate limit from another gateway.
-func (p *peerClient) askPermit(ctx context.Context, gateway string, m permitMessage) (permitReply, error) {
+// requestPermit requests a permit of a backend server's rate limit from another gateway.
+func (p *peerClient) requestPermit(ctx context.Context, gateway string, m permitMessage) (permitReply, error) {
 	var reply permitReply
-	err := p.askGateway(ctx, grantTimeout, gateway, pathPermit, m, &reply)
-	return reply, noteEnded(err)
+	err := p.postTo(ctx, grantTimeout, gateway, pathPermit, m, &reply)
+	return reply, wrapEnded(err)
 }
 
-// noteEnded wraps a refused connection in quota.ErrEnded, since it shows that the other process has ended.
-func noteEnded(err error) error {
+// wrapEnded adds quota.ErrEnded to the error of a refused connection, which shows that the other process has ended.
+func wrapEnded(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("%w: %w", quota.ErrEnded, err)
 	}
 	return err
 }
 
-// askGateway posts a message to the gateway with the given id and decodes the answer into out.
-func (p *peerClient) askGateway(ctx context.Context, timeout time.Duration, gateway, path string, in, out any) error {
+// postTo posts a message to the gateway with the given id and decodes the answer into out.
+func (p *peerClient) postTo(ctx context.Context, timeout time.Duration, gateway, path string, in, out any) error {
 	addr := p.gateways.addr(gateway)
 	if addr == "" {
 		return eris.Errorf("gateway: the address of gateway %q is not known", gateway)
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -33,29 +33,29 @@
 	serverLimits *serverLimits
 	lapsed       func() int
 	// limits returns this gateway's state of all rate limits.
-	limits   func() wire.LimitList
-	informed *atomic.Bool
-	clock    clock.Service
+	limits func() wire.LimitList
+	synced *atomic.Bool
+	clock  clock.Service
 	// leaseKey is the store key of the leader's lease.
 	leaseKey string
 }
 
 func (p *peerServer) router() http.Handler {
 	e := server.NewRouter()
-	e.POST(pathReport, p.answerReport)
-	e.POST(pathFeed, p.answerFeed)
-	e.POST(pathConfig, p.answerConfig)
-	e.POST(pathAdmission, p.answerAdmission)
-	e.POST(pathGrant, p.answerGrant)
-	e.POST(pathPermit, p.answerPermit)
+	e.POST(pathReport, p.handleReport)
+	e.POST(pathFeed, p.handleFeed)
+	e.POST(pathConfig, p.handleConfig)
+	e.POST(pathAdmission, p.handleAdmission)
+	e.POST(pathGrant, p.handleGrant)
+	e.POST(pathPermit, p.handlePermit)
 	server.RegisterQuarantine(e, p.quarantine)
 	e.GET(wire.PathLimits, func(c echo.Context) error { return c.JSON(http.StatusOK, p.limits()) })
 	return e
 }
 
-// answerReport handles a report. The leader applies it and replies; any other gateway replies with the leader's address.
+// handleReport handles a report. The leader applies it and replies; any other gateway replies with the leader's address.
 // If the report shows requests waiting for a server, the leader plans at once.
-func (p *peerServer) answerReport(c echo.Context) error {
+func (p *peerServer) handleReport(c echo.Context) error {
 	var m reportMessage
 	if err := c.Bind(&m); err != nil {
 		return err
@@ -63,7 +63,7 @@
 	p.configs.HeardVersion(m.ConfigVersion, m.Addr)
 	a := replyMessage{
 		Reply: p.placer.Report(m.Report), Config: p.configs.News(), Quarantine: p.quarantine.Answer(m.Quarantine, quarantine.SharedEnds),
-		Informed: m.Uninformed && p.informed.Load(), Lapsed: p.lapsed(), ServerLimits: p.serverLimits.Answer(m.ServerLimits),
+		Informed: m.Uninformed && p.synced.Load(), Lapsed: p.lapsed(), ServerLimits: p.serverLimits.Answer(m.ServerLimits),
 	}
 	if !a.IsLeader {
 		record, _ := p.placer.Leader()
@@ -75,8 +75,8 @@
 	return c.JSON(http.StatusOK, a)
 }
 
-// answerConfig handles a request for the configuration.
-func (p *peerServer) answerConfig(c echo.Context) error {
+// handleConfig handles a request for the configuration.
+func (p *peerServer) handleConfig(c echo.Context) error {
 	var r configsync.Request
 	if err := c.Bind(&r); err != nil {
 		return err
@@ -88,31 +88,31 @@
 	return c.JSON(http.StatusOK, t)
 }
 
-// answerFeed handles a poll for changes in the store. It answers as soon as there is a change or a newer view, and after the
+// handleFeed handles a poll for changes in the store. It answers as soon as there is a change or a newer view, and after the
 // hold time at the latest.
-func (p *peerServer) answerFeed(c echo.Context) error {
+func (p *peerServer) handleFeed(c echo.Context) error {
 	var r feedRequest
 	if err := c.Bind(&r); err != nil {
 		return err
 	}
 	p.configs.HeardVersion(r.ConfigVersion, r.Addr)
 	asked := p.clock.Now()
-	p.awaitNews(c.Request().Context(), r, asked)
+	p.awaitChanges(c.Request().Context(), r, asked)
 	p.markLeaseCurrent()
 	return c.JSON(http.StatusOK, feedReply{
 		Changes: p.fanout.Since(r.Revisions), Config: p.configs.News(), HeldMs: p.clock.Now().Sub(asked).Milliseconds(),
 	})
 }
 
-// awaitNews waits until there is something new for the polling gateway, for at most the hold time.
-func (p *peerServer) awaitNews(ctx context.Context, r feedRequest, asked time.Time) {
+// awaitChanges waits until there is something new for the polling gateway, for at most the hold time.
+func (p *peerServer) awaitChanges(ctx context.Context, r feedRequest, asked time.Time) {
 	before := p.fanout.Views(r.Revisions)
 	maxAge := p.fanout.MaxAge()
 	end := asked.Add(feedHold(maxAge))
 	for ctx.Err() == nil {
 		changed := p.fanout.Changed()
 		left := end.Sub(p.clock.Now())
-		if left <= 0 || p.fanout.HasNews(r.Revisions, maxAge/feedSteps, before) || p.configs.News().Version > r.ConfigVersion {
+		if left <= 0 || p.fanout.HasNews(r.Revisions, maxAge/feedAgeSteps, before) || p.configs.News().Version > r.ConfigVersion {
 			return
 		}
 		clock.Await(ctx, p.clock, changed, left)
@@ -136,7 +136,7 @@
 	return false
 }
 
-func (p *peerServer) answerAdmission(c echo.Context) error {
+func (p *peerServer) handleAdmission(c echo.Context) error {
 	var r dispatch.AdmissionRequest
 	if err := c.Bind(&r); err != nil {
 		return err
@@ -144,8 +144,8 @@
 	return c.JSON(http.StatusOK, p.dispatcher.Admit(r))
 }
 
-// answerGrant handles a request for a grant of an organisation's rate limit.
-func (p *peerServer) answerGrant(c echo.Context) error {
+// handleGrant handles a request for a grant of an organisation's rate limit.
+func (p *peerServer) handleGrant(c echo.Context) error {
 	var r quota.Request
 	if err := c.Bind(&r); err != nil {
 		return err
@@ -153,8 +153,8 @@
 	return c.JSON(http.StatusOK, p.limiter.Grant(r))
 }
 
-// answerPermit handles a request for a permit of a backend server's rate limit.
-func (p *peerServer) answerPermit(c echo.Context) error {
+// handlePermit handles a request for a permit of a backend server's rate limit.
+func (p *peerServer) handlePermit(c echo.Context) error {
 	var m permitMessage
 	if err := c.Bind(&m); err != nil {
 		return err
--- a/internal/gateway/position.go
+++ b/internal/gateway/position.go
@@ -7,27 +7,27 @@
 
 // Timing of the fallback to the store, when the leader's view does not arrive.
 const (
-	// levelPatience is the fraction of a view's maximum age by which each level of the tree waits longer than the
+	// levelDelayFraction is the fraction of a view's maximum age by which each level of the tree waits longer than the
 	// one above before it reads the store itself. The level above has then read the store and passes on the result.
-	levelPatience = 0.25
-	// listPatience is how long a starting gateway waits to get the servers and the configuration from other gateways
+	levelDelayFraction = 0.25
+	// listWaitTime is how long a starting gateway waits to get the servers and the configuration from other gateways
 	// before it reads the store. It is short because, after a restart of all gateways, none can answer and callers wait.
-	// firstListPatience applies when the whole system is started for the first time and has no callers yet.
-	listPatience      = 150 * time.Millisecond
-	firstListPatience = 600 * time.Millisecond
-	// contentionStep is the additional delay, per level of the tree, before a gateway contends for a free lease. A
+	// firstListWaitTime applies when the whole system is started for the first time and has no callers yet.
+	listWaitTime      = 150 * time.Millisecond
+	firstListWaitTime = 600 * time.Millisecond
+	// contentionDelayStep is the additional delay, per level of the tree, before a gateway contends for a free lease. A
 	// random delay of up to the same amount is added. It is long enough to write the record and distribute it.
-	contentionStep = 300 * time.Millisecond
-	// fleetProbes is the number of calls per second that all gateways below the first level together make to a
+	contentionDelayStep = 300 * time.Millisecond
+	// fleetProbesPerSecond is the number of calls per second that all gateways below the first level together make to a
 	// failed store.
-	fleetProbes = 8
+	fleetProbesPerSecond = 8
 )
 
 // extraAge returns how much longer this gateway waits than the first level before it reads the store itself. maxAge
 // is the maximum age of a view on the first level.
 func (d *directory) extraAge(leader string, maxAge time.Duration) time.Duration {
 	levels := max(d.depth(leader)-1, 0)
-	return time.Duration(levelPatience * float64(levels) * float64(maxAge))
+	return time.Duration(levelDelayFraction * float64(levels) * float64(maxAge))
 }
 
 // probePause returns how long this gateway waits before it calls a failed store again. It is 0 for the leader and the
@@ -36,7 +36,7 @@
 	if d.depth(leader) <= 1 {
 		return 0
 	}
-	pause := time.Second * time.Duration(d.count()) / fleetProbes
+	pause := time.Second * time.Duration(d.count()) / fleetProbesPerSecond
 	return pause/2 + rand.N(pause)
 }
 
@@ -47,7 +47,7 @@
 	if depth <= 1 {
 		return 0
 	}
-	return time.Duration(depth-1)*contentionStep + rand.N(contentionStep)
+	return time.Duration(depth-1)*contentionDelayStep + rand.N(contentionDelayStep)
 }
 
 // depth returns this gateway's level in the tree. While the tree is not known, seeds and gateways that know no other
@@ -58,15 +58,15 @@
 	if p, ok := d.tree.Position(d.self, leader); ok {
 		return p.Depth
 	}
-	if d.hasNobodyToAsk() {
+	if d.readsStoreFirst() {
 		return 1
 	}
 	return 2
 }
 
-// hasNobodyToAsk reports whether this gateway reads the store immediately while the tree is not known: it knows
+// readsStoreFirst reports whether this gateway reads the store immediately while the tree is not known: it knows
 // no other gateway, or is a seed itself. The caller must hold d.mu.
-func (d *directory) hasNobodyToAsk() bool { return len(d.seeds) == 0 || d.isSeed }
+func (d *directory) readsStoreFirst() bool { return len(d.seeds) == 0 || d.isSeed }
 
 // sources returns the addresses that this gateway polls for changes in the store, in order of preference: its ancestors
 // in the tree or, while the tree is not known, the leader and the seeds.
@@ -90,11 +90,11 @@
 func (d *directory) listWait() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.hasNobodyToAsk() {
+	if d.readsStoreFirst() {
 		return 0
 	}
 	if d.firstStart {
-		return firstListPatience
+		return firstListWaitTime
 	}
-	return listPatience
+	return listWaitTime
 }
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -16,18 +16,18 @@
 // A proxy is the HTTP handler for callers' requests. It reads each request completely, forwards it to a server and
 // forwards the answer.
 type proxy struct {
-	names      wire.Names
-	config     *configuration
-	access     *access
-	limiter    *quota.Limiter
-	dispatcher *dispatch.Dispatcher
-	budgets    *retryBudgets
-	lines      *requestLog
-	lifecycle  *lifecycle
-	conns      *conns
-	quarantine *quarantine.Table
-	ends       *endDetector
-	suspects   suspects
+	names         wire.Names
+	config        *configuration
+	authenticator *authenticator
+	limiter       *quota.Limiter
+	dispatcher    *dispatch.Dispatcher
+	budgets       *retryBudgets
+	requestLog    *requestLog
+	lifecycle     *lifecycle
+	conns         *conns
+	quarantine    *quarantine.Table
+	detector      *terminationDetector
+	copies        copySerializer
 	// serverLimits receives the rate limit announced in each answer.
 	serverLimits *serverlimit.Table
 	clock        clock.Service
@@ -39,7 +39,7 @@
 // ServeHTTP implements http.Handler.
 func (p *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer p.lifecycle.begin()()
-	if !p.conns.begin(r.Context()) {
+	if !p.conns.beginRequest(r.Context()) {
 		// The caller has already received a 408.
 		panic(http.ErrAbortHandler)
 	}
@@ -49,15 +49,15 @@
 	}
 	if refused != nil {
 		p.write(w, refused)
-		p.lines.refusedEarly(r, refused)
+		p.requestLog.refusedEarly(r, refused)
 		return
 	}
 	ctx, cancel := clock.WithDeadline(r.Context(), p.clock, in.deadline)
 	defer cancel(nil)
-	f := &forwarder{proxy: p, in: in, w: w, ctx: ctx, cancel: cancel, req: in.needs}
-	defer p.ended(f)
-	defer context.AfterFunc(p.lifecycle.lastCall, func() {
-		if !f.answering.Load() {
+	f := &forwarder{proxy: p, in: in, w: w, ctx: ctx, cancel: cancel, req: in.requirements}
+	defer p.finish(f)
+	defer context.AfterFunc(p.lifecycle.unansweredCtx, func() {
+		if !f.headerSent.Load() {
 			cancel(nil)
 		}
 	})()
@@ -70,8 +70,8 @@
 	f.write(w)
 }
 
-// ended records the result of a request in the dispatcher, the log and the metrics.
-func (p *proxy) ended(f *forwarder) {
+// finish records the result of a request in the dispatcher, the log and the metrics.
+func (p *proxy) finish(f *forwarder) {
 	if f.record.outcome == outcomeRefused {
 		f.record.holders = p.dispatcher.HolderCount(&f.req)
 	}
@@ -81,5 +81,5 @@
 	if result, ok := f.record.result(f.in); ok {
 		p.dispatcher.RecordResult(&f.req, result)
 	}
-	p.lines.ended(f.in, &f.req, &f.record)
+	p.requestLog.requestEnded(f.in, &f.req, &f.record)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -24,7 +24,7 @@
 // server has started never run. An answer that has begun continues.
 func (f *forwarder) watchQuarantine() (stop func()) {
 	return f.proxy.quarantine.Watch(f.in.key, func() {
-		if !f.answering.Load() {
+		if !f.headerSent.Load() {
 			f.cancel(errQuarantined)
 		}
 	})
@@ -35,16 +35,16 @@
 	return held
 }
 
-// gaveUpForQuarantine reports whether the request was cancelled because it was placed in quarantine.
-func (f *forwarder) gaveUpForQuarantine() bool {
+// isCancelledByQuarantine reports whether the request was cancelled because it was placed in quarantine.
+func (f *forwarder) isCancelledByQuarantine() bool {
 	return errors.Is(context.Cause(f.ctx), errQuarantined)
 }
 
 // refuseQuarantined refuses a request in quarantine. If it has not run, the answer is 503 with the remaining time of the
 // quarantine, during which no gateway sends it. If it may have run, the answer is 502 without a Retry-After.
 func (f *forwarder) refuseQuarantined() {
-	if f.answering.Load() {
-		f.cut(errQuarantined)
+	if f.headerSent.Load() {
+		f.abort(errQuarantined)
 	}
 	if f.record.runs > 0 {
 		f.refuse(outcomeQuarantined, mayHaveRun("servers end under this request; it may have run"))
@@ -55,9 +55,9 @@
 	f.refuse(outcomeQuarantined, notRun("servers have ended under copies of this request", left))
 }
 
-// noteBreak reports a failed connection to the endDetector.
-func (f *forwarder) noteBreak(res *dispatch.Reservation, err error) {
-	if isBreak(err) {
-		f.proxy.ends.requestBroke(res.Server(), f.in.key)
+// noteConnFailure reports a failed connection to the terminationDetector.
+func (f *forwarder) noteConnFailure(res *dispatch.Reservation, err error) {
+	if isConnFailure(err) {
+		f.proxy.detector.connFailed(res.Server(), f.in.key)
 	}
 }
--- a/internal/gateway/quarantine_role.go
+++ b/internal/gateway/quarantine_role.go
@@ -12,50 +12,50 @@
 
 // Timing of how a starting gateway learns the quarantine.
 const (
-	// informTime is the time after which the store is read, if no other gateway has sent the quarantine.
-	informTime = 300 * time.Millisecond
-	// maxInformTime is the time after which the gateway is ready even if it does not know the quarantine.
-	maxInformTime = time.Second
+	// quarantineReadDelay is the time after which the store is read, if no other gateway has sent the quarantine.
+	quarantineReadDelay = 300 * time.Millisecond
+	// maxSyncTime is the time after which the gateway is ready even if it does not know the quarantine.
+	maxSyncTime = time.Second
 )
 
 // A quarantineRole holds the components that a gateway needs to refuse requests under which servers have terminated.
 type quarantineRole struct {
 	table *quarantine.Table
-	// informed says that the gateway knows the quarantine from before its start. It is set from the beginning if the
+	// synced says that the gateway knows the quarantine from before its start. It is set from the beginning if the
 	// whole system is started for the first time.
-	informed  *atomic.Bool
-	ends      *endDetector
+	synced    *atomic.Bool
+	detector  *terminationDetector
 	startedAt time.Time
 }
 
 // newQuarantineRole returns the role. The termination of a server triggers an immediate report to the leader.
-func (p *parts) newQuarantineRole(ctx context.Context, o Options) quarantineRole {
+func (p *components) newQuarantineRole(ctx context.Context, o Options) quarantineRole {
 	s := o.Settings.Quarantine
 	r := quarantineRole{
 		table: quarantine.New(quarantine.Options{
-			Clock: o.Clock, Ends: s.Ends, Hold: s.Hold.Std(), OnChange: p.lines.quarantineChanged,
+			Clock: o.Clock, Ends: s.Ends, Hold: s.Hold.Std(), OnChange: p.requestLog.quarantineChanged,
 		}),
-		informed: &atomic.Bool{}, startedAt: o.Clock.Now(),
+		synced: &atomic.Bool{}, startedAt: o.Clock.Now(),
 	}
-	r.informed.Store(o.Settings.FirstStart)
-	r.ends = &endDetector{
+	r.synced.Store(o.Settings.FirstStart)
+	r.detector = &terminationDetector{
 		ctx: ctx, clock: o.Clock, table: r.table, servers: &p.servers.registry, dial: wire.TryConnect,
-		isPaused: p.pauses.isOverdue, onEnd: p.urgent.send, log: o.Log, metrics: o.Metrics,
-		broken: make(map[string]*brokenServer),
+		wasPaused: p.pauses.wasPaused, onTermination: p.urgent.send, log: o.Log, metrics: o.Metrics,
+		failed: make(map[string]*failedServer),
 	}
 	return r
 }
 
-// isInformed reports whether the gateway knows the quarantine or has waited for it for maxInformTime.
-func (r *quarantineRole) isInformed(now time.Time) bool {
-	return r.informed.Load() || now.Sub(r.startedAt) > maxInformTime
+// isSynced reports whether the gateway knows the quarantine or has waited for it for maxSyncTime.
+func (r *quarantineRole) isSynced(now time.Time) bool {
+	return r.synced.Load() || now.Sub(r.startedAt) > maxSyncTime
 }
 
 // subscribe starts the periodic work and returns the functions that stop it.
-func (r *quarantineRole) subscribe(c clock.Service, keeper *quarantineKeeper) (stops []func()) {
+func (r *quarantineRole) subscribe(c clock.Service, store *quarantineStore) (stops []func()) {
 	return []func(){
-		c.Subscribe(expireInterval, r.ends.check),
+		c.Subscribe(expireInterval, r.detector.check),
 		c.Subscribe(sweepInterval, func(time.Time) { r.table.Expire() }),
-		c.Subscribe(keepInterval, keeper.step),
+		c.Subscribe(quarantineStepInterval, store.step),
 	}
 }
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -18,8 +18,8 @@
 // quarantinePrefix is the key prefix of the requests in quarantine, relative to the product's own prefix.
 const quarantinePrefix = "quarantine/"
 
-// keepInterval is the interval of quarantineKeeper.step.
-const keepInterval = 250 * time.Millisecond
+// quarantineStepInterval is the interval of quarantineStore.step.
+const quarantineStepInterval = 250 * time.Millisecond
 
 // A storedQuarantine is the stored value of a request in quarantine.
 type storedQuarantine struct {
@@ -29,13 +29,13 @@
 	EndedAtMs int64 `json:"at"`
 }
 
-// A quarantineKeeper persists the quarantine in the store, so that it survives the loss of all gateways. The leader writes
+// A quarantineStore persists the quarantine in the store, so that it survives the loss of all gateways. The leader writes
 // each request once, deletes it when its quarantine is over, and reads all of them when it becomes the leader. Any
 // other gateway reads the store only if it has just started and no other gateway has sent it the quarantine. All other
 // updates are exchanged between gateways.
 //
 // Its state belongs to the goroutine that calls step.
-type quarantineKeeper struct {
+type quarantineStore struct {
 	ctx     context.Context
 	role    *quarantineRole
 	store   Store
@@ -53,19 +53,19 @@
 	failing bool
 }
 
-// step is called every keepInterval. A new leader reads the store before it writes to it.
-func (k *quarantineKeeper) step(now time.Time) {
+// step is called every quarantineStepInterval. A new leader reads the store before it writes to it.
+func (k *quarantineStore) step(now time.Time) {
 	token, held := k.lease.Held()
 	ctx, cancel := context.WithTimeout(k.ctx, k.timeout)
 	defer cancel()
 	switch {
 	case held && token == k.term:
-		k.note(k.save(ctx, now))
+		k.logHealth(k.save(ctx, now))
 	case held:
-		k.note(k.load(ctx))
+		k.logHealth(k.load(ctx))
 	default:
 		k.term = 0
-		k.inform(ctx, now)
+		k.loadIfUnsynced(ctx, now)
 		return
 	}
 	if !k.failing {
@@ -73,15 +73,15 @@
 	}
 }
 
-// inform reads the store if no other gateway has sent the quarantine within informTime.
-func (k *quarantineKeeper) inform(ctx context.Context, now time.Time) {
-	if !k.role.informed.Load() && now.Sub(k.role.startedAt) > informTime {
-		k.note(k.load(ctx))
+// loadIfUnsynced reads the store if no other gateway has sent the quarantine within quarantineReadDelay.
+func (k *quarantineStore) loadIfUnsynced(ctx context.Context, now time.Time) {
+	if !k.role.synced.Load() && now.Sub(k.role.startedAt) > quarantineReadDelay {
+		k.logHealth(k.load(ctx))
 	}
 }
 
 // load reads the stored quarantine and merges it into the table.
-func (k *quarantineKeeper) load(ctx context.Context) error {
+func (k *quarantineStore) load(ctx context.Context) error {
 	entries, _, err := k.keys.ListPrefix(ctx, quarantinePrefix)
 	if err != nil {
 		return err
@@ -100,12 +100,12 @@
 		k.stored[s.Key] = len(s.Servers)
 	}
 	k.role.table.Merge(records)
-	k.role.informed.Store(true)
+	k.role.synced.Store(true)
 	return nil
 }
 
 // save writes new and changed entries and deletes expired ones. After an error, the next step continues.
-func (k *quarantineKeeper) save(ctx context.Context, now time.Time) error {
+func (k *quarantineStore) save(ctx context.Context, now time.Time) error {
 	held := make(map[quarantine.Key]bool)
 	for _, r := range k.role.table.Held() {
 		held[r.Key] = true
@@ -129,7 +129,7 @@
 }
 
 // put writes the entry of one request.
-func (k *quarantineKeeper) put(ctx context.Context, r quarantine.Record, now time.Time) error {
+func (k *quarantineStore) put(ctx context.Context, r quarantine.Record, now time.Time) error {
 	value, err := json.Marshal(storedQuarantine{Record: r, EndedAtMs: now.UnixMilli() - r.AgeMs})
 	if err != nil {
 		return eris.Wrap(err, "gateway: encode quarantine")
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// note logs the first failure of a series, and the first success after it.
-func (k *quarantineKeeper) note(err error) {
+// logHealth logs the first failure of a series, and the first success after it.
+func (k *quarantineStore) logHealth(err error) {
 	if failing := err != nil; failing != k.failing {
 		k.failing = failing
 		k.log.Info("access to the stored quarantine", zap.Bool("ok", !failing), telemetry.Error(err))
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -38,7 +38,7 @@
 	mended, keepsNext atomic.Bool
 	// world is where restarted servers are listed.
 	world *world
-	// restarts counts the pending restarts. over says that no more may be scheduled.
+	// mu guards over, which says that no more restarts may be scheduled. restarts counts the pending ones.
 	mu       sync.Mutex
 	over     bool
 	restarts sync.WaitGroup
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -46,33 +46,33 @@
 // Values of Retry-After. Under load they are short: capacity becomes free with each finished request, and a request that
 // is sent again waits in the gateway for a server.
 const (
-	// retrySoon is the shortest Retry-After.
-	retrySoon = 200 * time.Millisecond
+	// minRetryAfter is the shortest Retry-After.
+	minRetryAfter = 200 * time.Millisecond
 	// retryUnready is the Retry-After while the gateway has no configuration, which it normally gets within half a
 	// second of its start.
 	retryUnready = 500 * time.Millisecond
-	// retryConfigured is the Retry-After for a model that is not configured. By then, a configuration that another
+	// retryUnknownModel is the Retry-After for a model that is not configured. By then, a configuration that another
 	// gateway already has is in force here.
-	retryConfigured = 2 * time.Second
-	// shedShare is the fraction of the first-byte objective after which a shed request may be sent again
+	retryUnknownModel = 2 * time.Second
+	// shedFraction is the fraction of the first-byte objective after which a shed request may be sent again
 	// (docs/design/0010).
-	shedShare = 0.2
+	shedFraction = 0.2
 )
 
 // retryAfterLoad returns the Retry-After for a request that no server could take. It is randomised, so that
 // requests refused together do not return together.
-func retryAfterLoad() time.Duration { return retrySoon + rand.N(2*retrySoon) }
+func retryAfterLoad() time.Duration { return minRetryAfter + rand.N(2*minRetryAfter) }
 
 // retryAfterShed returns the randomised Retry-After for a request that was shed.
 func retryAfterShed(in *inbound) time.Duration {
-	share := time.Duration(shedShare * float64(in.route.FirstByteObjective))
-	return max(share, retrySoon) + rand.N(2*retrySoon)
+	wait := time.Duration(shedFraction * float64(in.route.FirstByteObjective))
+	return max(wait, minRetryAfter) + rand.N(2*minRetryAfter)
 }
 
 // retryAfterLimit returns the randomised Retry-After for a request over a rate limit that allows the next request after
 // wait.
 func retryAfterLimit(wait time.Duration) time.Duration {
-	wait = max(wait, retrySoon)
+	wait = max(wait, minRetryAfter)
 	return wait + rand.N(wait)
 }
 
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -51,24 +51,24 @@
 	quarantine *quarantine.Link
 	// serverLimits exchanges the rate limits of backend servers with it.
 	serverLimits *serverlimit.Link
-	// quotas are notified when the leader has replied. useGateways applies the leader's list of gateways.
-	quotas      quotas
-	useGateways func([]placer.Gateway)
-	// informed says that this gateway knows the quarantine from before its start.
-	informed *atomic.Bool
+	// limiters are notified when the leader has replied. applyGateways applies the leader's list of gateways.
+	limiters      limiters
+	applyGateways func([]placer.Gateway)
+	// synced says that this gateway knows the quarantine from before its start.
+	synced *atomic.Bool
 	// urgent triggers an immediate report: a request waits for a model that no server has loaded, a server has
 	// terminated, or one has announced a changed rate limit.
 	urgent signal
 
-	// unanswered says that the last report failed.
-	unanswered bool
+	// failing says that the last report failed.
+	failing bool
 	// wasLeader says that this gateway was the leader at the time of the last report.
 	wasLeader bool
 	// leader is the leader's address according to the last reply; empty if it is not known.
 	leader string
-	// record is the leader's address in the lease's record. oldRecord is an address from that record whose gateway
+	// leaseAddr is the leader's address in the lease's record. staleLeaseAddr is an address from that record whose gateway
 	// has replied that it is not the leader.
-	record, oldRecord string
+	leaseAddr, staleLeaseAddr string
 	// term is the token of the leader that replied last. The fields below hold what was exchanged with that leader.
 	term             int64
 	gatewaysVersion  uint64
@@ -82,13 +82,13 @@
 	for ctx.Err() == nil {
 		started := r.clock.Now()
 		r.report(ctx)
-		r.rest(ctx, started)
+		r.wait(ctx, started)
 	}
 }
 
-// rest waits until the next report is due: for the report interval less the duration of the last report, or until a
-// report is urgent, but at least for minReportInterval.
-func (r *reporter) rest(ctx context.Context, started time.Time) {
+// wait returns when the next report is due: after the report interval less the duration of the last report, or as soon as a
+// report is urgent, but not before minReportInterval.
+func (r *reporter) wait(ctx context.Context, started time.Time) {
 	interval := placer.ReportInterval(r.gateways.count())
 	total := max(interval-r.clock.Now().Sub(started), minReportInterval)
 	clock.Sleep(ctx, r.clock, minReportInterval)
@@ -100,7 +100,7 @@
 // report sends one report to the leader and applies its reply.
 func (r *reporter) report(ctx context.Context) {
 	record, own := r.placer.Leader()
-	r.record = record
+	r.leaseAddr = record
 	if own != r.wasLeader {
 		r.wasLeader = own
 		r.fanout.Recheck()
@@ -111,7 +111,7 @@
 		now := r.clock.Now()
 		reply := r.placer.Report(m)
 		if reply.IsLeader {
-			r.quotas.heard(now, quota.Absence{Lapsed: r.quotas.lapsed(), Awaited: reply.Awaited})
+			r.limiters.leaderReplied(now, quota.Absence{Lapsed: r.limiters.lapsed(), Awaited: reply.Awaited})
 		}
 		r.apply(reply, demands)
 		r.placer.Wake()
@@ -129,22 +129,22 @@
 	reply, err := r.peers.report(ctx, addr, reportMessage{
 		Report: m, ConfigVersion: r.configs.News().Version, Quarantine: r.quarantine.Message(addr),
 		ServerLimits: r.serverLimits.Message(addr),
-		Uninformed:   !r.informed.Load(),
+		Uninformed:   !r.synced.Load(),
 	})
 	if err != nil {
-		r.noReply(addr, err)
+		r.reportFailed(addr, err)
 		r.placer.NotePeerReply(addr, false)
 		return
 	}
-	r.answered(addr)
+	r.reportAnswered(addr)
 	r.quarantine.Apply(reply.Quarantine)
 	r.serverLimits.Apply(reply.ServerLimits)
 	if reply.Informed {
-		r.informed.Store(true)
+		r.synced.Store(true)
 	}
 	r.placer.NotePeerReply(addr, !reply.IsLeader)
 	if reply.IsLeader {
-		r.quotas.heard(requested, quota.Absence{Lapsed: reply.Lapsed, Awaited: reply.Awaited})
+		r.limiters.leaderReplied(requested, quota.Absence{Lapsed: reply.Lapsed, Awaited: reply.Awaited})
 	}
 	r.configs.Heard(reply.Config, addr, requested)
 	r.noteLeader(addr, reply)
@@ -161,15 +161,15 @@
 	r.gateways.noteLeader(addr, reply.IsLeader)
 	switch {
 	case reply.IsLeader:
-		r.leader, r.oldRecord = addr, ""
+		r.leader, r.staleLeaseAddr = addr, ""
 		return
 	case reply.Leader != r.self.addr && reply.Leader != addr:
 		r.leader = reply.Leader
 	default:
 		r.leader = ""
 	}
-	if addr == r.record {
-		r.oldRecord = addr
+	if addr == r.leaseAddr {
+		r.staleLeaseAddr = addr
 	}
 }
 
@@ -180,25 +180,25 @@
 	switch {
 	case r.leader != "":
 		return r.leader
-	case r.record != "" && r.record != r.self.addr && r.record != r.oldRecord:
-		return r.record
+	case r.leaseAddr != "" && r.leaseAddr != r.self.addr && r.leaseAddr != r.staleLeaseAddr:
+		return r.leaseAddr
 	}
-	if addr := r.gateways.random(r.oldRecord); addr != "" {
+	if addr := r.gateways.random(r.staleLeaseAddr); addr != "" {
 		return addr
 	}
 	// No other gateway is known. The gateway in the record may have become the leader since it was last asked, so it
 	// is asked again.
-	if r.record != r.self.addr {
-		return r.record
+	if r.leaseAddr != r.self.addr {
+		return r.leaseAddr
 	}
 	return ""
 }
 
-// noReply forgets a leader that did not reply. With probability 1/2 it selects a random other gateway as the next target,
+// reportFailed forgets a leader that did not reply. With probability 1/2 it selects a random other gateway as the next target,
 // because the store's record may not show a new leader yet.
-func (r *reporter) noReply(addr string, err error) {
-	if !r.unanswered {
-		r.unanswered = true
+func (r *reporter) reportFailed(addr string, err error) {
+	if !r.failing {
+		r.failing = true
 		r.log.Warn("report unanswered", zap.String("addr", addr), telemetry.Error(err))
 	}
 	r.gateways.noteLeader(addr, false)
@@ -208,10 +208,10 @@
 	}
 }
 
-// answered records that a report was answered.
-func (r *reporter) answered(addr string) {
-	if r.unanswered {
-		r.unanswered = false
+// reportAnswered records that a report was answered.
+func (r *reporter) reportAnswered(addr string) {
+	if r.failing {
+		r.failing = false
 		r.log.Info("report answered again", zap.String("addr", addr))
 	}
 }
@@ -241,18 +241,18 @@
 		return
 	}
 	r.servers.setResidency(a.Residency, a.Full)
-	r.remember(a, demands)
+	r.recordSent(a, demands)
 	if a.Gateways != nil {
-		r.useGateways(a.Gateways)
+		r.applyGateways(a.Gateways)
 	}
 	r.servers.refresh()
 	r.dispatcher.SetPrefillSpeeds(a.Speeds)
 	r.dispatcher.SetRemote(a.Loads, a.BusiestOnly)
 }
 
-// remember records what the leader now knows. A new leader has received only changes relative to its predecessor's last
+// recordSent records what the leader now knows. A new leader has received only changes relative to its predecessor's last
 // reply, so the next report is complete.
-func (r *reporter) remember(a placer.Reply, demands map[string]dispatch.Demand) {
+func (r *reporter) recordSent(a placer.Reply, demands map[string]dispatch.Demand) {
 	r.residencyVersion = a.ResidencyVersion
 	r.gatewaysVersion = a.GatewaysVersion
 	r.speedsVersion = a.SpeedsVersion
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -141,13 +141,13 @@
 	metrics Metrics
 	clock   clock.Service
 	names   wire.Names
-	// answered and quarantined limit the lines about such requests; leftOut counts the suppressed ones.
+	// answered and quarantined limit the lines about such requests; suppressed counts the suppressed ones.
 	answered    *rate.Limiter
 	quarantined *rate.Limiter
-	leftOut     atomic.Uint64
+	suppressed  atomic.Uint64
 	malformed   *rate.Limiter
 	// overLimit limits the lines about requests over a rate limit, serverLimit those about servers' rate limits.
-	overLimit, serverLimit *boundedLines
+	overLimit, serverLimit *lineLimiter
 }
 
 func newRequestLog(log *zap.Logger, m Metrics, c clock.Service, names wire.Names) *requestLog {
@@ -155,15 +155,15 @@
 		log: log, metrics: m, clock: c, names: names,
 		answered:    rate.NewLimiter(answeredRate, answeredBurst),
 		quarantined: rate.NewLimiter(quarantinedRate, quarantinedBurst),
-		overLimit:   newBoundedLines(overLimitRate, overLimitBurst),
+		overLimit:   newLineLimiter(overLimitRate, overLimitBurst),
 		malformed:   rate.NewLimiter(malformedRate, malformedBurst),
-		serverLimit: newBoundedLines(serverLimitRate, serverLimitBurst),
+		serverLimit: newLineLimiter(serverLimitRate, serverLimitBurst),
 	}
 }
 
-// ended counts and logs a finished request. Lines about answered and quarantined requests are rate-limited; the next
+// requestEnded counts and logs a finished request. Lines about answered and quarantined requests are rate-limited; the next
 // line contains the number of suppressed ones.
-func (l *requestLog) ended(in *inbound, req *dispatch.Request, r *record) {
+func (l *requestLog) requestEnded(in *inbound, req *dispatch.Request, r *record) {
 	now := l.clock.Now()
 	first := r.untilFirstByte(in)
 	l.metrics.Ended(in.route.Name, r.outcome, first.Seconds(), now.Sub(in.arrived).Seconds())
@@ -171,14 +171,14 @@
 		l.metrics.Admissions(req.GrantsGiven, req.GrantsDenied, asked-req.GrantsGiven-req.GrantsDenied)
 	}
 	if !l.isLogged(r.outcome, now) {
-		l.leftOut.Add(1)
+		l.suppressed.Add(1)
 		return
 	}
 	fields := append(l.endFields(in, req, r, now), choiceFields(r.reservation)...)
 	if r.outcome == outcomeRefused {
 		fields = append(fields, zap.Int(fieldHolders, r.holders))
 	}
-	if n := l.leftOut.Swap(0); n > 0 {
+	if n := l.suppressed.Swap(0); n > 0 {
 		fields = append(fields, zap.Uint64(fieldLeftOut, n))
 	}
 	l.log.Info(msgEnded, fields...)
@@ -235,16 +235,16 @@
 // refusedEarly logs a request that was refused before it waited for a server. Lines about requests over a rate limit are
 // rate-limited.
 func (l *requestLog) refusedEarly(r *http.Request, f *refusal) {
-	leftOut := zap.Skip()
+	suppressed := zap.Skip()
 	if f.status == http.StatusTooManyRequests {
 		var ok bool
-		if leftOut, ok = l.overLimit.next(l.clock.Now()); !ok {
+		if suppressed, ok = l.overLimit.allow(l.clock.Now()); !ok {
 			return
 		}
 	}
 	l.log.Info(msgRefused, zap.String(fieldRequest, r.Header.Get(l.names.RequestID)), zap.String(fieldHost, r.Host),
 		zap.String(fieldTarget, r.RequestURI), zap.Int(fieldStatus, f.status), zap.String(fieldReason, f.reason),
-		customerField(f.organisation), leftOut)
+		customerField(f.organisation), suppressed)
 }
 
 // customerField returns a field with the request's organisation, if it is known.
@@ -272,12 +272,12 @@
 // serverLimitChanged counts and logs a change of a server's rate limit. The lines are rate-limited.
 func (l *requestLog) serverLimitChanged(c serverlimit.Change) {
 	l.metrics.ServerLimit(string(c.State))
-	leftOut, ok := l.serverLimit.next(l.clock.Now())
+	suppressed, ok := l.serverLimit.allow(l.clock.Now())
 	if !ok {
 		return
 	}
 	l.log.Info(msgServerLimit, zap.String(fieldServer, c.Server), zap.String(fieldState, string(c.State)),
-		zap.Float64(fieldPerSecond, c.PerSecond), zap.String(fieldOrigin, string(c.Origin)), zap.Float64(fieldAge, c.Age.Seconds()), leftOut)
+		zap.Float64(fieldPerSecond, c.PerSecond), zap.String(fieldOrigin, string(c.Origin)), zap.Float64(fieldAge, c.Age.Seconds()), suppressed)
 }
 
 // sending counts a send, and logs it if it is a retry.
@@ -303,8 +303,8 @@
 	return zap.Float64(fieldAge, l.clock.Now().Sub(in.arrived).Seconds())
 }
 
-// cut logs an answer that was aborted after it had begun.
-func (l *requestLog) cut(f *forwarder, err error) {
+// answerAborted logs an answer that was aborted after it had begun.
+func (l *requestLog) answerAborted(f *forwarder, err error) {
 	l.log.Info(msgCut, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key), f.server(),
 		zap.String(fieldLastEvent, f.lastEvent), telemetry.Error(err))
 }
@@ -315,18 +315,18 @@
 	l.log.Info(msgStalled, zap.String(fieldRequest, in.id), zap.String(fieldServer, res.Server().ID), l.age(in))
 }
 
-// ownerSilent logs a failed admission request to another gateway.
-func (l *requestLog) ownerSilent(owner string, err error) {
+// admissionFailed logs a failed admission request to another gateway.
+func (l *requestLog) admissionFailed(owner string, err error) {
 	l.log.Warn(msgOwner, zap.String("owner", owner), telemetry.Error(err))
 }
 
-// limitOwnerSilent logs a failed request for a grant to the owner of an organisation's rate limit.
-func (l *requestLog) limitOwnerSilent(organisation, gateway string, err error) {
+// grantFailed logs a failed request for a grant to the owner of an organisation's rate limit.
+func (l *requestLog) grantFailed(organisation, gateway string, err error) {
 	l.log.Warn(msgLimitOwner, customerField(organisation), zap.String("owner", gateway), telemetry.Error(err))
 }
 
-// permitOwnerSilent logs a failed request for a permit to the owner of a backend server's rate limit.
-func (l *requestLog) permitOwnerSilent(server, gateway string, err error) {
+// permitFailed logs a failed request for a permit to the owner of a backend server's rate limit.
+func (l *requestLog) permitFailed(server, gateway string, err error) {
 	l.log.Warn(msgPermitOwner, zap.String(fieldServer, server), zap.String("owner", gateway), telemetry.Error(err))
 }
 
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -10,8 +10,8 @@
 	"rockcleat/table"
 )
 
-// retryReserve is the fraction of the retry budget that is used. The rest covers clock differences between gateways.
-const retryReserve = 0.8
+// retryBudgetFraction is the fraction of the retry budget that is used. The rest covers clock differences between gateways.
+const retryBudgetFraction = 0.8
 
 // retryBudgets holds the retry budget of each service. All gateways share the budgets: each may use a ratio of its own
 // first sends and its share of the fixed number. It is safe for concurrent use.
@@ -22,30 +22,30 @@
 	mu        sync.Mutex
 	settings  config.Retry
 	byService map[string]*retry.Window
-	// firstStart says that the whole system is started for the first time. countsFrom is the end of the first window
+	// firstStart says that the whole system is started for the first time. shareFrom is the end of the first window
 	// after a restart, before which the share of the fixed number is 0.
 	firstStart bool
-	countsFrom time.Time
-	// most is the largest number of gateways observed since mostAt.
-	most   int
-	mostAt time.Time
+	shareFrom  time.Time
+	// maxGateways is the largest number of gateways observed since maxGatewaysAt.
+	maxGateways   int
+	maxGatewaysAt time.Time
 }
 
 // newRetryBudgets returns the budgets of a gateway. firstStart says that no budget was used before.
 func newRetryBudgets(s config.Retry, firstStart bool, c clock.Service, gateways *directory) *retryBudgets {
 	b := &retryBudgets{
 		settings: s, clock: c, gateways: gateways, byService: make(map[string]*retry.Window),
-		firstStart: firstStart, countsFrom: c.Now(),
+		firstStart: firstStart, shareFrom: c.Now(),
 	}
 	if !firstStart {
-		b.countsFrom = b.countsFrom.Add(s.Window.Std())
+		b.shareFrom = b.shareFrom.Add(s.Window.Std())
 	}
 	return b
 }
 
-// countMemory is the number of windows for which the largest number of gateways is remembered. Gateways that are cut
+// countWindows is the number of windows for which the largest number of gateways is remembered. Gateways that are cut
 // off, or not known to a new leader, still use their share.
-const countMemory = 6
+const countWindows = 6
 
 // share returns this gateway's share of the fixed number of retries, from 0 to 1. After a restart it is 0 in the first
 // window, because earlier retries are not known, and until the list of gateways has been received.
@@ -53,13 +53,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	window := b.settings.Window.Std()
-	if now.Before(b.countsFrom) || !b.firstStart && !b.gateways.isListed() {
+	if now.Before(b.shareFrom) || !b.firstStart && !b.gateways.isListed() {
 		return 0
 	}
-	if n := b.gateways.count(); n >= b.most || now.Sub(b.mostAt) > countMemory*window {
-		b.most, b.mostAt = n, now
+	if n := b.gateways.count(); n >= b.maxGateways || now.Sub(b.maxGatewaysAt) > countWindows*window {
+		b.maxGateways, b.maxGatewaysAt = n, now
 	}
-	return 1 / float64(b.most)
+	return 1 / float64(b.maxGateways)
 }
 
 // set applies new settings and reports whether they differ. If they do, all counts are reset.
@@ -74,29 +74,29 @@
 	return true
 }
 
-// of returns the budget of a service.
-func (b *retryBudgets) of(service string) *retry.Window {
+// budget returns the budget of a service.
+func (b *retryBudgets) budget(service string) *retry.Window {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.byService[service]
 	if w == nil {
 		w = &retry.Window{
 			Length: b.settings.Window.Std(),
-			Ratio:  b.settings.Ratio * retryReserve,
-			Fixed:  b.settings.Fixed * retryReserve,
+			Ratio:  b.settings.Ratio * retryBudgetFraction,
+			Fixed:  b.settings.Fixed * retryBudgetFraction,
 		}
 		b.byService[service] = w
 	}
 	return w
 }
 
-// first counts the first send of a request.
-func (b *retryBudgets) first(in *inbound) { b.of(in.service.Name).First(in.arrived) }
+// countFirst counts the first send of a request.
+func (b *retryBudgets) countFirst(in *inbound) { b.budget(in.service.Name).First(in.arrived) }
 
 // take charges a retry to the budget, and reports whether the budget allows it.
 func (b *retryBudgets) take(in *inbound) bool {
 	now := b.clock.Now()
-	return b.of(in.service.Name).Allow(now, b.share(now))
+	return b.budget(in.service.Name).Allow(now, b.share(now))
 }
 
 // mayRetry reports whether the request may be sent again after a send that may have run. The route must allow another
@@ -107,7 +107,7 @@
 	}
 	switch f.in.route.Retry {
 	case table.RetryWhole:
-		return !f.answering.Load()
+		return !f.headerSent.Load()
 	case table.RetryResume:
 		return true
 	}
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -80,6 +80,6 @@
 	d.set(list[:2])
 	c.Advance(window)
 	assert.Equal(t, b.share(c.Now()), 0.1)
-	c.Advance(countMemory * window)
+	c.Advance(countWindows * window)
 	assert.Equal(t, b.share(c.Now()), 0.5)
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -22,32 +22,32 @@
 func (f *forwarder) send(res *dispatch.Reservation) bool {
 	ctx, cancel := context.WithCancelCause(f.ctx)
 	defer cancel(nil)
-	f.retryPaid.Store(false)
-	stall := f.watchStall(res, cancel)
+	f.retryCharged.Store(false)
+	stall := f.startStallTimer(res, cancel)
 	defer stall.stop()
 	if f.record.sends == 0 {
 		f.record.waited = f.proxy.clock.Now().Sub(f.in.arrived)
 	}
-	f.proxy.lines.sending(f, res)
+	f.proxy.requestLog.sending(f, res)
 	sent := f.proxy.clock.Now()
-	resp, err := f.proxy.transport.RoundTrip(f.outgoing(ctx, res))
+	resp, err := f.proxy.transport.RoundTrip(f.serverRequest(ctx, res))
 	if err != nil {
-		return f.noAnswer(res, cause(ctx, err))
+		return f.handleNoAnswer(res, cause(ctx, err))
 	}
 	defer resp.Body.Close()
 	f.record.sends++
 	f.noteServerLimit(res, resp, sent)
 	if resp.Header.Get(f.proxy.names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest {
-		return f.refusedBy(res, resp)
+		return f.handleRefusal(res, resp)
 	}
 	f.record.runs++
-	if err := f.check(resp); err != nil {
-		return f.lost(res, err)
+	if err := f.validate(resp); err != nil {
+		return f.handleLost(res, err)
 	}
 	if f.in.route.Stream && resp.StatusCode == http.StatusOK {
-		return f.passStream(ctx, res, resp, stall)
+		return f.forwardStream(ctx, res, resp, stall)
 	}
-	return f.passWhole(ctx, res, resp)
+	return f.forwardAnswer(ctx, res, resp)
 }
 
 // cause returns the cause of ctx's cancellation if there is one, and err otherwise.
@@ -58,31 +58,31 @@
 	return err
 }
 
-// noAnswer handles a send that failed before an answer's header arrived. It reports whether the request is finished.
-func (f *forwarder) noAnswer(res *dispatch.Reservation, err error) bool {
-	if f.callerGone() {
+// handleNoAnswer handles a send that failed before an answer's header arrived. It reports whether the request is finished.
+func (f *forwarder) handleNoAnswer(res *dispatch.Reservation, err error) bool {
+	if f.isCallerGone() {
 		res.Done(dispatch.Abandoned)
 		f.record.outcome = outcomeGone
 		return true
 	}
 	if wire.IsNotSent(err) {
-		return f.notSent(res, err)
+		return f.handleNotSent(res, err)
 	}
 	f.record.sends++
 	f.record.runs++
-	f.noteBreak(res, err)
-	return f.lost(res, err)
+	f.noteConnFailure(res, err)
+	return f.handleLost(res, err)
 }
 
-// check returns an error if resp does not answer this request, or cannot continue an answer that was begun.
-func (f *forwarder) check(resp *http.Response) error {
+// validate returns an error if resp does not answer this request, or cannot continue an answer that was begun.
+func (f *forwarder) validate(resp *http.Response) error {
 	if id := resp.Header.Get(f.proxy.names.RequestID); id != f.in.id {
 		return eris.Errorf("gateway: answer to another request %q", id)
 	}
 	if resp.StatusCode < 300 && resp.Header.Get(f.proxy.names.Signature) == "" {
 		return eris.New("gateway: answer without a signature")
 	}
-	if f.answering.Load() && resp.StatusCode != http.StatusOK {
+	if f.headerSent.Load() && resp.StatusCode != http.StatusOK {
 		return eris.Errorf("gateway: status %d in answer to a resumed stream", resp.StatusCode)
 	}
 	return nil
@@ -97,16 +97,16 @@
 	values := resp.Header.Values(f.proxy.names.ServerLimit)
 	r := serverlimit.Read(values)
 	if r.Kind == serverlimit.Unreadable {
-		f.proxy.lines.malformedLimit(res.Server().ID, f.proxy.names.ServerLimit, values)
+		f.proxy.requestLog.malformedLimit(res.Server().ID, f.proxy.names.ServerLimit, values)
 	}
 	f.proxy.serverLimits.Observe(res.Server().ID, r, sent)
 }
 
-// outgoing returns the request to the reserved server.
-func (f *forwarder) outgoing(ctx context.Context, res *dispatch.Reservation) *http.Request {
+// serverRequest returns the request to the reserved server.
+func (f *forwarder) serverRequest(ctx context.Context, res *dispatch.Reservation) *http.Request {
 	s := res.Server()
 	out := &http.Request{
-		Method: f.in.Method, URL: target(f.in.RequestURI, s.Addr), Host: f.in.Host, Header: f.outgoingHeader(s.Name()),
+		Method: f.in.Method, URL: targetURL(f.in.RequestURI, s.Addr), Host: f.in.Host, Header: f.serverRequestHeader(s.Name()),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 	if len(f.in.body) > 0 {
@@ -135,7 +135,7 @@
 // Close implements io.Closer.
 func (emptyBody) Close() error { return nil }
 
-// target returns a URL that transmits the caller's request target unchanged.
-func target(requestURI, addr string) *url.URL {
+// targetURL returns a URL that transmits the caller's request target unchanged.
+func targetURL(requestURI, addr string) *url.URL {
 	return &url.URL{Scheme: "http", Host: addr, Opaque: requestURI}
 }
--- a/internal/gateway/server_ends_test.go
+++ b/internal/gateway/server_ends_test.go
@@ -62,16 +62,16 @@
 				test.before(registry, c.Now())
 			}
 			dialed := make(chan struct{}, wire.ConnectAttempts)
-			d := &endDetector{
+			d := &terminationDetector{
 				ctx: t.Context(), clock: clocktest.Real{}, table: quarantine.New(quarantine.Options{Clock: c, Ends: 3, Hold: time.Minute}),
-				servers: registry, isPaused: func(time.Time) bool { return test.paused }, onEnd: func() {},
-				log: zap.NewNop(), metrics: noMetrics{}, broken: make(map[string]*brokenServer),
+				servers: registry, wasPaused: func(time.Time) bool { return test.paused }, onTermination: func() {},
+				log: zap.NewNop(), metrics: noMetrics{}, failed: make(map[string]*failedServer),
 				dial: func(context.Context, string) error {
 					dialed <- struct{}{}
 					return test.dial
 				},
 			}
-			d.requestBroke(&server, key)
+			d.connFailed(&server, key)
 			for range test.dials {
 				<-dialed
 			}
@@ -99,10 +99,10 @@
 	registry.Replace([]backend.Server{server}, time.Now())
 	var ended atomic.Bool
 	dialed := make(chan struct{}, 3*wire.ConnectAttempts)
-	d := &endDetector{
-		ctx: t.Context(), clock: clocktest.Real{}, servers: registry, isPaused: func(time.Time) bool { return false },
-		table: quarantine.New(quarantine.Options{Clock: clocktest.Real{}, Ends: 3, Hold: time.Minute}), onEnd: func() {},
-		log: zap.NewNop(), metrics: noMetrics{}, broken: make(map[string]*brokenServer),
+	d := &terminationDetector{
+		ctx: t.Context(), clock: clocktest.Real{}, servers: registry, wasPaused: func(time.Time) bool { return false },
+		table: quarantine.New(quarantine.Options{Clock: clocktest.Real{}, Ends: 3, Hold: time.Minute}), onTermination: func() {},
+		log: zap.NewNop(), metrics: noMetrics{}, failed: make(map[string]*failedServer),
 		dial: func(context.Context, string) error {
 			dialed <- struct{}{}
 			if ended.Load() {
@@ -111,17 +111,17 @@
 			return nil
 		},
 	}
-	d.requestBroke(&server, first)
+	d.connFailed(&server, first)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.broken[server.ID].probing {
+		if d.failed[server.ID].probing {
 			return poll.Continue("the probe is under way")
 		}
 		return poll.Success()
 	})
 	ended.Store(true)
-	d.requestBroke(&server, second)
+	d.connFailed(&server, second)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if d.table.Ends(second) == 0 {
 			return poll.Continue("the end is not charged")
@@ -129,7 +129,7 @@
 		return poll.Success()
 	})
 	assert.Equal(t, d.table.Ends(first), 0)
-	d.requestBroke(&server, first)
+	d.connFailed(&server, first)
 	assert.Equal(t, d.table.Ends(first), 1, "it broke off after the end was known")
 }
 
@@ -150,7 +150,7 @@
 		"no bytes in time":           {err: timeoutError{}},
 	}
 	for name, test := range tests {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, isBreak(test.err), test.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, isConnFailure(test.err), test.want) })
 	}
 }
 
--- a/internal/gateway/server_limits.go
+++ b/internal/gateway/server_limits.go
@@ -10,9 +10,9 @@
 	"rockcleat/serverlimit"
 )
 
-// unknownPermitWait is how long to wait before the owner of a server's rate limit is asked again, after it did not answer
+// permitRetryDelay is how long to wait before the owner of a server's rate limit is asked again, after it did not answer
 // or did not know how much it may grant.
-const unknownPermitWait = 200 * time.Millisecond
+const permitRetryDelay = 200 * time.Millisecond
 
 // serverLimits enforces the rate limits that backend servers announce, together with the other gateways. It implements
 // dispatch.Permits.
@@ -28,10 +28,10 @@
 
 // newServerLimits returns the limits of backend servers. An announcement received by this gateway triggers an immediate
 // report to the leader.
-func (p *parts) newServerLimits(o Options) *serverLimits {
+func (p *components) newServerLimits(o Options) *serverLimits {
 	l := &serverLimits{metrics: o.Metrics}
 	l.Table = serverlimit.New(serverlimit.Options{Clock: o.Clock, OnChange: func(c serverlimit.Change) {
-		p.lines.serverLimitChanged(c)
+		p.requestLog.serverLimitChanged(c)
 		p.dispatcher.LimitChanged(c.Server)
 		if c.Origin == serverlimit.Own {
 			p.urgent.send()
@@ -39,13 +39,13 @@
 	}})
 	l.limiter = quota.New(quota.Options{
 		Self: o.Settings.ID, Clock: o.Clock, Asker: &permitAsker{peers: p.peers, limits: l.Table},
-		Tolerance: serverlimit.Tolerance(), Limit: l.quota, OnOwnerSilent: p.lines.permitOwnerSilent,
+		Tolerance: serverlimit.Tolerance(), Limit: l.quota, OnOwnerSilent: p.requestLog.permitFailed,
 	})
 	return l
 }
 
-// isInNeed reports whether a server's rate limit has, for some time, been too low to use its slots.
-func (l *serverLimits) isInNeed(s *backend.Server) bool {
+// isThrottled reports whether a server's rate limit has, for some time, been too low to use its slots.
+func (l *serverLimits) isThrottled(s *backend.Server) bool {
 	status, ok := l.Status(s.ID)
 	return ok && serverlimit.IsInNeed(status, s.Slots)
 }
@@ -80,7 +80,7 @@
 	case d.Outcome == quota.Over:
 		wait = d.RetryAfter
 	default:
-		wait = unknownPermitWait
+		wait = permitRetryDelay
 	}
 	l.metrics.Permit(d.Outcome.String())
 	return granted, wait
@@ -119,7 +119,7 @@
 func (a *permitAsker) AskGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	m := permitMessage{Request: r}
 	m.Limit, _ = a.limits.Record(r.Key)
-	reply, err := a.peers.askPermit(ctx, gateway, m)
+	reply, err := a.peers.requestPermit(ctx, gateway, m)
 	if err == nil {
 		a.limits.Merge([]serverlimit.Record{reply.Limit})
 	}
@@ -134,28 +134,28 @@
 	return reply
 }
 
-// quotas are the limiters of a gateway. All use the same list of gateways.
-type quotas []*quota.Limiter
+// limiters are the rate limiters of a gateway. All use the same list of gateways.
+type limiters []*quota.Limiter
 
-// heard calls quota.Limiter.Heard on each limiter.
-func (q quotas) heard(asked time.Time, a quota.Absence) {
+// leaderReplied calls quota.Limiter.Heard on each limiter.
+func (q limiters) leaderReplied(asked time.Time, a quota.Absence) {
 	for _, l := range q {
 		l.Heard(asked, a)
 	}
 }
 
-func (q quotas) setGateways(ids []string) {
+func (q limiters) setGateways(ids []string) {
 	for _, l := range q {
 		l.SetGateways(ids)
 	}
 }
 
-// noteFormer adds gateways that existed before this one started.
-func (q quotas) noteFormer(ids []string) {
+// addFormer adds gateways that existed before this one started.
+func (q limiters) addFormer(ids []string) {
 	for _, l := range q {
 		l.NoteFormer(ids)
 	}
 }
 
 // lapsed returns the number of gateways that recently left the leader's list.
-func (q quotas) lapsed() int { return q[0].Lapsed() }
+func (q limiters) lapsed() int { return q[0].Lapsed() }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -26,9 +26,9 @@
 	// seed is the seed of digests, which are compared only within this process.
 	seed   maphash.Seed
 	listed atomic.Bool
-	// unstarted holds the servers that were last excluded because their record has no instance id. It is used
+	// withoutInstance holds the servers that were last excluded because their record has no instance id. It is used
 	// only by the goroutine that follows the store.
-	unstarted []string
+	withoutInstance []string
 }
 
 func newServerList(d Decoder, c clock.Service, log *zap.Logger, sink serverSink) *serverList {
@@ -46,25 +46,25 @@
 	restarts := s.registry.Replace(list, s.clock.Now())
 	s.listed.Store(true)
 	s.log.Info("servers listed", zap.Int("count", len(list)))
-	s.changed(restarts)
+	s.listChanged(restarts)
 }
 
 // apply applies changes to the list.
 func (s *serverList) apply(changes []backend.Change) {
-	s.changed(s.registry.Apply(changes, s.clock.Now()))
+	s.listChanged(s.registry.Apply(changes, s.clock.Now()))
 }
 
-// changed logs restarted and excluded servers and notifies the sink. State kept about a restarted server needs no reset,
+// listChanged logs restarted and excluded servers and notifies the sink. State kept about a restarted server needs no reset,
 // because each instance has its own ID.
-func (s *serverList) changed(restarts []backend.Restart) {
+func (s *serverList) listChanged(restarts []backend.Restart) {
 	for _, r := range restarts {
 		s.log.Info("server restarted", zap.String("server", r.Now.ID), zap.String("former", r.Former.ID),
 			zap.String("service", r.Now.Service), zap.String("addr", r.Now.Addr))
 	}
-	unstarted := s.registry.Snapshot().Unstarted()
-	if !slices.Equal(unstarted, s.unstarted) {
-		s.unstarted = unstarted
-		s.log.Warn("servers without an instance id are not used", zap.Strings("servers", unstarted))
+	withoutInstance := s.registry.Snapshot().Unstarted()
+	if !slices.Equal(withoutInstance, s.withoutInstance) {
+		s.withoutInstance = withoutInstance
+		s.log.Warn("servers without an instance id are not used", zap.Strings("servers", withoutInstance))
 	}
 	s.refresh()
 }
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -14,8 +14,8 @@
 // Parameters of stall detection: how long a server may send nothing before a request that may be retried is sent to
 // another one (docs/design/0010).
 const (
-	// stallShare is the fraction of the first-byte objective after which a non-streaming request is stalled.
-	stallShare = 0.5
+	// stallFraction is the fraction of the first-byte objective after which a non-streaming request is stalled.
+	stallFraction = 0.5
 	// minStallTime is the minimum stall time of a non-streaming request.
 	minStallTime = 250 * time.Millisecond
 	// streamStallTime is the minimum stall time of a stream before its first event, and its stall time between events.
@@ -24,7 +24,7 @@
 
 // stallTime returns how long a server may take to send its first byte.
 func stallTime(route table.Route) time.Duration {
-	d := max(time.Duration(float64(route.FirstByteObjective)*stallShare), minStallTime)
+	d := max(time.Duration(float64(route.FirstByteObjective)*stallFraction), minStallTime)
 	if route.Stream {
 		d = max(d, streamStallTime)
 	}
@@ -36,41 +36,41 @@
 type stallTimer struct {
 	f           *forwarder
 	reservation *dispatch.Reservation
-	// elsewhere is the dispatcher request with the current server excluded.
-	elsewhere dispatch.Request
-	cancel    context.CancelCauseFunc
-	timer     clock.Timer
-	stopped   atomic.Bool
+	// retryRequest is the dispatcher request with the current server excluded.
+	retryRequest dispatch.Request
+	cancel       context.CancelCauseFunc
+	timer        clock.Timer
+	stopped      atomic.Bool
 }
 
-// watchStall starts the timer of a send. It returns nil if the request may not be sent again.
-func (f *forwarder) watchStall(res *dispatch.Reservation, cancel context.CancelCauseFunc) *stallTimer {
+// startStallTimer starts the timer of a send. It returns nil if the request may not be sent again.
+func (f *forwarder) startStallTimer(res *dispatch.Reservation, cancel context.CancelCauseFunc) *stallTimer {
 	if f.record.runs+1 >= f.in.route.Attempts || f.in.route.Retry == table.RetryNever {
 		return nil
 	}
-	s := &stallTimer{f: f, reservation: res, cancel: cancel, elsewhere: f.req}
-	s.elsewhere.Exclude = append(slices.Clone(f.req.Exclude), res.Server().ID)
-	s.timer = f.proxy.clock.AfterFunc(stallTime(f.in.route), s.expired)
+	s := &stallTimer{f: f, reservation: res, cancel: cancel, retryRequest: f.req}
+	s.retryRequest.Exclude = append(slices.Clone(f.req.Exclude), res.Server().ID)
+	s.timer = f.proxy.clock.AfterFunc(stallTime(f.in.route), s.timedOut)
 	return s
 }
 
-// expired cancels the send if another server can take the request, and otherwise restarts the timer.
-func (s *stallTimer) expired() {
+// timedOut cancels the send if another server can take the request, and otherwise restarts the timer.
+func (s *stallTimer) timedOut() {
 	if s.stopped.Load() {
 		return
 	}
 	p := s.f.proxy
-	if p.dispatcher.CanSend(&s.elsewhere) && p.budgets.take(s.f.in) {
-		s.f.retryPaid.Store(true)
+	if p.dispatcher.CanSend(&s.retryRequest) && p.budgets.take(s.f.in) {
+		s.f.retryCharged.Store(true)
 		s.cancel(errStalled)
 		return
 	}
-	p.lines.stalled(s.f.in, s.reservation)
+	p.requestLog.stalled(s.f.in, s.reservation)
 	s.timer.Reset(streamStallTime)
 }
 
-// progress restarts the timer.
-func (s *stallTimer) progress() {
+// restart restarts the timer.
+func (s *stallTimer) restart() {
 	if s != nil {
 		s.timer.Reset(streamStallTime)
 	}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -16,26 +16,26 @@
 const (
 	// noticeTime is how long a stopping gateway accepts new connections, so that the load balancer can notice the stop.
 	noticeTime = 2500 * time.Millisecond
-	// lastAnswers is the part of the time to stop that is reserved for refusing requests without an answer.
-	lastAnswers = 400 * time.Millisecond
-	// drainPause is the time between two checks for open connections.
-	drainPause = 10 * time.Millisecond
-	// processEnd is the part of the grace period that is reserved for the exit of the process.
-	processEnd = 700 * time.Millisecond
+	// refusalReserve is the part of the time to stop that is reserved for refusing requests without an answer.
+	refusalReserve = 400 * time.Millisecond
+	// drainPollInterval is the time between two checks for open connections.
+	drainPollInterval = 10 * time.Millisecond
+	// exitReserve is the part of the grace period that is reserved for the exit of the process.
+	exitReserve = 700 * time.Millisecond
 )
 
 // A lifecycle counts the requests in progress and records that the gateway is stopping.
 type lifecycle struct {
 	inProgress atomic.Int64
 	stopping   atomic.Bool
-	// lastCall ends when requests without an answer are cancelled.
-	lastCall    context.Context
-	endLastCall context.CancelFunc
+	// unansweredCtx ends when requests without an answer are cancelled.
+	unansweredCtx    context.Context
+	cancelUnanswered context.CancelFunc
 }
 
 func newLifecycle() *lifecycle {
 	l := &lifecycle{}
-	l.lastCall, l.endLastCall = context.WithCancel(context.Background())
+	l.unansweredCtx, l.cancelUnanswered = context.WithCancel(context.Background())
 	return l
 }
 
@@ -57,8 +57,8 @@
 	g.lifecycle.stopping.Store(true)
 	g.log.Info("leaving", zap.Int64("requests", g.lifecycle.requests()))
 	g.placer.Stop(ctx)
-	lastCall := g.clock.AfterFunc(g.untilLastCall(ctx), g.lifecycle.endLastCall)
-	defer lastCall.Stop()
+	timer := g.clock.AfterFunc(g.unansweredTime(ctx), g.lifecycle.cancelUnanswered)
+	defer timer.Stop()
 	clock.Sleep(ctx, g.clock, noticeTime)
 	g.listeners.closeFront()
 	left := g.drain(ctx)
@@ -85,18 +85,18 @@
 		if left == 0 || ctx.Err() != nil {
 			return left
 		}
-		clock.Sleep(ctx, g.clock, drainPause)
+		clock.Sleep(ctx, g.clock, drainPollInterval)
 	}
 }
 
-// untilLastCall returns the time until requests without an answer are cancelled.
-func (g *Gateway) untilLastCall(ctx context.Context) time.Duration {
+// unansweredTime returns the time until requests without an answer are cancelled.
+func (g *Gateway) unansweredTime(ctx context.Context) time.Duration {
 	end, ok := ctx.Deadline()
 	if !ok {
 		return g.Grace()
 	}
-	return max(time.Until(end)-lastAnswers, 0)
+	return max(time.Until(end)-refusalReserve, 0)
 }
 
 // Grace returns the maximum duration of Stop.
-func (g *Gateway) Grace() time.Duration { return g.settings.Grace.Std() - processEnd }
+func (g *Gateway) Grace() time.Duration { return g.settings.Grace.Std() - exitReserve }
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// storeCameBack handles the restoration of the store from a backup: later writes are lost, including the lease.
-func (g *Gateway) storeCameBack(era int64) {
+// storeRestored handles the restoration of the store from a backup: later writes are lost, including the lease.
+func (g *Gateway) storeRestored(era int64) {
 	g.log.Warn("store came back from a copy", zap.Int64("era", era))
 	g.lease.EndEra(era)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,13 +14,13 @@
 	"rockcleat/dispatch"
 )
 
-// maxEvent is the maximum size of one event, in bytes.
-const maxEvent = 64 << 10
+// maxEventBytes is the maximum size of one event, in bytes.
+const maxEventBytes = 64 << 10
 
-// errEventTooLong reports an event of more than maxEvent bytes.
+// errEventTooLong reports an event of more than maxEventBytes bytes.
 var errEventTooLong = eris.New("gateway: event too long")
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 2<<10) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 2<<10) }}
 
 // readEvent reads one event, including its empty line, into buf and returns the event's id.
 //
@@ -30,7 +30,7 @@
 	for {
 		line, err := r.ReadSlice('\n')
 		buf.Write(line)
-		if err == bufio.ErrBufferFull && buf.Len() < maxEvent {
+		if err == bufio.ErrBufferFull && buf.Len() < maxEventBytes {
 			continue
 		}
 		if err == io.EOF && buf.Len() > 0 {
@@ -39,7 +39,7 @@
 		if err != nil {
 			return "", err
 		}
-		if buf.Len() > maxEvent {
+		if buf.Len() > maxEventBytes {
 			return "", errEventTooLong
 		}
 		if text := bytes.TrimRight(line, "\r\n"); len(text) == 0 {
@@ -50,13 +50,13 @@
 	}
 }
 
-// passStream forwards a stream event by event, and reports whether the request is finished.
-func (f *forwarder) passStream(ctx context.Context, res *dispatch.Reservation, resp *http.Response, stall *stallTimer) bool {
-	r := readers.Get().(*bufio.Reader)
+// forwardStream forwards a stream event by event, and reports whether the request is finished.
+func (f *forwarder) forwardStream(ctx context.Context, res *dispatch.Reservation, resp *http.Response, stall *stallTimer) bool {
+	r := readerPool.Get().(*bufio.Reader)
 	r.Reset(resp.Body)
 	defer func() {
 		r.Reset(nil)
-		readers.Put(r)
+		readerPool.Put(r)
 	}()
 	var buf bytes.Buffer
 	var last time.Time
@@ -66,17 +66,17 @@
 			break
 		}
 		if err != nil {
-			f.noteBreak(res, cause(ctx, err))
-			return f.lost(res, cause(ctx, err))
+			f.noteConnFailure(res, cause(ctx, err))
+			return f.handleLost(res, cause(ctx, err))
 		}
 		res.FirstByte()
-		stall.progress()
+		stall.restart()
 		now := f.proxy.clock.Now()
 		if !last.IsZero() {
 			f.record.longestGap = max(f.record.longestGap, now.Sub(last))
 		}
 		last = now
-		if err := f.passEvent(resp, buf.Bytes()); err != nil {
+		if err := f.forwardEvent(resp, buf.Bytes()); err != nil {
 			res.Done(dispatch.Abandoned)
 			f.record.outcome = outcomeGone
 			return true
@@ -85,19 +85,19 @@
 			f.lastEvent = id
 		}
 	}
-	if !f.answering.Load() {
-		f.begin(resp)
+	if !f.headerSent.Load() {
+		f.beginAnswer(resp)
 		f.w.WriteHeader(resp.StatusCode)
 	}
 	f.finish(res, resp.StatusCode)
 	return true
 }
 
-// passEvent sends one event to the caller, and the header before the first one. It returns an error if the caller has
+// forwardEvent sends one event to the caller, and the header before the first one. It returns an error if the caller has
 // disconnected.
-func (f *forwarder) passEvent(resp *http.Response, event []byte) error {
-	if !f.answering.Load() {
-		f.begin(resp)
+func (f *forwarder) forwardEvent(resp *http.Response, event []byte) error {
+	if !f.headerSent.Load() {
+		f.beginAnswer(resp)
 		f.w.Header().Del("Content-Length")
 		f.w.WriteHeader(resp.StatusCode)
 	}
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -8,22 +8,22 @@
 	"rockcleat/quarantine"
 )
 
-// suspects serialises the copies of a request under which a server has terminated: only one copy is sent at a time, so
+// A copySerializer serialises the copies of a request under which a server has terminated: only one copy is sent at a time, so
 // that copies sent together cannot terminate several servers before the first termination is detected.
 //
 // Its zero value is ready to use. It is safe for concurrent use.
-type suspects struct {
+type copySerializer struct {
 	mu sync.Mutex
-	// busy maps a request to a channel that is closed when its active copy has finished.
-	busy map[quarantine.Key]chan struct{}
+	// active maps a request to a channel that is closed when its active copy has finished.
+	active map[quarantine.Key]chan struct{}
 }
 
-// enter waits until no other copy is active or ctx ends. leave lets the next copy proceed.
-func (s *suspects) enter(ctx context.Context, key quarantine.Key) (leave func()) {
+// acquire waits until no other copy is active or ctx ends. release lets the next copy proceed.
+func (s *copySerializer) acquire(ctx context.Context, key quarantine.Key) (release func()) {
 	for {
-		ended, ok := s.take(key)
+		ended, ok := s.tryAcquire(key)
 		if ok {
-			return func() { s.leave(key) }
+			return func() { s.release(key) }
 		}
 		select {
 		case <-ended:
@@ -33,37 +33,37 @@
 	}
 }
 
-// take makes the caller's copy the active one if there is none. Otherwise it returns a channel that is closed when the
+// tryAcquire makes the caller's copy the active one if there is none. Otherwise it returns a channel that is closed when the
 // active copy has finished.
-func (s *suspects) take(key quarantine.Key) (ended chan struct{}, ok bool) {
+func (s *copySerializer) tryAcquire(key quarantine.Key) (ended chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ended, taken := s.busy[key]; taken {
+	if ended, taken := s.active[key]; taken {
 		return ended, false
 	}
-	if s.busy == nil {
-		s.busy = make(map[quarantine.Key]chan struct{})
+	if s.active == nil {
+		s.active = make(map[quarantine.Key]chan struct{})
 	}
-	s.busy[key] = make(chan struct{})
+	s.active[key] = make(chan struct{})
 	return nil, true
 }
 
-func (s *suspects) leave(key quarantine.Key) {
+func (s *copySerializer) release(key quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.busy[key])
-	delete(s.busy, key)
+	close(s.active[key])
+	delete(s.active, key)
 }
 
-// suspectRest is how long the next copy is delayed after one that was not answered. By then it is known whether the
+// copyDelay is how long the next copy is delayed after one that was not answered. By then it is known whether the
 // server has terminated.
-const suspectRest = 500 * time.Millisecond
+const copyDelay = 500 * time.Millisecond
 
-// leaveSuspects lets the next copy proceed: immediately if this one was answered or has not run, else after suspectRest.
-func (f *forwarder) leaveSuspects(leave func()) {
+// releaseCopy lets the next copy proceed: immediately if this one was answered or has not run, else after copyDelay.
+func (f *forwarder) releaseCopy(release func()) {
 	if f.record.runs == 0 || f.record.outcome == outcomeAnswered {
-		leave()
+		release()
 		return
 	}
-	f.proxy.clock.AfterFunc(suspectRest, leave)
+	f.proxy.clock.AfterFunc(copyDelay, release)
 }
--- a/internal/gateway/target_test.go
+++ b/internal/gateway/target_test.go
@@ -26,7 +26,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &reporter{self: sender{addr: self}, gateways: newDirectory(self, 6, test.seeds, false), record: test.record}
+			r := &reporter{self: sender{addr: self}, gateways: newDirectory(self, 6, test.seeds, false), leaseAddr: test.record}
 			for addr, reply := range test.replies {
 				r.noteLeader(addr, reply)
 			}
