--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -29,32 +29,32 @@
 const pathOpen = "/open/"
 
 // useKeys adds organisations and keys to the configuration.
-func useKeys(w *world) {
+func useKeys(env *testEnv) {
 	urgent := 0
-	open := w.routing.Routes[1]
+	open := env.routing.Routes[1]
 	open.Name, open.Prefix, open.Open = pathOpen, pathOpen, true
-	w.routing.Routes = append(w.routing.Routes, open)
-	w.routing.Organisations = []table.Organisation{{Name: guild, Priority: &urgent}, {Name: desk}}
-	w.routing.Keys = []apikey.Holder{
+	env.routing.Routes = append(env.routing.Routes, open)
+	env.routing.Organisations = []table.Organisation{{Name: guild, Priority: &urgent}, {Name: desk}}
+	env.routing.Keys = []apikey.Holder{
 		{Organisation: guild, Keys: []string{guildKey}}, {Organisation: desk, Keys: []string{deskKey}},
 	}
 }
 
-// newKeyWorld starts a gateway with a configuration that requires keys.
-func newKeyWorld(t *testing.T, change func(*config.Gateway), workers ...*worker) *world {
-	w := prepareWorld(t, change, workers...)
-	useKeys(w)
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	return w
+// newKeyEnv starts a gateway with a configuration that requires keys.
+func newKeyEnv(t *testing.T, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
+	env := prepareTestEnv(t, change, servers...)
+	useKeys(env)
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	return env
 }
 
 func bearer(key string) string { return "Bearer " + key }
 
 // TestKeys checks which requests are authorised, and that servers receive the organisation instead of the key.
 func TestKeys(t *testing.T) {
-	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
-	w := newKeyWorld(t, func(*config.Gateway) {}, x)
+	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	env := newKeyEnv(t, func(*config.Gateway) {}, server)
 	tests := map[string]struct {
 		path    string
 		headers []string
@@ -83,48 +83,48 @@
 			if path == "" {
 				path = pathSafe
 			}
-			before := x.count()
-			r := w.get(path, test.headers...)
+			before := server.count()
+			r := env.get(path, test.headers...)
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, test.status)
 			if test.status != http.StatusOK {
-				assert.Equal(t, x.count(), before, "no server is asked")
+				assert.Equal(t, server.count(), before, "no server is asked")
 				assert.Equal(t, r.header.Get("WWW-Authenticate") != "", test.status == http.StatusUnauthorized)
 				return
 			}
-			got := x.call(before).Header
+			got := server.call(before).Header
 			assert.Equal(t, got.Get(names.Organisation), test.organisation)
 			assert.Equal(t, len(got.Values(apikey.Header)), 0, "servers are not shown keys")
 		})
 	}
-	checkNoKeyLogged(t, w)
+	checkNoKeyLogged(t, env)
 }
 
 // TestTwoKeys checks that a request with two Authorization headers is rejected, since it is ambiguous which one counts.
 func TestTwoKeys(t *testing.T) {
-	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
-	w := newKeyWorld(t, func(*config.Gateway) {}, x)
-	req := w.request(http.MethodGet, pathSafe, "", apikey.Header, bearer(guildKey))
+	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	env := newKeyEnv(t, func(*config.Gateway) {}, server)
+	req := env.request(http.MethodGet, pathSafe, "", apikey.Header, bearer(guildKey))
 	req.Header.Add(apikey.Header, bearer(deskKey))
-	assert.Equal(t, w.do(req).status, http.StatusUnauthorized)
-	assert.Equal(t, x.count(), 0)
+	assert.Equal(t, env.do(req).status, http.StatusUnauthorized)
+	assert.Equal(t, server.count(), 0)
 }
 
 // TestWithoutOrganisationsKeysPass checks that the callers' headers are forwarded unchanged if the configuration has no
 // organisations.
 func TestWithoutOrganisationsKeysPass(t *testing.T) {
-	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
-	w := newWorld(t, x)
-	r := w.get(pathSafe, apikey.Header, bearer(unknownKey), names.Organisation, "any")
+	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	env := newTestEnv(t, server)
+	r := env.get(pathSafe, apikey.Header, bearer(unknownKey), names.Organisation, "any")
 	assert.Equal(t, r.status, http.StatusOK)
-	assert.Equal(t, x.call(0).Header.Get(apikey.Header), bearer(unknownKey))
-	assert.Equal(t, x.call(0).Header.Get(names.Organisation), "any")
+	assert.Equal(t, server.call(0).Header.Get(apikey.Header), bearer(unknownKey))
+	assert.Equal(t, server.call(0).Header.Get(names.Organisation), "any")
 }
 
 // checkNoKeyLogged checks that no log line contains a key.
-func checkNoKeyLogged(t *testing.T, w *world) {
+func checkNoKeyLogged(t *testing.T, env *testEnv) {
 	t.Helper()
-	for _, line := range w.logs.All() {
+	for _, line := range env.logs.All() {
 		text := line.Message + fmt.Sprint(line.ContextMap())
 		for _, key := range []string{guildKey, deskKey, unknownKey} {
 			assert.Assert(t, !strings.Contains(strings.ToLower(text), key), "%s", text)
@@ -134,34 +134,34 @@
 
 // TestOrganisationPriority checks that an organisation's priority overrides the route's.
 func TestOrganisationPriority(t *testing.T) {
-	x := newWorker(t, "e", stream(1))
-	w := newKeyWorld(t, func(*config.Gateway) {})
-	w.putEngine(x, "m1")
-	assert.Equal(t, w.get(pathModel, names.Model, "m1", apikey.Header, bearer(guildKey)).status, http.StatusOK)
-	assert.Equal(t, w.get(pathModel, names.Model, "m1", apikey.Header, bearer(deskKey)).status, http.StatusOK)
-	assert.Equal(t, x.call(0).Header.Get(names.Priority), "0", "the organisation's")
-	assert.Equal(t, x.call(1).Header.Get(names.Priority), "1", "the route's")
+	server := newFakeServer(t, "e", stream(1))
+	env := newKeyEnv(t, func(*config.Gateway) {})
+	env.putEngine(server, "m1")
+	assert.Equal(t, env.get(pathModel, names.Model, "m1", apikey.Header, bearer(guildKey)).status, http.StatusOK)
+	assert.Equal(t, env.get(pathModel, names.Model, "m1", apikey.Header, bearer(deskKey)).status, http.StatusOK)
+	assert.Equal(t, server.call(0).Header.Get(names.Priority), "0", "the organisation's")
+	assert.Equal(t, server.call(1).Header.Get(names.Priority), "1", "the route's")
 }
 
 // TestMovedKey checks that a key can be moved from one organisation to another, and that a removed key is rejected.
 func TestMovedKey(t *testing.T) {
-	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
-	w := newKeyWorld(t, func(*config.Gateway) {}, x)
-	assert.Equal(t, w.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusOK)
-	w.routing.Version++
-	w.routing.Keys = []apikey.Holder{{Organisation: desk, Keys: []string{guildKey}}}
-	w.putConfig()
-	w.awaitStatus(http.StatusUnauthorized, deskKey)
-	before := x.count()
-	assert.Equal(t, w.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusOK)
-	assert.Equal(t, x.call(before).Header.Get(names.Organisation), desk)
+	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	env := newKeyEnv(t, func(*config.Gateway) {}, server)
+	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusOK)
+	env.routing.Version++
+	env.routing.Keys = []apikey.Holder{{Organisation: desk, Keys: []string{guildKey}}}
+	env.putConfig()
+	env.awaitStatus(http.StatusUnauthorized, deskKey)
+	before := server.count()
+	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusOK)
+	assert.Equal(t, server.call(before).Header.Get(names.Organisation), desk)
 }
 
 // awaitStatus waits until a request with key is answered with status.
-func (w *world) awaitStatus(status int, key string) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
-		if r := w.get(pathSafe, apikey.Header, bearer(key)); r.status != status {
+func (env *testEnv) awaitStatus(status int, key string) {
+	env.t.Helper()
+	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
+		if r := env.get(pathSafe, apikey.Header, bearer(key)); r.status != status {
 			return poll.Continue("status %d, %v", r.status, r.err)
 		}
 		return poll.Success()
@@ -173,44 +173,44 @@
 // the others work.
 func TestRevokedWhileTheStoreIsAway(t *testing.T) {
 	const revokeTime = 2 * time.Second
-	away := map[string]func(w *world) (back func()){
-		"down": func(w *world) func() {
-			w.store.Fail(func(string) error { return errors.New("down") })
-			return func() { w.store.Fail(nil) }
+	away := map[string]func(env *testEnv) (back func()){
+		"down": func(env *testEnv) func() {
+			env.store.Fail(func(string) error { return errors.New("down") })
+			return func() { env.store.Fail(nil) }
 		},
-		"reads fail": func(w *world) func() {
-			w.store.Fail(func(call string) error {
+		"reads fail": func(env *testEnv) func() {
+			env.store.Fail(func(call string) error {
 				if call == "list" || call == "watch" {
 					return errors.New("busy")
 				}
 				return nil
 			})
-			return func() { w.store.Fail(nil) }
+			return func() { env.store.Fail(nil) }
 		},
 	}
 	for name, goAway := range away {
 		t.Run(name, func(t *testing.T) {
-			x := newWorker(t, "a", answer(http.StatusOK, "yes"))
-			w := newKeyWorld(t, func(s *config.Gateway) {
+			server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+			env := newKeyEnv(t, func(s *config.Gateway) {
 				s.RevokeTime = config.Duration(revokeTime)
 				s.StoreTimeout = config.Duration(200 * time.Millisecond)
-			}, x)
-			w.awaitStatus(http.StatusOK, guildKey)
-			back := goAway(w)
-			w.routing.Version++
-			w.routing.Keys = w.routing.Keys[1:]
-			w.putConfig()
+			}, server)
+			env.awaitStatus(http.StatusOK, guildKey)
+			back := goAway(env)
+			env.routing.Version++
+			env.routing.Keys = env.routing.Keys[1:]
+			env.putConfig()
 			written := time.Now()
-			w.awaitStatus(http.StatusServiceUnavailable, guildKey)
+			env.awaitStatus(http.StatusServiceUnavailable, guildKey)
 			assert.Assert(t, time.Since(written) < revokeTime, "refused after %v", time.Since(written))
-			r := w.get(pathSafe, apikey.Header, bearer(deskKey))
+			r := env.get(pathSafe, apikey.Header, bearer(deskKey))
 			assert.Equal(t, r.status, http.StatusServiceUnavailable)
 			assert.Assert(t, r.header.Get("Retry-After") != "")
-			assert.Equal(t, w.get(pathOpen).status, http.StatusOK, "no key is needed")
+			assert.Equal(t, env.get(pathOpen).status, http.StatusOK, "no key is needed")
 			back()
-			w.awaitStatus(http.StatusUnauthorized, guildKey)
-			w.awaitStatus(http.StatusOK, deskKey)
-			checkNoKeyLogged(t, w)
+			env.awaitStatus(http.StatusUnauthorized, guildKey)
+			env.awaitStatus(http.StatusOK, deskKey)
+			checkNoKeyLogged(t, env)
 		})
 	}
 }
@@ -218,33 +218,33 @@
 // TestRevokedDuringSuspension checks that keys that may have been revoked during a suspension of the machine are
 // rejected once the suspension is detected.
 func TestRevokedDuringSuspension(t *testing.T) {
-	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
+	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
 	machine := clocktest.NewMachine()
-	w := prepareWorldOn(t, clock.NewSystemFrom(machine), func(s *config.Gateway) { s.RevokeTime = config.Duration(5 * time.Second) }, x)
-	useKeys(w)
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	w.awaitStatus(http.StatusOK, guildKey)
-	w.store.Fail(func(string) error { return errors.New("down") })
+	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(s *config.Gateway) { s.RevokeTime = config.Duration(5 * time.Second) }, server)
+	useKeys(env)
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	env.awaitStatus(http.StatusOK, guildKey)
+	env.store.Fail(func(string) error { return errors.New("down") })
 	machine.Suspend(5 * time.Second)
-	w.waitLines("process paused", 1)
-	assert.Equal(t, w.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusServiceUnavailable)
-	w.store.Fail(nil)
-	w.awaitStatus(http.StatusOK, guildKey)
+	env.waitLines("process paused", 1)
+	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusServiceUnavailable)
+	env.store.Fail(nil)
+	env.awaitStatus(http.StatusOK, guildKey)
 }
 
 // TestUnboundedRevocation checks that keys stay valid during a store outage if no revocation time is configured.
 func TestUnboundedRevocation(t *testing.T) {
-	x := newWorker(t, "a", answer(http.StatusOK, "yes"))
+	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
 	machine := clocktest.NewMachine()
-	w := prepareWorldOn(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, x)
-	useKeys(w)
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	w.awaitStatus(http.StatusOK, guildKey)
-	w.store.Fail(func(string) error { return errors.New("down") })
+	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, server)
+	useKeys(env)
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	env.awaitStatus(http.StatusOK, guildKey)
+	env.store.Fail(func(string) error { return errors.New("down") })
 	machine.Suspend(time.Minute)
-	w.waitLines("process paused", 1)
-	assert.Equal(t, w.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusOK)
-	assert.Equal(t, w.get(pathSafe, apikey.Header, bearer(unknownKey)).status, http.StatusServiceUnavailable, "it may be new")
+	env.waitLines("process paused", 1)
+	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusOK)
+	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(unknownKey)).status, http.StatusServiceUnavailable, "it may be new")
 }
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -16,16 +16,16 @@
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
 	for _, status := range []int{200, 404, 500, 504} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
-			x := newWorker(t, "a", answer(status, "the body"))
-			w := newWorld(t, x)
-			got := w.post(pathUnsafe+"a%2Fb//c?q=%20&q", "sent", "X-Own", "1", names.Deadline, "900")
+			server := newFakeServer(t, "a", answer(status, "the body"))
+			env := newTestEnv(t, server)
+			got := env.post(pathUnsafe+"a%2Fb//c?q=%20&q", "sent", "X-Own", "1", names.Deadline, "900")
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, status)
 			assert.Equal(t, got.body, "the body")
 			assert.Equal(t, got.header.Get(names.Signature), "seal")
 			assert.Equal(t, got.header.Get("X-More"), "kept")
 			assert.Equal(t, len(got.header["Content-Type"]), 0, "none is guessed")
-			c := x.call(0)
+			c := server.call(0)
 			assert.Equal(t, c.RequestURI, pathUnsafe+"a%2Fb//c?q=%20&q")
 			assert.Equal(t, c.body, "sent")
 			assert.Equal(t, c.Host, host)
@@ -43,7 +43,7 @@
 
 func TestMisbehavingServers(t *testing.T) {
 	tests := map[string]struct {
-		script script
+		script responder
 		path   string
 		// status is the expected status; 0 means that the answer must be incomplete.
 		status int
@@ -112,9 +112,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			a, b := newWorker(t, "a", test.script), newWorker(t, "b", test.script)
-			w := newWorld(t, a, b)
-			got := w.post(test.path, "x")
+			a, b := newFakeServer(t, "a", test.script), newFakeServer(t, "b", test.script)
+			env := newTestEnv(t, a, b)
+			got := env.post(test.path, "x")
 			if test.status == 0 {
 				assert.Assert(t, got.err != nil, "the answer looks whole: %+v", got)
 			} else {
@@ -131,12 +131,12 @@
 	}
 }
 
-// TestSurplusAnswers checks that a second, unsolicited answer on a connection is never returned for a later request.
-func TestSurplusAnswers(t *testing.T) {
+// TestUnsolicitedAnswers checks that a second, unsolicited answer on a connection is never returned for a later request.
+func TestUnsolicitedAnswers(t *testing.T) {
 	for name, late := range map[string]bool{"at once": false, "when the first one is delivered": true} {
 		t.Run(name, func(t *testing.T) {
 			delivered := make(chan struct{}, 1)
-			x := newWorker(t, "a", func(c *call) bool {
+			server := newFakeServer(t, "a", func(c *call) bool {
 				id := c.Header.Get(names.RequestID)
 				good := c.head(200, fmt.Sprintf("Content-Length: %d", len(id))) + id
 				c.write(good)
@@ -146,11 +146,11 @@
 				c.write(good)
 				return true
 			})
-			w := newWorld(t, x)
+			env := newTestEnv(t, server)
 			answered := 0
 			for i := range 20 {
 				id := fmt.Sprint("id-", i)
-				got := w.post(pathUnsafe, "x", names.RequestID, id)
+				got := env.post(pathUnsafe, "x", names.RequestID, id)
 				select {
 				case delivered <- struct{}{}:
 				default:
@@ -167,7 +167,7 @@
 }
 
 func TestRefusedRequestGoesElsewhere(t *testing.T) {
-	tests := map[string]script{
+	tests := map[string]responder{
 		"full": refuse,
 		"another run has the address": func(c *call) bool {
 			c.write(c.head(421, "Content-Length: 0"))
@@ -176,10 +176,10 @@
 	}
 	for name, s := range tests {
 		t.Run(name, func(t *testing.T) {
-			a, b := newWorker(t, "a", s), newWorker(t, "b", answer(200, "ok"))
-			w := newWorld(t, a, b)
+			a, b := newFakeServer(t, "a", s), newFakeServer(t, "b", answer(200, "ok"))
+			env := newTestEnv(t, a, b)
 			for range 6 {
-				got := w.post(pathUnsafe, "x")
+				got := env.post(pathUnsafe, "x")
 				assert.NilError(t, got.err)
 				assert.Equal(t, got.status, http.StatusOK)
 			}
@@ -188,17 +188,17 @@
 }
 
 func TestServerThatCannotBeReached(t *testing.T) {
-	b := newWorker(t, "b", answer(200, "ok"))
-	w := newWorld(t, &worker{id: "dead", addr: freeAddr()}, b)
+	b := newFakeServer(t, "b", answer(200, "ok"))
+	env := newTestEnv(t, &fakeServer{id: "dead", addr: freeAddr()}, b)
 	for range 6 {
-		got := w.post(pathUnsafe, "x")
+		got := env.post(pathUnsafe, "x")
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.status, http.StatusOK)
 	}
 }
 
 func TestResumedStream(t *testing.T) {
-	breaks := map[string]script{
+	breaks := map[string]responder{
 		"cut between events":     func(c *call) bool { c.write(c.streamHead(), event(1), event(2)); return false },
 		"cut inside an event":    func(c *call) bool { c.write(c.streamHead(), event(1), event(2), "a\r\nid: 3\nda"); return false },
 		"reset":                  func(c *call) bool { c.write(c.streamHead(), event(1)); return c.reset() },
@@ -207,9 +207,9 @@
 	}
 	for name, s := range breaks {
 		t.Run(name, func(t *testing.T) {
-			both := inTurn(s, stream(5))
-			w := newWorld(t, newWorker(t, "a", both), newWorker(t, "b", both))
-			got := w.post(pathResume, "x")
+			both := firstThen(s, stream(5))
+			env := newTestEnv(t, newFakeServer(t, "a", both), newFakeServer(t, "b", both))
+			got := env.post(pathResume, "x")
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, http.StatusOK)
 			want := ""
@@ -221,17 +221,17 @@
 	}
 }
 
-// TestFailedResumptionIsNoEnd checks that a stream whose resumption fails does not look complete to the caller.
-func TestFailedResumptionIsNoEnd(t *testing.T) {
-	both := inTurn(func(c *call) bool { c.write(c.streamHead(), event(1)); return false }, answer(500, "sorry"))
-	w := newWorld(t, newWorker(t, "a", both), newWorker(t, "b", both))
-	got := w.post(pathResume, "x")
+// TestFailedResumptionAbortsStream checks that a stream whose resumption fails does not look complete to the caller.
+func TestFailedResumptionAbortsStream(t *testing.T) {
+	both := firstThen(func(c *call) bool { c.write(c.streamHead(), event(1)); return false }, answer(500, "sorry"))
+	env := newTestEnv(t, newFakeServer(t, "a", both), newFakeServer(t, "b", both))
+	got := env.post(pathResume, "x")
 	assert.Assert(t, got.err != nil, "%+v", got)
 }
 
-// TestStalledServerIsWaitedFor checks that a stalled stream is not abandoned if no other server is available or the retry
+// TestStalledServerIsKeptWithoutAlternative checks that a stalled stream is not abandoned if no other server is available or the retry
 // budget is spent, and that its remaining events are forwarded when they arrive.
-func TestStalledServerIsWaitedFor(t *testing.T) {
+func TestStalledServerIsKeptWithoutAlternative(t *testing.T) {
 	tests := map[string]struct {
 		change  func(*config.Gateway)
 		servers []string
@@ -254,14 +254,14 @@
 				c.write(event(2), lastChunk)
 				return true
 			}
-			var workers []*worker
+			var servers []*fakeServer
 			for _, id := range test.servers {
-				workers = append(workers, newWorker(t, id, pauses))
+				servers = append(servers, newFakeServer(t, id, pauses))
 			}
-			w := newWorldWith(t, test.change, workers...)
+			env := newTestEnvWith(t, test.change, servers...)
 			done := make(chan reply, 1)
-			go func() { done <- w.post(pathResume, "x") }()
-			w.waitLine("server stalled, request stays")
+			go func() { done <- env.post(pathResume, "x") }()
+			env.waitLine("server stalled, request stays")
 			close(release)
 			got := <-done
 			assert.NilError(t, got.err)
@@ -271,10 +271,10 @@
 }
 
 // waitLine waits until a log line with the given message exists.
-func (w *world) waitLine(msg string) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
-		if w.logs.FilterMessage(msg).Len() == 0 {
+func (env *testEnv) waitLine(msg string) {
+	env.t.Helper()
+	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
+		if env.logs.FilterMessage(msg).Len() == 0 {
 			return poll.Continue("no line %q", msg)
 		}
 		return poll.Success()
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -185,9 +185,9 @@
 	}
 }
 
-// TestServersDeadlineHolds checks that the read deadline of http.Server is in force again after a connection that was to
+// TestServerDeadlineIsRestored checks that the read deadline of http.Server is in force again after a connection that was to
 // be ended stays open.
-func TestServersDeadlineHolds(t *testing.T) {
+func TestServerDeadlineIsRestored(t *testing.T) {
 	c := newConns(clocktest.Real{}, nil)
 	server, client := connected(t, c)
 	c.stateChanged(server, http.StateIdle)
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -15,66 +15,66 @@
 	"rockcleat/relay"
 )
 
-// A countedStore counts a gateway's calls to the store.
-type countedStore struct {
+// A countingStore counts a gateway's calls to the store.
+type countingStore struct {
 	kv.PrefixStore
 	calls atomic.Int64
 }
 
 // ListPrefix implements kv.PrefixStore.
-func (s *countedStore) ListPrefix(ctx context.Context, prefix string) ([]kv.Entry, kv.Revision, error) {
+func (s *countingStore) ListPrefix(ctx context.Context, prefix string) ([]kv.Entry, kv.Revision, error) {
 	s.calls.Add(1)
 	return s.PrefixStore.ListPrefix(ctx, prefix)
 }
 
 // WatchPrefix implements kv.PrefixStore.
-func (s *countedStore) WatchPrefix(
+func (s *countingStore) WatchPrefix(
 	ctx context.Context, prefix string, after kv.Revision, wait time.Duration,
 ) ([]kv.Event, kv.Revision, error) {
 	s.calls.Add(1)
 	return s.PrefixStore.WatchPrefix(ctx, prefix, after, wait)
 }
 
-// A member is one gateway of a fleet.
-type member struct {
+// A fleetMember is one gateway of a fleet.
+type fleetMember struct {
 	front, ready, peer string
-	store              *cutStore
-	counted            *countedStore
+	store              *disconnectableStore
+	counted            *countingStore
 }
 
-// startFleet starts n gateways in addition to that of w. All of them have w's gateway as a seed.
-func startFleet(t *testing.T, w *world, n int) []*member {
+// startFleet starts n gateways in addition to that of env, which is the seed of all of them.
+func startFleet(t *testing.T, env *testEnv, n int) []*fleetMember {
 	t.Helper()
-	members := make([]*member, n)
+	members := make([]*fleetMember, n)
 	for i := range members {
-		members[i] = startMember(t, w, fmt.Sprint("g", i), w.peer)
+		members[i] = startMember(t, env, fmt.Sprint("g", i), env.peer)
 	}
 	for _, m := range members {
-		m.await(t, w, pathSafe, http.StatusOK)
+		m.await(t, env, pathSafe, http.StatusOK)
 	}
 	return members
 }
 
-func startMember(t *testing.T, w *world, id, seed string) *member {
+func startMember(t *testing.T, env *testEnv, id, seed string) *fleetMember {
 	t.Helper()
 	s := gatewaySettings(t, id)
 	s.Seeds = []string{seed}
-	m := &member{front: s.Listen, ready: s.ReadyListen, peer: s.PeerListen}
-	m.counted = &countedStore{PrefixStore: w.store}
-	m.store = &cutStore{PrefixStore: m.counted}
-	w.startGateway(s, m.store)
+	m := &fleetMember{front: s.Listen, ready: s.ReadyListen, peer: s.PeerListen}
+	m.counted = &countingStore{PrefixStore: env.store}
+	m.store = &disconnectableStore{PrefixStore: m.counted}
+	env.startGateway(s, m.store)
 	return m
 }
 
 // await waits until a request to the gateway is answered with status.
-func (m *member) await(t *testing.T, w *world, path string, status int) {
+func (m *fleetMember) await(t *testing.T, env *testEnv, path string, status int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		req, err := http.NewRequest(http.MethodGet, "http://"+m.front+path, nil)
 		assert.NilError(t, err)
 		req.Host = host
 		req.Header.Set(names.RequestID, "id-1")
-		if r := w.do(req); r.status != status {
+		if r := env.do(req); r.status != status {
 			return poll.Continue("status %d, %v", r.status, r.err)
 		}
 		return poll.Success()
@@ -84,8 +84,8 @@
 // TestFleetFollowsTheStoreThroughOneGateway checks that changes reach all gateways of a fleet with more than one tree
 // level, while gateways that do not lead make almost no calls to the store.
 func TestFleetFollowsTheStoreThroughOneGateway(t *testing.T) {
-	w := newWorld(t, newWorker(t, "s1", answer(http.StatusOK, "one")))
-	members := startFleet(t, w, relay.Width+4)
+	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
+	members := startFleet(t, env, relay.Width+4)
 	calls := func() (sum int64) {
 		for _, m := range members {
 			sum += m.counted.calls.Load()
@@ -95,16 +95,16 @@
 	before := calls()
 	const changes = 10
 	for i := range changes {
-		w.routing.Version++
-		w.routing.Routes = routes()
+		env.routing.Version++
+		env.routing.Routes = routes()
 		status := http.StatusOK
 		if i%2 == 0 {
-			w.routing.Routes = w.routing.Routes[:1]
+			env.routing.Routes = env.routing.Routes[:1]
 			status = http.StatusNotFound
 		}
-		w.putConfig()
+		env.putConfig()
 		for _, m := range members {
-			m.await(t, w, pathSafe, status)
+			m.await(t, env, pathSafe, status)
 		}
 	}
 	assert.Assert(t, calls()-before < int64(len(members)), "%d calls to the store by gateways that do not lead", calls()-before)
@@ -112,27 +112,27 @@
 
 // TestGatewayStartsWithoutTheStore checks that a gateway without access to the store gets its state from another gateway.
 func TestGatewayStartsWithoutTheStore(t *testing.T) {
-	w := newWorld(t, newWorker(t, "s1", answer(http.StatusOK, "one")))
+	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
 	s := gatewaySettings(t, "late")
-	s.Seeds = []string{w.peer}
-	m := &member{front: s.Listen}
-	store := &cutStore{PrefixStore: w.store}
-	store.cut.Store(true)
-	w.startGateway(s, store)
-	m.await(t, w, pathSafe, http.StatusOK)
+	s.Seeds = []string{env.peer}
+	m := &fleetMember{front: s.Listen}
+	store := &disconnectableStore{PrefixStore: env.store}
+	store.disconnected.Store(true)
+	env.startGateway(s, store)
+	m.await(t, env, pathSafe, http.StatusOK)
 }
 
 // TestFleetWithoutItsLeader checks that a change reaches all other gateways after the leader was stopped.
 func TestFleetWithoutItsLeader(t *testing.T) {
-	w := newWorld(t, newWorker(t, "s1", answer(http.StatusOK, "one")))
-	members := startFleet(t, w, relay.Width+4)
+	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
+	members := startFleet(t, env, relay.Width+4)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = w.gateway.Stop(ctx)
-	w.routing.Version++
-	w.routing.Routes = w.routing.Routes[:1]
-	w.putConfig()
+	_ = env.gateway.Stop(ctx)
+	env.routing.Version++
+	env.routing.Routes = env.routing.Routes[:1]
+	env.putConfig()
 	for _, m := range members {
-		m.await(t, w, pathSafe, http.StatusNotFound)
+		m.await(t, env, pathSafe, http.StatusNotFound)
 	}
 }
--- a/internal/gateway/find_leader_test.go
+++ b/internal/gateway/find_leader_test.go
@@ -19,8 +19,8 @@
 	"rockcleat/lease"
 )
 
-// repliers is a transport to gateways of which one leads. The others reply without the leader's address.
-type repliers struct {
+// fakePeers is a transport to gateways of which one leads. The others reply without the leader's address.
+type fakePeers struct {
 	t      *testing.T
 	leader string
 	// asked holds the addresses of the requests, in order.
@@ -28,7 +28,7 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (p *repliers) RoundTrip(r *http.Request) (*http.Response, error) {
+func (p *fakePeers) RoundTrip(r *http.Request) (*http.Response, error) {
 	p.asked = append(p.asked, r.URL.Host)
 	body, err := json.Marshal(replyMessage{Reply: placer.Reply{IsLeader: r.URL.Host == p.leader}})
 	assert.NilError(p.t, err)
@@ -42,7 +42,7 @@
 	// tries is large enough to make the probability of missing the leader negligible.
 	const tries = 100
 	store := kvtest.New(clocktest.Real{})
-	peers := &repliers{t: t, leader: "g5:1"}
+	peers := &fakePeers{t: t, leader: "g5:1"}
 	o := Options{
 		Settings: config.Gateway{ID: "g0", PeerListen: "g0:1", Gateways: 8}, Store: store, Prefixes: store, OwnKeys: store,
 		Decoder: plainDecoder{}, Clock: clocktest.Real{}, Log: zap.NewNop(), Metrics: noMetrics{}, Peers: peers,
--- a/internal/gateway/fleet_keeper_test.go
+++ b/internal/gateway/fleet_keeper_test.go
@@ -24,22 +24,22 @@
 	Gateways []placer.Gateway `json:"gateways"`
 }
 
-func (w *world) storedGateways() []placer.Gateway {
-	e, err := w.store.Get(w.t.Context(), keyGateways)
+func (env *testEnv) storedGateways() []placer.Gateway {
+	e, err := env.store.Get(env.t.Context(), keyGateways)
 	if err != nil {
 		return nil
 	}
 	var stored storedFleet
-	assert.NilError(w.t, json.Unmarshal(e.Value, &stored))
+	assert.NilError(env.t, json.Unmarshal(e.Value, &stored))
 	return stored.Gateways
 }
 
 // TestListOfGatewaysIsKept checks that the leader writes the list of gateways to the store.
 func TestListOfGatewaysIsKept(t *testing.T) {
-	w := newWorld(t, newWorker(t, "s1", answer(http.StatusOK, "one")))
-	startFleet(t, w, 3)
+	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
+	startFleet(t, env, 3)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if n := len(w.storedGateways()); n != 4 {
+		if n := len(env.storedGateways()); n != 4 {
 			return poll.Continue("%d gateways are listed", n)
 		}
 		return poll.Success()
@@ -49,9 +49,9 @@
 // TestLimitAfterTheLossOfAllGateways checks that a gateway started after the loss of all gateways, while the former
 // leader's lease is still valid, gets its share of a rate limit from the stored list.
 func TestLimitAfterTheLossOfAllGateways(t *testing.T) {
-	w := newKeyWorld(t, func(*config.Gateway) {}, newWorker(t, "s1", answer(http.StatusOK, "one")))
-	w.routing.Organisations[0].Limit = table.Limit{Unit: table.UnitRequests, PerSecond: 10, Burst: 10}
-	w.putConfig()
+	env := newKeyEnv(t, func(*config.Gateway) {}, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
+	env.routing.Organisations[0].Limit = table.Limit{Unit: table.UnitRequests, PerSecond: 10, Burst: 10}
+	env.putConfig()
 	s := gatewaySettings(t, "again")
 	s.FirstStart = false
 	lost := placer.Gateway{Gateway: dispatch.Gateway{ID: "lost", Hall: s.Hall}, Addr: freeAddr()}
@@ -59,23 +59,23 @@
 		{Gateway: dispatch.Gateway{ID: s.ID, Hall: s.Hall}, Addr: s.PeerListen}, lost,
 	}})
 	assert.NilError(t, err)
-	w.store = w.copyStore()
-	w.store.Set(keyGateways, former)
-	w.store.Set("lease/placer", []byte(`{"holder":"lost","addr":"`+lost.Addr+`"}`))
-	w.front = s.Listen
-	w.startGateway(s, w.store)
-	w.awaitStatus(http.StatusOK, guildKey)
-	assert.Equal(t, w.logs.FilterMessage("leadership gained").Len(), 1, "by the gateway before")
-	assert.Equal(t, w.logs.FilterMessage("list of gateways read").Len(), 1)
+	env.store = env.copyStore()
+	env.store.Set(keyGateways, former)
+	env.store.Set("lease/placer", []byte(`{"holder":"lost","addr":"`+lost.Addr+`"}`))
+	env.front = s.Listen
+	env.startGateway(s, env.store)
+	env.awaitStatus(http.StatusOK, guildKey)
+	assert.Equal(t, env.logs.FilterMessage("leadership gained").Len(), 1, "by the gateway before")
+	assert.Equal(t, env.logs.FilterMessage("list of gateways read").Len(), 1)
 }
 
-// copyStore returns a new store with the configuration and servers of w's store.
-func (w *world) copyStore() *kvtest.Store {
-	w.t.Helper()
-	s := kvtest.New(w.clock)
+// copyStore returns a new store with the configuration and servers of env's store.
+func (env *testEnv) copyStore() *kvtest.Store {
+	env.t.Helper()
+	s := kvtest.New(env.clock)
 	for _, p := range []string{keyConfig, prefix} {
-		entries, err := w.store.List(w.t.Context(), p)
-		assert.NilError(w.t, err)
+		entries, err := env.store.List(env.t.Context(), p)
+		assert.NilError(env.t, err)
 		for _, e := range entries {
 			s.Set(e.Key, e.Value)
 		}
--- a/internal/gateway/followers_test.go
+++ b/internal/gateway/followers_test.go
@@ -15,8 +15,8 @@
 	"rockcleat/table"
 )
 
-// spoiled is a value that cannot be decoded.
-const spoiled = "spoiled"
+// undecodable is a value that cannot be decoded.
+const undecodable = "spoiled"
 
 // plainDecoder uses the key as the server's id.
 type plainDecoder struct{}
@@ -27,7 +27,7 @@
 func (plainDecoder) Routing([]byte) (*table.Routing, error) { return nil, nil }
 
 func (plainDecoder) Server(key string, value []byte) (backend.Server, error) {
-	if string(value) == spoiled {
+	if string(value) == undecodable {
 		return backend.Server{}, errors.New("spoiled")
 	}
 	return backend.Server{ID: key, Service: "app"}, nil
@@ -37,8 +37,8 @@
 
 func (plainDecoder) ServerID(key string) string { return key }
 
-// TestNewListShowsWhoIsGone checks that a server that was removed while the store was not watched is logged once.
-func TestNewListShowsWhoIsGone(t *testing.T) {
+// TestNewListLogsRemovedServers checks that a server that was removed while the store was not watched is logged once.
+func TestNewListLogsRemovedServers(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
 	log := zap.New(core)
@@ -55,9 +55,9 @@
 	assert.DeepEqual(t, gone, []string{"s2", "s1"})
 }
 
-// TestSpoiledEntries checks that an undecodable entry removes only its own server, in lists and changes, that the server
+// TestUndecodableEntries checks that an undecodable entry removes only its own server, in lists and changes, that the server
 // returns when the entry is valid again, and that the log has one line per occurrence, not one per heartbeat.
-func TestSpoiledEntries(t *testing.T) {
+func TestUndecodableEntries(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
 	log := zap.New(core)
@@ -65,7 +65,7 @@
 	f := newServerFollower(newStoreHealth(t.Context(), log), list)
 	good := func(key string) kv.Entry { return kv.Entry{Key: key} }
 	bad := func(key string, rev kv.Revision) kv.Entry {
-		return kv.Entry{Key: key, Value: []byte(spoiled), Revision: rev}
+		return kv.Entry{Key: key, Value: []byte(undecodable), Revision: rev}
 	}
 	check := func(lines int, want ...string) {
 		t.Helper()
@@ -87,10 +87,10 @@
 	assert.Equal(t, list.digest("servers/", bad("s1", 5)), list.digest("servers/", bad("s1", 6)), "heartbeats are not handed on")
 }
 
-// TestResidentsAreHandedOnWithoutALeader checks that the digest of a server depends on what its engine has loaded only
+// TestDigestOfResidentsWithoutLeader checks that the digest of a server depends on what its engine has loaded only
 // while no leader publishes residency. Otherwise gateways without a leader would send requests to engines that no longer
 // have the model loaded.
-func TestResidentsAreHandedOnWithoutALeader(t *testing.T) {
+func TestDigestOfResidentsWithoutLeader(t *testing.T) {
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
 	list := newServerList(residentDecoder{}, clocktest.Real{}, zap.NewNop(), d)
 	entry := func(model string) kv.Entry { return kv.Entry{Key: "s1", Value: []byte(model)} }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -98,8 +98,8 @@
 	return backend.OrderUnanswered, io.EOF
 }
 
-// A world is a gateway with a store and backend servers.
-type world struct {
+// A testEnv is a gateway with a store and backend servers.
+type testEnv struct {
 	t       *testing.T
 	store   *kvtest.Store
 	gateway *gateway.Gateway
@@ -153,33 +153,33 @@
 // guarantee that, since it may return the same port again.
 func freeAddr() string { return fmt.Sprintf("%s:%d", ownHost(), firstPort+lastPort.Add(1)) }
 
-// newWorld starts a gateway with default settings for the given servers.
-func newWorld(t *testing.T, workers ...*worker) *world {
-	return newWorldWith(t, func(*config.Gateway) {}, workers...)
+// newTestEnv starts a gateway with default settings for the given servers.
+func newTestEnv(t *testing.T, servers ...*fakeServer) *testEnv {
+	return newTestEnvWith(t, func(*config.Gateway) {}, servers...)
 }
 
-// newWorldWith starts a gateway with changed settings for the given servers.
-func newWorldWith(t *testing.T, change func(*config.Gateway), workers ...*worker) *world {
-	w := prepareWorld(t, change, workers...)
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	return w
+// newTestEnvWith starts a gateway with changed settings for the given servers.
+func newTestEnvWith(t *testing.T, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
+	env := prepareTestEnv(t, change, servers...)
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	return env
 }
 
-func newWorldWithoutConfig(t *testing.T, workers ...*worker) *world {
-	return prepareWorld(t, func(*config.Gateway) {}, workers...)
+func newTestEnvWithoutConfig(t *testing.T, servers ...*fakeServer) *testEnv {
+	return prepareTestEnv(t, func(*config.Gateway) {}, servers...)
 }
 
-// prepareWorld starts a gateway that has no configuration yet.
-func prepareWorld(t *testing.T, change func(*config.Gateway), workers ...*worker) *world {
-	return prepareWorldOn(t, clocktest.Real{}, change, workers...)
+// prepareTestEnv starts a gateway that has no configuration yet.
+func prepareTestEnv(t *testing.T, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
+	return prepareTestEnvOn(t, clocktest.Real{}, change, servers...)
 }
 
-// prepareWorldOn is prepareWorld with a given clock for the gateways.
-func prepareWorldOn(t *testing.T, c clock.Service, change func(*config.Gateway), workers ...*worker) *world {
+// prepareTestEnvOn is prepareTestEnv with a given clock for the gateways.
+func prepareTestEnvOn(t *testing.T, c clock.Service, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
 	core, logs := observer.New(zap.InfoLevel)
-	w := &world{t: t, clock: c, log: zap.New(core), logs: logs, store: kvtest.New(clocktest.Real{}), client: &http.Client{Transport: &http.Transport{}}}
-	w.routing = routingFile{
+	env := &testEnv{t: t, clock: c, log: zap.New(core), logs: logs, store: kvtest.New(clocktest.Real{}), client: &http.Client{Transport: &http.Transport{}}}
+	env.routing = routingFile{
 		Version: 1, Routes: routes(),
 		Services: []table.Service{
 			{Name: "app"}, {Name: "llm", Engine: &table.EngineSpec{
@@ -188,14 +188,14 @@
 		},
 		Limits: table.RequestLimits{HeaderBytes: 4000, BodyBytes: 5000, IdleTime: time.Minute},
 	}
-	for _, x := range workers {
-		w.putServer(x, false)
+	for _, server := range servers {
+		env.putServer(server, false)
 	}
 	s := gatewaySettings(t, "g")
 	change(&s)
-	w.front, w.ready, w.peer = s.Listen, s.ReadyListen, s.PeerListen
-	w.gateway = w.startGateway(s, w.store)
-	return w
+	env.front, env.ready, env.peer = s.Listen, s.ReadyListen, s.PeerListen
+	env.gateway = env.startGateway(s, env.store)
+	return env
 }
 
 // gatewaySettings returns settings with free addresses.
@@ -211,42 +211,42 @@
 }
 
 // startGateway starts a gateway that reads the store through prefixes.
-func (w *world) startGateway(s config.Gateway, prefixes kv.PrefixStore) *gateway.Gateway {
+func (env *testEnv) startGateway(s config.Gateway, prefixes kv.PrefixStore) *gateway.Gateway {
 	g := gateway.New(gateway.Options{
-		Settings: s, Names: names, ReadyPath: readyPath, Store: w.store, Prefixes: prefixes, OwnKeys: prefixes, Eras: w.store,
-		Decoder: decoder{}, Engines: noEngines{}, Clock: w.clock, Log: w.log,
+		Settings: s, Names: names, ReadyPath: readyPath, Store: env.store, Prefixes: prefixes, OwnKeys: prefixes, Eras: env.store,
+		Decoder: decoder{}, Engines: noEngines{}, Clock: env.clock, Log: env.log,
 	})
-	assert.NilError(w.t, g.Start())
-	w.t.Cleanup(func() {
+	assert.NilError(env.t, g.Start())
+	env.t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_ = g.Stop(ctx)
-		w.client.CloseIdleConnections()
+		env.client.CloseIdleConnections()
 	})
 	return g
 }
 
-func (w *world) putConfig() {
-	value, err := json.Marshal(w.routing)
-	assert.NilError(w.t, err)
-	w.store.Set(keyConfig, value)
+func (env *testEnv) putConfig() {
+	value, err := json.Marshal(env.routing)
+	assert.NilError(env.t, err)
+	env.store.Set(keyConfig, value)
 }
 
-func (w *world) putServer(x *worker, leaving bool) {
-	w.putRecord(backend.Server{ID: x.id, Instance: x.instance, Service: "app", Addr: x.addr, Hall: "h", Slots: 4, Leaving: leaving})
+func (env *testEnv) putServer(server *fakeServer, leaving bool) {
+	env.putRecord(backend.Server{ID: server.id, Instance: server.instance, Service: "app", Addr: server.addr, Hall: "h", Slots: 4, Leaving: leaving})
 }
 
-func (w *world) putRecord(s backend.Server) {
+func (env *testEnv) putRecord(s backend.Server) {
 	value, err := json.Marshal(s)
-	assert.NilError(w.t, err)
-	w.store.Set(prefix+s.Name(), value)
+	assert.NilError(env.t, err)
+	env.store.Set(prefix+s.Name(), value)
 }
 
 // waitReady waits until the readiness endpoint returns status.
-func (w *world) waitReady(status int) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
-		resp, err := http.Get("http://" + w.ready + readyPath)
+func (env *testEnv) waitReady(status int) {
+	env.t.Helper()
+	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
+		resp, err := http.Get("http://" + env.ready + readyPath)
 		if err != nil {
 			return poll.Continue("%v", err)
 		}
@@ -259,11 +259,11 @@
 }
 
 // waitServers waits until the gateway knows at least n servers.
-func (w *world) waitServers(n int) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
-		known := int64(w.logs.FilterMessage("server seen").Len())
-		if listed := w.logs.FilterMessage("servers listed").All(); len(listed) > 0 {
+func (env *testEnv) waitServers(n int) {
+	env.t.Helper()
+	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
+		known := int64(env.logs.FilterMessage("server seen").Len())
+		if listed := env.logs.FilterMessage("servers listed").All(); len(listed) > 0 {
 			known += listed[len(listed)-1].ContextMap()["count"].(int64)
 		}
 		if known < int64(n) {
@@ -273,9 +273,9 @@
 	})
 }
 
-func (w *world) request(method, path, body string, headers ...string) *http.Request {
-	req, err := http.NewRequest(method, "http://"+w.front+path, bytes.NewReader([]byte(body)))
-	assert.NilError(w.t, err)
+func (env *testEnv) request(method, path, body string, headers ...string) *http.Request {
+	req, err := http.NewRequest(method, "http://"+env.front+path, bytes.NewReader([]byte(body)))
+	assert.NilError(env.t, err)
 	req.Host = host
 	req.Header.Set(names.RequestID, "id-1")
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -295,7 +295,7 @@
 	err error
 }
 
-func (w *world) do(req *http.Request) reply { return doWith(w.client, req) }
+func (env *testEnv) do(req *http.Request) reply { return doWith(env.client, req) }
 
 func doWith(client *http.Client, req *http.Request) reply {
 	resp, err := client.Do(req)
@@ -307,11 +307,11 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: string(body), closes: resp.Close, err: err}
 }
 
-func (w *world) get(path string, headers ...string) reply {
-	return w.do(w.request(http.MethodGet, path, "", headers...))
+func (env *testEnv) get(path string, headers ...string) reply {
+	return env.do(env.request(http.MethodGet, path, "", headers...))
 }
 
 // post sends a request that http.Transport does not retry by itself.
-func (w *world) post(path, body string, headers ...string) reply {
-	return w.do(w.request(http.MethodPost, path, body, headers...))
+func (env *testEnv) post(path, body string, headers ...string) reply {
+	return env.do(env.request(http.MethodPost, path, body, headers...))
 }
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -14,22 +14,22 @@
 	"rockcleat/table"
 )
 
-// newLimitWorld starts a gateway, waits until it leads, and gives the first organisation a rate limit.
-func newLimitWorld(t *testing.T, limit table.Limit, workers ...*worker) *world {
-	w := prepareWorld(t, func(*config.Gateway) {}, workers...)
-	useKeys(w)
-	w.routing.Organisations[0].Limit = limit
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	w.waitLines("leadership gained", 1)
-	return w
+// newLimitEnv starts a gateway, waits until it leads, and gives the first organisation a rate limit.
+func newLimitEnv(t *testing.T, limit table.Limit, servers ...*fakeServer) *testEnv {
+	env := prepareTestEnv(t, func(*config.Gateway) {}, servers...)
+	useKeys(env)
+	env.routing.Organisations[0].Limit = limit
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	env.waitLines("leadership gained", 1)
+	return env
 }
 
 // awaitLimit waits until a request of the limited organisation with the given token counts is answered with status.
-func (w *world) awaitLimit(status int, tokens string) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
-		if r := w.get(pathSafe, apikey.Header, bearer(guildKey), names.Tokens, tokens); r.status != status {
+func (env *testEnv) awaitLimit(status int, tokens string) {
+	env.t.Helper()
+	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
+		if r := env.get(pathSafe, apikey.Header, bearer(guildKey), names.Tokens, tokens); r.status != status {
 			return poll.Continue("status %d, %v", r.status, r.err)
 		}
 		return poll.Success()
@@ -52,29 +52,29 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newWorker(t, "a", answer(http.StatusOK, "yes"))
-			w := newLimitWorld(t, test.limit, x)
-			w.awaitLimit(http.StatusOK, test.tokens)
+			x := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+			env := newLimitEnv(t, test.limit, x)
+			env.awaitLimit(http.StatusOK, test.tokens)
 			before := x.count()
 			began := time.Now()
-			r := w.get(pathSafe, apikey.Header, bearer(guildKey), names.Tokens, test.tokens)
+			r := env.get(pathSafe, apikey.Header, bearer(guildKey), names.Tokens, test.tokens)
 			assert.Equal(t, r.status, http.StatusTooManyRequests)
 			assert.Assert(t, time.Since(began) < time.Second, "it waited")
 			after, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 			assert.NilError(t, err)
 			assert.Assert(t, after > 0.2, "%v s", after)
 			assert.Equal(t, x.count(), before, "no server is asked")
-			assert.Equal(t, w.get(pathSafe, apikey.Header, bearer(deskKey)).status, http.StatusOK)
-			assert.Equal(t, w.get(pathOpen, apikey.Header, bearer(guildKey)).status, http.StatusOK)
+			assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(deskKey)).status, http.StatusOK)
+			assert.Equal(t, env.get(pathOpen, apikey.Header, bearer(guildKey)).status, http.StatusOK)
 		})
 	}
 }
 
-// TestRefusedIsGivenBack checks that a request that servers refuse is not charged to its organisation's rate limit.
-func TestRefusedIsGivenBack(t *testing.T) {
-	x := newWorker(t, "full", refuse)
-	w := newLimitWorld(t, table.Limit{Unit: table.UnitRequests, PerSecond: 0.3, Burst: 1}, x)
-	w.awaitLimit(http.StatusServiceUnavailable, "")
+// TestRefusedRequestIsRefunded checks that a request that servers refuse is not charged to its organisation's rate limit.
+func TestRefusedRequestIsRefunded(t *testing.T) {
+	x := newFakeServer(t, "full", refuse)
+	env := newLimitEnv(t, table.Limit{Unit: table.UnitRequests, PerSecond: 0.3, Burst: 1}, x)
+	env.awaitLimit(http.StatusServiceUnavailable, "")
 	assert.Assert(t, x.count() > 0, "the server was asked")
-	assert.Equal(t, w.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusServiceUnavailable)
+	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusServiceUnavailable)
 }
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -22,15 +22,15 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newWorker(t, "a", answer(http.StatusOK, "ok"))
-			w := newWorld(t, x)
-			got := w.post(pathModel, "x", names.Model, test.model, names.Deadline, "600")
+			server := newFakeServer(t, "a", answer(http.StatusOK, "ok"))
+			env := newTestEnv(t, server)
+			got := env.post(pathModel, "x", names.Model, test.model, names.Deadline, "600")
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, http.StatusServiceUnavailable)
-			early := w.logs.FilterMessage("request refused")
+			early := env.logs.FilterMessage("request refused")
 			if !test.atOnce {
 				assert.Equal(t, early.Len(), 0)
-				w.waitLine("request ended")
+				env.waitLine("request ended")
 				return
 			}
 			assert.Equal(t, early.Len(), 1, "it waited")
--- a/internal/gateway/outgoing_test.go
+++ b/internal/gateway/outgoing_test.go
@@ -13,41 +13,41 @@
 func TestHeadersSentToServers(t *testing.T) {
 	reset := func(c *call) bool { return c.reset() }
 	cutAfterFirst := func(c *call) bool { c.write(c.streamHead(), event(1)); return false }
-	// lastEvents are the Last-Event-Id values of all sends, sorted; callers send 7.
+	// In each case, lastEvents holds the Last-Event-Id values of all sends, sorted; callers send 7.
 	tests := map[string]struct {
 		path       string
-		play       script
+		play       responder
 		priority   string
 		lastEvents []string
 	}{
 		"plain server":         {path: pathUnsafe, play: answer(http.StatusOK, "x"), lastEvents: []string{"7"}},
-		"plain server, again":  {path: pathSafe, play: inTurn(reset, answer(http.StatusOK, "x")), lastEvents: []string{"7", "7"}},
-		"resumed stream":       {path: pathResume, play: inTurn(cutAfterFirst, stream(2)), lastEvents: []string{"1", "7"}},
+		"plain server, again":  {path: pathSafe, play: firstThen(reset, answer(http.StatusOK, "x")), lastEvents: []string{"7", "7"}},
+		"resumed stream":       {path: pathResume, play: firstThen(cutAfterFirst, stream(2)), lastEvents: []string{"1", "7"}},
 		"engine":               {path: pathModel, play: stream(2), priority: "1", lastEvents: []string{"7"}},
-		"engine, refused once": {path: pathModel, play: inTurn(refuse, stream(2)), priority: "1", lastEvents: []string{"7", "7"}},
+		"engine, refused once": {path: pathModel, play: firstThen(refuse, stream(2)), priority: "1", lastEvents: []string{"7", "7"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			workers := []*worker{newWorker(t, "a", test.play), newWorker(t, "b", test.play)}
-			w := newWorldWithoutConfig(t)
-			for _, x := range workers {
+			servers := []*fakeServer{newFakeServer(t, "a", test.play), newFakeServer(t, "b", test.play)}
+			env := newTestEnvWithoutConfig(t)
+			for _, x := range servers {
 				if test.path == pathModel {
-					w.putEngine(x, "m1")
+					env.putEngine(x, "m1")
 				} else {
-					w.putServer(x, false)
+					env.putServer(x, false)
 				}
 			}
-			w.putConfig()
-			w.waitReady(http.StatusOK)
-			w.waitServers(len(workers))
-			got := w.post(test.path, "x",
+			env.putConfig()
+			env.waitReady(http.StatusOK)
+			env.waitServers(len(servers))
+			got := env.post(test.path, "x",
 				names.Model, "m1", names.Tokens, "100,10", names.Priority, "0", names.Expect, "z",
 				"X-Hold", "h-1", "x-pin", "4000", "Keep-Alive", "timeout=5", "Connection", "X-Once", "X-Once", "1",
 				"Last-Event-Id", "7", "Length-Hint", "9", "X-Other", "kept")
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, http.StatusOK)
 			var lastEvents []string
-			for _, x := range workers {
+			for _, x := range servers {
 				for i := range x.count() {
 					h := x.call(i).Header
 					for _, dropped := range []string{"X-Hold", "X-Pin", "Keep-Alive", "Connection", "X-Once"} {
--- a/internal/gateway/quarantine_scale_test.go
+++ b/internal/gateway/quarantine_scale_test.go
@@ -36,14 +36,14 @@
 	return f
 }
 
-// end records the termination of a server under requests of one gateway, and schedules an urgent report.
-func (f *quarantineFleet) end(server string, gateway int, keys ...quarantine.Key) {
+// terminate records the termination of a server under requests of one gateway, and schedules an urgent report.
+func (f *quarantineFleet) terminate(server string, gateway int, keys ...quarantine.Key) {
 	f.tables[gateway].Ended(server, keys...)
 	f.reportSoon(gateway)
 }
 
-// allHold reports whether all gateways have a request in quarantine.
-func (f *quarantineFleet) allHold(k quarantine.Key) bool {
+// allQuarantine reports whether all gateways have a request in quarantine.
+func (f *quarantineFleet) allQuarantine(k quarantine.Key) bool {
 	for _, t := range f.tables {
 		if _, held := t.Until(k); !held {
 			return false
@@ -70,13 +70,13 @@
 					for n := range requests - 1 {
 						keys = append(keys, quarantine.KeyOf(quarantine.Request{Target: fmt.Sprint("/", i, n)}))
 					}
-					f.end(fmt.Sprint("s", i), r.IntN(gateways), keys...)
+					f.terminate(fmt.Sprint("s", i), r.IntN(gateways), keys...)
 					if i < quarantine.DefaultEnds-1 {
 						f.step(time.Duration(r.IntN(1000)) * time.Millisecond)
 					}
 				}
 				third := f.clock.Now()
-				for !f.allHold(poison) {
+				for !f.allQuarantine(poison) {
 					f.step(step)
 				}
 				longest = max(longest, f.clock.Now().Sub(third))
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -47,9 +47,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newWorker(t, "a", answer(200, "ok"))
-			w := newWorld(t, x)
-			conn, err := net.Dial("tcp", w.front)
+			server := newFakeServer(t, "a", answer(200, "ok"))
+			env := newTestEnv(t, server)
+			conn, err := net.Dial("tcp", env.front)
 			assert.NilError(t, err)
 			defer conn.Close()
 			_, err = io.WriteString(conn, test.bytes)
@@ -58,16 +58,16 @@
 			assert.NilError(t, err)
 			resp.Body.Close()
 			assert.Equal(t, resp.StatusCode, test.want)
-			assert.Equal(t, x.count(), 0, "it was passed on")
+			assert.Equal(t, server.count(), 0, "it was passed on")
 		})
 	}
 }
 
-// TestBothFramings checks that a request with both Content-Length and chunked encoding cannot smuggle a second request.
-func TestBothFramings(t *testing.T) {
-	x := newWorker(t, "a", answer(200, "ok"))
-	w := newWorld(t, x)
-	conn, err := net.Dial("tcp", w.front)
+// TestRequestSmuggling checks that a request with both Content-Length and chunked encoding cannot smuggle a second request.
+func TestRequestSmuggling(t *testing.T) {
+	server := newFakeServer(t, "a", answer(200, "ok"))
+	env := newTestEnv(t, server)
+	conn, err := net.Dial("tcp", env.front)
 	assert.NilError(t, err)
 	defer conn.Close()
 	hidden := "GET /safe/hidden HTTP/1.1\r\n\r\n"
@@ -77,75 +77,75 @@
 	assert.NilError(t, err)
 	resp.Body.Close()
 	if resp.StatusCode == http.StatusOK {
-		assert.Equal(t, x.count(), 1)
-		assert.Equal(t, x.call(0).body, hidden)
-		assert.Equal(t, x.call(0).RequestURI, pathUnsafe)
+		assert.Equal(t, server.count(), 1)
+		assert.Equal(t, server.call(0).body, hidden)
+		assert.Equal(t, server.call(0).RequestURI, pathUnsafe)
 	}
 }
 
 func TestNoConfigurationYet(t *testing.T) {
-	x := newWorker(t, "a", answer(200, "ok"))
-	w := newWorldWithoutConfig(t, x)
-	w.waitReady(http.StatusServiceUnavailable)
-	got := w.post(pathUnsafe, "x")
+	server := newFakeServer(t, "a", answer(200, "ok"))
+	env := newTestEnvWithoutConfig(t, server)
+	env.waitReady(http.StatusServiceUnavailable)
+	got := env.post(pathUnsafe, "x")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	assert.Equal(t, w.post(pathUnsafe, "x").status, http.StatusOK)
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	assert.Equal(t, env.post(pathUnsafe, "x").status, http.StatusOK)
 }
 
 // eventually waits until a request is answered with status.
-func (w *world) eventually(path string, status int) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
-		if got := w.get(path); got.status != status {
+func (env *testEnv) eventually(path string, status int) {
+	env.t.Helper()
+	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
+		if got := env.get(path); got.status != status {
 			return poll.Continue("%d %v", got.status, got.err)
 		}
 		return poll.Success()
 	})
 }
 
-func TestConfigurationsOnlyRise(t *testing.T) {
-	x := newWorker(t, "a", answer(200, "ok"))
-	w := newWorld(t, x)
-	w.routing.Version = 9
-	w.routing.Routes = append(routes(), table.Route{
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
+	server := newFakeServer(t, "a", answer(200, "ok"))
+	env := newTestEnv(t, server)
+	env.routing.Version = 9
+	env.routing.Routes = append(routes(), table.Route{
 		Name: "new", Host: host, Prefix: "/new/", Retry: table.RetryWhole, Timeout: time.Second,
 		Attempts: 1, Shares: []table.Share{{Service: "app"}},
 	})
-	w.putConfig()
-	w.eventually("/new/x", http.StatusOK)
-	w.routing.Version, w.routing.Routes = 5, routes()
-	w.putConfig()
-	w.routing.Version, w.routing.Routes = 11, append(routes(), w.routing.Routes...)
-	w.routing.Routes[0].Prefix = "/newest/"
-	w.routing.Routes[0].Retry = table.RetryWhole
-	w.putConfig()
-	w.eventually("/newest/x", http.StatusOK)
-	assert.Equal(t, w.get("/new/x").status, http.StatusNotFound, "version 11 has no such route")
+	env.putConfig()
+	env.eventually("/new/x", http.StatusOK)
+	env.routing.Version, env.routing.Routes = 5, routes()
+	env.putConfig()
+	env.routing.Version, env.routing.Routes = 11, append(routes(), env.routing.Routes...)
+	env.routing.Routes[0].Prefix = "/newest/"
+	env.routing.Routes[0].Retry = table.RetryWhole
+	env.putConfig()
+	env.eventually("/newest/x", http.StatusOK)
+	assert.Equal(t, env.get("/new/x").status, http.StatusNotFound, "version 11 has no such route")
 }
 
 func TestServiceChanges(t *testing.T) {
-	a, b := newWorker(t, "a", answer(200, "from a")), newWorker(t, "b", answer(200, "from b"))
-	w := newWorld(t, a)
-	assert.Equal(t, w.get(pathSafe).body, "from a")
-	w.putServer(a, true)
-	w.putServer(b, false)
+	a, b := newFakeServer(t, "a", answer(200, "from a")), newFakeServer(t, "b", answer(200, "from b"))
+	env := newTestEnv(t, a)
+	assert.Equal(t, env.get(pathSafe).body, "from a")
+	env.putServer(a, true)
+	env.putServer(b, false)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if got := w.get(pathSafe); got.body != "from b" {
+		if got := env.get(pathSafe); got.body != "from b" {
 			return poll.Continue("%+v", got)
 		}
 		return poll.Success()
 	})
 	before := a.count()
 	for range 10 {
-		assert.Equal(t, w.get(pathSafe).body, "from b")
+		assert.Equal(t, env.get(pathSafe).body, "from b")
 	}
 	assert.Equal(t, a.count(), before, "a leaving server gets nothing new")
-	w.store.Remove(prefix + "b")
-	w.eventually(pathSafe, http.StatusServiceUnavailable)
+	env.store.Remove(prefix + "b")
+	env.eventually(pathSafe, http.StatusServiceUnavailable)
 }
 
 func TestDeadlines(t *testing.T) {
@@ -161,20 +161,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newWorker(t, "a", silent)
-			w := newWorldWithoutConfig(t, x)
-			for i := range w.routing.Routes {
-				w.routing.Routes[i].Timeout = test.timeout
+			server := newFakeServer(t, "a", silent)
+			env := newTestEnvWithoutConfig(t, server)
+			for i := range env.routing.Routes {
+				env.routing.Routes[i].Timeout = test.timeout
 			}
-			w.putConfig()
-			w.waitReady(http.StatusOK)
+			env.putConfig()
+			env.waitReady(http.StatusOK)
 			start := time.Now()
-			got := w.post(pathUnsafe, "x", test.headers...)
+			got := env.post(pathUnsafe, "x", test.headers...)
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, http.StatusGatewayTimeout, "it may have run")
 			took := time.Since(start)
 			assert.Assert(t, took >= test.least && took < 3*time.Second, "took %v", took)
-			<-x.call(0).gone
+			<-server.call(0).gone
 		})
 	}
 }
@@ -183,52 +183,52 @@
 	tests := map[string]string{"before the answer": pathUnsafe, "in a stream": pathStream}
 	for name, path := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newWorker(t, "a", func(c *call) bool {
+			server := newFakeServer(t, "a", func(c *call) bool {
 				if c.RequestURI == pathStream {
 					c.write(c.streamHead(), event(1))
 				}
 				<-c.gone
 				return false
 			})
-			w := newWorld(t, x)
+			env := newTestEnv(t, server)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go func() {
-				resp, err := w.client.Do(w.request(http.MethodPost, path, "x").WithContext(ctx))
+				resp, err := env.client.Do(env.request(http.MethodPost, path, "x").WithContext(ctx))
 				if err == nil {
 					_, _ = io.ReadAll(resp.Body)
 					resp.Body.Close()
 				}
 			}()
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
-				if x.count() == 0 {
+				if server.count() == 0 {
 					return poll.Continue("not sent yet")
 				}
 				return poll.Success()
 			})
 			cancel()
-			<-x.call(0).gone
+			<-server.call(0).gone
 		})
 	}
 }
 
 // putEngine adds an engine that has the given models loaded.
-func (w *world) putEngine(x *worker, models ...string) {
-	s := backend.Server{ID: x.id, Service: "llm", Addr: x.addr, Hall: "h", Slots: 4}
+func (env *testEnv) putEngine(server *fakeServer, models ...string) {
+	s := backend.Server{ID: server.id, Service: "llm", Addr: server.addr, Hall: "h", Slots: 4}
 	for _, m := range models {
 		s.Residents = append(s.Residents, backend.Resident{Model: m})
 	}
-	w.putRecord(s)
+	env.putRecord(s)
 }
 
 func TestModelRequests(t *testing.T) {
-	a, b := newWorker(t, "a", stream(2)), newWorker(t, "b", stream(2))
-	w := newWorldWithoutConfig(t)
-	w.putEngine(a, "m1")
-	w.putEngine(b, "m2")
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	got := w.post(pathModel, "x", names.Model, "m2", names.Tokens, "100,10", names.Prefix, "ab:60,cd:40")
+	a, b := newFakeServer(t, "a", stream(2)), newFakeServer(t, "b", stream(2))
+	env := newTestEnvWithoutConfig(t)
+	env.putEngine(a, "m1")
+	env.putEngine(b, "m2")
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	got := env.post(pathModel, "x", names.Model, "m2", names.Tokens, "100,10", names.Prefix, "ab:60,cd:40")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, a.count(), 0)
@@ -240,24 +240,24 @@
 }
 
 func TestRequestWaitsForItsModel(t *testing.T) {
-	a := newWorker(t, "a", stream(2))
-	w := newWorldWithoutConfig(t)
-	w.putEngine(a)
-	w.putConfig()
-	w.waitReady(http.StatusOK)
+	a := newFakeServer(t, "a", stream(2))
+	env := newTestEnvWithoutConfig(t)
+	env.putEngine(a)
+	env.putConfig()
+	env.waitReady(http.StatusOK)
 	replies := make(chan reply, 1)
-	go func() { replies <- w.post(pathModel, "x", names.Model, "m1", names.Tokens, "100,10") }()
-	time.AfterFunc(50*time.Millisecond, func() { w.putEngine(a, "m1") })
+	go func() { replies <- env.post(pathModel, "x", names.Model, "m1", names.Tokens, "100,10") }()
+	time.AfterFunc(50*time.Millisecond, func() { env.putEngine(a, "m1") })
 	got := <-replies
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
 }
 
-func TestRequestThatWaitedInVain(t *testing.T) {
-	w := newWorldWithoutConfig(t)
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	got := w.post(pathModel, "x", names.Model, "m1", names.Deadline, "700")
+func TestNoServerBeforeDeadline(t *testing.T) {
+	env := newTestEnvWithoutConfig(t)
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	got := env.post(pathModel, "x", names.Model, "m1", names.Deadline, "700")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -64,9 +64,9 @@
 	assert.Equal(t, repeat(), restarted, "then they have theirs again")
 }
 
-// TestFewerGatewaysAreNotBelievedAtOnce checks that a gateway's share does not grow immediately when the list of gateways
+// TestShareDoesNotGrowAtOnce checks that a gateway's share does not grow immediately when the list of gateways
 // shrinks: gateways cut off from the leader still use theirs.
-func TestFewerGatewaysAreNotBelievedAtOnce(t *testing.T) {
+func TestShareDoesNotGrowAtOnce(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := newDirectory("a0", 6, nil, false)
 	list := make([]placer.Gateway, 10)
--- a/internal/gateway/server_ends_test.go
+++ b/internal/gateway/server_ends_test.go
@@ -19,8 +19,8 @@
 	"rockcleat/quarantine"
 )
 
-// TestEndDetector checks whether a failed connection is counted as the termination of its server.
-func TestEndDetector(t *testing.T) {
+// TestTerminationDetector checks whether a failed connection is counted as the termination of its server.
+func TestTerminationDetector(t *testing.T) {
 	key := quarantine.KeyOf(quarantine.Request{Target: "/t"})
 	server := backend.Server{ID: "s", Service: "app", Addr: "10.0.0.1:1"}
 	tests := map[string]struct {
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestEndAfterABreak checks that a termination is attributed only to requests whose connection failed after the last
+// TestTerminationAfterConnFailure checks that a termination is attributed only to requests whose connection failed after the last
 // successful probe.
-func TestEndAfterABreak(t *testing.T) {
+func TestTerminationAfterConnFailure(t *testing.T) {
 	first, second := quarantine.KeyOf(quarantine.Request{Target: "/1"}), quarantine.KeyOf(quarantine.Request{Target: "/2"})
 	server := backend.Server{ID: "s", Service: "app", Addr: "10.0.0.1:1"}
 	registry := &backend.Registry{}
@@ -133,8 +133,8 @@
 	assert.Equal(t, d.table.Ends(first), 1, "it broke off after the end was known")
 }
 
-// TestIsBreak checks which errors of a send indicate a failed connection.
-func TestIsBreak(t *testing.T) {
+// TestIsConnFailure checks which errors of a send indicate a failed connection.
+func TestIsConnFailure(t *testing.T) {
 	tests := map[string]struct {
 		err  error
 		want bool
--- a/internal/gateway/server_limit_failures_test.go
+++ b/internal/gateway/server_limit_failures_test.go
@@ -21,42 +21,42 @@
 	)
 	tests := map[string]struct {
 		// fails causes the failure and returns the number of remaining gateways, which are the last ones in fronts.
-		fails func(w *world) int
+		fails func(env *testEnv) int
 		// recovers says that the servers must be fully used at the end.
 		recovers bool
 	}{
-		"the leader stops": {fails: func(w *world) int {
-			stopNow(w)
+		"the leader stops": {fails: func(env *testEnv) int {
+			stopNow(env)
 			return 2
 		}, recovers: true},
-		"the store is away": {fails: func(w *world) int {
-			w.store.Fail(func(string) error { return errors.New("away") })
+		"the store is away": {fails: func(env *testEnv) int {
+			env.store.Fail(func(string) error { return errors.New("away") })
 			return 3
 		}},
-		"the store comes back from a copy": {fails: func(w *world) int {
-			w.store.Restore(w.store.Copy())
+		"the store comes back from a copy": {fails: func(env *testEnv) int {
+			env.store.Restore(env.store.Copy())
 			return 3
 		}, recovers: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			servers := []*needyServer{newNeedyServer(t, "s0", false), newNeedyServer(t, "s1", false)}
-			c := newNeedyWorld(t, false, servers)
+			servers := []*throttledServer{newThrottledServer(t, "s0", false), newThrottledServer(t, "s1", false)}
+			c := newThrottledEnv(t, false, servers)
 			for _, s := range servers {
 				s.setLimit("2")
 			}
-			c.sends(pace, before)
-			left := test.fails(c.w)
+			c.run(pace, before)
+			left := test.fails(c.env)
 			c.fronts = c.fronts[len(c.fronts)-left:]
-			c.sends(pace, after)
+			c.run(pace, after)
 			for _, s := range servers {
 				got := s.mostInWindow()
 				assert.Assert(t, got <= 17, "%d requests in %s", got, limitWindow)
-				taken := s.since(time.Now().Add(-last))
+				taken := s.countSince(time.Now().Add(-last))
 				assert.Assert(t, !test.recovers || taken >= 5, "%d requests in the last %s, the server takes 8", taken, last)
 			}
-			c.refusals(t, contactTime)
+			c.checkRefusals(t, propagationTime)
 		})
 	}
 }
@@ -67,19 +67,19 @@
 	for name, limit := range map[string]string{"few": "2", "none": "0"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			servers := []*needyServer{newNeedyServer(t, "s0", false), newNeedyServer(t, "s1", false)}
-			c := newNeedyWorld(t, false, servers)
+			servers := []*throttledServer{newThrottledServer(t, "s0", false), newThrottledServer(t, "s1", false)}
+			c := newThrottledEnv(t, false, servers)
 			for _, s := range servers {
 				s.setLimit(limit)
 			}
-			c.sends(25*time.Millisecond, 2*time.Second)
+			c.run(25*time.Millisecond, 2*time.Second)
 			for _, s := range servers {
 				s.setLimit("")
 			}
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				c.results = nil
-				c.sends(25*time.Millisecond, 250*time.Millisecond)
-				if refused := c.refusals(t, 0); refused > 0 {
+				c.run(25*time.Millisecond, 250*time.Millisecond)
+				if refused := c.checkRefusals(t, 0); refused > 0 {
 					return poll.Continue("%d of %d are refused", refused, len(c.results))
 				}
 				return poll.Success()
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -13,7 +13,7 @@
 	"rockcleat/backend"
 )
 
-// Requirements for a rate-limited server: from contactTime after it first announced a limit, any limitWindow may contain
+// Requirements for a rate-limited server: from propagationTime after it first announced a limit, any limitWindow may contain
 // at most limitFactor times the requests that the limit allows, plus limitSlack.
 const (
 	limitWindow = 4 * time.Second
@@ -21,21 +21,21 @@
 	limitSlack  = 5
 )
 
-// A needyServer is a backend server that announces a rate limit in its answers while one is set.
-type needyServer struct {
-	*worker
-	mu       sync.Mutex
-	limit    string
-	namedAt  time.Time
-	arrivals []time.Time
+// A throttledServer is a backend server that announces a rate limit in its answers while one is set.
+type throttledServer struct {
+	*fakeServer
+	mu          sync.Mutex
+	limit       string
+	announcedAt time.Time
+	arrivals    []time.Time
 }
 
-// newNeedyServer starts a server that answers each request with its current rate limit.
-func newNeedyServer(t *testing.T, id string, isEngine bool) *needyServer {
-	s := &needyServer{}
-	s.worker = newWorker(t, id, func(c *call) bool {
+// newThrottledServer starts a server that answers each request with its current rate limit.
+func newThrottledServer(t *testing.T, id string, isEngine bool) *throttledServer {
+	s := &throttledServer{}
+	s.fakeServer = newFakeServer(t, id, func(c *call) bool {
 		var limit []string
-		if value := s.note(); value != "" {
+		if value := s.observe(); value != "" {
 			limit = append(limit, names.ServerLimit+": "+value)
 		}
 		if isEngine {
@@ -48,26 +48,26 @@
 	return s
 }
 
-// note records a request and returns the limit to announce, if any.
-func (s *needyServer) note() string {
+// observe records a request and returns the limit to announce, if any.
+func (s *throttledServer) observe() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals = append(s.arrivals, time.Now())
-	if s.limit != "" && s.namedAt.IsZero() {
-		s.namedAt = time.Now()
+	if s.limit != "" && s.announcedAt.IsZero() {
+		s.announcedAt = time.Now()
 	}
 	return s.limit
 }
 
 // setLimit sets the limit to announce; empty means none.
-func (s *needyServer) setLimit(limit string) {
+func (s *throttledServer) setLimit(limit string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limit, s.namedAt = limit, time.Time{}
+	s.limit, s.announcedAt = limit, time.Time{}
 }
 
-// arrived returns the number of requests received in [from, to).
-func (s *needyServer) arrived(from, to time.Time) int {
+// countBetween returns the number of requests received in [from, to).
+func (s *throttledServer) countBetween(from, to time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -79,14 +79,14 @@
 	return n
 }
 
-// since returns the number of requests received since a time.
-func (s *needyServer) since(from time.Time) int { return s.arrived(from, time.Now()) }
+// countSince returns the number of requests received since a time.
+func (s *throttledServer) countSince(from time.Time) int { return s.countBetween(from, time.Now()) }
 
-// mostInWindow returns the largest number of requests in any limitWindow, starting contactTime after the limit was first
+// mostInWindow returns the largest number of requests in any limitWindow, starting propagationTime after the limit was first
 // announced.
-func (s *needyServer) mostInWindow() int {
+func (s *throttledServer) mostInWindow() int {
 	s.mu.Lock()
-	from := s.namedAt.Add(contactTime - limitWindow)
+	from := s.announcedAt.Add(propagationTime - limitWindow)
 	arrivals := s.arrivals
 	s.mu.Unlock()
 	most := 0
@@ -94,14 +94,14 @@
 		if at.Before(from) {
 			continue
 		}
-		most = max(most, s.arrived(at, at.Add(limitWindow)))
+		most = max(most, s.countBetween(at, at.Add(limitWindow)))
 	}
 	return most
 }
 
-// A crowd simulates many callers, each of which sends one request and does not retry.
-type crowd struct {
-	w       *world
+// A loadGenerator simulates many callers, each of which sends one request and does not retry.
+type loadGenerator struct {
+	env     *testEnv
 	fronts  []string
 	path    string
 	headers []string
@@ -117,8 +117,8 @@
 	sent, took time.Duration
 }
 
-// sends sends one request per pace to the gateways in turn, for a duration.
-func (c *crowd) sends(pace, during time.Duration) {
+// run sends one request per pace to the gateways in turn, for a duration.
+func (c *loadGenerator) run(pace, during time.Duration) {
 	began := time.Now()
 	ticker := time.NewTicker(pace)
 	defer ticker.Stop()
@@ -130,22 +130,22 @@
 	c.wait.Wait()
 }
 
-func (c *crowd) send(i int, began time.Time) {
+func (c *loadGenerator) send(i int, began time.Time) {
 	defer c.wait.Done()
-	req := c.w.request(http.MethodPost, c.path, fmt.Sprint("body ", i), c.headers...)
+	req := c.env.request(http.MethodPost, c.path, fmt.Sprint("body ", i), c.headers...)
 	req.URL.Host = c.fronts[i%len(c.fronts)]
 	req.Header.Set(names.RequestID, fmt.Sprint("caller-", i))
 	sent := time.Now()
-	got := doWith(c.w.client, req)
+	got := doWith(c.env.client, req)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.results = append(c.results, result{reply: got, sent: sent.Sub(began), took: time.Since(sent)})
 }
 
-// refusals checks that all requests that were not served were refused with a Retry-After. It also checks that, of the
+// checkRefusals checks that all requests that were not served were refused with a Retry-After. It also checks that, of the
 // requests sent later than after the start by after, no more waited before their refusal than were served in total. It
 // returns the number of refusals among them.
-func (c *crowd) refusals(t *testing.T, after time.Duration) int {
+func (c *loadGenerator) checkRefusals(t *testing.T, after time.Duration) int {
 	t.Helper()
 	const atOnce = 150 * time.Millisecond
 	refused, served, waited := 0, 0, 0
@@ -178,8 +178,8 @@
 		perSecond  = 2.0
 		plainPace  = 25 * time.Millisecond
 		enginePace = 80 * time.Millisecond
-		// during covers contactTime and one window after it.
-		during = contactTime + limitWindow + time.Second
+		// during covers propagationTime and one window after it.
+		during = propagationTime + limitWindow + time.Second
 	)
 	tests := map[string]struct {
 		isEngine bool
@@ -198,22 +198,22 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			servers := []*needyServer{newNeedyServer(t, "s0", test.isEngine), newNeedyServer(t, "s1", test.isEngine)}
-			c := newNeedyWorld(t, test.isEngine, servers)
+			servers := []*throttledServer{newThrottledServer(t, "s0", test.isEngine), newThrottledServer(t, "s1", test.isEngine)}
+			c := newThrottledEnv(t, test.isEngine, servers)
 			c.fronts = c.fronts[:test.fronts]
 			for _, s := range servers[:test.needy] {
 				s.setLimit(strconv.FormatFloat(perSecond, 'f', 1, 64))
 			}
-			c.sends(test.pace, during)
+			c.run(test.pace, during)
 			most := limitFactor*perSecond*limitWindow.Seconds() + limitSlack
 			for _, s := range servers[:test.needy] {
 				got := s.mostInWindow()
 				assert.Assert(t, float64(got) <= most, "%d requests in %s, allowed are %v", got, limitWindow, most)
-				took := s.since(s.namedAt.Add(contactTime))
-				least := int(0.7 * perSecond * (during - contactTime - time.Second).Seconds())
+				took := s.countSince(s.announcedAt.Add(propagationTime))
+				least := int(0.7 * perSecond * (during - propagationTime - time.Second).Seconds())
 				assert.Assert(t, took >= least || test.needy == 1, "%d requests, the server takes more", took)
 			}
-			refused := c.refusals(t, contactTime)
+			refused := c.checkRefusals(t, propagationTime)
 			if test.needy == 1 {
 				assert.Equal(t, refused, 0, "the other server takes them all")
 			}
@@ -221,31 +221,31 @@
 	}
 }
 
-// newNeedyWorld starts three gateways with the given servers and returns callers of all three.
-func newNeedyWorld(t *testing.T, isEngine bool, servers []*needyServer) *crowd {
-	w := newWorldWithoutConfig(t)
+// newThrottledEnv starts three gateways with the given servers and returns callers of all three.
+func newThrottledEnv(t *testing.T, isEngine bool, servers []*throttledServer) *loadGenerator {
+	env := newTestEnvWithoutConfig(t)
 	for _, s := range servers {
 		if isEngine {
-			w.putRecord(backend.Server{
+			env.putRecord(backend.Server{
 				ID: s.id, Service: "llm", Addr: s.addr, Hall: "h", Slots: 64, Residents: []backend.Resident{{Model: "m1"}},
 			})
 		} else {
-			w.putServer(s.worker, false)
+			env.putServer(s.fakeServer, false)
 		}
 	}
 	if isEngine {
 		// Fleet members are considered ready when the plain service answers.
-		w.putServer(newWorker(t, "plain", answer(http.StatusOK, "ok")), false)
+		env.putServer(newFakeServer(t, "plain", answer(http.StatusOK, "ok")), false)
 	}
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	c := &crowd{w: w, path: pathUnsafe, fronts: []string{w.front}}
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	c := &loadGenerator{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	if isEngine {
 		c.path, c.headers = pathModel, []string{names.Model, "m1", names.Tokens, "10,10", names.Deadline, "1000"}
 	}
-	for _, m := range startFleet(t, w, 2) {
+	for _, m := range startFleet(t, env, 2) {
 		c.fronts = append(c.fronts, m.front)
 	}
-	w.waitLines("leadership gained", 1)
+	env.waitLines("leadership gained", 1)
 	return c
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -13,12 +13,12 @@
 	"gotest.tools/v3/poll"
 )
 
-func (w *world) stop(limit time.Duration) chan error {
+func (env *testEnv) stop(limit time.Duration) chan error {
 	done := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
-		done <- w.gateway.Stop(ctx)
+		done <- env.gateway.Stop(ctx)
 	}()
 	return done
 }
@@ -27,7 +27,7 @@
 // load balancer has noticed.
 func TestStop(t *testing.T) {
 	release := make(chan struct{})
-	x := newWorker(t, "a", func(c *call) bool {
+	server := newFakeServer(t, "a", func(c *call) bool {
 		if c.RequestURI == pathStream {
 			c.write(c.streamHead(), event(1))
 			<-release
@@ -36,13 +36,13 @@
 		}
 		return answer(200, "ok")(c)
 	})
-	w := newWorld(t, x)
-	resp, err := w.client.Do(w.request(http.MethodPost, pathStream, "x"))
+	env := newTestEnv(t, server)
+	resp, err := env.client.Do(env.request(http.MethodPost, pathStream, "x"))
 	assert.NilError(t, err)
 	defer resp.Body.Close()
-	done := w.stop(20 * time.Second)
-	w.waitReady(http.StatusServiceUnavailable)
-	got := w.get(pathSafe)
+	done := env.stop(20 * time.Second)
+	env.waitReady(http.StatusServiceUnavailable)
+	got := env.get(pathSafe)
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Assert(t, got.closes, "the caller is sent elsewhere")
@@ -56,14 +56,14 @@
 // TestStopAnswersRequestBeingRead checks that a stop serves a request that has been read in part, while it closes idle
 // connections.
 func TestStopAnswersRequestBeingRead(t *testing.T) {
-	x := newWorker(t, "a", answer(200, "ok"))
-	w := newWorld(t, x)
-	rests, asks := w.used(), w.used()
+	server := newFakeServer(t, "a", answer(200, "ok"))
+	env := newTestEnv(t, server)
+	rests, asks := env.used(), env.used()
 	const request = "GET " + pathSafe + " HTTP/1.1\r\nHost: " + host + "\r\nX-Id: id-2\r\n\r\n"
 	const half = len(request) / 2
 	_, err := io.WriteString(asks, request[:half])
 	assert.NilError(t, err)
-	done := w.stop(20 * time.Second)
+	done := env.stop(20 * time.Second)
 	_, err = rests.Read(make([]byte, 1))
 	assert.Equal(t, err, io.EOF, "what waits is ended")
 	_, err = io.WriteString(asks, request[half:])
@@ -79,7 +79,7 @@
 // gateway has closed idle connections, since the gateway would not wait for it to finish.
 func TestStopTakesNoRequestAfterALongAnswer(t *testing.T) {
 	release := make(chan struct{})
-	x := newWorker(t, "a", func(c *call) bool {
+	server := newFakeServer(t, "a", func(c *call) bool {
 		if c.RequestURI != pathStream {
 			return answer(200, "ok")(c)
 		}
@@ -88,17 +88,17 @@
 		c.write(event(2), lastChunk)
 		return true
 	})
-	w := newWorld(t, x)
-	rests, busy := w.used(), w.used()
-	before := x.count()
-	assert.NilError(t, w.request(http.MethodPost, pathStream, "x").Write(busy))
+	env := newTestEnv(t, server)
+	rests, busy := env.used(), env.used()
+	before := server.count()
+	assert.NilError(t, env.request(http.MethodPost, pathStream, "x").Write(busy))
 	r := bufio.NewReader(busy)
 	resp, err := http.ReadResponse(r, nil)
 	assert.NilError(t, err)
-	done := w.stop(20 * time.Second)
+	done := env.stop(20 * time.Second)
 	_, err = rests.Read(make([]byte, 1))
 	assert.Equal(t, err, io.EOF)
-	assert.NilError(t, w.request(http.MethodGet, pathSafe, "").Write(busy))
+	assert.NilError(t, env.request(http.MethodGet, pathSafe, "").Write(busy))
 	close(release)
 	body, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
@@ -106,38 +106,38 @@
 	_, err = http.ReadResponse(r, nil)
 	assert.Assert(t, err != nil)
 	assert.NilError(t, <-done)
-	assert.Equal(t, x.count(), before+1)
+	assert.Equal(t, server.count(), before+1)
 }
 
 // used returns a connection on which one request has been answered.
-func (w *world) used() net.Conn {
-	conn, err := net.Dial("tcp", w.front)
-	assert.NilError(w.t, err)
-	w.t.Cleanup(func() { _ = conn.Close() })
-	assert.NilError(w.t, w.request(http.MethodGet, pathSafe, "").Write(conn))
+func (env *testEnv) used() net.Conn {
+	conn, err := net.Dial("tcp", env.front)
+	assert.NilError(env.t, err)
+	env.t.Cleanup(func() { _ = conn.Close() })
+	assert.NilError(env.t, env.request(http.MethodGet, pathSafe, "").Write(conn))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	assert.NilError(w.t, err)
+	assert.NilError(env.t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
-	assert.NilError(w.t, err)
-	assert.Equal(w.t, resp.StatusCode, http.StatusOK)
+	assert.NilError(env.t, err)
+	assert.Equal(env.t, resp.StatusCode, http.StatusOK)
 	return conn
 }
 
-// TestStopAnswersThoseWaiting checks that requests waiting for a server or for an answer are answered before the process
+// TestStopAnswersWaitingRequests checks that requests waiting for a server or for an answer are answered before the process
 // ends.
-func TestStopAnswersThoseWaiting(t *testing.T) {
-	x := newWorker(t, "a", func(c *call) bool { <-c.gone; return false })
-	w := newWorld(t, x)
+func TestStopAnswersWaitingRequests(t *testing.T) {
+	server := newFakeServer(t, "a", func(c *call) bool { <-c.gone; return false })
+	env := newTestEnv(t, server)
 	silent, waiting := make(chan reply, 1), make(chan reply, 1)
-	go func() { silent <- w.post(pathUnsafe, "x") }()
+	go func() { silent <- env.post(pathUnsafe, "x") }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if x.count() == 0 {
+		if server.count() == 0 {
 			return poll.Continue("not sent yet")
 		}
 		return poll.Success()
 	})
-	done := w.stop(time.Second)
-	go func() { waiting <- w.post(pathModel, "x", names.Model, "m1") }()
+	done := env.stop(time.Second)
+	go func() { waiting <- env.post(pathModel, "x", names.Model, "m1") }()
 	got := <-silent
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusGatewayTimeout, "it may have run")
@@ -147,16 +147,16 @@
 	<-done
 }
 
-// TestRequestsRefusedByAStopReturnSpread checks that requests refused together during a stop get different Retry-After
+// TestStopSpreadsRetryAfter checks that requests refused together during a stop get different Retry-After
 // values.
-func TestRequestsRefusedByAStopReturnSpread(t *testing.T) {
+func TestStopSpreadsRetryAfter(t *testing.T) {
 	const requests = 12
-	w := newWorld(t)
+	env := newTestEnv(t)
 	replies := make(chan reply, requests)
 	for range requests {
-		go func() { replies <- w.post(pathModel, "x", names.Model, "m1") }()
+		go func() { replies <- env.post(pathModel, "x", names.Model, "m1") }()
 	}
-	done := w.stop(time.Second)
+	done := env.stop(time.Second)
 	times := make(map[string]bool)
 	for range requests {
 		got := <-replies
--- a/internal/gateway/store_calls_test.go
+++ b/internal/gateway/store_calls_test.go
@@ -12,10 +12,10 @@
 // storeCalls lists all kinds of calls to the store.
 var storeCalls = []string{"get", "list", "watch", "put", "delete", "grant", "keep", "revoke"}
 
-// TestNoStoreCallWithoutRest checks that no loop calls the store without a pause, whatever error the store returns, both
+// TestStoreCallRate checks that no loop calls the store without a pause, whatever error the store returns, both
 // when the gateway starts and when it leads. The limit is one gateway's share of the store's capacity of 2,000 reads per
 // second, for 24 gateways.
-func TestNoStoreCallWithoutRest(t *testing.T) {
+func TestStoreCallRate(t *testing.T) {
 	const (
 		during     = 600 * time.Millisecond
 		mostPerSec = 83
@@ -34,28 +34,28 @@
 					}
 					return nil
 				}
-				w := newWorldWithoutConfig(t, newWorker(t, "a", answer(200, "ok")))
-				w.store.Fail(fail)
-				w.putConfig()
-				w.checkCallRate(during, mostPerSec)
-				w.store.Fail(nil)
-				w.waitLines("leadership gained", 1)
-				w.store.Fail(fail)
-				w.checkCallRate(during, mostPerSec)
+				env := newTestEnvWithoutConfig(t, newFakeServer(t, "a", answer(200, "ok")))
+				env.store.Fail(fail)
+				env.putConfig()
+				env.checkCallRate(during, mostPerSec)
+				env.store.Fail(nil)
+				env.waitLines("leadership gained", 1)
+				env.store.Fail(fail)
+				env.checkCallRate(during, mostPerSec)
 			})
 		}
 	}
 }
 
 // checkCallRate checks that the store gets at most the given number of calls per second.
-func (w *world) checkCallRate(during time.Duration, most int) {
-	w.t.Helper()
-	before := w.storeCalls()
+func (env *testEnv) checkCallRate(during time.Duration, most int) {
+	env.t.Helper()
+	before := env.storeCalls()
 	<-time.After(during)
-	perSecond := float64(w.storeCalls()-before) / during.Seconds()
+	perSecond := float64(env.storeCalls()-before) / during.Seconds()
 	kinds := make(map[string]int)
 	for _, c := range storeCalls {
-		kinds[c] = w.store.Calls(c)
+		kinds[c] = env.store.Calls(c)
 	}
-	assert.Assert(w.t, perSecond <= float64(most), "%.0f calls a second: %v", perSecond, kinds)
+	assert.Assert(env.t, perSecond <= float64(most), "%.0f calls a second: %v", perSecond, kinds)
 }
--- a/internal/gateway/store_copy_test.go
+++ b/internal/gateway/store_copy_test.go
@@ -10,58 +10,58 @@
 	"gotest.tools/v3/poll"
 )
 
-// TestStoreComesBackFromACopy restores the store from a backup with an older configuration, different servers and no lease.
+// TestStoreRestore restores the store from a backup with an older configuration, different servers and no lease.
 // No gateway may use the old configuration or the removed server, the new server must be used, the next leader must get
 // a higher token, and the number of calls to the store must stay bounded.
-func TestStoreComesBackFromACopy(t *testing.T) {
-	stays, gone := newWorker(t, "stays", answer(http.StatusOK, "yes")), newWorker(t, "gone", answer(http.StatusOK, "yes"))
-	w := newWorld(t, stays, gone)
-	members := startFleet(t, w, 2)
-	copied := w.store.Copy()
+func TestStoreRestore(t *testing.T) {
+	stays, gone := newFakeServer(t, "stays", answer(http.StatusOK, "yes")), newFakeServer(t, "gone", answer(http.StatusOK, "yes"))
+	env := newTestEnv(t, stays, gone)
+	members := startFleet(t, env, 2)
+	copied := env.store.Copy()
 	for range 60 {
-		w.store.Set("other", nil)
+		env.store.Set("other", nil)
 	}
-	w.store.Remove(prefix + gone.id)
-	comes := newWorker(t, "comes", answer(http.StatusOK, "yes"))
-	w.putServer(comes, false)
-	w.routing.Version++
-	w.routing.Routes = w.routing.Routes[:2]
-	w.putConfig()
+	env.store.Remove(prefix + gone.id)
+	comes := newFakeServer(t, "comes", answer(http.StatusOK, "yes"))
+	env.putServer(comes, false)
+	env.routing.Version++
+	env.routing.Routes = env.routing.Routes[:2]
+	env.putConfig()
 	for _, m := range members {
-		m.await(t, w, pathStream, http.StatusNotFound)
+		m.await(t, env, pathStream, http.StatusNotFound)
 	}
-	w.waitLines("leadership gained", 1)
-	first := w.lastToken()
+	env.waitLines("leadership gained", 1)
+	first := env.lastToken()
 
-	w.store.Restore(copied)
-	calls := w.storeCalls()
+	env.store.Restore(copied)
+	calls := env.storeCalls()
 	began := time.Now()
 	before := gone.count()
 	for time.Since(began) < 3*time.Second {
 		for _, m := range members {
-			m.await(t, w, pathSafe, http.StatusOK)
-			m.await(t, w, pathStream, http.StatusNotFound)
+			m.await(t, env, pathSafe, http.StatusOK)
+			m.await(t, env, pathStream, http.StatusNotFound)
 		}
 	}
 	assert.Equal(t, gone.count(), before, "it had gone")
-	for _, line := range w.logs.FilterMessage("server gone").All() {
+	for _, line := range env.logs.FilterMessage("server gone").All() {
 		assert.Assert(t, line.ContextMap()["server"] != comes.id, "it was known before")
 	}
-	assert.Assert(t, w.storeCalls()-calls < 150, "%d calls in 3 s", w.storeCalls()-calls)
-	w.waitLines("store came back from a copy", 3)
+	assert.Assert(t, env.storeCalls()-calls < 150, "%d calls in 3 s", env.storeCalls()-calls)
+	env.waitLines("store came back from a copy", 3)
 
-	w.putServer(comes, false)
-	w.putConfig()
-	w.waitLines("leadership gained", 2)
-	assert.Assert(t, w.lastToken() > first, "%d after %d", w.lastToken(), first)
-	later := newWorker(t, "later", answer(http.StatusOK, "yes"))
-	w.putServer(later, false)
-	w.putServer(stays, true)
-	w.putServer(comes, true)
+	env.putServer(comes, false)
+	env.putConfig()
+	env.waitLines("leadership gained", 2)
+	assert.Assert(t, env.lastToken() > first, "%d after %d", env.lastToken(), first)
+	later := newFakeServer(t, "later", answer(http.StatusOK, "yes"))
+	env.putServer(later, false)
+	env.putServer(stays, true)
+	env.putServer(comes, true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		used := later.count()
 		for _, m := range members {
-			m.await(t, w, pathSafe, http.StatusOK)
+			m.await(t, env, pathSafe, http.StatusOK)
 		}
 		if later.count() < used+len(members) {
 			return poll.Continue("the new server is not used by all")
@@ -70,32 +70,32 @@
 	}, poll.WithTimeout(5*time.Second))
 }
 
-// TestPriceOfACopy checks that a restore of the store causes at most twice as many calls to it as the loss of the leader.
-func TestPriceOfACopy(t *testing.T) {
+// TestStoreCallsAfterRestore checks that a restore of the store causes at most twice as many calls to it as the loss of the leader.
+func TestStoreCallsAfterRestore(t *testing.T) {
 	// after covers the time without a leader and the first round of the next one.
 	const after = 6 * time.Second
-	disturbances := map[string]func(w *world){
-		"leader stops": func(w *world) { stopNow(w) },
-		"copy": func(w *world) {
-			value, err := w.store.Get(w.t.Context(), keyConfig)
-			assert.NilError(w.t, err)
-			w.store.Restore(w.store.Copy())
-			w.store.Set(keyConfig, value.Value)
+	disturbances := map[string]func(env *testEnv){
+		"leader stops": func(env *testEnv) { stopNow(env) },
+		"copy": func(env *testEnv) {
+			value, err := env.store.Get(env.t.Context(), keyConfig)
+			assert.NilError(env.t, err)
+			env.store.Restore(env.store.Copy())
+			env.store.Set(keyConfig, value.Value)
 		},
 	}
 	for _, gateways := range []int{6, 24} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			calls := make(map[string]int)
 			for name, disturb := range disturbances {
-				x := newWorker(t, "a", answer(http.StatusOK, "yes"))
-				w := newWorld(t, x)
-				startFleet(t, w, gateways-1)
-				w.waitLines("leadership gained", 1)
-				before := w.storeCalls()
-				disturb(w)
+				server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+				env := newTestEnv(t, server)
+				startFleet(t, env, gateways-1)
+				env.waitLines("leadership gained", 1)
+				before := env.storeCalls()
+				disturb(env)
 				<-time.After(after)
-				w.waitLines("leadership gained", 2)
-				calls[name] = w.storeCalls() - before
+				env.waitLines("leadership gained", 2)
+				calls[name] = env.storeCalls() - before
 			}
 			t.Logf("calls in %s: %v", after, calls)
 			assert.Assert(t, calls["copy"] <= 2*calls["leader stops"], "%v", calls)
@@ -104,16 +104,16 @@
 }
 
 // storeCalls returns the total number of calls to the store.
-func (w *world) storeCalls() int {
+func (env *testEnv) storeCalls() int {
 	sum := 0
 	for _, call := range storeCalls {
-		sum += w.store.Calls(call)
+		sum += env.store.Calls(call)
 	}
 	return sum
 }
 
 // lastToken returns the token of the most recent leader.
-func (w *world) lastToken() int64 {
-	lines := w.logs.FilterMessage("leadership gained").All()
+func (env *testEnv) lastToken() int64 {
+	lines := env.logs.FilterMessage("leadership gained").All()
 	return lines[len(lines)-1].ContextMap()["token"].(int64)
 }
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -12,36 +12,36 @@
 	"rockcleat/internal/config"
 )
 
-// newSuspendedWorld starts a gateway that leads, on a simulated machine that can be suspended.
-func newSuspendedWorld(t *testing.T, workers ...*worker) (*world, *clocktest.Machine) {
+// newSuspendableEnv starts a gateway that leads, on a simulated machine that can be suspended.
+func newSuspendableEnv(t *testing.T, servers ...*fakeServer) (*testEnv, *clocktest.Machine) {
 	machine := clocktest.NewMachine()
-	w := prepareWorldOn(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, workers...)
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	w.waitLines("leadership gained", 1)
-	return w, machine
+	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, servers...)
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	env.waitLines("leadership gained", 1)
+	return env, machine
 }
 
 // TestSuspendedGatewayNoLongerLeads checks that a leader suspended for longer than its lease stops leading when it resumes,
 // without having to ask the store.
 func TestSuspendedGatewayNoLongerLeads(t *testing.T) {
-	w, machine := newSuspendedWorld(t)
+	env, machine := newSuspendableEnv(t)
 	machine.Suspend(10 * time.Second)
-	w.waitLines("leadership lost", 1)
-	w.waitLines("process paused", 1)
+	env.waitLines("leadership lost", 1)
+	env.waitLines("process paused", 1)
 }
 
 // TestDeadlineCountsSuspension checks that a request whose deadline passed during a suspension is ended on resume.
 func TestDeadlineCountsSuspension(t *testing.T) {
 	reached := make(chan struct{})
-	x := newWorker(t, "a", func(c *call) bool {
+	server := newFakeServer(t, "a", func(c *call) bool {
 		close(reached)
 		<-c.gone
 		return false
 	})
-	w, machine := newSuspendedWorld(t, x)
+	env, machine := newSuspendableEnv(t, server)
 	got := make(chan reply)
-	go func() { got <- w.post(pathUnsafe, "x") }()
+	go func() { got <- env.post(pathUnsafe, "x") }()
 	<-reached
 	machine.Suspend(time.Minute)
 	assert.Equal(t, (<-got).status, http.StatusGatewayTimeout)
--- a/internal/gateway/target_test.go
+++ b/internal/gateway/target_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWhereToReport checks which gateway is reported to, depending on what is known. In particular, the gateway in the
+// TestReportTarget checks which gateway is reported to, depending on what is known. In particular, the gateway in the
 // lease's record must be asked again if no other is known, since it may have become the leader again after a restart.
-func TestWhereToReport(t *testing.T) {
+func TestReportTarget(t *testing.T) {
 	const self, record, seed = "self", "record", "seed"
 	tests := map[string]struct {
 		seeds   []string
--- a/internal/gateway/worker_test.go
+++ b/internal/gateway/worker_test.go
@@ -25,11 +25,11 @@
 	gone chan struct{}
 }
 
-// A script answers a call on the raw connection and reports whether the connection stays open.
-type script func(c *call) bool
+// A responder answers a call on the raw connection and reports whether the connection stays open.
+type responder func(c *call) bool
 
-// A worker is a backend server whose answers are scripted byte by byte.
-type worker struct {
+// A fakeServer is a backend server whose answers are scripted byte by byte.
+type fakeServer struct {
 	t  *testing.T
 	id string
 	// instance is the name that successive instances of the server share; empty if it is the same as id.
@@ -43,14 +43,14 @@
 	conns []net.Conn
 }
 
-func newWorker(t *testing.T, id string, s script) *worker {
-	return newWorkerAt(t, id, "127.0.0.1:0", s)
+func newFakeServer(t *testing.T, id string, s responder) *fakeServer {
+	return newFakeServerAt(t, id, "127.0.0.1:0", s)
 }
 
-func newWorkerAt(t *testing.T, id, addr string, s script) *worker {
+func newFakeServerAt(t *testing.T, id, addr string, s responder) *fakeServer {
 	l, err := net.Listen("tcp", addr)
 	assert.NilError(t, err)
-	w := &worker{t: t, id: id, addr: l.Addr().String(), listener: l}
+	server := &fakeServer{t: t, id: id, addr: l.Addr().String(), listener: l}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -58,16 +58,16 @@
 			if err != nil {
 				return
 			}
-			w.mu.Lock()
-			w.conns = append(w.conns, conn)
-			w.mu.Unlock()
-			go w.serve(conn, s)
+			server.mu.Lock()
+			server.conns = append(server.conns, conn)
+			server.mu.Unlock()
+			go server.serve(conn, s)
 		}
 	}()
-	return w
+	return server
 }
 
-func (w *worker) serve(conn net.Conn, s script) {
+func (server *fakeServer) serve(conn net.Conn, s responder) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -79,10 +79,10 @@
 		if err != nil {
 			return
 		}
-		w.mu.Lock()
-		c := &call{Request: req, body: string(body), conn: conn, n: len(w.calls) + 1, gone: make(chan struct{})}
-		w.calls = append(w.calls, c)
-		w.mu.Unlock()
+		server.mu.Lock()
+		c := &call{Request: req, body: string(body), conn: conn, n: len(server.calls) + 1, gone: make(chan struct{})}
+		server.calls = append(server.calls, c)
+		server.mu.Unlock()
 		peeked := make(chan struct{})
 		go func() {
 			defer close(peeked)
@@ -97,26 +97,26 @@
 	}
 }
 
-// end simulates a crash: it closes the listener and all connections.
-func (w *worker) end() {
-	w.listener.Close()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, conn := range w.conns {
+// crash simulates a crash: it closes the listener and all connections.
+func (server *fakeServer) crash() {
+	server.listener.Close()
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	for _, conn := range server.conns {
 		conn.Close()
 	}
 }
 
-func (w *worker) count() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.calls)
+func (server *fakeServer) count() int {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return len(server.calls)
 }
 
-func (w *worker) call(i int) *call {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.calls[i]
+func (server *fakeServer) call(i int) *call {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return server.calls[i]
 }
 
 // head returns the status line and header of an answer to the call.
@@ -130,16 +130,16 @@
 
 func (c *call) write(parts ...string) { _, _ = io.WriteString(c.conn, strings.Join(parts, "")) }
 
-// answer returns a script that sends a complete, valid answer.
-func answer(status int, body string) script {
+// answer returns a responder that sends a complete, valid answer.
+func answer(status int, body string) responder {
 	return func(c *call) bool {
 		c.write(c.head(status, fmt.Sprintf("Content-Length: %d", len(body)), "X-More: kept"), body)
 		return true
 	}
 }
 
-// inTurn returns a script that uses first for the first call on any server and rest for all others.
-func inTurn(first, rest script) script {
+// firstThen returns a responder that uses first for the first call on any server and rest for all others.
+func firstThen(first, rest responder) responder {
 	var calls atomic.Int32
 	return func(c *call) bool {
 		if calls.Add(1) == 1 {
@@ -174,8 +174,8 @@
 
 const lastChunk = "0\r\n\r\n"
 
-// stream returns a script that sends the events after the caller's Last-Event-Id, up to number to.
-func stream(to int) script {
+// stream returns a responder that sends the events after the caller's Last-Event-Id, up to number to.
+func stream(to int) responder {
 	return func(c *call) bool {
 		from := 0
 		_, _ = fmt.Sscan(c.Header.Get("Last-Event-Id"), &from)
