--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -168,12 +168,12 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// TestRevokedWhileTheStoreIsAway checks that a gateway without access to the store rejects requests with a key before
+// TestRevokedDuringStoreOutage checks that a gateway without access to the store rejects requests with a key before
 // the revocation time has passed, but serves those that need none. When the store is back, revoked keys are unknown and
 // the others work.
-func TestRevokedWhileTheStoreIsAway(t *testing.T) {
+func TestRevokedDuringStoreOutage(t *testing.T) {
 	const revokeTime = 2 * time.Second
-	away := map[string]func(env *testEnv) (back func()){
+	outages := map[string]func(env *testEnv) (reconnect func()){
 		"down": func(env *testEnv) func() {
 			env.store.Fail(func(string) error { return errors.New("down") })
 			return func() { env.store.Fail(nil) }
@@ -188,7 +188,7 @@
 			return func() { env.store.Fail(nil) }
 		},
 	}
-	for name, goAway := range away {
+	for name, disconnect := range outages {
 		t.Run(name, func(t *testing.T) {
 			server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
 			env := newKeyEnv(t, func(s *config.Gateway) {
@@ -196,7 +196,7 @@
 				s.StoreTimeout = config.Duration(200 * time.Millisecond)
 			}, server)
 			env.awaitStatus(http.StatusOK, guildKey)
-			back := goAway(env)
+			reconnect := disconnect(env)
 			env.routing.Version++
 			env.routing.Keys = env.routing.Keys[1:]
 			env.putConfig()
@@ -207,7 +207,7 @@
 			assert.Equal(t, r.status, http.StatusServiceUnavailable)
 			assert.Assert(t, r.header.Get("Retry-After") != "")
 			assert.Equal(t, env.get(pathOpen).status, http.StatusOK, "no key is needed")
-			back()
+			reconnect()
 			env.awaitStatus(http.StatusUnauthorized, guildKey)
 			env.awaitStatus(http.StatusOK, deskKey)
 			checkNoKeyLogged(t, env)
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -207,8 +207,8 @@
 	}
 	for name, s := range breaks {
 		t.Run(name, func(t *testing.T) {
-			both := firstThen(s, stream(5))
-			env := newTestEnv(t, newFakeServer(t, "a", both), newFakeServer(t, "b", both))
+			responders := firstThen(s, stream(5))
+			env := newTestEnv(t, newFakeServer(t, "a", responders), newFakeServer(t, "b", responders))
 			got := env.post(pathResume, "x")
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, http.StatusOK)
@@ -223,8 +223,8 @@
 
 // TestFailedResumptionAbortsStream checks that a stream whose resumption fails does not look complete to the caller.
 func TestFailedResumptionAbortsStream(t *testing.T) {
-	both := firstThen(func(c *call) bool { c.write(c.streamHead(), event(1)); return false }, answer(500, "sorry"))
-	env := newTestEnv(t, newFakeServer(t, "a", both), newFakeServer(t, "b", both))
+	responders := firstThen(func(c *call) bool { c.write(c.streamHead(), event(1)); return false }, answer(500, "sorry"))
+	env := newTestEnv(t, newFakeServer(t, "a", responders), newFakeServer(t, "b", responders))
 	got := env.post(pathResume, "x")
 	assert.Assert(t, got.err != nil, "%+v", got)
 }
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -170,13 +170,13 @@
 	_ = c.TCPConn.SetReadDeadline(expiredDeadline)
 }
 
-// endIdle ends the connection if it has been idle for at least idleLimit, or newLimit if it never carried a byte.
-func (c *callerConn) endIdle(now time.Time, newLimit, idleLimit time.Duration) {
+// endIdle ends the connection if it has been idle for at least idleLimit, or unusedLimit if it never carried a byte.
+func (c *callerConn) endIdle(now time.Time, unusedLimit, idleLimit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	limit := idleLimit
 	if c.state == connNew {
-		limit = newLimit
+		limit = unusedLimit
 	}
 	if !c.isIdle() || c.end != endNever || now.Sub(c.since) < limit {
 		return
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// newConnTime is how long, during a stop, a connection on which nothing was received stays open. noticeTime and
-// newConnTime together are shorter than the 3 s within which a stopping gateway still accepts requests.
-const newConnTime = 400 * time.Millisecond
+// unusedConnTime is how long, during a stop, a connection on which nothing was received stays open. noticeTime and
+// unusedConnTime together are shorter than the 3 s within which a stopping gateway still accepts requests.
+const unusedConnTime = 400 * time.Millisecond
 
 // drain ends the idle connections, makes the others end after their current answer, and returns the number of open
 // connections.
@@ -101,7 +101,7 @@
 	c.draining.Store(true)
 	list := c.list()
 	for _, caller := range list {
-		caller.endIdle(now, newConnTime, 0)
+		caller.endIdle(now, unusedConnTime, 0)
 	}
 	return len(list)
 }
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -115,7 +115,7 @@
 	return d.addrs[id]
 }
 
-// random returns the address of a random gateway other than this one and but. It uses the seeds while there is no
+// random returns the address of a random gateway other than this one and except. It uses the seeds while there is no
 // list, and returns an empty string if there is no such gateway.
 func (d *directory) random(except string) string {
 	d.mu.Lock()
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -23,8 +23,8 @@
 	feedAgeSteps = 4
 	// feedHoldFraction is the fraction of a view's maximum age for which a poll waits for a change.
 	feedHoldFraction = 0.6
-	// feedTimeoutMargin is the time allowed for an answer in addition to the hold time, and the timeout of each read of the
-	// answer's body.
+	// feedTimeoutMargin is added to the hold time to get a poll's timeout, which applies to the start of the answer and to
+	// each read of its body.
 	feedTimeoutMargin = 500 * time.Millisecond
 	// feedMinInterval is the minimum time between two polls; changes within it are sent together.
 	feedMinInterval = 100 * time.Millisecond
--- a/internal/gateway/fleet_keeper.go
+++ b/internal/gateway/fleet_keeper.go
@@ -25,8 +25,8 @@
 const (
 	// fleetStepInterval is the interval of fleetStore.step.
 	fleetStepInterval = 100 * time.Millisecond
-	// fleetSettleTime is how long a list must be unchanged before it is written. Gateways that start together then
-	// cost one write, and a store restored from a backup has received the operators' writes again.
+	// fleetSettleTime is how long a list must be unchanged before it is written. Gateways that start together thus
+	// cause one write, and a store restored from a backup has by then received the operators' later writes again.
 	fleetSettleTime = 3 * time.Second
 	// fleetRetention is how long a gateway that left the leader's list stays on the stored one. It exceeds the time for
 	// which such a gateway may use its share of rate limits. Restarting gateways one after another costs no writes.
--- a/internal/gateway/followers_test.go
+++ b/internal/gateway/followers_test.go
@@ -48,11 +48,11 @@
 	f.Apply([]kv.Event{{Entry: entry("s3")}, {Entry: entry("s2"), Deleted: true}})
 	f.Replace([]kv.Entry{entry("s3")})
 	f.Replace([]kv.Entry{entry("s3")})
-	var gone []string
+	var removed []string
 	for _, l := range logs.FilterMessage("server gone").All() {
-		gone = append(gone, l.ContextMap()["server"].(string))
+		removed = append(removed, l.ContextMap()["server"].(string))
 	}
-	assert.DeepEqual(t, gone, []string{"s2", "s1"})
+	assert.DeepEqual(t, removed, []string{"s2", "s1"})
 }
 
 // TestUndecodableEntries checks that an undecodable entry removes only its own server, in lists and changes, that the server
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -23,7 +23,7 @@
 	// ctx ends with the request's deadline, the caller's connection or the gateway.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// req is in.needs, updated with the servers to exclude and other results of earlier sends.
+	// req is in.requirements, updated with the servers to exclude and other results of earlier sends.
 	req    dispatch.Request
 	record record
 	// headerSent says that the header of an answer has been sent to the caller.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 	Names    wire.Names
 	// ReadyPath is the path of the readiness endpoint, which the load balancer polls.
 	ReadyPath string
-	// Store holds the leader's lease and the quarantine.
+	// Store holds the leader's lease, the quarantine and the list of gateways.
 	Store Store
 	// Prefixes gives access to all keys of the store, OwnKeys only to those that the product writes.
 	Prefixes kv.PrefixStore
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -48,17 +48,17 @@
 }
 
 func newListeners(o listenerOptions) *listeners {
-	quiet := zap.NewStdLog(zap.NewNop())
-	plain := func(addr string, h http.Handler) boundServer {
-		return boundServer{addr: addr, server: &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, ErrorLog: quiet}}
+	discard := zap.NewStdLog(zap.NewNop())
+	newServer := func(addr string, h http.Handler) boundServer {
+		return boundServer{addr: addr, server: &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, ErrorLog: discard}}
 	}
-	front := plain(o.settings.Listen, o.proxy)
+	front := newServer(o.settings.Listen, o.proxy)
 	front.server.MaxHeaderBytes = maxHeaderBytes
 	front.server.ConnState, front.server.ConnContext = o.conns.stateChanged, withConn
 	front.wrap = func(l *net.TCPListener) net.Listener { return callerListener{TCPListener: l, clock: o.conns.clock} }
-	servers := []boundServer{front, plain(o.settings.ReadyListen, o.ready), plain(o.settings.PeerListen, o.peers)}
+	servers := []boundServer{front, newServer(o.settings.ReadyListen, o.ready), newServer(o.settings.PeerListen, o.peers)}
 	if o.settings.MetricsListen != "" {
-		servers = append(servers, plain(o.settings.MetricsListen, o.metrics))
+		servers = append(servers, newServer(o.settings.MetricsListen, o.metrics))
 	}
 	return &listeners{log: o.log, servers: servers}
 }
--- a/internal/gateway/needs.go
+++ b/internal/gateway/needs.go
@@ -34,23 +34,23 @@
 // requirementsOf returns the dispatcher's view of a request. Malformed model headers are logged and ignored; the server
 // decides whether to accept them.
 func (p *proxy) requirementsOf(in *inbound) dispatch.Request {
-	needs := dispatch.Request{
+	req := dispatch.Request{
 		Service: in.service.Name, Priority: in.route.Priority,
 		WaitUntil: in.arrived.Add(in.waitTime()), FirstByteObjective: in.route.FirstByteObjective,
 	}
 	if objective := in.route.FirstByteObjective; objective > 0 {
-		needs.SendBy = in.arrived.Add(objective * sendByPercent / 100)
+		req.SendBy = in.arrived.Add(objective * sendByPercent / 100)
 	}
 	if in.service.Engine == nil {
-		return needs
+		return req
 	}
-	needs.Model, needs.Adapter = in.target.Model, in.target.Name
-	needs.PromptTokens, needs.MaxOutputTokens = p.tokenCounts(in)
-	needs.Prefix = p.prefixBlocks(in)
-	needs.Gap = dispatch.GapBudget{
+	req.Model, req.Adapter = in.target.Model, in.target.Name
+	req.PromptTokens, req.MaxOutputTokens = p.tokenCounts(in)
+	req.Prefix = p.prefixBlocks(in)
+	req.Gap = dispatch.GapBudget{
 		MaxGap: dispatch.InMilliseconds(in.route.EventGapObjective), StepsPerEvent: in.service.Engine.TokensPerEvent,
 	}
-	return needs
+	return req
 }
 
 // tokenCounts parses the header PROMPT,OUTPUT; either number may be missing.
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -212,7 +212,7 @@
 	p.setGateways(list)
 }
 
-// setGateways distributes a list of gateways to all components that use it. The caller must hold p.listing.
+// setGateways distributes a list of gateways to all components that use it. The caller must hold p.listMu.
 func (p *components) setGateways(list []placer.Gateway) {
 	p.dispatcher.SetGateways(p.gateways.set(list))
 	p.limiters.setGateways(gatewayIDs(list))
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -49,7 +49,7 @@
 	log        *zap.Logger
 	// quarantine exchanges the quarantine with the gateway that receives the reports.
 	quarantine *quarantine.Link
-	// serverLimits exchanges the rate limits of backend servers with it.
+	// serverLimits exchanges the rate limits of backend servers with the same gateway.
 	serverLimits *serverlimit.Link
 	// limiters are notified when the leader has replied. applyGateways applies the leader's list of gateways.
 	limiters      limiters
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -58,17 +58,17 @@
 func TestStopAnswersRequestBeingRead(t *testing.T) {
 	server := newFakeServer(t, "a", answer(200, "ok"))
 	env := newTestEnv(t, server)
-	rests, asks := env.used(), env.used()
+	idle, reading := env.idleConn(), env.idleConn()
 	const request = "GET " + pathSafe + " HTTP/1.1\r\nHost: " + host + "\r\nX-Id: id-2\r\n\r\n"
 	const half = len(request) / 2
-	_, err := io.WriteString(asks, request[:half])
+	_, err := io.WriteString(reading, request[:half])
 	assert.NilError(t, err)
 	done := env.stop(20 * time.Second)
-	_, err = rests.Read(make([]byte, 1))
+	_, err = idle.Read(make([]byte, 1))
 	assert.Equal(t, err, io.EOF, "what waits is ended")
-	_, err = io.WriteString(asks, request[half:])
+	_, err = io.WriteString(reading, request[half:])
 	assert.NilError(t, err)
-	resp, err := http.ReadResponse(bufio.NewReader(asks), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(reading), nil)
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	assert.Assert(t, resp.Close)
@@ -89,14 +89,14 @@
 		return true
 	})
 	env := newTestEnv(t, server)
-	rests, busy := env.used(), env.used()
+	idle, busy := env.idleConn(), env.idleConn()
 	before := server.count()
 	assert.NilError(t, env.request(http.MethodPost, pathStream, "x").Write(busy))
 	r := bufio.NewReader(busy)
 	resp, err := http.ReadResponse(r, nil)
 	assert.NilError(t, err)
 	done := env.stop(20 * time.Second)
-	_, err = rests.Read(make([]byte, 1))
+	_, err = idle.Read(make([]byte, 1))
 	assert.Equal(t, err, io.EOF)
 	assert.NilError(t, env.request(http.MethodGet, pathSafe, "").Write(busy))
 	close(release)
@@ -109,8 +109,8 @@
 	assert.Equal(t, server.count(), before+1)
 }
 
-// used returns a connection on which one request has been answered.
-func (env *testEnv) used() net.Conn {
+// idleConn returns a connection on which one request has been answered.
+func (env *testEnv) idleConn() net.Conn {
 	conn, err := net.Dial("tcp", env.front)
 	assert.NilError(env.t, err)
 	env.t.Cleanup(func() { _ = conn.Close() })
--- a/internal/gateway/store_copy_test.go
+++ b/internal/gateway/store_copy_test.go
@@ -14,16 +14,16 @@
 // No gateway may use the old configuration or the removed server, the new server must be used, the next leader must get
 // a higher token, and the number of calls to the store must stay bounded.
 func TestStoreRestore(t *testing.T) {
-	stays, gone := newFakeServer(t, "stays", answer(http.StatusOK, "yes")), newFakeServer(t, "gone", answer(http.StatusOK, "yes"))
-	env := newTestEnv(t, stays, gone)
+	kept, removed := newFakeServer(t, "stays", answer(http.StatusOK, "yes")), newFakeServer(t, "gone", answer(http.StatusOK, "yes"))
+	env := newTestEnv(t, kept, removed)
 	members := startFleet(t, env, 2)
-	copied := env.store.Copy()
+	backup := env.store.Copy()
 	for range 60 {
 		env.store.Set("other", nil)
 	}
-	env.store.Remove(prefix + gone.id)
-	comes := newFakeServer(t, "comes", answer(http.StatusOK, "yes"))
-	env.putServer(comes, false)
+	env.store.Remove(prefix + removed.id)
+	added := newFakeServer(t, "comes", answer(http.StatusOK, "yes"))
+	env.putServer(added, false)
 	env.routing.Version++
 	env.routing.Routes = env.routing.Routes[:2]
 	env.putConfig()
@@ -33,37 +33,37 @@
 	env.waitLines("leadership gained", 1)
 	first := env.lastToken()
 
-	env.store.Restore(copied)
+	env.store.Restore(backup)
 	calls := env.storeCalls()
 	began := time.Now()
-	before := gone.count()
+	before := removed.count()
 	for time.Since(began) < 3*time.Second {
 		for _, m := range members {
 			m.await(t, env, pathSafe, http.StatusOK)
 			m.await(t, env, pathStream, http.StatusNotFound)
 		}
 	}
-	assert.Equal(t, gone.count(), before, "it had gone")
+	assert.Equal(t, removed.count(), before, "it had gone")
 	for _, line := range env.logs.FilterMessage("server gone").All() {
-		assert.Assert(t, line.ContextMap()["server"] != comes.id, "it was known before")
+		assert.Assert(t, line.ContextMap()["server"] != added.id, "it was known before")
 	}
 	assert.Assert(t, env.storeCalls()-calls < 150, "%d calls in 3 s", env.storeCalls()-calls)
 	env.waitLines("store came back from a copy", 3)
 
-	env.putServer(comes, false)
+	env.putServer(added, false)
 	env.putConfig()
 	env.waitLines("leadership gained", 2)
 	assert.Assert(t, env.lastToken() > first, "%d after %d", env.lastToken(), first)
-	later := newFakeServer(t, "later", answer(http.StatusOK, "yes"))
-	env.putServer(later, false)
-	env.putServer(stays, true)
-	env.putServer(comes, true)
+	newest := newFakeServer(t, "later", answer(http.StatusOK, "yes"))
+	env.putServer(newest, false)
+	env.putServer(kept, true)
+	env.putServer(added, true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		used := later.count()
+		used := newest.count()
 		for _, m := range members {
 			m.await(t, env, pathSafe, http.StatusOK)
 		}
-		if later.count() < used+len(members) {
+		if newest.count() < used+len(members) {
 			return poll.Continue("the new server is not used by all")
 		}
 		return poll.Success()
