--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// TestUnsolicitedAnswers checks that a second, unsolicited answer on a connection is never returned for a later request.
+// TestUnsolicitedAnswers checks that a second, unsolicited answer on a connection is never returned for a later
+// request.
 func TestUnsolicitedAnswers(t *testing.T) {
 	for name, late := range map[string]bool{"at once": false, "when the first one is delivered": true} {
 		t.Run(name, func(t *testing.T) {
@@ -229,8 +230,8 @@
 	assert.Assert(t, got.err != nil, "%+v", got)
 }
 
-// TestStalledServerIsKeptWithoutAlternative checks that a stalled stream is not abandoned if no other server is available or the retry
-// budget is spent, and that its remaining events are forwarded when they arrive.
+// TestStalledServerIsKeptWithoutAlternative checks that a stalled stream is not abandoned if no other server is
+// available or the retry budget is spent, and that its remaining events are forwarded when they arrive.
 func TestStalledServerIsKeptWithoutAlternative(t *testing.T) {
 	tests := map[string]struct {
 		change  func(*config.Gateway)
--- a/internal/gateway/bounded_lines.go
+++ b/internal/gateway/bounded_lines.go
@@ -21,12 +21,12 @@
 
 // allow reports whether a line may be written now. If so, suppressed is a field with the number of lines suppressed
 // since the last one.
-func (b *lineLimiter) allow(now time.Time) (suppressed zap.Field, ok bool) {
-	if !b.limiter.AllowN(now, 1) {
-		b.suppressed.Add(1)
+func (l *lineLimiter) allow(now time.Time) (suppressed zap.Field, ok bool) {
+	if !l.limiter.AllowN(now, 1) {
+		l.suppressed.Add(1)
 		return zap.Skip(), false
 	}
-	if n := b.suppressed.Swap(0); n > 0 {
+	if n := l.suppressed.Swap(0); n > 0 {
 		return zap.Uint64(fieldLeftOut, n), true
 	}
 	return zap.Skip(), true
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// beginRequest records that a complete request header was read on the connection in ctx, and reports whether the request may
-// be served.
+// beginRequest records that a complete request header was read on the connection in ctx, and reports whether the
+// request may be served.
 func (c *conns) beginRequest(ctx context.Context) bool {
 	caller, ok := ctx.Value(connKey{}).(*callerConn)
 	return !ok || caller.beginRequest()
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestRefusedConnectionServesNothing checks that a request is not served if its header is completed after it was refused
-// as too slow.
+// TestRefusedConnectionServesNothing checks that a request is not served if its header is completed after it was
+// refused as too slow.
 func TestRefusedConnectionServesNothing(t *testing.T) {
 	c := newConns(clocktest.Real{}, nil)
 	server, client := connected(t, c)
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestServerDeadlineIsRestored checks that the read deadline of http.Server is in force again after a connection that was to
-// be ended stays open.
+// TestServerDeadlineIsRestored checks that the read deadline of http.Server is in force again after a connection that
+// was to be ended stays open.
 func TestServerDeadlineIsRestored(t *testing.T) {
 	c := newConns(clocktest.Real{}, nil)
 	server, client := connected(t, c)
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -23,8 +23,8 @@
 	feedAgeSteps = 4
 	// feedHoldFraction is the fraction of a view's maximum age for which a poll waits for a change.
 	feedHoldFraction = 0.6
-	// feedTimeoutMargin is added to the hold time to get a poll's timeout, which applies to the start of the answer and to
-	// each read of its body.
+	// feedTimeoutMargin is added to the hold time to get a poll's timeout, which applies to the start of the answer
+	// and to each read of its body.
 	feedTimeoutMargin = 500 * time.Millisecond
 	// feedMinInterval is the minimum time between two polls; changes within it are sent together.
 	feedMinInterval = 100 * time.Millisecond
@@ -70,8 +70,8 @@
 	clock    clock.Service
 	log      *zap.Logger
 
-	// Used only by the goroutine of run. source is the gateway that last sent a fresh view. backoffUntil holds the time until
-	// which a gateway is not polled.
+	// Used only by the goroutine of run. source is the gateway that last sent a fresh view. backoffUntil holds the
+	// time until which a gateway is not polled.
 	source       string
 	backoffUntil map[string]time.Time
 }
@@ -101,8 +101,8 @@
 	return ""
 }
 
-// poll sends a poll to the gateway at addr and applies its answer. A gateway that does not answer, or whose view is stale,
-// is not polled again for a while.
+// poll sends a poll to the gateway at addr and applies its answer. A gateway that does not answer, or whose view is
+// stale, is not polled again for a while.
 func (f *feed) poll(ctx context.Context, addr string) {
 	requested := f.clock.Now()
 	timeout := feedHold(f.fanout.MaxAge()) + feedTimeoutMargin
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -110,7 +110,8 @@
 	assert.Assert(t, calls()-before < int64(len(members)), "%d calls to the store by gateways that do not lead", calls()-before)
 }
 
-// TestGatewayStartsWithoutTheStore checks that a gateway without access to the store gets its state from another gateway.
+// TestGatewayStartsWithoutTheStore checks that a gateway without access to the store gets its state from another
+// gateway.
 func TestGatewayStartsWithoutTheStore(t *testing.T) {
 	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
 	s := gatewaySettings(t, "late")
--- a/internal/gateway/fleet_keeper.go
+++ b/internal/gateway/fleet_keeper.go
@@ -43,8 +43,8 @@
 // having received a list.
 //
 // Without the stored list, gateways that restart together do not know of one another until one becomes the leader.
-// Until then they refuse all requests of organisations with a rate limit, because the share used by the other gateways is
-// unknown.
+// Until then they refuse all requests of organisations with a rate limit, because the share used by the other
+// gateways is unknown.
 //
 // Its state belongs to the goroutine that calls step.
 type fleetStore struct {
@@ -78,97 +78,97 @@
 // A storedFleet is the value stored under keyGateways.
 type storedFleet struct {
 	Gateways []placer.Gateway `json:"gateways"`
-	// Era is the era of the store at the time of the write. A list with the current era shows that writes lost when the store
-	// was restored from a backup have been repeated.
+	// Era is the era of the store at the time of the write. A list with the current era shows that writes lost when
+	// the store was restored from a backup have been repeated.
 	Era int64 `json:"era,omitempty"`
 }
 
 // step is called every fleetStepInterval. A new leader writes the list again, since the store may have lost it.
-func (k *fleetStore) step(now time.Time) {
-	token, leads := k.lease.Held()
-	if leads && token != k.term {
-		k.term, k.stored, k.seenSince = token, nil, now
+func (f *fleetStore) step(now time.Time) {
+	token, leads := f.lease.Held()
+	if leads && token != f.term {
+		f.term, f.stored, f.seenSince = token, nil, now
 	}
-	list := k.gateways.list()
-	k.synced = k.synced || k.firstStart || len(list) > 0 && !leads
+	list := f.gateways.list()
+	f.synced = f.synced || f.firstStart || len(list) > 0 && !leads
 	switch {
-	case !k.synced && !now.Before(k.nextLoad):
-		k.load(now)
-	case k.synced && leads:
-		k.save(list, now)
+	case !f.synced && !now.Before(f.nextLoad):
+		f.load(now)
+	case f.synced && leads:
+		f.save(list, now)
 	}
 }
 
 // save writes the leader's list, including recently listed gateways, once it has been unchanged for fleetSettleTime.
-func (k *fleetStore) save(list []placer.Gateway, now time.Time) {
-	list = k.withRecent(list, now)
-	if !slices.Equal(list, k.seen) {
-		k.seen, k.seenSince = list, now
+func (f *fleetStore) save(list []placer.Gateway, now time.Time) {
+	list = f.withRecent(list, now)
+	if !slices.Equal(list, f.seen) {
+		f.seen, f.seenSince = list, now
 	}
-	if len(list) == 0 || slices.Equal(list, k.stored) || now.Sub(k.seenSince) < fleetSettleTime {
+	if len(list) == 0 || slices.Equal(list, f.stored) || now.Sub(f.seenSince) < fleetSettleTime {
 		return
 	}
-	if err := k.put(list); err != nil {
-		k.log.Warn("writing the list of gateways failed", telemetry.Error(err))
-		k.seenSince = now
+	if err := f.put(list); err != nil {
+		f.log.Warn("writing the list of gateways failed", telemetry.Error(err))
+		f.seenSince = now
 		return
 	}
-	k.stored = list
+	f.stored = list
 }
 
 // withRecent returns the list together with the gateways that were on it within fleetRetention, sorted by id.
-func (k *fleetStore) withRecent(list []placer.Gateway, now time.Time) []placer.Gateway {
+func (f *fleetStore) withRecent(list []placer.Gateway, now time.Time) []placer.Gateway {
 	for _, g := range list {
-		k.recent[g] = now
+		f.recent[g] = now
 	}
-	maps.DeleteFunc(k.recent, func(_ placer.Gateway, at time.Time) bool { return now.Sub(at) > fleetRetention })
-	all := slices.Collect(maps.Keys(k.recent))
+	maps.DeleteFunc(f.recent, func(_ placer.Gateway, at time.Time) bool { return now.Sub(at) > fleetRetention })
+	all := slices.Collect(maps.Keys(f.recent))
 	slices.SortFunc(all, func(a, b placer.Gateway) int { return strings.Compare(a.ID, b.ID) })
 	return all
 }
 
-func (k *fleetStore) put(list []placer.Gateway) error {
-	value, err := json.Marshal(storedFleet{Gateways: list, Era: kv.Revision(k.term).Era()})
+func (f *fleetStore) put(list []placer.Gateway) error {
+	value, err := json.Marshal(storedFleet{Gateways: list, Era: kv.Revision(f.term).Era()})
 	if err != nil {
 		return eris.Wrap(err, "gateway: encode list of gateways")
 	}
-	ctx, cancel := context.WithTimeout(k.ctx, k.timeout)
+	ctx, cancel := context.WithTimeout(f.ctx, f.timeout)
 	defer cancel()
-	_, err = k.store.Put(ctx, kv.Write{Key: keyGateways, Value: value, Expect: kv.Any})
+	_, err = f.store.Put(ctx, kv.Write{Key: keyGateways, Value: value, Expect: kv.Any})
 	return err
 }
 
 // load reads the list that the last leader wrote.
-func (k *fleetStore) load(now time.Time) {
-	if now.Sub(k.startedAt) < fleetLoadDelay {
+func (f *fleetStore) load(now time.Time) {
+	if now.Sub(f.startedAt) < fleetLoadDelay {
 		return
 	}
-	k.nextLoad = now.Add(fleetLoadInterval)
-	stored, err := k.read(k.ctx)
+	f.nextLoad = now.Add(fleetLoadInterval)
+	stored, err := f.read(f.ctx)
 	if err != nil {
-		k.log.Warn("reading the list of gateways failed", telemetry.Error(err))
+		f.log.Warn("reading the list of gateways failed", telemetry.Error(err))
 		return
 	}
-	k.synced = true
+	f.synced = true
 	if len(stored.Gateways) == 0 {
 		return
 	}
-	k.log.Info("list of gateways read", zap.Int("count", len(stored.Gateways)))
-	k.onLoad(stored.Gateways)
+	f.log.Info("list of gateways read", zap.Int("count", len(stored.Gateways)))
+	f.onLoad(stored.Gateways)
 }
 
 // read returns the stored list. It returns an empty one if there is none or it cannot be decoded.
-func (k *fleetStore) read(ctx context.Context) (storedFleet, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.timeout)
+func (f *fleetStore) read(ctx context.Context) (storedFleet, error) {
+	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
-	entries, _, err := k.keys.ListPrefix(ctx, keyGateways)
+	entries, _, err := f.keys.ListPrefix(ctx, keyGateways)
 	if err != nil {
 		return storedFleet{}, err
 	}
 	var stored storedFleet
 	for _, e := range entries {
 		if err := json.Unmarshal(e.Value, &stored); err != nil {
-			k.log.Warn("stored list of gateways cannot be decoded, ignored", telemetry.Error(err))
+			f.log.Warn("stored list of gateways cannot be decoded, ignored", telemetry.Error(err))
 			return storedFleet{}, nil
 		}
 	}
@@ -177,7 +177,7 @@
 
 // isSettled reports whether a leader has written the list in the given era of the store. By then, writes lost when the
 // store was restored from a backup have been repeated.
-func (k *fleetStore) isSettled(ctx context.Context, era int64) (bool, error) {
-	stored, err := k.read(ctx)
+func (f *fleetStore) isSettled(ctx context.Context, era int64) (bool, error) {
+	stored, err := f.read(ctx)
 	return stored.Era == era, err
 }
--- a/internal/gateway/followers_test.go
+++ b/internal/gateway/followers_test.go
@@ -55,8 +55,8 @@
 	assert.DeepEqual(t, removed, []string{"s2", "s1"})
 }
 
-// TestUndecodableEntries checks that an undecodable entry removes only its own server, in lists and changes, that the server
-// returns when the entry is valid again, and that the log has one line per occurrence, not one per heartbeat.
+// TestUndecodableEntries checks that an undecodable entry removes only its own server, in lists and changes, that the
+// server returns when the entry is valid again, and that the log has one line per occurrence, not one per heartbeat.
 func TestUndecodableEntries(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
@@ -88,8 +88,8 @@
 }
 
 // TestDigestOfResidentsWithoutLeader checks that the digest of a server depends on what its engine has loaded only
-// while no leader publishes residency. Otherwise gateways without a leader would send requests to engines that no longer
-// have the model loaded.
+// while no leader publishes residency. Otherwise gateways without a leader would send requests to engines that no
+// longer have the model loaded.
 func TestDigestOfResidentsWithoutLeader(t *testing.T) {
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
 	list := newServerList(residentDecoder{}, clocktest.Real{}, zap.NewNop(), d)
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -116,8 +116,8 @@
 	return true
 }
 
-// handleRefusal handles an answer in which the server says that it did not run the request. It reports whether the request is
-// finished.
+// handleRefusal handles an answer in which the server says that it did not run the request. It reports whether the
+// request is finished.
 func (f *forwarder) handleRefusal(res *dispatch.Reservation, resp *http.Response) bool {
 	res.Done(refusalResult(resp))
 	// Reading the body lets the connection be reused; after an error it is closed.
@@ -150,7 +150,8 @@
 	return dispatch.Refused
 }
 
-// handleLost handles a send that may have run but returned no usable answer. It reports whether the request is finished.
+// handleLost handles a send that may have run but returned no usable answer. It reports whether the request is
+// finished.
 func (f *forwarder) handleLost(res *dispatch.Reservation, err error) bool {
 	res.Done(dispatch.Failed)
 	f.proxy.requestLog.sendFailed(f, res, "lost", err)
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -88,8 +88,8 @@
 	return in, nil
 }
 
-// quarantineKey returns the quarantine key of a request with the given body. The caller is identified by its credentials only:
-// the same caller may send copies from many addresses.
+// quarantineKey returns the quarantine key of a request with the given body. The caller is identified by its
+// credentials only: the same caller may send copies from many addresses.
 func quarantineKey(r *http.Request, body []byte) quarantine.Key {
 	return quarantine.KeyOf(quarantine.Request{
 		Caller: r.Header.Get("Authorization"), Method: r.Method, Host: r.Host, Target: r.RequestURI, Body: body,
@@ -171,7 +171,8 @@
 // maxPreallocated is the largest announced body length for which a buffer of that size is allocated at once, in bytes.
 const maxPreallocated = 1 << 20
 
-// readAll reads until EOF. If size is positive and at most maxPreallocated, it reads exactly size bytes into one buffer.
+// readAll reads until EOF. If size is positive and at most maxPreallocated, it reads exactly size bytes into one
+// buffer.
 func readAll(r io.Reader, size int64) ([]byte, error) {
 	if size <= 0 || size > maxPreallocated {
 		return io.ReadAll(r)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -57,8 +57,8 @@
 // until another gateway leads or grants.
 const retryUnknownLimit = 500 * time.Millisecond
 
-// charge charges a request to its organisation's rate limit, or refuses it. It runs before the request takes a server, an
-// admission or part of the model's demand, so that requests over the limit do not displace others.
+// charge charges a request to its organisation's rate limit, or refuses it. It runs before the request takes a
+// server, an admission or part of the model's demand, so that requests over the limit do not displace others.
 func (p *proxy) charge(ctx context.Context, in *inbound) *refusal {
 	if in.organisation.Name == "" {
 		return nil
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// TestOverTheLimit checks that a request over its organisation's rate limit is refused immediately with a Retry-After and
-// reaches no server, and that other organisations and routes without keys are not affected.
+// TestOverTheLimit checks that a request over its organisation's rate limit is refused immediately with a Retry-After
+// and reaches no server, and that other organisations and routes without keys are not affected.
 func TestOverTheLimit(t *testing.T) {
 	tests := map[string]struct {
 		limit  table.Limit
@@ -70,7 +70,8 @@
 	}
 }
 
-// TestRefusedRequestIsRefunded checks that a request that servers refuse is not charged to its organisation's rate limit.
+// TestRefusedRequestIsRefunded checks that a request that servers refuse is not charged to its organisation's rate
+// limit.
 func TestRefusedRequestIsRefunded(t *testing.T) {
 	x := newFakeServer(t, "full", refuse)
 	env := newLimitEnv(t, table.Limit{Unit: table.UnitRequests, PerSecond: 0.3, Burst: 1}, x)
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -14,7 +14,8 @@
 	"rockcleat/quarantine"
 )
 
-// TestMessagesBetweenGateways pins the wire format between gateways, since two versions run side by side during an upgrade.
+// TestMessagesBetweenGateways pins the wire format between gateways, since two versions run side by side during an
+// upgrade.
 func TestMessagesBetweenGateways(t *testing.T) {
 	load := dispatch.Load{Running: 1, PrefillMs: 2, UsedTokens: 3}
 	tests := map[string]struct {
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestUnconfiguredModelIsRefusedAtOnce checks that a request for a model that is not configured is refused without waiting
-// for a server. Its Retry-After allows for a newer configuration to arrive.
+// TestUnconfiguredModelIsRefusedAtOnce checks that a request for a model that is not configured is refused without
+// waiting for a server. Its Retry-After allows for a newer configuration to arrive.
 func TestUnconfiguredModelIsRefusedAtOnce(t *testing.T) {
 	tests := map[string]struct {
 		model  string
--- a/internal/gateway/outgoing_test.go
+++ b/internal/gateway/outgoing_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHeadersSentToServers checks which headers reach servers, for first sends, retries and resumed streams: reserved and
-// hop-by-hop headers are dropped, others are forwarded.
+// TestHeadersSentToServers checks which headers reach servers, for first sends, retries and resumed streams: reserved
+// and hop-by-hop headers are dropped, others are forwarded.
 func TestHeadersSentToServers(t *testing.T) {
 	reset := func(c *call) bool { return c.reset() }
 	cutAfterFirst := func(c *call) bool { c.write(c.streamHead(), event(1)); return false }
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -18,8 +18,8 @@
 	"rockcleat/serverlimit"
 )
 
-// utilization is the fraction of an engine's slots and memory that is used. An engine at full utilization preempts running
-// streams.
+// utilization is the fraction of an engine's slots and memory that is used. An engine at full utilization preempts
+// running streams.
 const utilization = 0.92
 
 // leaseName is the name of the leader's lease in the store.
@@ -193,8 +193,8 @@
 	}
 }
 
-// applyStoredGateways applies the list of gateways read from the store. If the leader has already sent a list, or this gateway
-// leads, the stored one only adds former gateways to the limiters.
+// applyStoredGateways applies the list of gateways read from the store. If the leader has already sent a list, or
+// this gateway leads, the stored one only adds former gateways to the limiters.
 func (p *components) applyStoredGateways(list []placer.Gateway) {
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
--- a/internal/gateway/peer_client.go
+++ b/internal/gateway/peer_client.go
@@ -94,8 +94,8 @@
 	return reply, err
 }
 
-// feed polls the gateway at addr for changes in the store. timeout applies to the start of the answer and to each read of
-// its body.
+// feed polls the gateway at addr for changes in the store. timeout applies to the start of the answer and to each
+// read of its body.
 func (p *peerClient) feed(ctx context.Context, addr string, timeout time.Duration, r feedRequest) (feedReply, error) {
 	var reply feedReply
 	err := p.http.PostWithin(ctx, timeout, addr, pathFeed, r, &reply)
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -53,8 +53,8 @@
 	return e
 }
 
-// handleReport handles a report. The leader applies it and replies; any other gateway replies with the leader's address.
-// If the report shows requests waiting for a server, the leader plans at once.
+// handleReport handles a report. The leader applies it and replies; any other gateway replies with the leader's
+// address. If the report shows requests waiting for a server, the leader plans at once.
 func (p *peerServer) handleReport(c echo.Context) error {
 	var m reportMessage
 	if err := c.Bind(&m); err != nil {
@@ -88,8 +88,8 @@
 	return c.JSON(http.StatusOK, t)
 }
 
-// handleFeed handles a poll for changes in the store. It answers as soon as there is a change or a newer view, and after the
-// hold time at the latest.
+// handleFeed handles a poll for changes in the store. It answers as soon as there is a change or a newer view, and
+// after the hold time at the latest.
 func (p *peerServer) handleFeed(c echo.Context) error {
 	var r feedRequest
 	if err := c.Bind(&r); err != nil {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -40,8 +40,8 @@
 	return errors.Is(context.Cause(f.ctx), errQuarantined)
 }
 
-// refuseQuarantined refuses a request in quarantine. If it has not run, the answer is 503 with the remaining time of the
-// quarantine, during which no gateway sends it. If it may have run, the answer is 502 without a Retry-After.
+// refuseQuarantined refuses a request in quarantine. If it has not run, the answer is 503 with the remaining time of
+// the quarantine, during which no gateway sends it. If it may have run, the answer is 502 without a Retry-After.
 func (f *forwarder) refuseQuarantined() {
 	if f.headerSent.Load() {
 		f.abort(errQuarantined)
--- a/internal/gateway/quarantine_failures_test.go
+++ b/internal/gateway/quarantine_failures_test.go
@@ -68,8 +68,8 @@
 	return caller, servers
 }
 
-// TestQuarantineIsKnownToARestartedGateway checks that a restarted gateway refuses a quarantined request as soon as it is
-// ready.
+// TestQuarantineIsKnownToARestartedGateway checks that a restarted gateway refuses a quarantined request as soon as
+// it is ready.
 func TestQuarantineIsKnownToARestartedGateway(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	caller.awaitQuarantine(3)
@@ -114,8 +114,8 @@
 	caller.checkRefused(servers)
 }
 
-// TestQuarantineOutlastsAllGateways checks that a gateway started after the loss of all gateways reads the quarantine from
-// the store.
+// TestQuarantineOutlastsAllGateways checks that a gateway started after the loss of all gateways reads the quarantine
+// from the store.
 func TestQuarantineOutlastsAllGateways(t *testing.T) {
 	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
@@ -136,8 +136,8 @@
 	caller.checkRefused(servers)
 }
 
-// TestQuarantineWithoutTheStore checks that gateways exchange the quarantine while the store is unreachable and there is
-// no leader.
+// TestQuarantineWithoutTheStore checks that gateways exchange the quarantine while the store is unreachable and there
+// is no leader.
 func TestQuarantineWithoutTheStore(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	caller.env.store.Fail(func(string) error { return errors.New("away") })
@@ -165,8 +165,8 @@
 	assert.Equal(t, code, 1, "there is nothing left to lift")
 }
 
-// TestConcurrentCopies checks that, with copies sent to all gateways concurrently, only copies already in flight at the third
-// termination can terminate further servers.
+// TestConcurrentCopies checks that, with copies sent to all gateways concurrently, only copies already in flight at
+// the third termination can terminate further servers.
 func TestConcurrentCopies(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	atOnce := 2 * len(caller.fronts)
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestQuarantineCancelsWaitingCopy checks that a copy still waiting at a server is cancelled when its request is placed in
-// quarantine: its caller is answered, and the connection to the server is closed.
+// TestQuarantineCancelsWaitingCopy checks that a copy still waiting at a server is cancelled when its request is
+// placed in quarantine: its caller is answered, and the connection to the server is closed.
 func TestQuarantineCancelsWaitingCopy(t *testing.T) {
 	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
 	servers.holdsNext.Store(true)
@@ -227,7 +227,8 @@
 	caller.checkRefused(servers)
 }
 
-// TestConnFailuresAreNoTerminations checks that broken connections and invalid answers do not count as terminations of a server.
+// TestConnFailuresAreNoTerminations checks that broken connections and invalid answers do not count as terminations
+// of a server.
 func TestConnFailuresAreNoTerminations(t *testing.T) {
 	tests := map[string]responder{
 		"the connection is closed": func(*call) bool { return false },
@@ -257,9 +258,9 @@
 	}
 }
 
-// TestCopiesAreSentOneAtATime checks that copies of a request under which a server has terminated are sent one at a time, so that
-// concurrent copies cannot terminate more servers before the quarantine begins. Two more servers terminate, and the
-// other copies are refused.
+// TestCopiesAreSentOneAtATime checks that copies of a request under which a server has terminated are sent one at a
+// time, so that concurrent copies cannot terminate more servers before the quarantine begins. Two more servers
+// terminate, and the other copies are refused.
 func TestCopiesAreSentOneAtATime(t *testing.T) {
 	const copies = 6
 	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
--- a/internal/gateway/quarantine_scale_test.go
+++ b/internal/gateway/quarantine_scale_test.go
@@ -52,9 +52,9 @@
 	return true
 }
 
-// TestQuarantineIsKnownInTime checks that all gateways have a request in quarantine within 2 s of the third termination.
-// Each termination is observed by a random gateway, together with other requests on the same server. Network latency is not
-// simulated.
+// TestQuarantineIsKnownInTime checks that all gateways have a request in quarantine within 2 s of the third
+// termination. Each termination is observed by a random gateway, together with other requests on the same server.
+// Network latency is not simulated.
 func TestQuarantineIsKnownInTime(t *testing.T) {
 	const seeds, requests, step = 20, 24, 10 * time.Millisecond
 	for _, gateways := range []int{6, 24, 103, 340} {
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -29,10 +29,10 @@
 	EndedAtMs int64 `json:"at"`
 }
 
-// A quarantineStore persists the quarantine in the store, so that it survives the loss of all gateways. The leader writes
-// each request once, deletes it when its quarantine is over, and reads all of them when it becomes the leader. Any
-// other gateway reads the store only if it has just started and no other gateway has sent it the quarantine. All other
-// updates are exchanged between gateways.
+// A quarantineStore persists the quarantine in the store, so that it survives the loss of all gateways. The leader
+// writes each request once, deletes it when its quarantine is over, and reads all of them when it becomes the leader.
+// Any other gateway reads the store only if it has just started and no other gateway has sent it the quarantine. All
+// other updates are exchanged between gateways.
 //
 // Its state belongs to the goroutine that calls step.
 type quarantineStore struct {
@@ -54,97 +54,97 @@
 }
 
 // step is called every quarantineStepInterval. A new leader reads the store before it writes to it.
-func (k *quarantineStore) step(now time.Time) {
-	token, held := k.lease.Held()
-	ctx, cancel := context.WithTimeout(k.ctx, k.timeout)
+func (q *quarantineStore) step(now time.Time) {
+	token, held := q.lease.Held()
+	ctx, cancel := context.WithTimeout(q.ctx, q.timeout)
 	defer cancel()
 	switch {
-	case held && token == k.term:
-		k.logHealth(k.save(ctx, now))
+	case held && token == q.term:
+		q.logHealth(q.save(ctx, now))
 	case held:
-		k.logHealth(k.load(ctx))
+		q.logHealth(q.load(ctx))
 	default:
-		k.term = 0
-		k.loadIfUnsynced(ctx, now)
+		q.term = 0
+		q.loadIfUnsynced(ctx, now)
 		return
 	}
-	if !k.failing {
-		k.term = token
+	if !q.failing {
+		q.term = token
 	}
 }
 
 // loadIfUnsynced reads the store if no other gateway has sent the quarantine within quarantineReadDelay.
-func (k *quarantineStore) loadIfUnsynced(ctx context.Context, now time.Time) {
-	if !k.role.synced.Load() && now.Sub(k.role.startedAt) > quarantineReadDelay {
-		k.logHealth(k.load(ctx))
+func (q *quarantineStore) loadIfUnsynced(ctx context.Context, now time.Time) {
+	if !q.role.synced.Load() && now.Sub(q.role.startedAt) > quarantineReadDelay {
+		q.logHealth(q.load(ctx))
 	}
 }
 
 // load reads the stored quarantine and merges it into the table.
-func (k *quarantineStore) load(ctx context.Context) error {
-	entries, _, err := k.keys.ListPrefix(ctx, quarantinePrefix)
+func (q *quarantineStore) load(ctx context.Context) error {
+	entries, _, err := q.keys.ListPrefix(ctx, quarantinePrefix)
 	if err != nil {
 		return err
 	}
-	k.stored = make(map[quarantine.Key]int)
-	now := k.clock.Now()
+	q.stored = make(map[quarantine.Key]int)
+	now := q.clock.Now()
 	var records []quarantine.Record
 	for _, e := range entries {
 		var s storedQuarantine
 		if err := json.Unmarshal(e.Value, &s); err != nil {
-			k.log.Warn("stored quarantine cannot be decoded, ignored", zap.String("key", e.Key), telemetry.Error(err))
+			q.log.Warn("stored quarantine cannot be decoded, ignored", zap.String("key", e.Key), telemetry.Error(err))
 			continue
 		}
 		s.AgeMs = max(now.UnixMilli()-s.EndedAtMs, 0)
 		records = append(records, s.Record)
-		k.stored[s.Key] = len(s.Servers)
+		q.stored[s.Key] = len(s.Servers)
 	}
-	k.role.table.Merge(records)
-	k.role.synced.Store(true)
+	q.role.table.Merge(records)
+	q.role.synced.Store(true)
 	return nil
 }
 
 // save writes new and changed entries and deletes expired ones. After an error, the next step continues.
-func (k *quarantineStore) save(ctx context.Context, now time.Time) error {
+func (q *quarantineStore) save(ctx context.Context, now time.Time) error {
 	held := make(map[quarantine.Key]bool)
-	for _, r := range k.role.table.Held() {
+	for _, r := range q.role.table.Held() {
 		held[r.Key] = true
-		if k.stored[r.Key] == len(r.Servers) {
+		if q.stored[r.Key] == len(r.Servers) {
 			continue
 		}
-		if err := k.put(ctx, r, now); err != nil {
+		if err := q.put(ctx, r, now); err != nil {
 			return err
 		}
 	}
-	for key := range k.stored {
+	for key := range q.stored {
 		if held[key] {
 			continue
 		}
-		if err := k.store.Delete(ctx, quarantinePrefix+key.String(), kv.Any); err != nil {
+		if err := q.store.Delete(ctx, quarantinePrefix+key.String(), kv.Any); err != nil {
 			return err
 		}
-		delete(k.stored, key)
+		delete(q.stored, key)
 	}
 	return nil
 }
 
 // put writes the entry of one request.
-func (k *quarantineStore) put(ctx context.Context, r quarantine.Record, now time.Time) error {
+func (q *quarantineStore) put(ctx context.Context, r quarantine.Record, now time.Time) error {
 	value, err := json.Marshal(storedQuarantine{Record: r, EndedAtMs: now.UnixMilli() - r.AgeMs})
 	if err != nil {
 		return eris.Wrap(err, "gateway: encode quarantine")
 	}
-	if _, err := k.store.Put(ctx, kv.Write{Key: quarantinePrefix + r.Key.String(), Value: value, Expect: kv.Any}); err != nil {
+	if _, err := q.store.Put(ctx, kv.Write{Key: quarantinePrefix + r.Key.String(), Value: value, Expect: kv.Any}); err != nil {
 		return err
 	}
-	k.stored[r.Key] = len(r.Servers)
+	q.stored[r.Key] = len(r.Servers)
 	return nil
 }
 
 // logHealth logs the first failure of a series, and the first success after it.
-func (k *quarantineStore) logHealth(err error) {
-	if failing := err != nil; failing != k.failing {
-		k.failing = failing
-		k.log.Info("access to the stored quarantine", zap.Bool("ok", !failing), telemetry.Error(err))
+func (q *quarantineStore) logHealth(err error) {
+	if failing := err != nil; failing != q.failing {
+		q.failing = failing
+		q.log.Info("access to the stored quarantine", zap.Bool("ok", !failing), telemetry.Error(err))
 	}
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -17,8 +17,8 @@
 // poison is the body of a request that terminates the server running it.
 const poison = "ends whoever runs it"
 
-// propagationTime is the maximum time until all gateways know of the third termination. maxLateSends is the number of sends
-// allowed after it. Both are requirements of the platform.
+// propagationTime is the maximum time until all gateways know of the third termination. maxLateSends is the number of
+// sends allowed after it. Both are requirements of the platform.
 const (
 	propagationTime = 3 * time.Second
 	maxLateSends    = 3
@@ -27,8 +27,8 @@
 // restartTime is the time from the termination of a crashing server to its restart.
 const restartTime = 300 * time.Millisecond
 
-// crashingServers terminate when they receive poison, and restart after restartTime as a new instance at the same address.
-// They answer all other requests.
+// crashingServers terminate when they receive poison, and restart after restartTime as a new instance at the same
+// address. They answer all other requests.
 type crashingServers struct {
 	t       *testing.T
 	rest    responder
@@ -104,7 +104,8 @@
 	f.restarts.Wait()
 }
 
-// A copySender sends copies of one request to gateways in turn, each with a new request id and from a different address.
+// A copySender sends copies of one request to gateways in turn, each with a new request id and from a different
+// address.
 type copySender struct {
 	env    *testEnv
 	fronts []string
@@ -124,9 +125,9 @@
 	return doWith(&http.Client{Transport: transport}, req)
 }
 
-// TestRequestThatTerminatesServers checks that a request that terminates servers is quarantined at all gateways. Without
-// that, a caller that resends the request under a new id, to a different gateway each time, terminates one server after
-// another.
+// TestRequestThatTerminatesServers checks that a request that terminates servers is quarantined at all gateways.
+// Without that, a caller that resends the request under a new id, to a different gateway each time, terminates one
+// server after another.
 func TestRequestThatTerminatesServers(t *testing.T) {
 	const pace = 100 * time.Millisecond
 	env, servers := newCrashingEnv(t, 12, answer(http.StatusOK, "fine"))
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -43,8 +43,8 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// Values of Retry-After. Under load they are short: capacity becomes free with each finished request, and a request that
-// is sent again waits in the gateway for a server.
+// Values of Retry-After. Under load they are short: capacity becomes free with each finished request, and a request
+// that is sent again waits in the gateway for a server.
 const (
 	// minRetryAfter is the shortest Retry-After.
 	minRetryAfter = 200 * time.Millisecond
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -66,8 +66,8 @@
 	wasLeader bool
 	// leader is the leader's address according to the last reply; empty if it is not known.
 	leader string
-	// leaseAddr is the leader's address in the lease's record. staleLeaseAddr is an address from that record whose gateway
-	// has replied that it is not the leader.
+	// leaseAddr is the leader's address in the lease's record. staleLeaseAddr is an address from that record whose
+	// gateway has replied that it is not the leader.
 	leaseAddr, staleLeaseAddr string
 	// term is the token of the leader that replied last. The fields below hold what was exchanged with that leader.
 	term             int64
@@ -86,8 +86,8 @@
 	}
 }
 
-// wait returns when the next report is due: after the report interval less the duration of the last report, or as soon as a
-// report is urgent, but not before minReportInterval.
+// wait returns when the next report is due: after the report interval less the duration of the last report, or as
+// soon as a report is urgent, but not before minReportInterval.
 func (r *reporter) wait(ctx context.Context, started time.Time) {
 	interval := placer.ReportInterval(r.gateways.count())
 	total := max(interval-r.clock.Now().Sub(started), minReportInterval)
@@ -194,8 +194,8 @@
 	return ""
 }
 
-// reportFailed forgets a leader that did not reply. With probability 1/2 it selects a random other gateway as the next target,
-// because the store's record may not show a new leader yet.
+// reportFailed forgets a leader that did not reply. With probability 1/2 it selects a random other gateway as the
+// next target, because the store's record may not show a new leader yet.
 func (r *reporter) reportFailed(addr string, err error) {
 	if !r.failing {
 		r.failing = true
@@ -250,8 +250,8 @@
 	r.dispatcher.SetRemote(a.Loads, a.BusiestOnly)
 }
 
-// recordSent records what the leader now knows. A new leader has received only changes relative to its predecessor's last
-// reply, so the next report is complete.
+// recordSent records what the leader now knows. A new leader has received only changes relative to its predecessor's
+// last reply, so the next report is complete.
 func (r *reporter) recordSent(a placer.Reply, demands map[string]dispatch.Demand) {
 	r.residencyVersion = a.ResidencyVersion
 	r.gatewaysVersion = a.GatewaysVersion
--- a/internal/gateway/reporter_test.go
+++ b/internal/gateway/reporter_test.go
@@ -55,8 +55,8 @@
 	return store
 }
 
-// TestGatewayCutFromTheStoreLearnsOfChanges checks that a gateway without access to the store receives changes of servers
-// and of the configuration from the leader.
+// TestGatewayCutFromTheStoreLearnsOfChanges checks that a gateway without access to the store receives changes of
+// servers and of the configuration from the leader.
 func TestGatewayCutFromTheStoreLearnsOfChanges(t *testing.T) {
 	first, second := newFakeServer(t, "s1", answer(http.StatusOK, "one")), newFakeServer(t, "s2", answer(http.StatusOK, "two"))
 	env := newTestEnv(t, first)
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// requestEnded counts and logs a finished request. Lines about answered and quarantined requests are rate-limited; the next
-// line contains the number of suppressed ones.
+// requestEnded counts and logs a finished request. Lines about answered and quarantined requests are rate-limited;
+// the next line contains the number of suppressed ones.
 func (l *requestLog) requestEnded(in *inbound, req *dispatch.Request, r *record) {
 	now := l.clock.Now()
 	first := r.untilFirstByte(in)
@@ -232,8 +232,8 @@
 	}
 }
 
-// refusedEarly logs a request that was refused before it waited for a server. Lines about requests over a rate limit are
-// rate-limited.
+// refusedEarly logs a request that was refused before it waited for a server. Lines about requests over a rate limit
+// are rate-limited.
 func (l *requestLog) refusedEarly(r *http.Request, f *refusal) {
 	suppressed := zap.Skip()
 	if f.status == http.StatusTooManyRequests {
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// TestRequestSmuggling checks that a request with both Content-Length and chunked encoding cannot smuggle a second request.
+// TestRequestSmuggling checks that a request with both Content-Length and chunked encoding cannot smuggle a second
+// request.
 func TestRequestSmuggling(t *testing.T) {
 	server := newFakeServer(t, "a", answer(200, "ok"))
 	env := newTestEnv(t, server)
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -10,7 +10,8 @@
 	"rockcleat/table"
 )
 
-// retryBudgetFraction is the fraction of the retry budget that is used. The rest covers clock differences between gateways.
+// retryBudgetFraction is the fraction of the retry budget that is used. The rest covers clock differences between
+// gateways.
 const retryBudgetFraction = 0.8
 
 // retryBudgets holds the retry budget of each service. All gateways share the budgets: each may use a ratio of its own
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -58,7 +58,8 @@
 	return err
 }
 
-// handleNoAnswer handles a send that failed before an answer's header arrived. It reports whether the request is finished.
+// handleNoAnswer handles a send that failed before an answer's header arrived. It reports whether the request is
+// finished.
 func (f *forwarder) handleNoAnswer(res *dispatch.Reservation, err error) bool {
 	if f.isCallerGone() {
 		res.Done(dispatch.Abandoned)
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// noteServerLimit records the rate limit in an answer. It ignores answers to other requests and answers of a misdirected
-// server, which belong to another server. sent is when the request was sent.
+// noteServerLimit records the rate limit in an answer. It ignores answers to other requests and answers of a
+// misdirected server, which belong to another server. sent is when the request was sent.
 func (f *forwarder) noteServerLimit(res *dispatch.Reservation, resp *http.Response, sent time.Time) {
 	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(f.proxy.names.RequestID) != f.in.id {
 		return
@@ -117,8 +118,8 @@
 	return sendOnceContext(ctx, out)
 }
 
-// sendOnceContext returns r with ctx. It keeps the transport from repeating a request without a body, which it does when
-// a reused connection breaks.
+// sendOnceContext returns r with ctx. It keeps the transport from repeating a request without a body, which it does
+// when a reused connection breaks.
 func sendOnceContext(ctx context.Context, r *http.Request) *http.Request {
 	if r.Body == nil {
 		r.Body = emptyBody{}
--- a/internal/gateway/server_ends.go
+++ b/internal/gateway/server_ends.go
@@ -17,8 +17,8 @@
 
 // Parameters of the detection of terminated servers.
 const (
-	// delistWindow is how long after a connection failed the server counts as terminated if it leaves the list. It covers
-	// three heartbeats of 1.2 s and the time to notice the change.
+	// delistWindow is how long after a connection failed the server counts as terminated if it leaves the list. It
+	// covers three heartbeats of 1.2 s and the time to notice the change.
 	delistWindow = 6 * time.Second
 	// maxSuspects is the maximum number of requests that the termination of one server is attributed to.
 	maxSuspects = 256
@@ -37,8 +37,8 @@
 	suspects []quarantine.Key
 }
 
-// A terminationDetector detects that a server has terminated, and attributes the termination to all requests whose connection
-// failed at that time, since any of them may be the cause. It is safe for concurrent use.
+// A terminationDetector detects that a server has terminated, and attributes the termination to all requests whose
+// connection failed at that time, since any of them may be the cause. It is safe for concurrent use.
 //
 // A failed connection alone does not count, because network links fail, answers are cut short and gateways are paused.
 // A server has terminated if nothing listens at its address any more or if the platform removes the instance from its
@@ -100,8 +100,8 @@
 	return true
 }
 
-// probe tests whether a server is alive. If the server accepts a connection, the requests that failed before the attempt
-// failed for other reasons; those that failed later need another attempt.
+// probe tests whether a server is alive. If the server accepts a connection, the requests that failed before the
+// attempt failed for other reasons; those that failed later need another attempt.
 func (d *terminationDetector) probe(b *failedServer) {
 	before := 0
 	p := wire.Probe{Clock: d.clock, Connect: d.dial, BeforeAttempt: func() { before = d.suspectCount(b) }}
@@ -123,8 +123,8 @@
 	return len(b.suspects)
 }
 
-// applyProbe applies the result of a connection attempt. before is the number of suspects when the attempt began. It reports
-// whether another attempt is needed for later suspects.
+// applyProbe applies the result of a connection attempt. before is the number of suspects when the attempt began. It
+// reports whether another attempt is needed for later suspects.
 func (d *terminationDetector) applyProbe(b *failedServer, before int, result wire.ProbeResult) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -181,8 +181,8 @@
 	}
 }
 
-// isConnFailure reports whether a send failed because its connection did, and not because of a timeout, a cancellation or an
-// invalid answer.
+// isConnFailure reports whether a send failed because its connection did, and not because of a timeout, a
+// cancellation or an invalid answer.
 func isConnFailure(err error) bool {
 	var timeout net.Error
 	switch {
--- a/internal/gateway/server_ends_test.go
+++ b/internal/gateway/server_ends_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestTerminationAfterConnFailure checks that a termination is attributed only to requests whose connection failed after the last
-// successful probe.
+// TestTerminationAfterConnFailure checks that a termination is attributed only to requests whose connection failed
+// after the last successful probe.
 func TestTerminationAfterConnFailure(t *testing.T) {
 	first, second := quarantine.KeyOf(quarantine.Request{Target: "/1"}), quarantine.KeyOf(quarantine.Request{Target: "/2"})
 	server := backend.Server{ID: "s", Service: "app", Addr: "10.0.0.1:1"}
--- a/internal/gateway/server_limit_failures_test.go
+++ b/internal/gateway/server_limit_failures_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestServerIsUsedAgain checks that all requests are served again within seconds after the only servers of a service stop
-// announcing a rate limit.
+// TestServerIsUsedAgain checks that all requests are served again within seconds after the only servers of a service
+// stop announcing a rate limit.
 func TestServerIsUsedAgain(t *testing.T) {
 	for name, limit := range map[string]string{"few": "2", "none": "0"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/server_limit_scale_test.go
+++ b/internal/gateway/server_limit_scale_test.go
@@ -50,9 +50,9 @@
 	return true
 }
 
-// TestServerLimitsAreKnownInTime checks that rate limits announced by all servers of a data hall, each to one gateway only,
-// reach all gateways within 2 s, which leaves the rest of propagationTime for requests for permits. It also checks the
-// traffic per gateway while the limits stay in force.
+// TestServerLimitsAreKnownInTime checks that rate limits announced by all servers of a data hall, each to one gateway
+// only, reach all gateways within 2 s, which leaves the rest of propagationTime for requests for permits. It also
+// checks the traffic per gateway while the limits stay in force.
 func TestServerLimitsAreKnownInTime(t *testing.T) {
 	const (
 		servers = 146
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -13,8 +13,8 @@
 	"rockcleat/backend"
 )
 
-// Requirements for a rate-limited server: from propagationTime after it first announced a limit, any limitWindow may contain
-// at most limitFactor times the requests that the limit allows, plus limitSlack.
+// Requirements for a rate-limited server: from propagationTime after it first announced a limit, any limitWindow may
+// contain at most limitFactor times the requests that the limit allows, plus limitSlack.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
@@ -82,8 +82,8 @@
 // countSince returns the number of requests received since a time.
 func (s *throttledServer) countSince(from time.Time) int { return s.countBetween(from, time.Now()) }
 
-// mostInWindow returns the largest number of requests in any limitWindow, starting propagationTime after the limit was first
-// announced.
+// mostInWindow returns the largest number of requests in any limitWindow, starting propagationTime after the limit
+// was first announced.
 func (s *throttledServer) mostInWindow() int {
 	s.mu.Lock()
 	from := s.announcedAt.Add(propagationTime - limitWindow)
@@ -142,9 +142,9 @@
 	c.results = append(c.results, result{reply: got, sent: sent.Sub(began), took: time.Since(sent)})
 }
 
-// checkRefusals checks that all requests that were not served were refused with a Retry-After. It also checks that, of the
-// requests sent later than after the start by after, no more waited before their refusal than were served in total. It
-// returns the number of refusals among them.
+// checkRefusals checks that all requests that were not served were refused with a Retry-After. It also checks that,
+// of the requests sent later than after the start by after, no more waited before their refusal than were served in
+// total. It returns the number of refusals among them.
 func (c *loadGenerator) checkRefusals(t *testing.T, after time.Duration) int {
 	t.Helper()
 	const atOnce = 150 * time.Millisecond
@@ -171,8 +171,8 @@
 	return refused
 }
 
-// TestServerLimitIsKept checks that all gateways together respect a rate limit that a server announces. A server announces
-// its limit in an answer to one gateway, so each gateway on its own would exceed it.
+// TestServerLimitIsKept checks that all gateways together respect a rate limit that a server announces. A server
+// announces its limit in an answer to one gateway, so each gateway on its own would exceed it.
 func TestServerLimitIsKept(t *testing.T) {
 	const (
 		perSecond  = 2.0
--- a/internal/gateway/server_limits.go
+++ b/internal/gateway/server_limits.go
@@ -10,16 +10,16 @@
 	"rockcleat/serverlimit"
 )
 
-// permitRetryDelay is how long to wait before the owner of a server's rate limit is asked again, after it did not answer
-// or did not know how much it may grant.
+// permitRetryDelay is how long to wait before the owner of a server's rate limit is asked again, after it did not
+// answer or did not know how much it may grant.
 const permitRetryDelay = 200 * time.Millisecond
 
 // serverLimits enforces the rate limits that backend servers announce, together with the other gateways. It implements
 // dispatch.Permits.
 //
-// A server announces its limit in an answer to one gateway, but the limit applies to all gateways. The table distributes
-// it with each report to the leader and each request for a permit. The limiter assigns each limit an owner, a gateway
-// that grants permits to all others.
+// A server announces its limit in an answer to one gateway, but the limit applies to all gateways. The table
+// distributes it with each report to the leader and each request for a permit. The limiter assigns each limit an
+// owner, a gateway that grants permits to all others.
 type serverLimits struct {
 	*serverlimit.Table
 	limiter *quota.Limiter
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -54,8 +54,8 @@
 	s.listChanged(s.registry.Apply(changes, s.clock.Now()))
 }
 
-// listChanged logs restarted and excluded servers and notifies the sink. State kept about a restarted server needs no reset,
-// because each instance has its own ID.
+// listChanged logs restarted and excluded servers and notifies the sink. State kept about a restarted server needs no
+// reset, because each instance has its own ID.
 func (s *serverList) listChanged(restarts []backend.Restart) {
 	for _, r := range restarts {
 		s.log.Info("server restarted", zap.String("server", r.Now.ID), zap.String("former", r.Former.ID),
@@ -89,8 +89,8 @@
 // unusableDigest is the digest of all entries that cannot be decoded.
 const unusableDigest = 1
 
-// digest returns a digest of the parts of an entry that other gateways need. For a server these are its Listing and, while
-// the leader does not publish the server's residency, the residents in the entry.
+// digest returns a digest of the parts of an entry that other gateways need. For a server these are its Listing and,
+// while the leader does not publish the server's residency, the residents in the entry.
 func (s *serverList) digest(prefix string, e kv.Entry) uint64 {
 	if prefix != s.decoder.ServerPrefix() {
 		return uint64(e.Revision)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -23,8 +23,8 @@
 	return done
 }
 
-// TestStop checks that a stop makes the gateway unready, aborts no answer, and still serves requests that arrive before the
-// load balancer has noticed.
+// TestStop checks that a stop makes the gateway unready, aborts no answer, and still serves requests that arrive
+// before the load balancer has noticed.
 func TestStop(t *testing.T) {
 	release := make(chan struct{})
 	server := newFakeServer(t, "a", func(c *call) bool {
@@ -123,8 +123,8 @@
 	return conn
 }
 
-// TestStopAnswersWaitingRequests checks that requests waiting for a server or for an answer are answered before the process
-// ends.
+// TestStopAnswersWaitingRequests checks that requests waiting for a server or for an answer are answered before the
+// process ends.
 func TestStopAnswersWaitingRequests(t *testing.T) {
 	server := newFakeServer(t, "a", func(c *call) bool { <-c.gone; return false })
 	env := newTestEnv(t, server)
--- a/internal/gateway/store_calls_test.go
+++ b/internal/gateway/store_calls_test.go
@@ -12,8 +12,8 @@
 // storeCalls lists all kinds of calls to the store.
 var storeCalls = []string{"get", "list", "watch", "put", "delete", "grant", "keep", "revoke"}
 
-// TestStoreCallRate checks that no loop calls the store without a pause, whatever error the store returns, both
-// when the gateway starts and when it leads. The limit is one gateway's share of the store's capacity of 2,000 reads per
+// TestStoreCallRate checks that no loop calls the store without a pause, whatever error the store returns, both when
+// the gateway starts and when it leads. The limit is one gateway's share of the store's capacity of 2,000 reads per
 // second, for 24 gateways.
 func TestStoreCallRate(t *testing.T) {
 	const (
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -8,8 +8,8 @@
 	"rockcleat/kv"
 )
 
-// serverWriteTime is the time within which each live backend server writes its record again after the store was restored
-// from a backup. Servers normally need about 2 s.
+// serverWriteTime is the time within which each live backend server writes its record again after the store was
+// restored from a backup. Servers normally need about 2 s.
 const serverWriteTime = 3 * time.Second
 
 // serverRecords implements kv.Writers for the records that backend servers write periodically.
--- a/internal/gateway/store_copy_test.go
+++ b/internal/gateway/store_copy_test.go
@@ -70,7 +70,8 @@
 	}, poll.WithTimeout(5*time.Second))
 }
 
-// TestStoreCallsAfterRestore checks that a restore of the store causes at most twice as many calls to it as the loss of the leader.
+// TestStoreCallsAfterRestore checks that a restore of the store causes at most twice as many calls to it as the loss
+// of the leader.
 func TestStoreCallsAfterRestore(t *testing.T) {
 	// after covers the time without a leader and the first round of the next one.
 	const after = 6 * time.Second
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -93,8 +93,8 @@
 	return true
 }
 
-// forwardEvent sends one event to the caller, and the header before the first one. It returns an error if the caller has
-// disconnected.
+// forwardEvent sends one event to the caller, and the header before the first one. It returns an error if the caller
+// has disconnected.
 func (f *forwarder) forwardEvent(resp *http.Response, event []byte) error {
 	if !f.headerSent.Load() {
 		f.beginAnswer(resp)
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -8,8 +8,8 @@
 	"rockcleat/quarantine"
 )
 
-// A copySerializer serialises the copies of a request under which a server has terminated: only one copy is sent at a time, so
-// that copies sent together cannot terminate several servers before the first termination is detected.
+// A copySerializer serialises the copies of a request under which a server has terminated: only one copy is sent at a
+// time, so that copies sent together cannot terminate several servers before the first termination is detected.
 //
 // Its zero value is ready to use. It is safe for concurrent use.
 type copySerializer struct {
@@ -33,8 +33,8 @@
 	}
 }
 
-// tryAcquire makes the caller's copy the active one if there is none. Otherwise it returns a channel that is closed when the
-// active copy has finished.
+// tryAcquire makes the caller's copy the active one if there is none. Otherwise it returns a channel that is closed
+// when the active copy has finished.
 func (s *copySerializer) tryAcquire(key quarantine.Key) (ended chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -22,8 +22,8 @@
 	return env, machine
 }
 
-// TestSuspendedGatewayNoLongerLeads checks that a leader suspended for longer than its lease stops leading when it resumes,
-// without having to ask the store.
+// TestSuspendedGatewayNoLongerLeads checks that a leader suspended for longer than its lease stops leading when it
+// resumes, without having to ask the store.
 func TestSuspendedGatewayNoLongerLeads(t *testing.T) {
 	env, machine := newSuspendableEnv(t)
 	machine.Suspend(10 * time.Second)
