--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -38,7 +38,7 @@
 	fixed, holdsNext atomic.Bool
 	// env is where restarted servers are listed.
 	env *testEnv
-	// mu guards over, which says that no more restarts may be scheduled. restarts counts the pending ones.
+	// mu guards stopped, which says that no more restarts may be scheduled. restarts counts the pending ones.
 	mu       sync.Mutex
 	stopped  bool
 	restarts sync.WaitGroup
--- a/internal/gateway/server_ends_test.go
+++ b/internal/gateway/server_ends_test.go
@@ -56,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := clocktest.New(time.Unix(1000, 0))
 			registry := &backend.Registry{}
-			// The registry needs other servers of the service: it does not remove a service's only server.
+			// The service has other servers, since the registry retains those of a service that lost more than half.
 			registry.Replace([]backend.Server{server, {ID: "other", Service: "app"}, {ID: "third", Service: "app"}}, c.Now())
 			if test.before != nil {
 				test.before(registry, c.Now())
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -172,7 +172,7 @@
 }
 
 // TestServerLimitIsKept checks that all gateways together respect a rate limit that a server announces. A server
-// announces its limit in an answer to one gateway, so each gateway on its own would exceed it.
+// announces its limit in an answer to one gateway, which has to inform the others.
 func TestServerLimitIsKept(t *testing.T) {
 	const (
 		perSecond  = 2.0
