--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -79,7 +79,7 @@
 	s.registry.MergeResidency(held, now)
 }
 
-// expire removes outdated residency.
+// expire removes outdated residency and servers that left the list some time ago.
 func (s *serverList) expire(now time.Time) {
 	if s.registry.Expire(now) {
 		s.refresh()
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -54,7 +54,7 @@
 	return s
 }
 
-// timedOut cancels the send if another server can take the request, and otherwise restarts the timer.
+// timedOut cancels the send if the request can be sent to another server, and otherwise restarts the timer.
 func (s *stallTimer) timedOut() {
 	if s.stopped.Load() {
 		return
