--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// storeRestored handles the restoration of the store from a backup: writes since the backup are lost, including the
+// storeRestored handles the restoration of the store from a backup: writes since the backup, such as the lease, are lost.
 func (g *Gateway) storeRestored(era int64) {
 	g.log.Warn("store came back from a copy", zap.Int64("era", era))
 	g.lease.EndEra(era)
