--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -15,51 +15,49 @@
 	"rockcleat/clock"
 )
 
-// connState is the state of a caller's connection.
 type connState int
 
-// The states of a connection; it goes round from connReading on with each request.
+// States of a connection. After the first request it cycles through connReadingHeader, connActive and connIdle.
 const (
-	// connFresh has not carried a byte yet.
-	connFresh connState = iota
-	// connReading has carried a part of a request's header.
-	connReading
-	// connServing has a request that is being answered.
-	connServing
-	// connResting waits for its next request.
-	connResting
-	// connRefused got an answer that its header took too long.
-	connRefused
+	// connNew: no byte has been received yet.
+	connNew connState = iota
+	// connReadingHeader: a request header has been received in part.
+	connReadingHeader
+	// connActive: a request is being answered.
+	connActive
+	// connIdle: the connection is idle between two requests.
+	connIdle
+	// connTimedOut: a 408 was sent because the header took too long.
+	connTimedOut
 )
 
-// connEnd is whether a connection is being ended: its read deadline is then past, so that
-// a read returns.
+// connEnd says whether a connection is being ended. A connection is ended by setting its read deadline to a time in
+// the past, so that a pending read returns.
 type connEnd int
 
-// The ways of ending a connection.
 const (
-	// endNot: it goes on, and reads have the server's deadline.
-	endNot connEnd = iota
-	// endIfUnused: it ends unless a request is coming.
-	endIfUnused
-	// endAlways: it ends, whether or not a request has come.
+	// endNever: the connection stays open, and reads use the deadline that http.Server set.
+	endNever connEnd = iota
+	// endIfIdle: the connection ends unless bytes of a request have arrived.
+	endIfIdle
+	// endAlways: the connection ends even if bytes of a request have arrived.
 	endAlways
 )
 
-// A callerConn is a caller's connection that can be ended between two requests.
+// A callerConn is a caller's connection that can be closed between requests without losing one.
 //
-// http.Server takes a connection for idle until a header has been read whole, so its
-// own shutdown can close one whose request is being read, and it drops what it has
-// read by then. A callerConn looks at the bytes themselves.
+// http.Server considers a connection idle until it has read a complete header. Its Shutdown can therefore close
+// a connection while a request is being read, and discard what was read. A callerConn tracks the received bytes
+// instead.
 type callerConn struct {
 	*net.TCPConn
 	clock clock.Service
 
 	mu    sync.Mutex
 	state connState
-	// since is when the state began.
+	// since is the time at which the current state was entered.
 	since time.Time
-	// deadline is the server's own bound on reads, in force while end is endNot.
+	// deadline is the read deadline that http.Server set; it applies while end is endNever.
 	deadline time.Time
 	end      connEnd
 }
@@ -68,8 +66,7 @@
 	return &callerConn{TCPConn: conn, clock: c, since: c.Now()}
 }
 
-// Read reads as the connection does, and returns io.EOF on one that was ended while
-// it waited for a request.
+// Read reads from the connection. It returns io.EOF if the connection was ended while it waited for a request.
 func (c *callerConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.TCPConn.Read(p)
@@ -89,130 +86,127 @@
 	}
 }
 
-// SetReadDeadline sets the server's bound on reads.
+// SetReadDeadline stores the deadline of http.Server, and applies it unless the connection is being ended.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	if c.end != endNot {
+	if c.end != endNever {
 		return nil
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// readVerdict says what follows from a read whose deadline has passed.
-type readVerdict int
+// readResult says how Read continues after its deadline has passed.
+type readResult int
 
 const (
-	// readTimedOut: the deadline was the server's own.
-	readTimedOut readVerdict = iota
-	// readEnded: the connection was ended and nothing has come on it.
+	// readTimedOut: http.Server's own deadline has passed.
+	readTimedOut readResult = iota
+	// readEnded: the connection was ended.
 	readEnded
-	// readAgain: it was to be ended, but a request is coming.
-	readAgain
+	// readRetry: bytes of a request have arrived on a connection that was to be ended only if idle.
+	readRetry
 )
 
-func (c *callerConn) afterDeadline() readVerdict {
+func (c *callerConn) afterDeadline() readResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.end == endNot:
+	case c.end == endNever:
 		return readTimedOut
-	case c.end == endAlways, c.waits() && !hasUnread(c.TCPConn):
+	case c.end == endAlways, c.isIdle() && !hasUnread(c.TCPConn):
 		return readEnded
 	}
-	c.end = endNot
+	c.end = endNever
 	if c.TCPConn.SetReadDeadline(c.deadline) != nil {
 		return readEnded
 	}
-	return readAgain
+	return readRetry
 }
 
-// waits reports whether no byte of a request has been read.
-func (c *callerConn) waits() bool { return c.state == connFresh || c.state == connResting }
+// isIdle reports whether no byte of the next request has been read. The caller must hold c.mu.
+func (c *callerConn) isIdle() bool { return c.state == connNew || c.state == connIdle }
 
-func (c *callerConn) enter(s connState) {
+func (c *callerConn) setState(s connState) {
 	c.state = s
 	c.since = c.clock.Now()
 }
 
-// received notes that bytes were read.
+// received records that bytes were read.
 func (c *callerConn) received() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waits() {
-		c.enter(connReading)
+	if c.isIdle() {
+		c.setState(connReadingHeader)
 	}
 }
 
-// begin notes that a request's header has been read whole, and reports whether the
-// request may be served.
-func (c *callerConn) begin() bool {
+// beginRequest records that a complete request header was read, and reports whether the request may be served.
+func (c *callerConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == connRefused {
+	if c.state == connTimedOut {
 		return false
 	}
-	c.enter(connServing)
+	c.setState(connActive)
 	return true
 }
 
-// rest notes that an answer is over and the connection waits for a request; last says that
-// it is to take none.
-func (c *callerConn) rest(last bool) {
+// becomeIdle records that an answer is complete and the connection is idle. If last is set, the connection is ended.
+func (c *callerConn) becomeIdle(last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.enter(connResting)
+	c.setState(connIdle)
 	if last {
 		c.endReads(endAlways)
 	}
 }
 
-// endReads makes reads return; the connection is locked. One that takes no deadline is
-// closed already.
+// endReads makes pending and later reads return. The caller must hold c.mu. SetReadDeadline fails only on a closed
+// connection, whose reads return anyway.
 func (c *callerConn) endReads(how connEnd) {
 	c.end = how
-	_ = c.TCPConn.SetReadDeadline(past)
+	_ = c.TCPConn.SetReadDeadline(expiredDeadline)
 }
 
-// endWaiting ends the connection if it has waited for a request for longer than it may.
-func (c *callerConn) endWaiting(now time.Time, fresh, resting time.Duration) {
+// endIdle ends the connection if it has been idle for at least idleLimit, or unusedLimit if it never carried a byte.
+func (c *callerConn) endIdle(now time.Time, unusedLimit, idleLimit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	limit := resting
-	if c.state == connFresh {
-		limit = fresh
+	limit := idleLimit
+	if c.state == connNew {
+		limit = unusedLimit
 	}
-	if !c.waits() || c.end != endNot || now.Sub(c.since) < limit {
+	if !c.isIdle() || c.end != endNever || now.Sub(c.since) < limit {
 		return
 	}
-	c.endReads(endIfUnused)
+	c.endReads(endIfIdle)
 }
 
-// past is a deadline that ends a read at once.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that makes a read return immediately.
+var expiredDeadline = time.Unix(1, 0)
 
-// refuseSlow answers 408 and closes the connection if its header has taken longer
-// than limit.
-func (c *callerConn) refuseSlow(now time.Time, limit time.Duration) {
+// refuseSlowHeader answers 408 and closes the connection if its header has been incomplete for at least limit.
+func (c *callerConn) refuseSlowHeader(now time.Time, limit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state != connReading || now.Sub(c.since) < limit {
+	if c.state != connReadingHeader || now.Sub(c.since) < limit {
 		return
 	}
-	c.enter(connRefused)
-	// Errors need nothing done: the connection is closed either way.
+	c.setState(connTimedOut)
+	// Errors are ignored: the connection is closed in any case.
 	answer := http.Response{StatusCode: http.StatusRequestTimeout, ProtoMajor: 1, ProtoMinor: 1, Close: true}
-	_ = c.SetWriteDeadline(clock.SystemDeadline(refusalTime))
+	_ = c.SetWriteDeadline(clock.SystemDeadline(refusalWriteTimeout))
 	_ = answer.Write(c.TCPConn)
 	_ = c.TCPConn.Close()
 }
 
-// refusalTime bounds the sending of a refusal that nobody may be reading.
-const refusalTime = 50 * time.Millisecond
+// refusalWriteTimeout is the write timeout of a 408 answer.
+const refusalWriteTimeout = 50 * time.Millisecond
 
-// hasUnread reports whether bytes have come on a connection that nobody has read. One whose
-// state cannot be read is closed: it has none.
+// hasUnread reports whether the socket's receive buffer holds unread bytes. It returns false if the socket cannot
+// be queried, which means that it is closed.
 func hasUnread(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -10,42 +10,42 @@
 	"rockcleat/relay"
 )
 
-// A directory holds the list of gateways that the leader last sent. It is safe for
-// concurrent use.
+// A directory holds the list of gateways that the leader last sent. It is safe for concurrent use. All addresses
+// in it are peer addresses, at which gateways receive messages from one another.
 type directory struct {
-	// self is where this gateway takes messages.
+	// self is the address of this gateway.
 	self string
 
 	mu sync.Mutex
-	// addrs is where each gateway takes messages, by id; others lists the other ones.
-	addrs  map[string]string
-	others []string
-	number int
-	// listed is the list itself.
-	listed []placer.Gateway
-	// leader is where the gateway takes messages that replied last that it leads.
+	// addrs maps gateway ids to addresses. others holds the addresses of all gateways but this one.
+	addrs        map[string]string
+	others       []string
+	gatewayCount int
+	// gateways is the list as the leader sent it.
+	gateways []placer.Gateway
+	// leader is the address of the gateway that last replied as the leader; empty if there is none.
 	leader string
-	// tree is that of the listed gateways.
+	// tree is the distribution tree of the listed gateways.
 	tree *relay.Tree
-	// seeds are where the gateways take messages that the settings name, without this one; isSeed
-	// says that it is one of them.
+	// seeds holds the addresses of gateways from the settings, without this one. isSeed says that the settings
+	// name this gateway.
 	seeds  []string
 	isSeed bool
-	// firstStart says that the whole system starts for the first time.
+	// firstStart says that the whole system is started for the first time.
 	firstStart bool
 }
 
-// newDirectory returns a directory that assumes a number of gateways until it has a list; seeds are
-// where some of them take messages.
+// newDirectory returns a directory that assumes the given number of gateways until it receives a list. seeds are
+// the addresses in the settings.
 func newDirectory(self string, assumed int, seeds []string, firstStart bool) *directory {
 	others := slices.DeleteFunc(slices.Clone(seeds), func(addr string) bool { return addr == self })
 	return &directory{
-		self: self, number: assumed, tree: relay.New(nil), seeds: others, isSeed: len(others) < len(seeds),
+		self: self, gatewayCount: assumed, tree: relay.New(nil), seeds: others, isSeed: len(others) < len(seeds),
 		firstStart: firstStart,
 	}
 }
 
-// set sets the list and returns it as a Dispatcher needs it.
+// set replaces the list of gateways and returns it in the form that dispatch.Dispatcher takes.
 func (d *directory) set(gateways []placer.Gateway) []dispatch.Gateway {
 	list := make([]dispatch.Gateway, len(gateways))
 	addrs := make(map[string]string, len(gateways))
@@ -61,18 +61,17 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.addrs, d.others, d.number, d.listed, d.tree = addrs, others, len(gateways), gateways, relay.New(members)
+	d.addrs, d.others, d.gatewayCount, d.gateways, d.tree = addrs, others, len(gateways), gateways, relay.New(members)
 	return list
 }
 
-// list returns the gateways that the leader last sent.
 func (d *directory) list() []placer.Gateway {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.listed
+	return d.gateways
 }
 
-// noteLeader notes whether the gateway at an address replied that it leads.
+// noteLeader records whether the gateway at an address replied as the leader.
 func (d *directory) noteLeader(addr string, leads bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,8 +83,8 @@
 	}
 }
 
-// leaderOr returns where the leader takes messages: as it replied itself, or else as the lease's
-// record says.
+// leaderOr returns the address of the gateway that last replied as the leader, or record, the address in the
+// lease's record, if there is none.
 func (d *directory) leaderOr(record string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,40 +98,39 @@
 func (d *directory) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(d.number, 1)
+	return max(d.gatewayCount, 1)
 }
 
-// isListed reports whether the list of gateways is known.
+// isListed reports whether a list of gateways has been received.
 func (d *directory) isListed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.addrs) > 0
 }
 
-// addr returns where a gateway takes messages; empty if that is not known.
+// addr returns the address of a gateway, or an empty string if it is not known.
 func (d *directory) addr(id string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addrs[id]
 }
 
-// random returns where any other gateway but one takes messages, by the list or else by the settings;
-// empty if there is none.
-func (d *directory) random(but string) string {
+// random returns the address of a random gateway other than this one and except. It uses the seeds while there is no
+// list, and returns an empty string if there is no such gateway.
+func (d *directory) random(except string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	others := d.others
 	if len(others) == 0 {
 		others = d.seeds
 	}
-	list := slices.DeleteFunc(slices.Clone(others), func(addr string) bool { return addr == but })
+	list := slices.DeleteFunc(slices.Clone(others), func(addr string) bool { return addr == except })
 	if len(list) == 0 {
 		return ""
 	}
 	return list[rand.IntN(len(list))]
 }
 
-// gatewayIDs returns the ids of gateways.
 func gatewayIDs(list []placer.Gateway) []string {
 	ids := make([]string, len(list))
 	for i, g := range list {
--- a/internal/gateway/find_leader_test.go
+++ b/internal/gateway/find_leader_test.go
@@ -19,39 +19,35 @@
 	"rockcleat/lease"
 )
 
-// A gateway asked for ten seconds another one that had led before, whose record of the lease was
-// the last it had seen: that one no longer reached the store, so it knew of no other leader either,
-// and said so in each reply. Meanwhile no residency and no change came from the leader.
-
-// repliers is a transport to gateways of which one leads; none knows which.
-type repliers struct {
+// fakePeers is a transport to gateways of which one leads. The others reply without the leader's address.
+type fakePeers struct {
 	t      *testing.T
 	leader string
-	// asked are the addresses of those asked, in order.
+	// asked holds the addresses of the requests, in order.
 	asked []string
 }
 
 // RoundTrip implements http.RoundTripper.
-func (p *repliers) RoundTrip(r *http.Request) (*http.Response, error) {
+func (p *fakePeers) RoundTrip(r *http.Request) (*http.Response, error) {
 	p.asked = append(p.asked, r.URL.Host)
 	body, err := json.Marshal(replyMessage{Reply: placer.Reply{IsLeader: r.URL.Host == p.leader}})
 	assert.NilError(p.t, err)
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body)), Request: r}, nil
 }
 
-// TestLeaderIsFoundDespiteAnOldRecord checks that a gateway finds the leader though the record
-// that it has names one that leads no longer, and then stays with it.
+// TestLeaderIsFoundDespiteAnOldRecord checks that a gateway finds the leader even if its record of the lease names a
+// gateway that no longer leads, and that it keeps reporting to the leader. Otherwise it would get no residency and no
+// changes until the record is updated.
 func TestLeaderIsFoundDespiteAnOldRecord(t *testing.T) {
-	// tries is enough for asking seven gateways at random: not to find the one is a chance of
-	// one in ten million.
+	// tries is large enough to make the probability of missing the leader negligible.
 	const tries = 100
 	store := kvtest.New(clocktest.Real{})
-	peers := &repliers{t: t, leader: "g5:1"}
+	peers := &fakePeers{t: t, leader: "g5:1"}
 	o := Options{
 		Settings: config.Gateway{ID: "g0", PeerListen: "g0:1", Gateways: 8}, Store: store, Prefixes: store, OwnKeys: store,
 		Decoder: plainDecoder{}, Clock: clocktest.Real{}, Log: zap.NewNop(), Metrics: noMetrics{}, Peers: peers,
 	}
-	p := newParts(t.Context(), o)
+	p := newComponents(t.Context(), o)
 	var list []placer.Gateway
 	for _, id := range []string{"g0", "g1", "g2", "g3", "g4", "g5", "g6", "g7"} {
 		list = append(list, placer.Gateway{Gateway: dispatch.Gateway{ID: id}, Addr: id + ":1"})
--- a/internal/gateway/followers_test.go
+++ b/internal/gateway/followers_test.go
@@ -15,10 +15,10 @@
 	"rockcleat/table"
 )
 
-// spoiled is a value that describes no server.
-const spoiled = "spoiled"
+// undecodable is a value that cannot be decoded.
+const undecodable = "spoiled"
 
-// plainDecoder takes a key for the server's id.
+// plainDecoder uses the key as the server's id.
 type plainDecoder struct{}
 
 func (plainDecoder) ConfigKey() string    { return "config" }
@@ -27,7 +27,7 @@
 func (plainDecoder) Routing([]byte) (*table.Routing, error) { return nil, nil }
 
 func (plainDecoder) Server(key string, value []byte) (backend.Server, error) {
-	if string(value) == spoiled {
+	if string(value) == undecodable {
 		return backend.Server{}, errors.New("spoiled")
 	}
 	return backend.Server{ID: key, Service: "app"}, nil
@@ -37,9 +37,8 @@
 
 func (plainDecoder) ServerID(key string) string { return key }
 
-// TestNewListShowsWhoIsGone checks that a server which went while the store was not
-// watched is logged once.
-func TestNewListShowsWhoIsGone(t *testing.T) {
+// TestNewListLogsRemovedServers checks that a server that was removed while the store was not watched is logged once.
+func TestNewListLogsRemovedServers(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
 	log := zap.New(core)
@@ -49,17 +48,16 @@
 	f.Apply([]kv.Event{{Entry: entry("s3")}, {Entry: entry("s2"), Deleted: true}})
 	f.Replace([]kv.Entry{entry("s3")})
 	f.Replace([]kv.Entry{entry("s3")})
-	var gone []string
+	var removed []string
 	for _, l := range logs.FilterMessage("server gone").All() {
-		gone = append(gone, l.ContextMap()["server"].(string))
+		removed = append(removed, l.ContextMap()["server"].(string))
 	}
-	assert.DeepEqual(t, gone, []string{"s2", "s1"})
+	assert.DeepEqual(t, removed, []string{"s2", "s1"})
 }
 
-// TestSpoiledEntries checks that an entry which describes no server takes that server away and no
-// other, in a list and as a change, that it is back when the entry is mended, and that the log has
-// one line for each time, not one for each heartbeat.
-func TestSpoiledEntries(t *testing.T) {
+// TestUndecodableEntries checks that an undecodable entry removes only its own server, in lists and changes, that the
+// server returns when the entry is valid again, and that the log has one line per occurrence, not one per heartbeat.
+func TestUndecodableEntries(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
 	log := zap.New(core)
@@ -67,7 +65,7 @@
 	f := newServerFollower(newStoreHealth(t.Context(), log), list)
 	good := func(key string) kv.Entry { return kv.Entry{Key: key} }
 	bad := func(key string, rev kv.Revision) kv.Entry {
-		return kv.Entry{Key: key, Value: []byte(spoiled), Revision: rev}
+		return kv.Entry{Key: key, Value: []byte(undecodable), Revision: rev}
 	}
 	check := func(lines int, want ...string) {
 		t.Helper()
@@ -89,10 +87,10 @@
 	assert.Equal(t, list.digest("servers/", bad("s1", 5)), list.digest("servers/", bad("s1", 6)), "heartbeats are not handed on")
 }
 
-// TestResidentsAreHandedOnWithoutALeader checks that a change of what an engine holds matters to other
-// gateways as long as no leader publishes that, and not when one does: after all gateways had restarted
-// one request in five went to an engine that no longer held its model.
-func TestResidentsAreHandedOnWithoutALeader(t *testing.T) {
+// TestDigestOfResidentsWithoutLeader checks that the digest of a server depends on what its engine has loaded only
+// while no leader publishes residency. Otherwise gateways without a leader would send requests to engines that no
+// longer have the model loaded.
+func TestDigestOfResidentsWithoutLeader(t *testing.T) {
 	d := dispatch.New(dispatch.Options{Clock: clocktest.Real{}, CacheTokens: func(string) int { return 0 }})
 	list := newServerList(residentDecoder{}, clocktest.Real{}, zap.NewNop(), d)
 	entry := func(model string) kv.Entry { return kv.Entry{Key: "s1", Value: []byte(model)} }
@@ -102,7 +100,7 @@
 	assert.Equal(t, list.digest("servers/", entry("m1")), list.digest("servers/", entry("m2")))
 }
 
-// residentDecoder takes an entry's value for the model that the server holds.
+// residentDecoder uses the entry's value as the loaded model.
 type residentDecoder struct{ plainDecoder }
 
 func (residentDecoder) Server(key string, value []byte) (backend.Server, error) {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -36,14 +36,14 @@
 	Organisation: "X-Organisation", Reserved: []string{"X-Hold", "X-Pin"},
 }
 
-// Keys and paths of the tests' platform.
+// Store keys and paths of the platform that the tests simulate.
 const (
 	keyConfig = "config"
 	prefix    = "servers/"
 	readyPath = "/ready"
 )
 
-// A decoder reads JSON of the product's own records.
+// A decoder decodes the product's records from JSON.
 type decoder struct{}
 
 type routingFile struct {
@@ -51,7 +51,7 @@
 	Routes   []table.Route
 	Services []table.Service
 	Limits   table.RequestLimits
-	// Organisations are there if requests need keys, which Keys names by organisation.
+	// Organisations is empty if requests need no keys. Keys lists the keys by organisation.
 	Organisations []table.Organisation
 	Keys          []apikey.Holder
 }
@@ -62,7 +62,7 @@
 
 func (decoder) ServerID(key string) string { return strings.TrimPrefix(key, prefix) }
 
-// IsOlderServer reports whether the record of a leaving server is not: records of tests have no count.
+// IsOlderServer reports whether value is not leaving and than is: the tests' records have no sequence number.
 func (decoder) IsOlderServer(value, than []byte) (older, known bool) {
 	var s, other backend.Server
 	known = json.Unmarshal(value, &s) == nil && json.Unmarshal(than, &other) == nil
@@ -87,7 +87,7 @@
 	return s, err
 }
 
-// noEngines takes no orders.
+// noEngines is a backend.EngineClient whose calls all fail.
 type noEngines struct{}
 
 func (noEngines) Report(context.Context, *backend.Server) (backend.Report, error) {
@@ -98,8 +98,8 @@
 	return backend.OrderUnanswered, io.EOF
 }
 
-// A world is a gateway with its store and backend servers.
-type world struct {
+// A testEnv is a gateway with a store and backend servers.
+type testEnv struct {
 	t       *testing.T
 	store   *kvtest.Store
 	gateway *gateway.Gateway
@@ -113,7 +113,7 @@
 	logs    *observer.ObservedLogs
 }
 
-// Hosts and paths of the tests' routes.
+// Host and path prefixes of the tests' routes.
 const (
 	host       = "app.example"
 	pathUnsafe = "/unsafe/"
@@ -137,51 +137,49 @@
 	}
 }
 
-// ownHost is a loopback address that only this process uses: a port that is free on
-// it when a test looks stays free, while other processes take ports of 127.0.0.1.
+// ownHost returns a loopback address derived from the process id, so that other processes do not take its ports.
 func ownHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// firstPort is the first port that tests listen on: below those that the kernel gives
-// to whoever asks for any.
+// firstPort is the first port that tests listen on. It is below the kernel's range of ephemeral ports.
 const firstPort = 20000
 
-// lastPort counts the ports that tests have taken.
+// lastPort counts the ports allocated by freeAddr.
 var lastPort atomic.Int64
 
-// freeAddr returns an address that no other call of this process returns. A port that
-// the kernel names when it is asked for any may be named again by the next call.
+// freeAddr returns an address that no other call in this process returns. Asking the kernel for a free port would not
+// guarantee that, since it may return the same port again.
 func freeAddr() string { return fmt.Sprintf("%s:%d", ownHost(), firstPort+lastPort.Add(1)) }
 
-// newWorld starts a gateway before the backend servers.
-func newWorld(t *testing.T, workers ...*worker) *world {
-	return newWorldWith(t, func(*config.Gateway) {}, workers...)
+// newTestEnv starts a gateway with default settings for the given servers.
+func newTestEnv(t *testing.T, servers ...*fakeServer) *testEnv {
+	return newTestEnvWith(t, func(*config.Gateway) {}, servers...)
 }
 
-// newWorldWith starts a gateway with other settings before the backend servers.
-func newWorldWith(t *testing.T, change func(*config.Gateway), workers ...*worker) *world {
-	w := prepareWorld(t, change, workers...)
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	return w
+// newTestEnvWith starts a gateway with changed settings for the given servers.
+func newTestEnvWith(t *testing.T, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
+	env := prepareTestEnv(t, change, servers...)
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	return env
 }
 
-func newWorldWithoutConfig(t *testing.T, workers ...*worker) *world {
-	return prepareWorld(t, func(*config.Gateway) {}, workers...)
+func newTestEnvWithoutConfig(t *testing.T, servers ...*fakeServer) *testEnv {
+	return prepareTestEnv(t, func(*config.Gateway) {}, servers...)
 }
 
-// prepareWorld starts a gateway that has no configuration yet.
-func prepareWorld(t *testing.T, change func(*config.Gateway), workers ...*worker) *world {
-	return prepareWorldOn(t, clocktest.Real{}, change, workers...)
+// prepareTestEnv starts a gateway that has no configuration yet.
+func prepareTestEnv(t *testing.T, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
+	return prepareTestEnvOn(t, clocktest.Real{}, change, servers...)
 }
 
-// prepareWorldOn is prepareWorld with another clock of the gateways.
-func prepareWorldOn(t *testing.T, c clock.Service, change func(*config.Gateway), workers ...*worker) *world {
+// prepareTestEnvOn is prepareTestEnv with a given clock for the gateways.
+func prepareTestEnvOn(t *testing.T, c clock.Service, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
 	core, logs := observer.New(zap.InfoLevel)
-	w := &world{t: t, clock: c, log: zap.New(core), logs: logs, store: kvtest.New(clocktest.Real{}), client: &http.Client{Transport: &http.Transport{}}}
-	w.routing = routingFile{
+	env := &testEnv{t: t, clock: c, log: zap.New(core), logs: logs, store: kvtest.New(clocktest.Real{}), client: &http.Client{Transport: &http.Transport{}}}
+	env.routing = routingFile{
 		Version: 1, Routes: routes(),
 		Services: []table.Service{
 			{Name: "app"}, {Name: "llm", Engine: &table.EngineSpec{
@@ -190,17 +188,17 @@
 		},
 		Limits: table.RequestLimits{HeaderBytes: 4000, BodyBytes: 5000, IdleTime: time.Minute},
 	}
-	for _, x := range workers {
-		w.putServer(x, false)
+	for _, server := range servers {
+		env.putServer(server, false)
 	}
 	s := gatewaySettings(t, "g")
 	change(&s)
-	w.front, w.ready, w.peer = s.Listen, s.ReadyListen, s.PeerListen
-	w.gateway = w.startGateway(s, w.store)
-	return w
+	env.front, env.ready, env.peer = s.Listen, s.ReadyListen, s.PeerListen
+	env.gateway = env.startGateway(s, env.store)
+	return env
 }
 
-// gatewaySettings returns settings with addresses that are free.
+// gatewaySettings returns settings with free addresses.
 func gatewaySettings(t *testing.T, id string) config.Gateway {
 	var s config.Gateway
 	config.Defaults(&s)
@@ -213,42 +211,42 @@
 }
 
 // startGateway starts a gateway that reads the store through prefixes.
-func (w *world) startGateway(s config.Gateway, prefixes kv.PrefixStore) *gateway.Gateway {
+func (env *testEnv) startGateway(s config.Gateway, prefixes kv.PrefixStore) *gateway.Gateway {
 	g := gateway.New(gateway.Options{
-		Settings: s, Names: names, ReadyPath: readyPath, Store: w.store, Prefixes: prefixes, OwnKeys: prefixes, Eras: w.store,
-		Decoder: decoder{}, Engines: noEngines{}, Clock: w.clock, Log: w.log,
+		Settings: s, Names: names, ReadyPath: readyPath, Store: env.store, Prefixes: prefixes, OwnKeys: prefixes, Eras: env.store,
+		Decoder: decoder{}, Engines: noEngines{}, Clock: env.clock, Log: env.log,
 	})
-	assert.NilError(w.t, g.Start())
-	w.t.Cleanup(func() {
+	assert.NilError(env.t, g.Start())
+	env.t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_ = g.Stop(ctx)
-		w.client.CloseIdleConnections()
+		env.client.CloseIdleConnections()
 	})
 	return g
 }
 
-func (w *world) putConfig() {
-	value, err := json.Marshal(w.routing)
-	assert.NilError(w.t, err)
-	w.store.Set(keyConfig, value)
+func (env *testEnv) putConfig() {
+	value, err := json.Marshal(env.routing)
+	assert.NilError(env.t, err)
+	env.store.Set(keyConfig, value)
 }
 
-func (w *world) putServer(x *worker, leaving bool) {
-	w.putRecord(backend.Server{ID: x.id, Instance: x.instance, Service: "app", Addr: x.addr, Hall: "h", Slots: 4, Leaving: leaving})
+func (env *testEnv) putServer(server *fakeServer, leaving bool) {
+	env.putRecord(backend.Server{ID: server.id, Instance: server.instance, Service: "app", Addr: server.addr, Hall: "h", Slots: 4, Leaving: leaving})
 }
 
-func (w *world) putRecord(s backend.Server) {
+func (env *testEnv) putRecord(s backend.Server) {
 	value, err := json.Marshal(s)
-	assert.NilError(w.t, err)
-	w.store.Set(prefix+s.Name(), value)
+	assert.NilError(env.t, err)
+	env.store.Set(prefix+s.Name(), value)
 }
 
-// waitReady waits until the gateway answers the balancer with a status.
-func (w *world) waitReady(status int) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
-		resp, err := http.Get("http://" + w.ready + readyPath)
+// waitReady waits until the readiness endpoint returns status.
+func (env *testEnv) waitReady(status int) {
+	env.t.Helper()
+	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
+		resp, err := http.Get("http://" + env.ready + readyPath)
 		if err != nil {
 			return poll.Continue("%v", err)
 		}
@@ -260,12 +258,12 @@
 	})
 }
 
-// waitServers waits until the gateway knows a number of servers, listed or seen after that.
-func (w *world) waitServers(n int) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
-		known := int64(w.logs.FilterMessage("server seen").Len())
-		if listed := w.logs.FilterMessage("servers listed").All(); len(listed) > 0 {
+// waitServers waits until the gateway knows at least n servers.
+func (env *testEnv) waitServers(n int) {
+	env.t.Helper()
+	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
+		known := int64(env.logs.FilterMessage("server seen").Len())
+		if listed := env.logs.FilterMessage("servers listed").All(); len(listed) > 0 {
 			known += listed[len(listed)-1].ContextMap()["count"].(int64)
 		}
 		if known < int64(n) {
@@ -275,9 +273,9 @@
 	})
 }
 
-func (w *world) request(method, path, body string, headers ...string) *http.Request {
-	req, err := http.NewRequest(method, "http://"+w.front+path, bytes.NewReader([]byte(body)))
-	assert.NilError(w.t, err)
+func (env *testEnv) request(method, path, body string, headers ...string) *http.Request {
+	req, err := http.NewRequest(method, "http://"+env.front+path, bytes.NewReader([]byte(body)))
+	assert.NilError(env.t, err)
 	req.Host = host
 	req.Header.Set(names.RequestID, "id-1")
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -286,20 +284,19 @@
 	return req
 }
 
-// A reply is what a caller got.
+// A reply is the answer that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// closes says that the answer ends its connection.
+	// closes says that the answer closes its connection.
 	closes bool
-	// err says that the answer did not come whole.
+	// err is not nil if the answer is incomplete.
 	err error
 }
 
-func (w *world) do(req *http.Request) reply { return doWith(w.client, req) }
+func (env *testEnv) do(req *http.Request) reply { return doWith(env.client, req) }
 
-// doWith sends a request with a client.
 func doWith(client *http.Client, req *http.Request) reply {
 	resp, err := client.Do(req)
 	if err != nil {
@@ -310,11 +307,11 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: string(body), closes: resp.Close, err: err}
 }
 
-func (w *world) get(path string, headers ...string) reply {
-	return w.do(w.request(http.MethodGet, path, "", headers...))
+func (env *testEnv) get(path string, headers ...string) reply {
+	return env.do(env.request(http.MethodGet, path, "", headers...))
 }
 
-// post sends a request that the client's transport does not repeat by itself.
-func (w *world) post(path, body string, headers ...string) reply {
-	return w.do(w.request(http.MethodPost, path, body, headers...))
+// post sends a request that http.Transport does not retry by itself.
+func (env *testEnv) post(path, body string, headers ...string) reply {
+	return env.do(env.request(http.MethodPost, path, body, headers...))
 }
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -7,9 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestUnconfiguredModelIsRefusedAtOnce checks that a request for a model that the
-// configuration does not list never waits: no server can come to hold it. The caller is
-// invited back for when a newer configuration would be known here.
+// TestUnconfiguredModelIsRefusedAtOnce checks that a request for a model that is not configured is refused without
+// waiting for a server. Its Retry-After allows for a newer configuration to arrive.
 func TestUnconfiguredModelIsRefusedAtOnce(t *testing.T) {
 	tests := map[string]struct {
 		model  string
@@ -23,15 +22,15 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newWorker(t, "a", answer(http.StatusOK, "ok"))
-			w := newWorld(t, x)
-			got := w.post(pathModel, "x", names.Model, test.model, names.Deadline, "600")
+			server := newFakeServer(t, "a", answer(http.StatusOK, "ok"))
+			env := newTestEnv(t, server)
+			got := env.post(pathModel, "x", names.Model, test.model, names.Deadline, "600")
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, http.StatusServiceUnavailable)
-			early := w.logs.FilterMessage("request refused")
+			early := env.logs.FilterMessage("request refused")
 			if !test.atOnce {
 				assert.Equal(t, early.Len(), 0)
-				w.waitLine("request ended")
+				env.waitLine("request ended")
 				return
 			}
 			assert.Equal(t, early.Len(), 1, "it waited")
--- a/internal/gateway/needs.go
+++ b/internal/gateway/needs.go
@@ -8,61 +8,59 @@
 	"rockcleat/dispatch"
 )
 
-// How long a request may wait for a server before it is sent.
+// Parameters of the time that a request may wait for a server.
 const (
-	// minPatience is the shortest time after which callers leave a stream that has sent
-	// nothing.
-	minPatience = 2 * time.Second
-	// patienceFactor times the objective for the first byte is when callers leave, or
-	// twice as many times the objective for the gap between events.
-	patienceFactor = 4
-	// waitShare is the part of a caller's patience that a request may wait.
-	waitShare = 0.8
-	// sendByShare is the part of the objective, in percent, by which a request must be
-	// sent for its answer to begin in time.
-	sendByShare = 70
-	// answerReserve is left of the deadline for the answer itself.
+	// minCallerWait is the minimum time for which a caller is assumed to wait for the first byte.
+	minCallerWait = 2 * time.Second
+	// callerWaitFactor is multiplied with the objective for the first byte, or with twice the objective for the gap
+	// between events, to estimate how long a caller waits.
+	callerWaitFactor = 4
+	// queueTimeFraction is the fraction of the caller's estimated patience that may be spent waiting for a server.
+	queueTimeFraction = 0.8
+	// sendByPercent is the percentage of the first-byte objective within which a request must be sent to meet it.
+	sendByPercent = 70
+	// answerReserve is the part of the deadline that is reserved for the answer.
 	answerReserve = 400 * time.Millisecond
 )
 
-// waitTime returns how long the request may wait for a server: as long as its caller should
-// still be there when the answer begins, and as its deadline leaves time for an answer.
+// waitTime returns how long the request may wait for a server. It is limited by the caller's estimated patience and
+// by the deadline less answerReserve.
 func (in *inbound) waitTime() time.Duration {
-	patience := max(minPatience, patienceFactor*in.route.FirstByteObjective, 2*patienceFactor*in.route.EventGapObjective)
-	wait := time.Duration(float64(patience) * waitShare)
+	callerWait := max(minCallerWait, callerWaitFactor*in.route.FirstByteObjective, 2*callerWaitFactor*in.route.EventGapObjective)
+	wait := time.Duration(float64(callerWait) * queueTimeFraction)
 	return max(min(wait, in.deadline.Sub(in.arrived)-answerReserve), 0)
 }
 
-// needsOf returns the request as the dispatcher sees it. A header of a model that is
-// malformed is logged and counts as missing: the server judges it.
-func (p *proxy) needsOf(in *inbound) dispatch.Request {
-	needs := dispatch.Request{
+// requirementsOf returns the dispatcher's view of a request. Malformed model headers are logged and ignored; the server
+// decides whether to accept them.
+func (p *proxy) requirementsOf(in *inbound) dispatch.Request {
+	req := dispatch.Request{
 		Service: in.service.Name, Priority: in.route.Priority,
 		WaitUntil: in.arrived.Add(in.waitTime()), FirstByteObjective: in.route.FirstByteObjective,
 	}
 	if objective := in.route.FirstByteObjective; objective > 0 {
-		needs.SendBy = in.arrived.Add(objective * sendByShare / 100)
+		req.SendBy = in.arrived.Add(objective * sendByPercent / 100)
 	}
 	if in.service.Engine == nil {
-		return needs
+		return req
 	}
-	needs.Model, needs.Adapter = in.target.Model, in.target.Name
-	needs.PromptTokens, needs.MaxOutputTokens = p.tokenCounts(in)
-	needs.Prefix = p.prefixBlocks(in)
-	needs.Gap = dispatch.GapBudget{
+	req.Model, req.Adapter = in.target.Model, in.target.Name
+	req.PromptTokens, req.MaxOutputTokens = p.tokenCounts(in)
+	req.Prefix = p.prefixBlocks(in)
+	req.Gap = dispatch.GapBudget{
 		MaxGap: dispatch.InMilliseconds(in.route.EventGapObjective), StepsPerEvent: in.service.Engine.TokensPerEvent,
 	}
-	return needs
+	return req
 }
 
-// tokenCounts decodes a header PROMPT,OUTPUT; either may be missing.
+// tokenCounts parses the header PROMPT,OUTPUT; either number may be missing.
 func (p *proxy) tokenCounts(in *inbound) (prompt, output int) {
 	header := in.Header.Get(p.names.Tokens)
 	promptText, outputText, _ := strings.Cut(header, ",")
 	return p.tokens(in, promptText), p.tokens(in, outputText)
 }
 
-// tokens decodes a number of tokens; 0 if there is none that can be.
+// tokens parses a number of tokens. It returns 0 if the number is missing or malformed.
 func (p *proxy) tokens(in *inbound, text string) int {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -70,13 +68,13 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
-		p.lines.malformedHeader(in, p.names.Tokens, text)
+		p.requestLog.malformedHeader(in, p.names.Tokens, text)
 		return 0
 	}
 	return n
 }
 
-// prefixBlocks decodes a list of blocks ID:TOKENS; malformed ones are left out.
+// prefixBlocks parses a comma-separated list of ID:TOKENS blocks. Malformed blocks are skipped.
 func (p *proxy) prefixBlocks(in *inbound) []dispatch.PrefixBlock {
 	header := in.Header.Get(p.names.Prefix)
 	if header == "" {
@@ -88,7 +86,7 @@
 		id, size, ok := strings.Cut(strings.TrimSpace(item), ":")
 		tokens, err := strconv.Atoi(size)
 		if !ok || err != nil {
-			p.lines.malformedHeader(in, p.names.Prefix, item)
+			p.requestLog.malformedHeader(in, p.names.Prefix, item)
 			continue
 		}
 		blocks = append(blocks, dispatch.PrefixBlock{ID: id, Tokens: tokens})
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -18,16 +18,16 @@
 	"rockcleat/serverlimit"
 )
 
-// utilization is the part of an engine's slots and memory that is used: at full use running
-// streams are preempted.
+// utilization is the fraction of an engine's slots and memory that is used. An engine at full utilization preempts
+// running streams.
 const utilization = 0.92
 
 // leaseName is the name of the leader's lease in the store.
 const leaseName = "placer"
 
-// parts are what a gateway consists of, beside its listeners and loops.
-type parts struct {
-	lines      *requestLog
+// components holds the parts of a gateway, except its listeners and background loops.
+type components struct {
+	requestLog *requestLog
 	config     *configuration
 	gateways   *directory
 	lifecycle  *lifecycle
@@ -42,24 +42,23 @@
 	configs    *configsync.Syncer
 	pauses     *pauseDetector
 	quarantine quarantineRole
-	// serverLimits are those that backend servers name for themselves.
+	// serverLimits holds the rate limits that backend servers announce.
 	serverLimits *serverLimits
 	limiter      *quota.Limiter
-	// quotas are all that need to know of the leader and its list of gateways.
-	quotas quotas
-	fleet  *fleetKeeper
-	// listing is held while a list of gateways is taken over, so that all who need it have the same one.
-	listing sync.Mutex
-	// urgent is sent when a report to the leader should not wait.
+	// limiters holds all limiters, which depend on the leader and its list of gateways.
+	limiters   limiters
+	fleetStore *fleetStore
+	// listMu is held while a list of gateways is applied, so that all components see the same list.
+	listMu sync.Mutex
+	// urgent triggers an immediate report to the leader.
 	urgent signal
 }
 
-// newParts makes the parts in an order in which each needs only those before it. Their work
-// ends with ctx.
-func newParts(ctx context.Context, o Options) *parts {
+// newComponents creates the components in dependency order. Their work ends with ctx.
+func newComponents(ctx context.Context, o Options) *components {
 	s := o.Settings
-	p := &parts{
-		lines: newRequestLog(o.Log, o.Metrics, o.Clock, o.Names), config: newConfiguration(o.Decoder, o.Log),
+	p := &components{
+		requestLog: newRequestLog(o.Log, o.Metrics, o.Clock, o.Names), config: newConfiguration(o.Decoder, o.Log),
 		gateways: newDirectory(s.PeerListen, s.Gateways, s.Seeds, s.FirstStart), lifecycle: newLifecycle(),
 		urgent: make(signal, 1), health: newStoreHealth(ctx, o.Log),
 	}
@@ -69,43 +68,41 @@
 	p.serverLimits = p.newServerLimits(o)
 	p.dispatcher = dispatch.New(dispatch.Options{
 		ID: s.ID, Hall: s.Hall, Clock: o.Clock, Utilization: utilization, CacheTokens: p.config.cacheTokens,
-		Owners: p.peers, OnOwnerSilent: p.lines.ownerSilent, OnModelMissing: p.urgent.send,
+		Owners: p.peers, OnOwnerSilent: p.requestLog.admissionFailed, OnModelMissing: p.urgent.send,
 		Permits: p.serverLimits,
 	})
 	p.servers = newServerList(o.Decoder, o.Clock, o.Log, p.dispatcher)
-	p.pauses = &pauseDetector{log: o.Log, inProgress: p.lifecycle.requests, last: o.Clock.Now()}
+	p.pauses = &pauseDetector{log: o.Log, inProgress: p.lifecycle.requests, lastCheck: o.Clock.Now()}
 	p.quarantine = p.newQuarantineRole(ctx, o)
 	p.breaker = kv.NewBreaker(kv.BreakerOptions{Clock: o.Clock, Pause: p.probePause})
 	p.leader = p.newLeaderRole(o)
 	p.limiter = p.newLimiter(o)
-	p.quotas = quotas{p.limiter, p.serverLimits.limiter}
+	p.limiters = limiters{p.limiter, p.serverLimits.limiter}
 	p.config.onChange = func() {
 		p.servers.refresh()
 		p.leader.fanout.Recheck()
 	}
-	p.fleet = p.newFleetKeeper(ctx, o)
+	p.fleetStore = p.newFleetStore(ctx, o)
 	p.configs = configsync.New(configsync.Options{
 		Store: p.breaker.View(o.Prefixes), Key: o.Decoder.ConfigKey(), Holder: p.config, Peers: p.peers,
-		Health: p.health, Clock: o.Clock, Log: o.Log, IsWatcher: p.leader.isHeld, MaxAge: p.newsMaxAge(s),
-		StartWait: p.gateways.listWait, IsSettled: p.fleet.isSettled,
-		OnSwitch: p.lines.watchSwitched, OnTransfer: func(from configsync.Origin, bytes int, err error) {
+		Health: p.health, Clock: o.Clock, Log: o.Log, IsWatcher: p.leader.isHeld, MaxAge: p.configMaxAge(s),
+		StartWait: p.gateways.listWait, IsSettled: p.fleetStore.isSettled,
+		OnSwitch: p.requestLog.watchSwitched, OnTransfer: func(from configsync.Origin, bytes int, err error) {
 			o.Metrics.ConfigTransfer(string(from), bytes, err)
 		},
 	})
 	return p
 }
 
-// A leaderRole is what a gateway needs to lead.
+// A leaderRole holds the components that a gateway needs to act as the leader.
 type leaderRole struct {
 	lease *lease.Holder
-	// fanout carries the watches that the leader makes for all gateways.
+	// fanout distributes the leader's watches of the store to all gateways.
 	fanout *kv.Fanout
 	placer *placer.Placer
 }
 
-// newLeaderRole returns the leader's role: the lease, the watches that its holder makes for all
-// gateways, and the placer.
-func (p *parts) newLeaderRole(o Options) leaderRole {
+func (p *components) newLeaderRole(o Options) leaderRole {
 	s := o.Settings
 	l := leaderRole{lease: lease.New(o.Store, o.Clock, lease.Options{
 		Name: leaseName, Holder: s.ID, Addr: s.PeerListen, TTL: s.LeaseTTL.Std(),
@@ -113,26 +110,26 @@
 	})}
 	l.fanout = kv.NewFanout(kv.FanoutOptions{
 		Clock: o.Clock, MaxAge: viewMaxAge(s), IsWatcher: l.isHeld,
-		OnSwitch: p.lines.watchSwitched, Digest: p.servers.digest, ListWait: p.gateways.listWait,
+		OnSwitch: p.requestLog.watchSwitched, Digest: p.servers.digest, ListWait: p.gateways.listWait,
 		ExtraAge: p.extraAge(s), Writers: serverWriters(o.Decoder),
 	})
 	l.placer = placer.New(placer.Options{
 		Lease: l.lease, Keys: l.fanout.View(p.breaker.View(o.OwnKeys), true), Engines: o.Engines, Registry: &p.servers.registry,
 		Routing: p.config.routing, Clock: o.Clock, Log: o.Log, SettleTime: s.LeaseTTL.Std(), FirstStart: s.FirstStart,
-		Gateways: p.gateways.list, PrefillSpeeds: p.dispatcher.PrefillSpeeds, IsInNeed: p.serverLimits.isInNeed,
+		Gateways: p.gateways.list, PrefillSpeeds: p.dispatcher.PrefillSpeeds, IsInNeed: p.serverLimits.isThrottled,
 	})
 	return l
 }
 
-// isHeld reports whether this gateway leads.
+// isHeld reports whether this gateway is the leader.
 func (l leaderRole) isHeld() bool {
 	_, held := l.lease.Held()
 	return held
 }
 
-// leaderAddr returns where the leader takes messages, as far as that is known: as it replied itself,
-// or else as the lease's record says.
-func (p *parts) leaderAddr() string {
+// leaderAddr returns the leader's peer address: that of the gateway that last replied as the leader, or else the one
+// in the lease's record. It is empty if neither is known.
+func (p *components) leaderAddr() string {
 	record, own := p.leader.placer.Leader()
 	if own {
 		return p.gateways.self
@@ -140,111 +137,103 @@
 	return p.gateways.leaderOr(record)
 }
 
-// probePause returns for how long this gateway does not ask a store that failed.
-func (p *parts) probePause() time.Duration {
+// probePause returns how long this gateway waits before it calls a failed store again.
+func (p *components) probePause() time.Duration {
 	if p.leader.isHeld() {
 		return 0
 	}
 	return p.gateways.probePause(p.leaderAddr())
 }
 
-// viewMaxAge returns how old what others hand on of the store may be on the first level: half of a
-// watch.
+// viewMaxAge returns the maximum age of a store view on the first level of the tree: half the duration of a watch.
 func viewMaxAge(s config.Gateway) time.Duration { return s.WatchTime.Std() / 2 }
 
-// extraAge returns a function that returns how much older it may be in this gateway.
-func (p *parts) extraAge(s config.Gateway) func() time.Duration {
+// extraAge returns a function that returns this gateway's addition to viewMaxAge.
+func (p *components) extraAge(s config.Gateway) func() time.Duration {
 	return func() time.Duration { return p.gateways.extraAge(p.leaderAddr(), viewMaxAge(s)) }
 }
 
-// newsMaxAge returns a function that returns how old the news of the configuration may be: as old as
-// all that is handed on.
-func (p *parts) newsMaxAge(s config.Gateway) func() time.Duration {
+// configMaxAge returns a function that returns the maximum age of the configuration in this gateway; it is the same as
+// for all other views of the store.
+func (p *components) configMaxAge(s config.Gateway) func() time.Duration {
 	extra := p.extraAge(s)
 	return func() time.Duration { return viewMaxAge(s) + extra() }
 }
 
-// newFeed returns what keeps the view of the store up to date from other gateways.
-func (p *parts) newFeed(o Options) *feed {
+func (p *components) newFeed(o Options) *feed {
 	return &feed{
 		self: o.Settings.PeerListen, gateways: p.gateways, fanout: p.leader.fanout, configs: p.configs, peers: p.peers,
-		isLeader: p.leader.isHeld, leader: p.leaderAddr, clock: o.Clock, log: o.Log, avoided: make(map[string]time.Time),
+		isLeader: p.leader.isHeld, leader: p.leaderAddr, clock: o.Clock, log: o.Log, backoffUntil: make(map[string]time.Time),
 	}
 }
 
-// newReporter returns what reports to the leader.
-func (p *parts) newReporter(o Options) *reporter {
+func (p *components) newReporter(o Options) *reporter {
 	s := o.Settings
 	return &reporter{
 		self: sender{id: s.ID, addr: s.PeerListen, hall: s.Hall}, dispatcher: p.dispatcher, configs: p.configs,
 		servers: p.servers, gateways: p.gateways, placer: p.leader.placer, fanout: p.leader.fanout, peers: p.peers,
 		clock: o.Clock, log: o.Log, quarantine: quarantine.NewLink(p.quarantine.table, quarantine.AllEnds),
-		informed: p.quarantine.informed, quotas: p.quotas, useGateways: p.useGateways, urgent: p.urgent,
+		synced: p.quarantine.synced, limiters: p.limiters, applyGateways: p.applyGateways, urgent: p.urgent,
 		serverLimits: serverlimit.NewLink(p.serverLimits.Table),
 	}
 }
 
-// newQuarantineKeeper returns what keeps the quarantine in the store.
-func (p *parts) newQuarantineKeeper(ctx context.Context, o Options) *quarantineKeeper {
-	return &quarantineKeeper{
+func (p *components) newQuarantineStore(ctx context.Context, o Options) *quarantineStore {
+	return &quarantineStore{
 		ctx: ctx, role: &p.quarantine, store: o.Store, keys: p.breaker.View(o.OwnKeys), lease: p.leader.lease,
 		clock: o.Clock, log: o.Log, timeout: o.Settings.StoreTimeout.Std(),
 	}
 }
 
-// newFleetKeeper returns what keeps the list of gateways in the store.
-func (p *parts) newFleetKeeper(ctx context.Context, o Options) *fleetKeeper {
-	return &fleetKeeper{
-		ctx: ctx, gateways: p.gateways, onLoad: p.useStored, recent: make(map[placer.Gateway]time.Time), store: o.Store, keys: p.breaker.View(o.OwnKeys),
+func (p *components) newFleetStore(ctx context.Context, o Options) *fleetStore {
+	return &fleetStore{
+		ctx: ctx, gateways: p.gateways, onLoad: p.applyStoredGateways, recent: make(map[placer.Gateway]time.Time), store: o.Store, keys: p.breaker.View(o.OwnKeys),
 		lease: p.leader.lease, firstStart: o.Settings.FirstStart, startedAt: o.Clock.Now(), clock: o.Clock, log: o.Log,
 		timeout: o.Settings.StoreTimeout.Std(),
 	}
 }
 
-// useStored takes over the list of gateways that was in the store. If a leader has sent one already, or this
-// gateway leads, it only tells who was there before.
-func (p *parts) useStored(list []placer.Gateway) {
-	p.listing.Lock()
-	defer p.listing.Unlock()
+// applyStoredGateways applies the list of gateways read from the store. If the leader has already sent a list, or
+// this gateway leads, the stored one only adds former gateways to the limiters.
+func (p *components) applyStoredGateways(list []placer.Gateway) {
+	p.listMu.Lock()
+	defer p.listMu.Unlock()
 	if p.gateways.isListed() {
-		p.quotas.noteFormer(gatewayIDs(list))
+		p.limiters.addFormer(gatewayIDs(list))
 		return
 	}
 	p.setGateways(list)
 }
 
-// useGateways takes over the leader's list of gateways.
-func (p *parts) useGateways(list []placer.Gateway) {
-	p.listing.Lock()
-	defer p.listing.Unlock()
+// applyGateways applies the leader's list of gateways.
+func (p *components) applyGateways(list []placer.Gateway) {
+	p.listMu.Lock()
+	defer p.listMu.Unlock()
 	p.setGateways(list)
 }
 
-// setGateways passes a list of gateways on to all who need it.
-func (p *parts) setGateways(list []placer.Gateway) {
+// setGateways distributes a list of gateways to all components that use it. The caller must hold p.listMu.
+func (p *components) setGateways(list []placer.Gateway) {
 	p.dispatcher.SetGateways(p.gateways.set(list))
-	p.quotas.setGateways(gatewayIDs(list))
+	p.limiters.setGateways(gatewayIDs(list))
 }
 
-// newProxy returns what serves callers.
-func (p *parts) newProxy(o Options) *proxy {
+func (p *components) newProxy(o Options) *proxy {
 	return &proxy{
-		names: o.Names, config: p.config, access: p.newAccess(o.Settings), limiter: p.limiter, dispatcher: p.dispatcher, budgets: p.budgets, lines: p.lines,
-		lifecycle: p.lifecycle, conns: p.conns, quarantine: p.quarantine.table, ends: p.quarantine.ends, serverLimits: p.serverLimits.Table, clock: o.Clock,
+		names: o.Names, config: p.config, authenticator: p.newAuthenticator(o.Settings), limiter: p.limiter, dispatcher: p.dispatcher, budgets: p.budgets, requestLog: p.requestLog,
+		lifecycle: p.lifecycle, conns: p.conns, quarantine: p.quarantine.table, detector: p.quarantine.detector, serverLimits: p.serverLimits.Table, clock: o.Clock,
 		transport: wire.NewDirectTransport(o.Settings.IdleTime.Std()), bodyTime: o.Settings.BodyTime.Std(),
 	}
 }
 
-// newAccess returns what judges callers' keys.
-func (p *parts) newAccess(s config.Gateway) *access {
-	return &access{currentAt: p.configs.CurrentAt, revokeTime: s.RevokeTime.Std(), knownTime: p.newsMaxAge(s)}
+func (p *components) newAuthenticator(s config.Gateway) *authenticator {
+	return &authenticator{currentAt: p.configs.CurrentAt, revokeTime: s.RevokeTime.Std(), unknownKeyMaxAge: p.configMaxAge(s)}
 }
 
-// newPeerServer returns what serves other gateways.
-func (p *parts) newPeerServer(c clock.Service) *peerServer {
+func (p *components) newPeerServer(c clock.Service) *peerServer {
 	return &peerServer{
 		placer: p.leader.placer, fanout: p.leader.fanout, configs: p.configs, gateways: p.gateways,
-		dispatcher: p.dispatcher, quarantine: p.quarantine.table, limiter: p.limiter, limits: p.limitStatus, serverLimits: p.serverLimits, lapsed: p.quotas.lapsed,
-		informed: p.quarantine.informed, clock: c, leaseKey: p.leader.lease.Key(),
+		dispatcher: p.dispatcher, quarantine: p.quarantine.table, limiter: p.limiter, limits: p.limitStatus, serverLimits: p.serverLimits, lapsed: p.limiters.lapsed,
+		synced: p.quarantine.synced, clock: c, leaseKey: p.leader.lease.Key(),
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -15,42 +15,42 @@
 	"rockcleat/serverlimit"
 )
 
-// errStalled ends a send whose server has stalled.
+// errStalled cancels a send whose server has stalled.
 var errStalled = eris.New("gateway: server stalled")
 
-// send sends the request to one server and reports whether it is over.
+// send sends the request to one server and reports whether the request is finished.
 func (f *forwarder) send(res *dispatch.Reservation) bool {
 	ctx, cancel := context.WithCancelCause(f.ctx)
 	defer cancel(nil)
-	f.retryPaid.Store(false)
-	stall := f.watchStall(res, cancel)
+	f.retryCharged.Store(false)
+	stall := f.startStallTimer(res, cancel)
 	defer stall.stop()
 	if f.record.sends == 0 {
 		f.record.waited = f.proxy.clock.Now().Sub(f.in.arrived)
 	}
-	f.proxy.lines.sending(f, res)
+	f.proxy.requestLog.sending(f, res)
 	sent := f.proxy.clock.Now()
-	resp, err := f.proxy.transport.RoundTrip(f.outgoing(ctx, res))
+	resp, err := f.proxy.transport.RoundTrip(f.serverRequest(ctx, res))
 	if err != nil {
-		return f.noAnswer(res, cause(ctx, err))
+		return f.handleNoAnswer(res, cause(ctx, err))
 	}
 	defer resp.Body.Close()
 	f.record.sends++
 	f.noteServerLimit(res, resp, sent)
 	if resp.Header.Get(f.proxy.names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest {
-		return f.refusedBy(res, resp)
+		return f.handleRefusal(res, resp)
 	}
 	f.record.runs++
-	if err := f.check(resp); err != nil {
-		return f.lost(res, err)
+	if err := f.validate(resp); err != nil {
+		return f.handleLost(res, err)
 	}
 	if f.in.route.Stream && resp.StatusCode == http.StatusOK {
-		return f.passStream(ctx, res, resp, stall)
+		return f.forwardStream(ctx, res, resp, stall)
 	}
-	return f.passWhole(ctx, res, resp)
+	return f.forwardAnswer(ctx, res, resp)
 }
 
-// cause prefers the reason for which a send was cancelled to the transport's error.
+// cause returns the cause of ctx's cancellation if there is one, and err otherwise.
 func cause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil {
 		return c
@@ -58,39 +58,39 @@
 	return err
 }
 
-// noAnswer handles a send without an answer's header and reports whether the request is over.
-func (f *forwarder) noAnswer(res *dispatch.Reservation, err error) bool {
-	if f.callerGone() {
+// handleNoAnswer handles a send that failed before an answer's header arrived. It reports whether the request is
+// finished.
+func (f *forwarder) handleNoAnswer(res *dispatch.Reservation, err error) bool {
+	if f.isCallerGone() {
 		res.Done(dispatch.Abandoned)
 		f.record.outcome = outcomeGone
 		return true
 	}
 	if wire.IsNotSent(err) {
-		return f.notSent(res, err)
+		return f.handleNotSent(res, err)
 	}
 	f.record.sends++
 	f.record.runs++
-	f.noteBreak(res, err)
-	return f.lost(res, err)
+	f.noteConnFailure(res, err)
+	return f.handleLost(res, err)
 }
 
-// check returns an error if an answer is not one to this request, or cannot go on where the
-// caller's answer stands.
-func (f *forwarder) check(resp *http.Response) error {
+// validate returns an error if resp does not answer this request, or cannot continue an answer that was begun.
+func (f *forwarder) validate(resp *http.Response) error {
 	if id := resp.Header.Get(f.proxy.names.RequestID); id != f.in.id {
 		return eris.Errorf("gateway: answer to another request %q", id)
 	}
 	if resp.StatusCode < 300 && resp.Header.Get(f.proxy.names.Signature) == "" {
 		return eris.New("gateway: answer without a signature")
 	}
-	if f.answering.Load() && resp.StatusCode != http.StatusOK {
-		return eris.Errorf("gateway: status %d in the middle of a stream", resp.StatusCode)
+	if f.headerSent.Load() && resp.StatusCode != http.StatusOK {
+		return eris.Errorf("gateway: status %d in answer to a resumed stream", resp.StatusCode)
 	}
 	return nil
 }
 
-// noteServerLimit takes in what an answer says of its server's limit: any answer to this request, but for one
-// of a server at the address of another. sent is when the request was sent.
+// noteServerLimit records the rate limit in an answer. It ignores answers to other requests and answers of a
+// misdirected server, which belong to another server. sent is when the request was sent.
 func (f *forwarder) noteServerLimit(res *dispatch.Reservation, resp *http.Response, sent time.Time) {
 	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(f.proxy.names.RequestID) != f.in.id {
 		return
@@ -98,16 +98,16 @@
 	values := resp.Header.Values(f.proxy.names.ServerLimit)
 	r := serverlimit.Read(values)
 	if r.Kind == serverlimit.Unreadable {
-		f.proxy.lines.malformedLimit(res.Server().ID, f.proxy.names.ServerLimit, values)
+		f.proxy.requestLog.malformedLimit(res.Server().ID, f.proxy.names.ServerLimit, values)
 	}
 	f.proxy.serverLimits.Observe(res.Server().ID, r, sent)
 }
 
-// outgoing makes the request to a server.
-func (f *forwarder) outgoing(ctx context.Context, res *dispatch.Reservation) *http.Request {
+// serverRequest returns the request to the reserved server.
+func (f *forwarder) serverRequest(ctx context.Context, res *dispatch.Reservation) *http.Request {
 	s := res.Server()
 	out := &http.Request{
-		Method: f.in.Method, URL: target(f.in.RequestURI, s.Addr), Host: f.in.Host, Header: f.outgoingHeader(s.Name()),
+		Method: f.in.Method, URL: targetURL(f.in.RequestURI, s.Addr), Host: f.in.Host, Header: f.serverRequestHeader(s.Name()),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 	if len(f.in.body) > 0 {
@@ -118,8 +118,8 @@
 	return sendOnceContext(ctx, out)
 }
 
-// sendOnceContext keeps the transport from sending a request without a body twice, which it
-// does when a kept connection breaks under it.
+// sendOnceContext returns r with ctx. It keeps the transport from repeating a request without a body, which it does
+// when a reused connection breaks.
 func sendOnceContext(ctx context.Context, r *http.Request) *http.Request {
 	if r.Body == nil {
 		r.Body = emptyBody{}
@@ -127,7 +127,7 @@
 	return r.WithContext(ctx)
 }
 
-// emptyBody is a body that the transport does not know to be empty.
+// emptyBody is an empty body that the transport cannot recognise as empty.
 type emptyBody struct{}
 
 // Read implements io.Reader.
@@ -136,7 +136,7 @@
 // Close implements io.Closer.
 func (emptyBody) Close() error { return nil }
 
-// target returns the URL that sends the request line's target as it came.
-func target(requestURI, addr string) *url.URL {
+// targetURL returns a URL that transmits the caller's request target unchanged.
+func targetURL(requestURI, addr string) *url.URL {
 	return &url.URL{Scheme: "http", Host: addr, Opaque: requestURI}
 }
--- a/internal/gateway/server_ends.go
+++ b/internal/gateway/server_ends.go
@@ -15,78 +15,78 @@
 	"rockcleat/quarantine"
 )
 
-// Finding out whether a server has ended.
+// Parameters of the detection of terminated servers.
 const (
-	// endWait is for how long after a break a server that goes off the list counts as ended: three
-	// heartbeats of 1.2 s and the time in which the change is noticed.
-	endWait = 6 * time.Second
-	// maxSuspects bounds the requests that one server's end is charged to.
+	// delistWindow is how long after a connection failed the server counts as terminated if it leaves the list. It
+	// covers three heartbeats of 1.2 s and the time to notice the change.
+	delistWindow = 6 * time.Second
+	// maxSuspects is the maximum number of requests that the termination of one server is attributed to.
 	maxSuspects = 256
-	// loggedDigests bounds those that a log line names.
+	// loggedDigests is the maximum number of digests in a log line.
 	loggedDigests = 16
 )
 
-// A brokenServer is a run of a server at which requests broke off.
-type brokenServer struct {
+// A failedServer is a server instance to which connections failed during requests.
+type failedServer struct {
 	server *backend.Server
-	// at is when the last request broke off.
+	// at is when the last connection failed.
 	at time.Time
-	// probing says that a probe is under way.
-	probing, ended bool
-	// suspects are the requests that broke off there and may have been at its end.
+	// probing says that a probe is running, terminated that the instance has terminated.
+	probing, terminated bool
+	// suspects are the requests whose connection failed, possibly because the server terminated.
 	suspects []quarantine.Key
 }
 
-// An endDetector finds out whether a server has ended under the requests that broke off there, and charges
-// its end to all of them: any may be the cause. It is safe for concurrent use.
+// A terminationDetector detects that a server has terminated, and attributes the termination to all requests whose
+// connection failed at that time, since any of them may be the cause. It is safe for concurrent use.
 //
-// A broken connection alone is no end: links are cut, answers break off, gateways are paused. A server has
-// ended if nobody listens at its address any more, or if the platform takes that run off its list soon
-// after, and in both cases if it had not said that it leaves.
-type endDetector struct {
-	// ctx ends with the gateway, and the probes with it.
+// A failed connection alone does not count, because network links fail, answers are cut short and gateways are paused.
+// A server has terminated if nothing listens at its address any more or if the platform removes the instance from its
+// list soon afterwards, provided that it had not announced that it is leaving.
+type terminationDetector struct {
+	// ctx ends with the gateway and stops the probes.
 	ctx     context.Context
 	clock   clock.Service
 	table   *quarantine.Table
 	servers *backend.Registry
 	// dial connects to an address and closes the connection.
 	dial func(ctx context.Context, addr string) error
-	// isPaused reports whether this process itself was paused just now.
-	isPaused func(now time.Time) bool
-	// onEnd is called after each end that was charged.
-	onEnd   func()
-	log     *zap.Logger
-	metrics Metrics
+	// wasPaused reports whether this process was recently paused.
+	wasPaused func(now time.Time) bool
+	// onTermination is called after each attributed termination.
+	onTermination func()
+	log           *zap.Logger
+	metrics       Metrics
 
 	mu     sync.Mutex
-	broken map[string]*brokenServer
+	failed map[string]*failedServer
 }
 
-// requestBroke notes that the connection broke on which a request was at a server.
-func (d *endDetector) requestBroke(s *backend.Server, k quarantine.Key) {
+// connFailed records that the connection to s failed during the request with key k.
+func (d *terminationDetector) connFailed(s *backend.Server, k quarantine.Key) {
 	now := d.clock.Now()
 	listed, ok := d.servers.Snapshot().Server(s.ID)
-	if !ok || listed.Leaving || d.isPaused(now) {
+	if !ok || listed.Leaving || d.wasPaused(now) {
 		return
 	}
-	if d.suspect(s, k, now) {
+	if d.addSuspect(s, k, now) {
 		return
 	}
 	d.table.Ended(s.ID, k)
-	d.onEnd()
+	d.onTermination()
 }
 
-// suspect adds a request to the suspects of a server, unless that is known to have ended, and begins a
-// probe if none is under way.
-func (d *endDetector) suspect(s *backend.Server, k quarantine.Key, now time.Time) (added bool) {
+// addSuspect adds a request to the suspects of a server, and starts a probe if none is running. It returns false if the
+// server is already known to have terminated.
+func (d *terminationDetector) addSuspect(s *backend.Server, k quarantine.Key, now time.Time) (added bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b := d.broken[s.ID]
+	b := d.failed[s.ID]
 	if b == nil {
-		b = &brokenServer{server: s}
-		d.broken[s.ID] = b
+		b = &failedServer{server: s}
+		d.failed[s.ID] = b
 	}
-	if b.ended {
+	if b.terminated {
 		return false
 	}
 	b.at = now
@@ -100,44 +100,43 @@
 	return true
 }
 
-// probe finds out whether a server lives. Requests that broke off before it took a connection broke off for
-// other reasons than its end; those that broke off later need another probe.
-func (d *endDetector) probe(b *brokenServer) {
+// probe tests whether a server is alive. If the server accepts a connection, the requests that failed before the
+// attempt failed for other reasons; those that failed later need another attempt.
+func (d *terminationDetector) probe(b *failedServer) {
 	before := 0
 	p := wire.Probe{Clock: d.clock, Connect: d.dial, BeforeAttempt: func() { before = d.suspectCount(b) }}
 	for {
 		result := p.Run(d.ctx, b.server.Addr)
 		if result == wire.ServerEnded {
-			d.ended(b)
+			d.terminated(b)
 			return
 		}
-		if !d.goesOn(b, before, result) {
+		if !d.applyProbe(b, before, result) {
 			return
 		}
 	}
 }
 
-// suspectCount returns the number of suspects of a server.
-func (d *endDetector) suspectCount(b *brokenServer) int {
+func (d *terminationDetector) suspectCount(b *failedServer) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(b.suspects)
 }
 
-// goesOn applies the result of an attempt to connect, made after a number of suspects, and reports whether
-// others need a further one.
-func (d *endDetector) goesOn(b *brokenServer, before int, result wire.ProbeResult) bool {
+// applyProbe applies the result of a connection attempt. before is the number of suspects when the attempt began. It
+// reports whether another attempt is needed for later suspects.
+func (d *terminationDetector) applyProbe(b *failedServer, before int, result wire.ProbeResult) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if result == wire.ServerLives && !b.ended {
+	if result == wire.ServerLives && !b.terminated {
 		b.suspects = b.suspects[before:]
 	}
 	b.probing = result == wire.ServerLives && len(b.suspects) > 0
 	return b.probing
 }
 
-// ended charges the end of a server to the requests that broke off there.
-func (d *endDetector) ended(b *brokenServer) {
+// terminated attributes a server's termination to its suspects. It does nothing if that has been done before.
+func (d *terminationDetector) terminated(b *failedServer) {
 	suspects, first := d.takeSuspects(b)
 	if !first {
 		return
@@ -146,45 +145,45 @@
 	d.log.Info(msgServerEnded, zap.String(fieldServer, b.server.ID), zap.String(fieldAddr, b.server.Addr),
 		zap.Int(fieldRequests, len(suspects)), zap.Stringers(fieldDigests, suspects[:min(len(suspects), loggedDigests)]))
 	d.table.Ended(b.server.ID, suspects...)
-	d.onEnd()
+	d.onTermination()
 }
 
-// takeSuspects notes the end of a server and returns the suspects; first says that it was not known.
-func (d *endDetector) takeSuspects(b *brokenServer) (suspects []quarantine.Key, first bool) {
+// takeSuspects marks a server as terminated and removes its suspects; first is false if it was marked before.
+func (d *terminationDetector) takeSuspects(b *failedServer) (suspects []quarantine.Key, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if b.ended {
+	if b.terminated {
 		return nil, false
 	}
-	b.ended = true
+	b.terminated = true
 	suspects, b.suspects = b.suspects, nil
 	return suspects, true
 }
 
-// check charges the ends of servers that have gone off the list since a request broke off there, and
-// forgets old breaks. It is called every expireInterval.
-func (d *endDetector) check(now time.Time) {
+// check handles servers that have left the list since a connection failed, and removes old entries. It is called every
+// expireInterval.
+func (d *terminationDetector) check(now time.Time) {
 	snapshot := d.servers.Snapshot()
-	var gone []*brokenServer
+	var gone []*failedServer
 	d.mu.Lock()
-	for id, b := range d.broken {
+	for id, b := range d.failed {
 		s, listed := snapshot.Server(id)
 		switch {
-		case now.Sub(b.at) > endWait, listed && s.Leaving && !b.ended:
-			delete(d.broken, id)
+		case now.Sub(b.at) > delistWindow, listed && s.Leaving && !b.terminated:
+			delete(d.failed, id)
 		case !listed && len(b.suspects) > 0:
 			gone = append(gone, b)
 		}
 	}
 	d.mu.Unlock()
 	for _, b := range gone {
-		d.ended(b)
+		d.terminated(b)
 	}
 }
 
-// isBreak reports whether an error of a send means that its connection broke, as opposed to a time that
-// is over, an answer that is none, or a send that was given up.
-func isBreak(err error) bool {
+// isConnFailure reports whether a send failed because its connection did, and not because of a timeout, a
+// cancellation or an invalid answer.
+func isConnFailure(err error) bool {
 	var timeout net.Error
 	switch {
 	case errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
--- a/internal/gateway/server_ends_test.go
+++ b/internal/gateway/server_ends_test.go
@@ -19,14 +19,14 @@
 	"rockcleat/quarantine"
 )
 
-// TestEndDetector breaks a request off at a server and checks whether the server's end is charged to it.
-func TestEndDetector(t *testing.T) {
+// TestTerminationDetector checks whether a failed connection is counted as the termination of its server.
+func TestTerminationDetector(t *testing.T) {
 	key := quarantine.KeyOf(quarantine.Request{Target: "/t"})
 	server := backend.Server{ID: "s", Service: "app", Addr: "10.0.0.1:1"}
 	tests := map[string]struct {
-		// dial is the result of a connection to the server's address.
+		// dial is the result of a connection attempt to the server's address.
 		dial error
-		// before and after change the list before and after the break.
+		// before and after change the list of servers before and after the connection failed.
 		before, after func(r *backend.Registry, now time.Time)
 		paused        bool
 		dials, want   int
@@ -56,22 +56,22 @@
 		t.Run(name, func(t *testing.T) {
 			c := clocktest.New(time.Unix(1000, 0))
 			registry := &backend.Registry{}
-			// Two servers of one service: one that vanishes alone is not kept.
+			// The service has other servers, since the registry retains those of a service that lost more than half.
 			registry.Replace([]backend.Server{server, {ID: "other", Service: "app"}, {ID: "third", Service: "app"}}, c.Now())
 			if test.before != nil {
 				test.before(registry, c.Now())
 			}
 			dialed := make(chan struct{}, wire.ConnectAttempts)
-			d := &endDetector{
+			d := &terminationDetector{
 				ctx: t.Context(), clock: clocktest.Real{}, table: quarantine.New(quarantine.Options{Clock: c, Ends: 3, Hold: time.Minute}),
-				servers: registry, isPaused: func(time.Time) bool { return test.paused }, onEnd: func() {},
-				log: zap.NewNop(), metrics: noMetrics{}, broken: make(map[string]*brokenServer),
+				servers: registry, wasPaused: func(time.Time) bool { return test.paused }, onTermination: func() {},
+				log: zap.NewNop(), metrics: noMetrics{}, failed: make(map[string]*failedServer),
 				dial: func(context.Context, string) error {
 					dialed <- struct{}{}
 					return test.dial
 				},
 			}
-			d.requestBroke(&server, key)
+			d.connFailed(&server, key)
 			for range test.dials {
 				<-dialed
 			}
@@ -90,19 +90,19 @@
 	}
 }
 
-// TestEndAfterABreak breaks a request off at a server that lives, and then another one as the server ends:
-// only the second is charged.
-func TestEndAfterABreak(t *testing.T) {
+// TestTerminationAfterConnFailure checks that a termination is attributed only to requests whose connection failed
+// after the last successful probe.
+func TestTerminationAfterConnFailure(t *testing.T) {
 	first, second := quarantine.KeyOf(quarantine.Request{Target: "/1"}), quarantine.KeyOf(quarantine.Request{Target: "/2"})
 	server := backend.Server{ID: "s", Service: "app", Addr: "10.0.0.1:1"}
 	registry := &backend.Registry{}
 	registry.Replace([]backend.Server{server}, time.Now())
 	var ended atomic.Bool
 	dialed := make(chan struct{}, 3*wire.ConnectAttempts)
-	d := &endDetector{
-		ctx: t.Context(), clock: clocktest.Real{}, servers: registry, isPaused: func(time.Time) bool { return false },
-		table: quarantine.New(quarantine.Options{Clock: clocktest.Real{}, Ends: 3, Hold: time.Minute}), onEnd: func() {},
-		log: zap.NewNop(), metrics: noMetrics{}, broken: make(map[string]*brokenServer),
+	d := &terminationDetector{
+		ctx: t.Context(), clock: clocktest.Real{}, servers: registry, wasPaused: func(time.Time) bool { return false },
+		table: quarantine.New(quarantine.Options{Clock: clocktest.Real{}, Ends: 3, Hold: time.Minute}), onTermination: func() {},
+		log: zap.NewNop(), metrics: noMetrics{}, failed: make(map[string]*failedServer),
 		dial: func(context.Context, string) error {
 			dialed <- struct{}{}
 			if ended.Load() {
@@ -111,17 +111,17 @@
 			return nil
 		},
 	}
-	d.requestBroke(&server, first)
+	d.connFailed(&server, first)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.broken[server.ID].probing {
+		if d.failed[server.ID].probing {
 			return poll.Continue("the probe is under way")
 		}
 		return poll.Success()
 	})
 	ended.Store(true)
-	d.requestBroke(&server, second)
+	d.connFailed(&server, second)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if d.table.Ends(second) == 0 {
 			return poll.Continue("the end is not charged")
@@ -129,12 +129,12 @@
 		return poll.Success()
 	})
 	assert.Equal(t, d.table.Ends(first), 0)
-	d.requestBroke(&server, first)
+	d.connFailed(&server, first)
 	assert.Equal(t, d.table.Ends(first), 1, "it broke off after the end was known")
 }
 
-// TestIsBreak checks which errors of a send say that its connection broke.
-func TestIsBreak(t *testing.T) {
+// TestIsConnFailure checks which errors of a send indicate a failed connection.
+func TestIsConnFailure(t *testing.T) {
 	tests := map[string]struct {
 		err  error
 		want bool
@@ -150,11 +150,11 @@
 		"no bytes in time":           {err: timeoutError{}},
 	}
 	for name, test := range tests {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, isBreak(test.err), test.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, isConnFailure(test.err), test.want) })
 	}
 }
 
-// A timeoutError is a time-out of the network.
+// A timeoutError is a net.Error that reports a timeout.
 type timeoutError struct{}
 
 func (timeoutError) Error() string   { return "i/o timeout" }
--- a/internal/gateway/server_limit_failures_test.go
+++ b/internal/gateway/server_limit_failures_test.go
@@ -9,77 +9,77 @@
 	"gotest.tools/v3/poll"
 )
 
-// TestServerLimitUnderFailures lets two plain servers in need get requests at three gateways while something fails:
-// they get no more than they take all the while, and what they take once it is over.
+// TestServerLimitUnderFailures checks that rate-limited servers do not get more requests than allowed during a failure,
+// and that they are fully used again after a recoverable one.
 func TestServerLimitUnderFailures(t *testing.T) {
 	const (
 		pace   = 25 * time.Millisecond
 		before = 4 * time.Second
 		after  = 9 * time.Second
-		// last is the end of the time after, in which all is well again.
+		// last is the final part of after, by which the system has recovered.
 		last = 4 * time.Second
 	)
 	tests := map[string]struct {
-		// fails returns how many gateways are left, the last ones.
-		fails func(w *world) int
-		// recovers says that the servers get what they take in the end.
+		// fails causes the failure and returns the number of remaining gateways, which are the last ones in fronts.
+		fails func(env *testEnv) int
+		// recovers says that the servers must be fully used at the end.
 		recovers bool
 	}{
-		"the leader stops": {fails: func(w *world) int {
-			stopNow(w)
+		"the leader stops": {fails: func(env *testEnv) int {
+			stopNow(env)
 			return 2
 		}, recovers: true},
-		"the store is away": {fails: func(w *world) int {
-			w.store.Fail(func(string) error { return errors.New("away") })
+		"the store is away": {fails: func(env *testEnv) int {
+			env.store.Fail(func(string) error { return errors.New("away") })
 			return 3
 		}},
-		"the store comes back from a copy": {fails: func(w *world) int {
-			w.store.Restore(w.store.Copy())
+		"the store comes back from a copy": {fails: func(env *testEnv) int {
+			env.store.Restore(env.store.Copy())
 			return 3
 		}, recovers: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			servers := []*needyServer{newNeedyServer(t, "s0", false), newNeedyServer(t, "s1", false)}
-			c := newNeedyWorld(t, false, servers)
+			servers := []*throttledServer{newThrottledServer(t, "s0", false), newThrottledServer(t, "s1", false)}
+			c := newThrottledEnv(t, false, servers)
 			for _, s := range servers {
 				s.setLimit("2")
 			}
-			c.sends(pace, before)
-			left := test.fails(c.w)
+			c.run(pace, before)
+			left := test.fails(c.env)
 			c.fronts = c.fronts[len(c.fronts)-left:]
-			c.sends(pace, after)
+			c.run(pace, after)
 			for _, s := range servers {
 				got := s.mostInWindow()
 				assert.Assert(t, got <= 17, "%d requests in %s", got, limitWindow)
-				taken := s.since(time.Now().Add(-last))
+				taken := s.countSince(time.Now().Add(-last))
 				assert.Assert(t, !test.recovers || taken >= 5, "%d requests in the last %s, the server takes 8", taken, last)
 			}
-			c.refusals(t, contactTime)
+			c.checkRefusals(t, propagationTime)
 		})
 	}
 }
 
-// TestServerIsUsedAgain lets the only two servers of a service be in need of any rate, and then not: all requests are
-// served again within seconds.
+// TestServerIsUsedAgain checks that all requests are served again within seconds after the only servers of a service
+// stop announcing a rate limit.
 func TestServerIsUsedAgain(t *testing.T) {
 	for name, limit := range map[string]string{"few": "2", "none": "0"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			servers := []*needyServer{newNeedyServer(t, "s0", false), newNeedyServer(t, "s1", false)}
-			c := newNeedyWorld(t, false, servers)
+			servers := []*throttledServer{newThrottledServer(t, "s0", false), newThrottledServer(t, "s1", false)}
+			c := newThrottledEnv(t, false, servers)
 			for _, s := range servers {
 				s.setLimit(limit)
 			}
-			c.sends(25*time.Millisecond, 2*time.Second)
+			c.run(25*time.Millisecond, 2*time.Second)
 			for _, s := range servers {
 				s.setLimit("")
 			}
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				c.results = nil
-				c.sends(25*time.Millisecond, 250*time.Millisecond)
-				if refused := c.refusals(t, 0); refused > 0 {
+				c.run(25*time.Millisecond, 250*time.Millisecond)
+				if refused := c.checkRefusals(t, 0); refused > 0 {
 					return poll.Continue("%d of %d are refused", refused, len(c.results))
 				}
 				return poll.Success()
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -13,29 +13,29 @@
 	"rockcleat/backend"
 )
 
-// The users' bound on what a server in need gets: from contactTime after it first named a limit, in any
-// limitWindow at most limitFactor times what the limit allows and limitSlack requests more.
+// Requirements for a rate-limited server: from propagationTime after it first announced a limit, any limitWindow may
+// contain at most limitFactor times the requests that the limit allows, plus limitSlack.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// A needyServer is a backend server that names a limit in its answers while it is in need.
-type needyServer struct {
-	*worker
-	mu       sync.Mutex
-	limit    string
-	namedAt  time.Time
-	arrivals []time.Time
+// A throttledServer is a backend server that announces a rate limit in its answers while one is set.
+type throttledServer struct {
+	*fakeServer
+	mu          sync.Mutex
+	limit       string
+	announcedAt time.Time
+	arrivals    []time.Time
 }
 
-// newNeedyServer starts a server that answers with the end of a script's answer after its head.
-func newNeedyServer(t *testing.T, id string, isEngine bool) *needyServer {
-	s := &needyServer{}
-	s.worker = newWorker(t, id, func(c *call) bool {
+// newThrottledServer starts a server that answers each request with its current rate limit.
+func newThrottledServer(t *testing.T, id string, isEngine bool) *throttledServer {
+	s := &throttledServer{}
+	s.fakeServer = newFakeServer(t, id, func(c *call) bool {
 		var limit []string
-		if value := s.note(); value != "" {
+		if value := s.observe(); value != "" {
 			limit = append(limit, names.ServerLimit+": "+value)
 		}
 		if isEngine {
@@ -48,26 +48,26 @@
 	return s
 }
 
-// note counts a request and returns the limit to name, if any.
-func (s *needyServer) note() string {
+// observe records a request and returns the limit to announce, if any.
+func (s *throttledServer) observe() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals = append(s.arrivals, time.Now())
-	if s.limit != "" && s.namedAt.IsZero() {
-		s.namedAt = time.Now()
+	if s.limit != "" && s.announcedAt.IsZero() {
+		s.announcedAt = time.Now()
 	}
 	return s.limit
 }
 
-// setLimit sets the limit that the server names from now on; empty if it is not in need.
-func (s *needyServer) setLimit(limit string) {
+// setLimit sets the limit to announce; empty means none.
+func (s *throttledServer) setLimit(limit string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limit, s.namedAt = limit, time.Time{}
+	s.limit, s.announcedAt = limit, time.Time{}
 }
 
-// arrived returns the number of requests in a span of time.
-func (s *needyServer) arrived(from, to time.Time) int {
+// countBetween returns the number of requests received in [from, to).
+func (s *throttledServer) countBetween(from, to time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -79,13 +79,14 @@
 	return n
 }
 
-// since returns the number of requests since a time.
-func (s *needyServer) since(from time.Time) int { return s.arrived(from, time.Now()) }
+// countSince returns the number of requests received since a time.
+func (s *throttledServer) countSince(from time.Time) int { return s.countBetween(from, time.Now()) }
 
-// mostInWindow returns the most requests in any limitWindow, from contactTime after the limit was first named.
-func (s *needyServer) mostInWindow() int {
+// mostInWindow returns the largest number of requests in any limitWindow, starting propagationTime after the limit
+// was first announced.
+func (s *throttledServer) mostInWindow() int {
 	s.mu.Lock()
-	from := s.namedAt.Add(contactTime - limitWindow)
+	from := s.announcedAt.Add(propagationTime - limitWindow)
 	arrivals := s.arrivals
 	s.mu.Unlock()
 	most := 0
@@ -93,14 +94,14 @@
 		if at.Before(from) {
 			continue
 		}
-		most = max(most, s.arrived(at, at.Add(limitWindow)))
+		most = max(most, s.countBetween(at, at.Add(limitWindow)))
 	}
 	return most
 }
 
-// A crowd is many callers, each of which sends one request to a gateway and takes what it gets.
-type crowd struct {
-	w       *world
+// A loadGenerator simulates many callers, each of which sends one request and does not retry.
+type loadGenerator struct {
+	env     *testEnv
 	fronts  []string
 	path    string
 	headers []string
@@ -110,14 +111,14 @@
 	results []result
 }
 
-// A result is what one caller got.
+// A result is the outcome of one request.
 type result struct {
 	reply
 	sent, took time.Duration
 }
 
-// sends lets callers arrive at the gateways in turn, one every pace for a time.
-func (c *crowd) sends(pace, during time.Duration) {
+// run sends one request per pace to the gateways in turn, for a duration.
+func (c *loadGenerator) run(pace, during time.Duration) {
 	began := time.Now()
 	ticker := time.NewTicker(pace)
 	defer ticker.Stop()
@@ -129,21 +130,22 @@
 	c.wait.Wait()
 }
 
-func (c *crowd) send(i int, began time.Time) {
+func (c *loadGenerator) send(i int, began time.Time) {
 	defer c.wait.Done()
-	req := c.w.request(http.MethodPost, c.path, fmt.Sprint("body ", i), c.headers...)
+	req := c.env.request(http.MethodPost, c.path, fmt.Sprint("body ", i), c.headers...)
 	req.URL.Host = c.fronts[i%len(c.fronts)]
 	req.Header.Set(names.RequestID, fmt.Sprint("caller-", i))
 	sent := time.Now()
-	got := doWith(c.w.client, req)
+	got := doWith(c.env.client, req)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.results = append(c.results, result{reply: got, sent: sent.Sub(began), took: time.Since(sent)})
 }
 
-// refusals checks that all who were not served were refused, with a time to come back, and that of those sent later
-// than a time after the first not more waited in vain than were served. It returns how many were refused then.
-func (c *crowd) refusals(t *testing.T, after time.Duration) int {
+// checkRefusals checks that all requests that were not served were refused with a Retry-After. It also checks that,
+// of the requests sent later than after the start by after, no more waited before their refusal than were served in
+// total. It returns the number of refusals among them.
+func (c *loadGenerator) checkRefusals(t *testing.T, after time.Duration) int {
 	t.Helper()
 	const atOnce = 150 * time.Millisecond
 	refused, served, waited := 0, 0, 0
@@ -169,27 +171,21 @@
 	return refused
 }
 
-// TestServerLimitIsKept holds what users of a deployment with six gateways saw: three engines in need named
-// limits of 1.7 to 2.1 requests a second, and went on getting four to six, from all gateways.
-//
-// Nothing that the gateways sent changed when the engines began to name their limits. The proof was in the
-// gateways' logs: all sends were first sends of other requests, as many in the four seconds before as in the
-// four after, and one gateway alone sent an engine more than all together may. The cause: no gateway read the
-// limit, and what a server says in its answers reached one gateway with one answer, while its limit holds for
-// all of them together.
+// TestServerLimitIsKept checks that all gateways together respect a rate limit that a server announces. A server
+// announces its limit in an answer to one gateway, which has to inform the others.
 func TestServerLimitIsKept(t *testing.T) {
 	const (
 		perSecond  = 2.0
 		plainPace  = 25 * time.Millisecond
 		enginePace = 80 * time.Millisecond
-		// during covers contactTime and a window after it.
-		during = contactTime + limitWindow + time.Second
+		// during covers propagationTime and one window after it.
+		during = propagationTime + limitWindow + time.Second
 	)
 	tests := map[string]struct {
 		isEngine bool
-		// pace is the time between two callers: one server alone bears them.
+		// pace is the time between two requests; one server alone can serve them.
 		pace time.Duration
-		// needy is how many of the two servers are in need, fronts at how many gateways callers arrive.
+		// needy is the number of servers with a rate limit, fronts the number of gateways that receive requests.
 		needy, fronts int
 	}{
 		"plain service, one of two in need":                 {pace: plainPace, needy: 1, fronts: 3},
@@ -202,22 +198,22 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			servers := []*needyServer{newNeedyServer(t, "s0", test.isEngine), newNeedyServer(t, "s1", test.isEngine)}
-			c := newNeedyWorld(t, test.isEngine, servers)
+			servers := []*throttledServer{newThrottledServer(t, "s0", test.isEngine), newThrottledServer(t, "s1", test.isEngine)}
+			c := newThrottledEnv(t, test.isEngine, servers)
 			c.fronts = c.fronts[:test.fronts]
 			for _, s := range servers[:test.needy] {
 				s.setLimit(strconv.FormatFloat(perSecond, 'f', 1, 64))
 			}
-			c.sends(test.pace, during)
+			c.run(test.pace, during)
 			most := limitFactor*perSecond*limitWindow.Seconds() + limitSlack
 			for _, s := range servers[:test.needy] {
 				got := s.mostInWindow()
 				assert.Assert(t, float64(got) <= most, "%d requests in %s, allowed are %v", got, limitWindow, most)
-				took := s.since(s.namedAt.Add(contactTime))
-				least := int(0.7 * perSecond * (during - contactTime - time.Second).Seconds())
+				took := s.countSince(s.announcedAt.Add(propagationTime))
+				least := int(0.7 * perSecond * (during - propagationTime - time.Second).Seconds())
 				assert.Assert(t, took >= least || test.needy == 1, "%d requests, the server takes more", took)
 			}
-			refused := c.refusals(t, contactTime)
+			refused := c.checkRefusals(t, propagationTime)
 			if test.needy == 1 {
 				assert.Equal(t, refused, 0, "the other server takes them all")
 			}
@@ -225,31 +221,31 @@
 	}
 }
 
-// newNeedyWorld starts three gateways before servers and returns callers at all of them.
-func newNeedyWorld(t *testing.T, isEngine bool, servers []*needyServer) *crowd {
-	w := newWorldWithoutConfig(t)
+// newThrottledEnv starts three gateways with the given servers and returns callers of all three.
+func newThrottledEnv(t *testing.T, isEngine bool, servers []*throttledServer) *loadGenerator {
+	env := newTestEnvWithoutConfig(t)
 	for _, s := range servers {
 		if isEngine {
-			w.putRecord(backend.Server{
+			env.putRecord(backend.Server{
 				ID: s.id, Service: "llm", Addr: s.addr, Hall: "h", Slots: 64, Residents: []backend.Resident{{Model: "m1"}},
 			})
 		} else {
-			w.putServer(s.worker, false)
+			env.putServer(s.fakeServer, false)
 		}
 	}
 	if isEngine {
-		// Gateways are known to be ready by requests to the plain service.
-		w.putServer(newWorker(t, "plain", answer(http.StatusOK, "ok")), false)
+		// Fleet members are considered ready when the plain service answers.
+		env.putServer(newFakeServer(t, "plain", answer(http.StatusOK, "ok")), false)
 	}
-	w.putConfig()
-	w.waitReady(http.StatusOK)
-	c := &crowd{w: w, path: pathUnsafe, fronts: []string{w.front}}
+	env.putConfig()
+	env.waitReady(http.StatusOK)
+	c := &loadGenerator{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	if isEngine {
 		c.path, c.headers = pathModel, []string{names.Model, "m1", names.Tokens, "10,10", names.Deadline, "1000"}
 	}
-	for _, m := range startFleet(t, w, 2) {
+	for _, m := range startFleet(t, env, 2) {
 		c.fronts = append(c.fronts, m.front)
 	}
-	w.waitLines("leadership gained", 1)
+	env.waitLines("leadership gained", 1)
 	return c
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -8,23 +8,22 @@
 	"rockcleat/quarantine"
 )
 
-// suspects keeps copies of a request under which a server has ended apart: while one is on its way to a server the
-// others wait for what becomes of it. Several that were sent together ended the next server under each of them, and
-// what the first one showed came too late for the rest.
+// A copySerializer serialises the copies of a request under which a server has terminated: only one copy is sent at a
+// time, so that copies sent together cannot terminate several servers before the first termination is detected.
 //
-// Its zero value holds none. It is safe for concurrent use.
-type suspects struct {
+// Its zero value is ready to use. It is safe for concurrent use.
+type copySerializer struct {
 	mu sync.Mutex
-	// busy is closed when the copy that is on its way has ended.
-	busy map[quarantine.Key]chan struct{}
+	// active maps a request to a channel that is closed when its active copy has finished.
+	active map[quarantine.Key]chan struct{}
 }
 
-// enter waits until no other copy is on its way, or until ctx ends, and returns what lets the next one go.
-func (s *suspects) enter(ctx context.Context, key quarantine.Key) (leave func()) {
+// acquire waits until no other copy is active or ctx ends. release lets the next copy proceed.
+func (s *copySerializer) acquire(ctx context.Context, key quarantine.Key) (release func()) {
 	for {
-		ended, ok := s.take(key)
+		ended, ok := s.tryAcquire(key)
 		if ok {
-			return func() { s.leave(key) }
+			return func() { s.release(key) }
 		}
 		select {
 		case <-ended:
@@ -34,37 +33,37 @@
 	}
 }
 
-// take makes the caller's copy the one on its way if there is none; otherwise it returns what is closed when that
-// one has ended.
-func (s *suspects) take(key quarantine.Key) (ended chan struct{}, ok bool) {
+// tryAcquire makes the caller's copy the active one if there is none. Otherwise it returns a channel that is closed
+// when the active copy has finished.
+func (s *copySerializer) tryAcquire(key quarantine.Key) (ended chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ended, taken := s.busy[key]; taken {
+	if ended, taken := s.active[key]; taken {
 		return ended, false
 	}
-	if s.busy == nil {
-		s.busy = make(map[quarantine.Key]chan struct{})
+	if s.active == nil {
+		s.active = make(map[quarantine.Key]chan struct{})
 	}
-	s.busy[key] = make(chan struct{})
+	s.active[key] = make(chan struct{})
 	return nil, true
 }
 
-func (s *suspects) leave(key quarantine.Key) {
+func (s *copySerializer) release(key quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.busy[key])
-	delete(s.busy, key)
+	close(s.active[key])
+	delete(s.active, key)
 }
 
-// suspectRest is how long after a copy that a server did not answer the next one is kept back: by then it is known
-// whether the server has ended.
-const suspectRest = 500 * time.Millisecond
+// copyDelay is how long the next copy is delayed after one that was not answered. By then it is known whether the
+// server has terminated.
+const copyDelay = 500 * time.Millisecond
 
-// leaveSuspects lets the next copy go, at once if this one was answered or not sent.
-func (f *forwarder) leaveSuspects(leave func()) {
+// releaseCopy lets the next copy proceed: immediately if this one was answered or has not run, else after copyDelay.
+func (f *forwarder) releaseCopy(release func()) {
 	if f.record.runs == 0 || f.record.outcome == outcomeAnswered {
-		leave()
+		release()
 		return
 	}
-	f.proxy.clock.AfterFunc(suspectRest, leave)
+	f.proxy.clock.AfterFunc(copyDelay, release)
 }
--- a/internal/gateway/target_test.go
+++ b/internal/gateway/target_test.go
@@ -6,11 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWhereToReport checks whom a gateway reports to by what it knows. After a restart of all gateways
-// the former leader, which its record still named, said that it does not lead, and then became the
-// leader again under the same address: gateways that knew no other reported to nobody for good, so they
-// had no part in the load, the owners of engines or the retry budget.
-func TestWhereToReport(t *testing.T) {
+// TestReportTarget checks which gateway is reported to, depending on what is known. In particular, the gateway in the
+// lease's record must be asked again if no other is known, since it may have become the leader again after a restart.
+func TestReportTarget(t *testing.T) {
 	const self, record, seed = "self", "record", "seed"
 	tests := map[string]struct {
 		seeds   []string
@@ -28,7 +26,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &reporter{self: sender{addr: self}, gateways: newDirectory(self, 6, test.seeds, false), record: test.record}
+			r := &reporter{self: sender{addr: self}, gateways: newDirectory(self, 6, test.seeds, false), leaseAddr: test.record}
 			for addr, reply := range test.replies {
 				r.noteLeader(addr, reply)
 			}
