--- a/internal/lab/call.go
+++ b/internal/lab/call.go
@@ -16,8 +16,8 @@
 	"rockcleat/internal/wire"
 )
 
-// An Answer is what a caller saw of one request.
-type Answer struct {
+// An Response is what a caller saw of one request.
+type Response struct {
 	Status     int
 	Outcome    wire.Outcome
 	Replayed   bool
@@ -27,8 +27,8 @@
 	// Text is the answer's text and Tokens the number of its events.
 	Text   string
 	Tokens int
-	// Whole says that a stream had its end mark, or another answer its full length.
-	Whole      bool
+	// Complete says that a stream had its end mark, or another answer its full length.
+	Complete   bool
 	FirstToken time.Duration
 	Total      time.Duration
 	// Err is the transport's error, if the answer was cut.
@@ -74,7 +74,7 @@
 }
 
 // Send sends a request and reads its answer to the end.
-func (c *Caller) Send(ctx context.Context, r Request) Answer {
+func (c *Caller) Send(ctx context.Context, r Request) Response {
 	began := time.Now()
 	if r.Method == "" {
 		r.Method = http.MethodPost
@@ -84,7 +84,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Addr+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	req.Header.Set("Content-Type", "application/json")
 	if r.Key != "" {
@@ -93,13 +93,13 @@
 	if r.ID != "" {
 		req.Header.Set(wire.HeaderRequestID, r.ID)
 	}
-	wire.SendOnce(req)
+	wire.DisableRetry(req)
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return Answer{Err: err, Total: time.Since(began)}
+		return Response{Err: err, Total: time.Since(began)}
 	}
 	defer resp.Body.Close()
-	a := Answer{
+	a := Response{
 		Status: resp.StatusCode, Outcome: wire.Outcome(resp.Header.Get(wire.HeaderOutcome)),
 		Replayed: resp.Header.Get(wire.HeaderReplayed) != "", RetryAfter: wire.RetryAfter(resp.Header),
 		Reason: resp.Header.Get(wire.HeaderReason),
@@ -114,10 +114,10 @@
 }
 
 // readWhole reads an answer that is no stream.
-func (a *Answer) readWhole(r io.Reader, began time.Time) {
+func (a *Response) readWhole(r io.Reader, began time.Time) {
 	data, err := io.ReadAll(r)
 	a.FirstToken = time.Since(began)
-	a.Body, a.Err, a.Whole = string(data), err, err == nil
+	a.Body, a.Err, a.Complete = string(data), err, err == nil
 	var c openai.Completion
 	if json.Unmarshal(data, &c) == nil && len(c.Choices) > 0 && c.Choices[0].Message != nil {
 		a.Text = c.Choices[0].Message.Content
@@ -125,7 +125,7 @@
 }
 
 // readStream reads the events of a stream.
-func (a *Answer) readStream(r io.Reader, began time.Time) {
+func (a *Response) readStream(r io.Reader, began time.Time) {
 	s := bufio.NewScanner(r)
 	var text strings.Builder
 	for s.Scan() {
@@ -137,7 +137,7 @@
 			a.FirstToken = time.Since(began)
 		}
 		if data == "[DONE]" {
-			a.Whole = true
+			a.Complete = true
 			continue
 		}
 		var c openai.Completion
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -25,8 +25,8 @@
 	err  error
 }
 
-// Launch starts a program whose output goes to a file in dir.
-func Launch(dir, name, program string, args ...string) (*Process, error) {
+// StartProcess starts a program whose output goes to a file in dir.
+func StartProcess(dir, name, program string, args ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, eris.Wrap(err, "lab: open log")
@@ -126,8 +126,8 @@
 // pollEvery is the time between two looks at a condition.
 const pollEvery = 10 * time.Millisecond
 
-// Until waits until the condition holds or ctx ends.
-func Until(ctx context.Context, what string, ok func() bool) error {
+// WaitUntil waits until the condition holds or ctx ends.
+func WaitUntil(ctx context.Context, what string, ok func() bool) error {
 	for !ok() {
 		select {
 		case <-ctx.Done():
--- a/internal/lab/system.go
+++ b/internal/lab/system.go
@@ -23,17 +23,17 @@
 // Secret is the shared secret of a lab's processes.
 const Secret = "lab-secret-0123456789"
 
-// An EngineSpec describes the engines of a lab.
-type EngineSpec struct {
+// An EngineOptions describes the engines of a lab.
+type EngineOptions struct {
 	Accelerators int
 	// MemoryMiB is the memory of each accelerator, Slots the number of sequences that it batches.
 	MemoryMiB int
 	Slots     int
-	// Step is the time of a decoding step, Prefill the number of prompt tokens read a second.
-	Step    time.Duration
-	Prefill float64
-	// NoFence makes the engine take orders of any fencing token.
-	NoFence bool
+	// Step is the time of a decoding step, PrefillTokensPerSecond the number of prompt tokens read a second.
+	Step                   time.Duration
+	PrefillTokensPerSecond float64
+	// SkipFenceCheck makes the engine take orders of any fencing token.
+	SkipFenceCheck bool
 }
 
 // Options describe a lab.
@@ -44,19 +44,19 @@
 	Entries  int
 	Engines  int
 	Services int
-	Engine   EngineSpec
+	Engine   EngineOptions
 	// ServiceRows are the table rows that the plain services answer.
 	ServiceRows []string
 	Rows        []table.Row
 	Sizes       map[string]placement.Size
 	// VMLag is how late the list of VMs is.
 	VMLag time.Duration
-	// KVReads and KVWrites are the key-value service's rates; 0 is no limit.
-	KVReads, KVWrites float64
-	// Loads, FullSpeed and LoadSpeed are the weight store's; see standin.WeightsOptions.
-	Loads     float64
-	FullSpeed int
-	LoadSpeed float64
+	// KVReadsPerSecond and KVWritesPerSecond are the key-value service's rates; 0 is no limit.
+	KVReadsPerSecond, KVWritesPerSecond float64
+	// LoadsPerSecond, FullSpeedLoads and LoadMiBPerSecond are the weight store's; see standin.WeightStoreOptions.
+	LoadsPerSecond   float64
+	FullSpeedLoads   int
+	LoadMiBPerSecond float64
 	// ServiceDelay is the time of a plain service's call.
 	ServiceDelay time.Duration
 	// Entry and Agent change the settings of each process, if not nil.
@@ -94,11 +94,11 @@
 // A System is a running lab.
 type System struct {
 	opts Options
-	// KVURL, VMsURL and WURL are the stand-ins for the key-value service, the list of VMs and
+	// KVURL, VMsURL and WeightsURL are the stand-ins for the key-value service, the list of VMs and
 	// the weight store.
-	KVURL  string
-	VMsURL string
-	WURL   string
+	KVURL      string
+	VMsURL     string
+	WeightsURL string
 
 	mu       sync.Mutex
 	Entries  []*Node
@@ -143,15 +143,15 @@
 	if len(s.opts.Rows) == 0 {
 		return nil
 	}
-	if _, err := s.Save(ctx, table.Diff(nil, s.opts.Rows, false)); err != nil {
+	if _, err := s.SaveChanges(ctx, table.Diff(nil, s.opts.Rows, false)); err != nil {
 		return err
 	}
 	for _, e := range s.Entries {
-		if err := Until(ctx, e.ID+" is ready", func() bool { return answers("http://" + e.Control + wire.PathReady) }); err != nil {
+		if err := WaitUntil(ctx, e.ID+" is ready", func() bool { return answers("http://" + e.Control + wire.PathReady) }); err != nil {
 			return err
 		}
 	}
-	return s.AwaitPlaced(ctx)
+	return s.AwaitRowsReady(ctx)
 }
 
 // run starts a stand-in on a free address and waits until it listens.
@@ -162,7 +162,7 @@
 	}
 	again := func() (*Process, error) {
 		all := append(append([]string{}, args...), "-listen", addr)
-		p, err := Launch(s.opts.Dir, name, filepath.Join(s.opts.Bin, "rockcleat-standin"), all...)
+		p, err := StartProcess(s.opts.Dir, name, filepath.Join(s.opts.Bin, "rockcleat-standin"), all...)
 		if err != nil {
 			return nil, err
 		}
@@ -171,7 +171,7 @@
 		s.mu.Unlock()
 		ctx, cancel := context.WithTimeout(ctx, startTime)
 		defer cancel()
-		return p, Until(ctx, name+" listens", func() bool { return listens(addr) })
+		return p, WaitUntil(ctx, name+" listens", func() bool { return listens(addr) })
 	}
 	p, err := again()
 	return p, "http://" + addr, again, err
@@ -183,18 +183,18 @@
 // startPlatform starts the stand-ins for the platform's services.
 func (s *System) startPlatform(ctx context.Context) (err error) {
 	o := s.opts
-	if _, s.KVURL, _, err = s.run(ctx, "kv", "kv", "-reads", float(o.KVReads), "-writes", float(o.KVWrites)); err != nil {
+	if _, s.KVURL, _, err = s.run(ctx, "kv", "kv", "-reads", float(o.KVReadsPerSecond), "-writes", float(o.KVWritesPerSecond)); err != nil {
 		return err
 	}
 	if _, s.VMsURL, _, err = s.run(ctx, "vms", "vms", "-lag", o.VMLag.String()); err != nil {
 		return err
 	}
-	_, s.WURL, _, err = s.run(ctx, "weights", "weights", "-loads", float(o.Loads),
-		"-full-speed", strconv.Itoa(o.FullSpeed), "-speed", float(o.LoadSpeed))
+	_, s.WeightsURL, _, err = s.run(ctx, "weights", "weights", "-loads", float(o.LoadsPerSecond),
+		"-full-speed", strconv.Itoa(o.FullSpeedLoads), "-speed", float(o.LoadMiBPerSecond))
 	if err != nil {
 		return err
 	}
-	return send(ctx, http.MethodPut, s.WURL+"/v1/weights", inventory.Catalogue{Sizes: o.Sizes}, nil)
+	return send(ctx, http.MethodPut, s.WeightsURL+"/v1/weights", inventory.Catalogue{Sizes: o.Sizes}, nil)
 }
 
 // hall returns the data hall of the i-th VM of a kind.
@@ -206,8 +206,8 @@
 	name := fmt.Sprintf("engine-%d", i)
 	p, url, again, err := s.run(ctx, name, "engine",
 		"-accelerators", strconv.Itoa(o.Accelerators), "-memory", strconv.Itoa(o.MemoryMiB),
-		"-slots", strconv.Itoa(o.Slots), "-step", o.Step.String(), "-prefill", float(o.Prefill),
-		"-weights", s.WURL, "-checks-orders="+strconv.FormatBool(!o.NoFence))
+		"-slots", strconv.Itoa(o.Slots), "-step", o.Step.String(), "-prefill", float(o.PrefillTokensPerSecond),
+		"-weights", s.WeightsURL, "-checks-orders="+strconv.FormatBool(!o.SkipFenceCheck))
 	if err != nil {
 		return err
 	}
@@ -244,8 +244,8 @@
 	}
 }
 
-// Left returns the names of processes that have not ended.
-func (s *System) Left() []string {
+// RunningProcesses returns the names of processes that have not ended.
+func (s *System) RunningProcesses() []string {
 	var names []string
 	for _, p := range s.all {
 		if !p.Exited() {
--- a/internal/proofs/checks_test.go
+++ b/internal/proofs/checks_test.go
@@ -16,11 +16,11 @@
 		if err != nil {
 			continue
 		}
-		want := standin.Text(req, s.tokens)
+		want := standin.ResponseText(req, s.tokens)
 		switch {
-		case s.Whole && s.Outcome == wire.OutcomeAnswered && s.Text != want:
+		case s.Complete && s.Outcome == wire.OutcomeAnswered && s.Text != want:
 			tr.violation("request %s: whole answer is not its own: %d tokens of %d", s.ID, s.Tokens, s.tokens)
-		case s.Whole && s.Outcome == wire.OutcomeAnswered:
+		case s.Complete && s.Outcome == wire.OutcomeAnswered:
 			whole++
 		case !strings.HasPrefix(want, s.Text):
 			tr.violation("request %s: tokens doubled, skipped or of another answer", s.ID)
@@ -40,14 +40,14 @@
 			continue
 		}
 		if b.Service {
-			var e standin.EffectsAnswer
+			var e standin.EffectsResponse
 			tr.must(lab.Fetch(tr.ctx, b.URL+"/effects", &e))
 			for id, n := range e.Requests {
 				total[id] += n
 			}
 			continue
 		}
-		var e standin.SeenAnswer
+		var e standin.SeenResponse
 		tr.must(lab.Fetch(tr.ctx, b.URL+"/seen", &e))
 		for id, n := range e.Seen {
 			total[id] += n
@@ -82,7 +82,7 @@
 		if !b.Service {
 			continue
 		}
-		var e standin.EffectsAnswer
+		var e standin.EffectsResponse
 		tr.must(lab.Fetch(tr.ctx, b.URL+"/effects", &e))
 		for k, n := range e.Effects {
 			total[k] += n
--- a/internal/proofs/harness_test.go
+++ b/internal/proofs/harness_test.go
@@ -92,7 +92,7 @@
 // A sent is one request with its answer.
 type sent struct {
 	lab.Request
-	lab.Answer
+	lab.Response
 	began  time.Time
 	tokens int
 }
@@ -115,21 +115,21 @@
 func quick(o *lab.Options) {
 	entry, agent := o.Entry, o.Agent
 	o.Entry = func(e *config.Entry) {
-		e.Planner.ExchangeEvery = config.Duration(500 * time.Millisecond)
+		e.Planner.ExchangeInterval = config.Duration(500 * time.Millisecond)
 		e.Planner.LeaseTTL = config.Duration(2 * time.Second)
 		e.Planner.Hold = config.Duration(time.Second)
 		e.Claims.LeaseTTL = config.Duration(2 * time.Second)
 		e.Claims.WritesPerSecond = 200
-		e.SyncEvery = config.Duration(200 * time.Millisecond)
-		e.VMsEvery = config.Duration(200 * time.Millisecond)
-		e.Limits.SilentTime = config.Duration(2 * time.Second)
+		e.SyncInterval = config.Duration(200 * time.Millisecond)
+		e.VMsInterval = config.Duration(200 * time.Millisecond)
+		e.Limits.HeartbeatTimeout = config.Duration(2 * time.Second)
 		e.LeaveTime = config.Duration(1500 * time.Millisecond)
 		if entry != nil {
 			entry(e)
 		}
 	}
 	o.Agent = func(a *config.Agent) {
-		a.Limits.SilentTime = config.Duration(2 * time.Second)
+		a.Limits.HeartbeatTimeout = config.Duration(2 * time.Second)
 		a.LeaveTime = config.Duration(1500 * time.Millisecond)
 		a.Backend.OrderLifetime = config.Duration(1500 * time.Millisecond)
 		if agent != nil {
@@ -152,10 +152,10 @@
 		}
 		_ = os.RemoveAll(dir)
 	})
-	o := lab.Small(binDir, dir)
+	o := lab.SmallOptions(binDir, dir)
 	o.VMLag = 200 * time.Millisecond
 	o.Engine.Step = 5 * time.Millisecond
-	o.KVReads, o.KVWrites = 0, 0
+	o.KVReadsPerSecond, o.KVWritesPerSecond = 0, 0
 	if change != nil {
 		change(&o)
 	}
@@ -218,11 +218,11 @@
 
 func (tr *trial) until(what string, ok func() bool) {
 	tr.t.Helper()
-	tr.must(lab.Until(tr.ctx, what, ok))
+	tr.must(lab.WaitUntil(tr.ctx, what, ok))
 }
 
 // send sends a request, keeps its answer and returns it.
-func (tr *trial) send(r lab.Request, tokens int) lab.Answer {
+func (tr *trial) send(r lab.Request, tokens int) lab.Response {
 	if r.ID == "" {
 		r.ID = uuid.NewString()
 	}
@@ -230,7 +230,7 @@
 	a := tr.caller.Send(tr.ctx, r)
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.sent = append(tr.sent, sent{Request: r, Answer: a, began: began, tokens: tokens})
+	tr.sent = append(tr.sent, sent{Request: r, Response: a, began: began, tokens: tokens})
 	return a
 }
 
--- a/internal/proofs/history_test.go
+++ b/internal/proofs/history_test.go
@@ -49,8 +49,8 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 		now := n.Process
-		var v wire.VersionAnswer
-		if err := lab.Client().Get(tr.ctx, n.Control, wire.PathStatus, &v); err != nil || now != n.Process {
+		var v wire.VersionResponse
+		if err := lab.NewControlClient().Get(tr.ctx, n.Control, wire.PathStatus, &v); err != nil || now != n.Process {
 			continue
 		}
 		if now != process {
@@ -68,8 +68,8 @@
 
 // read adds what stands in the record now. A version never gets another edit.
 func (r *editRecord) read(tr *trial) {
-	var h wire.HistoryAnswer
-	tr.must(lab.Client().Get(tr.ctx, tr.liveEntry(0).Control, wire.PathHistory, &h))
+	var h wire.HistoryResponse
+	tr.must(lab.NewControlClient().Get(tr.ctx, tr.liveEntry(0).Control, wire.PathHistory, &h))
 	if r.byVersion == nil {
 		r.byVersion = make(map[uint64]table.Edit)
 	}
@@ -118,7 +118,7 @@
 }
 
 func checkSeen(tr *trial, c table.Change, version uint64, lastOf map[string]uint64) {
-	if last, ok := lastOf[c.Name]; ok && c.Seen != last {
+	if last, ok := lastOf[c.Name]; ok && c.ExpectedVersion != last {
 		tr.violation("version %d changed row %s without having seen version %d", version, c.Name, last)
 	}
 	lastOf[c.Name] = version
--- a/internal/proofs/memory_test.go
+++ b/internal/proofs/memory_test.go
@@ -16,10 +16,10 @@
 	for name, unchecked := range map[string]bool{"orders checked": false, "orders not checked": true} {
 		t.Run(name, func(t *testing.T) {
 			tr := start(t, 1, "memory never overcommitted", func(o *lab.Options) {
-				o.Engine.NoFence = unchecked
+				o.Engine.SkipFenceCheck = unchecked
 				o.Engine.Accelerators = 1
 				o.Engine.MemoryMiB = 24000
-				o.LoadSpeed = 40000
+				o.LoadMiBPerSecond = 40000
 				o.Sizes["digest"] = o.Sizes["summary"]
 			})
 			b := func() *lab.Backend { return tr.engines()[tr.rng.IntN(len(tr.engines()))] }
@@ -33,7 +33,7 @@
 				}},
 				{"orders late and agents killed", func() {
 					for _, x := range tr.engines() {
-						tr.must(lab.Fault(tr.ctx, x.URL, standin.Faults{LateOrdersMs: 400}))
+						tr.must(lab.Fault(tr.ctx, x.URL, standin.Faults{OrderDelayMs: 400}))
 					}
 					tr.swap()
 					tr.restart(b().Agent)
@@ -58,7 +58,7 @@
 				}},
 				{"second agent while the first is frozen", func() { tr.twoAgents(b()) }},
 				{"key-value answers lost", func() {
-					tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseAnswers: 3}))
+					tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseResponses: 3}))
 					tr.churn()
 				}},
 			})
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -58,10 +58,10 @@
 		if effects[s.Key] != 1 {
 			tr.violation("key %s was answered and took effect %d times", s.Key, effects[s.Key])
 		}
-		if old, ok := bodies[s.Key]; ok && old != s.Answer.Body {
+		if old, ok := bodies[s.Key]; ok && old != s.Response.Body {
 			tr.violation("key %s was answered in two ways", s.Key)
 		}
-		bodies[s.Key] = s.Answer.Body
+		bodies[s.Key] = s.Response.Body
 	}
 	for key, n := range effects {
 		if key != "" && n > 1 {
@@ -110,7 +110,7 @@
 			p.heal()
 		}},
 		{"key-value answers lost", func() {
-			tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseAnswers: 10}))
+			tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseResponses: 10}))
 			wait()
 		}},
 		{"key-value service out", func() { tr.kvOutage(wait) }},
--- a/internal/proofs/poison_test.go
+++ b/internal/proofs/poison_test.go
@@ -25,7 +25,7 @@
 // Promise 9: a request under which three servers ended is refused, and no other is.
 func TestPoison(t *testing.T) {
 	tr := start(t, 9, "requests that end servers are refused", nil)
-	tr.must(tr.AwaitPlaced(tr.ctx))
+	tr.must(tr.AwaitRowsReady(tr.ctx))
 	ends := 0
 	for i := range poisonCopies {
 		tr.mark()
@@ -53,7 +53,7 @@
 // mark makes every engine end under the request.
 func (tr *trial) mark() {
 	for _, b := range tr.engines() {
-		tr.must(lab.Fault(tr.ctx, b.URL, standin.Faults{EndOn: poisonMark}))
+		tr.must(lab.Fault(tr.ctx, b.URL, standin.Faults{ExitOn: poisonMark}))
 	}
 }
 
@@ -72,7 +72,7 @@
 			tr.must(tr.RestartServer(b))
 		}
 	}
-	tr.must(tr.AwaitPlaced(tr.ctx))
+	tr.must(tr.AwaitRowsReady(tr.ctx))
 	return ended
 }
 
@@ -80,10 +80,10 @@
 func (tr *trial) quarantinedEverywhere() bool {
 	for _, e := range tr.Entries {
 		var list wire.QuarantineList
-		if err := lab.Client().Get(tr.ctx, e.Control, wire.PathQuarantine, &list); err != nil {
+		if err := lab.NewControlClient().Get(tr.ctx, e.Control, wire.PathQuarantine, &list); err != nil {
 			return false
 		}
-		if len(list.Items) == 0 || list.Items[0].HeldMs == 0 {
+		if len(list.Items) == 0 || list.Items[0].RemainingMs == 0 {
 			return false
 		}
 	}
@@ -96,9 +96,9 @@
 func TestSoundRequest(t *testing.T) {
 	tr := start(t, 9, "requests that end servers are refused", func(o *lab.Options) {
 		// All engines may end under the request before it is refused.
-		o.Entry = func(e *config.Entry) { e.Quarantine.Ends = 8 }
+		o.Entry = func(e *config.Entry) { e.Quarantine.Threshold = 8 }
 	})
-	tr.must(tr.AwaitPlaced(tr.ctx))
+	tr.must(tr.AwaitRowsReady(tr.ctx))
 	body := lab.ChatBody(lab.SmallModel, poisonMark, 5, true)
 	tr.mark()
 	first := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.liveEntry(0).Addr, ID: "first", Body: body})
@@ -118,7 +118,7 @@
 // does not answer.
 func (tr *trial) suspects(e *lab.Node) (n int, ok bool) {
 	var list wire.QuarantineList
-	err := lab.Client().Get(tr.ctx, e.Control, wire.PathQuarantine, &list)
+	err := lab.NewControlClient().Get(tr.ctx, e.Control, wire.PathQuarantine, &list)
 	return len(list.Items), err == nil
 }
 
--- a/internal/proofs/reachable_test.go
+++ b/internal/proofs/reachable_test.go
@@ -55,7 +55,7 @@
 		}},
 		{"planner killed", func() { tr.restart(tr.awaitPlanner()) }},
 		{"server and agent killed", func() {
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 			allow(true)
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
 			began := time.Now()
@@ -69,7 +69,7 @@
 			allow(false)
 			tr.must(tr.RestartServer(b))
 			tr.must(tr.StartNode(tr.ctx, b.Agent))
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 		}},
 		{"server leaves", func() {
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
@@ -77,7 +77,7 @@
 			tr.until("every model has a place off the leaver", func() bool { return tr.placedWithout(b, names) })
 			tr.restart(b.Agent)
 			tr.must(tr.SetVM(tr.ctx, b.Agent, inventory.RoleBackend, inventory.VMLive))
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 		}},
 	})
 	close(done)
@@ -95,7 +95,7 @@
 	for _, name := range names {
 		has := false
 		for _, s := range st.Servers {
-			has = has || s.ID != b.Agent.ID && s.Has(name)
+			has = has || s.ID != b.Agent.ID && s.HasReady(name)
 		}
 		if !has {
 			return false
--- a/internal/proofs/steps_test.go
+++ b/internal/proofs/steps_test.go
@@ -13,7 +13,7 @@
 )
 
 // knows reports whether a status lists a server under the address.
-func knows(st wire.StatusAnswer, id, addr string) bool {
+func knows(st wire.StatusResponse, id, addr string) bool {
 	for _, s := range st.Servers {
 		if s.ID == id && s.Addr == addr {
 			return true
@@ -27,9 +27,9 @@
 	tr.t.Helper()
 	var version uint64
 	tr.until("an edit of "+name+" is saved", func() bool {
-		var t wire.TableAnswer
+		var t wire.TableResponse
 		e := tr.liveEntry(0)
-		if err := lab.Client().Get(tr.ctx, e.Control, wire.PathTable, &t); err != nil {
+		if err := lab.NewControlClient().Get(tr.ctx, e.Control, wire.PathTable, &t); err != nil {
 			return false
 		}
 		i := slices.IndexFunc(t.Rows, func(r table.Row) bool { return r.Name == name })
@@ -37,7 +37,7 @@
 		if i >= 0 {
 			r, seen = t.Rows[i], t.Rows[i].Version
 		}
-		c := table.Change{Name: name, Seen: seen}
+		c := table.Change{Name: name, ExpectedVersion: seen}
 		if change != nil {
 			change(&r)
 			c.Row = &r
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,5 +1,5 @@
 // Package standin holds small stand-ins for what the platform gives: the
-// key-value service, the list of VMs, the weight store, a model engine and a
+// key-value service, the list of VMList, the weight store, a model engine and a
 // plain service. Tests and `make run` use them; the daemons never import them.
 //
 // Each can be made to fail through a Faults value, in the process or at the
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -22,16 +22,16 @@
 	MemoryMiB    int
 	// Slots is the number of sequences that an accelerator batches.
 	Slots int
-	// Step is the time of one decoding step of an accelerator with one sequence.
-	Step time.Duration
-	// PrefillPerSecond is the number of prompt tokens read a second.
-	PrefillPerSecond float64
+	// DecodeStep is the time of one decoding step of an accelerator with one sequence.
+	DecodeStep time.Duration
+	// PrefillTokensPerSecond is the number of prompt tokens read a second.
+	PrefillTokensPerSecond float64
 	// UnloadTime is the time that an unload takes.
 	UnloadTime time.Duration
 	// Weights is the weight store's base URL.
 	Weights string
-	// ChecksOrders makes the engine refuse orders with an old fencing token.
-	ChecksOrders bool
+	// CheckFence makes the engine refuse orders with an old fencing token.
+	CheckFence bool
 	// ReportLag is by how much the load in a status may be out of date.
 	ReportLag time.Duration
 }
@@ -45,15 +45,15 @@
 	Loads       int `json:"loads"`
 	Unloads     int `json:"unloads"`
 	Fenced      int `json:"fenced"`
-	Cut         int `json:"cut"`
+	Interrupted int `json:"cut"`
 	Completed   int `json:"completed"`
 	Tokens      int `json:"tokens"`
 	// LastStartMs is when the last request started, as Unix time.
 	LastStartMs int64 `json:"last_start_ms"`
 }
 
-// SeenAnswer counts the starts of each request id.
-type SeenAnswer struct {
+// SeenResponse counts the starts of each request id.
+type SeenResponse struct {
 	Seen map[string]int `json:"seen"`
 }
 
@@ -106,7 +106,7 @@
 func (s *Engine) listSeen(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.JSON(http.StatusOK, SeenAnswer{Seen: s.seen})
+	return c.JSON(http.StatusOK, SeenResponse{Seen: s.seen})
 }
 
 // ServeHTTP makes Engine an http.Handler.
@@ -151,7 +151,7 @@
 	if err := c.Bind(&o); err != nil {
 		return err
 	}
-	if late := s.get().LateOrdersMs; late > 0 {
+	if late := s.get().OrderDelayMs; late > 0 {
 		time.AfterFunc(time.Duration(late)*time.Millisecond, func() { s.take(o) })
 		return c.NoContent(http.StatusAccepted)
 	}
@@ -165,7 +165,7 @@
 func (s *Engine) take(o engine.Order) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opts.ChecksOrders && o.Fence < s.fence {
+	if s.opts.CheckFence && o.Fence < s.fence {
 		s.stats.Fenced++
 		return false
 	}
@@ -255,7 +255,7 @@
 	}
 	r.State = fleet.StateUnloading
 	s.stats.Unloads++
-	s.stats.Cut += r.running
+	s.stats.Interrupted += r.running
 	time.AfterFunc(s.opts.UnloadTime, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -17,16 +17,16 @@
 	Outage bool `json:"outage"`
 	// DelayMs delays every call.
 	DelayMs int `json:"delay_ms"`
-	// LoseAnswers is the number of writes that take effect while their answer is lost.
-	LoseAnswers int `json:"lose_answers"`
+	// LoseResponses is the number of writes that take effect while their answer is lost.
+	LoseResponses int `json:"lose_answers"`
 	// LateOrders delays orders to an engine by so many milliseconds after they were
 	// acknowledged as received.
-	LateOrdersMs int `json:"late_orders_ms"`
+	OrderDelayMs int `json:"late_orders_ms"`
 	// FailLoads is the number of loads that fail half-way.
 	FailLoads int `json:"fail_loads"`
-	// EndOn, if not empty, ends the process of an engine that begins to run a request whose body has
+	// ExitOn, if not empty, ends the process of an engine that begins to run a request whose body has
 	// that text.
-	EndOn string `json:"end_on"`
+	ExitOn string `json:"end_on"`
 }
 
 // A faultBox holds the faults of one stand-in.
@@ -53,10 +53,10 @@
 func (b *faultBox) loseAnswer() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.faults.LoseAnswers == 0 {
+	if b.faults.LoseResponses == 0 {
 		return false
 	}
-	b.faults.LoseAnswers--
+	b.faults.LoseResponses--
 	return true
 }
 
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -70,7 +70,7 @@
 		return nil
 	}
 	defer s.leave(q)
-	if mark := s.get().EndOn; mark != "" && bytes.Contains(data, []byte(mark)) {
+	if mark := s.get().ExitOn; mark != "" && bytes.Contains(data, []byte(mark)) {
 		os.Exit(endedByRequest)
 	}
 	total := req.MaxTokens
@@ -156,10 +156,10 @@
 	}
 	s.cached[prefix] = time.Now()
 	s.evict()
-	if s.opts.PrefillPerSecond <= 0 {
+	if s.opts.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(tokens / s.opts.PrefillPerSecond * float64(time.Second))
+	return time.Duration(tokens / s.opts.PrefillTokensPerSecond * float64(time.Second))
 }
 
 // evict drops the prefix used longest ago; s.mu is held.
@@ -182,8 +182,8 @@
 	return fmt.Sprintf("w%d-%04x ", i, rendezvous.Key(req.Model+req.Prompt()+strconv.Itoa(i))&0xffff)
 }
 
-// Text returns the first n tokens of the answer to a request, as any engine gives them.
-func Text(req openai.Request, n int) string {
+// ResponseText returns the first n tokens of the answer to a request, as any engine gives them.
+func ResponseText(req openai.Request, n int) string {
 	var b strings.Builder
 	for i := range n {
 		b.WriteString(token(req, i))
@@ -198,7 +198,7 @@
 	resident := s.find(q.model, q.acc) != nil
 	s.stats.Tokens++
 	s.mu.Unlock()
-	return pause(c, time.Duration(float64(s.opts.Step)*(1+batchSlowdown*part))) && resident
+	return pause(c, time.Duration(float64(s.opts.DecodeStep)*(1+batchSlowdown*part))) && resident
 }
 
 // stream sends the tokens from one on as events, and the end mark.
@@ -251,5 +251,5 @@
 		}
 	}
 	s.completed()
-	return c.JSON(http.StatusOK, whole(req, Text(req, total), total))
+	return c.JSON(http.StatusOK, whole(req, ResponseText(req, total), total))
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -180,7 +180,7 @@
 // list answers with the entries of a prefix, in the order of their keys.
 func (s *KV) list(c echo.Context) error {
 	prefix := c.QueryParam("prefix")
-	var a kv.ListAnswer
+	var a kv.ListResponse
 	s.mu.Lock()
 	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,8 +10,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// EffectsAnswer says how often calls with each idempotency key took effect.
-type EffectsAnswer struct {
+// EffectsResponse says how often calls with each idempotency key took effect.
+type EffectsResponse struct {
 	Total   int            `json:"total"`
 	Effects map[string]int `json:"effects"`
 	// Requests counts the effects of each request id.
@@ -43,10 +43,10 @@
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
 // Effects returns the effects so far.
-func (s *Service) Effects() EffectsAnswer {
+func (s *Service) Effects() EffectsResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return EffectsAnswer{Total: s.total, Effects: maps.Clone(s.effects), Requests: maps.Clone(s.byID)}
+	return EffectsResponse{Total: s.total, Effects: maps.Clone(s.effects), Requests: maps.Clone(s.byID)}
 }
 
 // serviceAnswer is what a call answers.
--- a/internal/standin/vms.go
+++ b/internal/standin/vms.go
@@ -18,8 +18,8 @@
 	at      time.Time
 }
 
-// VMs stands in for the platform's lagging list of VMs.
-type VMs struct {
+// VMList stands in for the platform's lagging list of VMList.
+type VMList struct {
 	faultBox
 	echo *echo.Echo
 	lag  time.Duration
@@ -29,28 +29,28 @@
 	log     []vmRecord
 }
 
-// NewVMs returns an empty list that shows each change after the lag.
-func NewVMs(lag time.Duration) *VMs {
-	s := &VMs{echo: newEcho(), lag: lag}
+// NewVMList returns an empty list that shows each change after the lag.
+func NewVMList(lag time.Duration) *VMList {
+	s := &VMList{echo: newEcho(), lag: lag}
 	s.register(s.echo)
 	s.echo.GET("/v1/vms", s.list)
 	s.echo.POST("/v1/vms", s.change)
 	return s
 }
 
-// ServeHTTP makes VMs an http.Handler.
-func (s *VMs) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
+// ServeHTTP makes VMList an http.Handler.
+func (s *VMList) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
 // Set adds a VM to the list or changes it.
-func (s *VMs) Set(vm inventory.VM) {
+func (s *VMList) Set(vm inventory.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	s.log = append(s.log, vmRecord{vm: vm, version: s.version, at: time.Now()})
 }
 
-// change sets VMs.
-func (s *VMs) change(c echo.Context) error {
+// change sets VMList.
+func (s *VMList) change(c echo.Context) error {
 	var l inventory.VMList
 	if err := c.Bind(&l); err != nil {
 		return err
@@ -62,7 +62,7 @@
 }
 
 // list answers with the last visible state of each VM that changed since.
-func (s *VMs) list(c echo.Context) error {
+func (s *VMList) list(c echo.Context) error {
 	since, _ := strconv.ParseUint(c.QueryParam("since"), 10, 64)
 	visible := time.Now().Add(-s.lag)
 	s.mu.Lock()
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -12,21 +12,21 @@
 	"rockcleat/placement"
 )
 
-// WeightsOptions configure a Weights.
-type WeightsOptions struct {
+// WeightStoreOptions configure a WeightStore.
+type WeightStoreOptions struct {
 	// LoadsPerSecond is the rate of loads; above it a load is refused.
 	LoadsPerSecond float64
-	// FullSpeed is the number of loads at once that run at full speed; more share it.
-	FullSpeed int
+	// FullSpeedLoads is the number of loads at once that run at full speed; more share it.
+	FullSpeedLoads int
 	// MiBPerSecond is the speed of one load.
 	MiBPerSecond float64
 }
 
-// Weights stands in for the rate-limited weight store.
-type Weights struct {
+// WeightStore stands in for the rate-limited weight store.
+type WeightStore struct {
 	faultBox
 	echo  *echo.Echo
-	opts  WeightsOptions
+	opts  WeightStoreOptions
 	limit *rate.Limiter
 
 	mu      sync.Mutex
@@ -34,9 +34,9 @@
 	running int
 }
 
-// NewWeights returns a store that holds nothing.
-func NewWeights(o WeightsOptions) *Weights {
-	s := &Weights{echo: newEcho(), opts: o, limit: limiter(o.LoadsPerSecond), sizes: make(map[string]placement.Size)}
+// NewWeightStore returns a store that holds nothing.
+func NewWeightStore(o WeightStoreOptions) *WeightStore {
+	s := &WeightStore{echo: newEcho(), opts: o, limit: limiter(o.LoadsPerSecond), sizes: make(map[string]placement.Size)}
 	s.register(s.echo)
 	s.echo.GET("/v1/weights", s.catalogue)
 	s.echo.PUT("/v1/weights", s.add)
@@ -44,25 +44,25 @@
 	return s
 }
 
-// ServeHTTP makes Weights an http.Handler.
-func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
+// ServeHTTP makes WeightStore an http.Handler.
+func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
 // Set puts a model or adapter into the store.
-func (s *Weights) Set(name string, size placement.Size) {
+func (s *WeightStore) Set(name string, size placement.Size) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sizes[name] = size
 }
 
 // catalogue answers with what the store holds.
-func (s *Weights) catalogue(c echo.Context) error {
+func (s *WeightStore) catalogue(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.JSON(http.StatusOK, inventory.Catalogue{Sizes: s.sizes})
 }
 
 // add puts models and adapters into the store.
-func (s *Weights) add(c echo.Context) error {
+func (s *WeightStore) add(c echo.Context) error {
 	var a inventory.Catalogue
 	if err := c.Bind(&a); err != nil {
 		return err
@@ -77,7 +77,7 @@
 const loadStep = 5 * time.Millisecond
 
 // load takes as long as the weights need at the store's present speed.
-func (s *Weights) load(c echo.Context) error {
+func (s *WeightStore) load(c echo.Context) error {
 	s.mu.Lock()
 	size, ok := s.sizes[c.QueryParam("name")]
 	s.mu.Unlock()
@@ -103,18 +103,18 @@
 }
 
 // count changes the number of loads in progress.
-func (s *Weights) count(n int) {
+func (s *WeightStore) count(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running += n
 }
 
 // speed returns a load's share of the store's speed in MiB/s.
-func (s *Weights) speed() float64 {
+func (s *WeightStore) speed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opts.FullSpeed > 0 && s.running > s.opts.FullSpeed {
-		return s.opts.MiBPerSecond * float64(s.opts.FullSpeed) / float64(s.running)
+	if s.opts.FullSpeedLoads > 0 && s.running > s.opts.FullSpeedLoads {
+		return s.opts.MiBPerSecond * float64(s.opts.FullSpeedLoads) / float64(s.running)
 	}
 	return s.opts.MiBPerSecond
 }
