--- a/internal/standin/answers.go
+++ b/internal/standin/answers.go
@@ -2,7 +2,7 @@
 
 import "rockcleat/internal/openai"
 
-// chunk returns one chunk of a streamed answer; finish is its finish reason, if any.
+// chunk returns one chunk of a streamed response. An empty finish leaves the finish reason out.
 func chunk(r openai.Request, text, finish string) openai.Completion {
 	c := openai.Choice{}
 	if finish != "" {
@@ -18,7 +18,7 @@
 	return openai.Completion{ID: "cmpl", Object: object, Model: r.Model, Choices: []openai.Choice{c}}
 }
 
-// whole returns an answer that is not streamed.
+// whole returns a complete, non-streaming response.
 func whole(r openai.Request, text string, tokens int) openai.Completion {
 	finish := "length"
 	c := openai.Choice{FinishReason: &finish}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,56 +15,62 @@
 	"rockcleat/ledger"
 )
 
-// EngineOptions configure an Engine.
+// EngineOptions configures an Engine.
 type EngineOptions struct {
-	// Accelerators and MemoryMiB are the number of accelerators and each one's memory.
+	// Accelerators is the number of accelerators and MemoryMiB the memory of each.
 	Accelerators int
 	MemoryMiB    int
-	// Slots is the number of sequences that an accelerator batches.
+	// Slots is the maximum batch size of an accelerator, in sequences.
 	Slots int
-	// Step is the time of one decoding step of an accelerator with one sequence.
+	// Step is the duration of one decoding step, before the slowdown by the batch.
 	Step time.Duration
-	// PrefillPerSecond is the number of prompt tokens read a second.
+	// PrefillPerSecond is the prefill rate in prompt tokens per second. If it is zero,
+	// prefill takes no time.
 	PrefillPerSecond float64
-	// UnloadTime is the time that an unload takes.
+	// UnloadTime is the duration of an unload.
 	UnloadTime time.Duration
-	// Weights is the weight store's base URL.
+	// Weights is the base URL of the weight store. If it is empty, loads fetch nothing.
 	Weights string
-	// ChecksOrders makes the engine refuse orders with an old fencing token.
+	// ChecksOrders makes the engine refuse orders whose fencing token is lower than the
+	// highest it has seen.
 	ChecksOrders bool
-	// ReportLag is by how much the load in a status may be out of date.
+	// ReportLag is the maximum age of the load in a status.
 	ReportLag time.Duration
 }
 
-// finishedKept is the number of finished orders that the engine lists.
+// finishedKept is the maximum number of finished orders in a status.
 const finishedKept = 256
 
-// EngineStats counts what must not happen and what is measured.
+// EngineStats holds the counters of an Engine.
 type EngineStats struct {
+	// Overcommits counts load orders that exceeded the memory of an accelerator.
 	Overcommits int `json:"overcommits"`
 	Loads       int `json:"loads"`
 	Unloads     int `json:"unloads"`
-	Fenced      int `json:"fenced"`
-	Cut         int `json:"cut"`
-	Completed   int `json:"completed"`
-	Tokens      int `json:"tokens"`
-	// LastStartMs is when the last request started, as Unix time.
+	// Fenced counts orders refused for their fencing token.
+	Fenced int `json:"fenced"`
+	// Cut counts sequences whose model or adapter was unloaded before they ended.
+	Cut       int `json:"cut"`
+	Completed int `json:"completed"`
+	Tokens    int `json:"tokens"`
+	// LastStartMs is the time at which the last request was admitted, in Unix milliseconds.
 	LastStartMs int64 `json:"last_start_ms"`
 }
 
-// SeenAnswer counts the starts of each request id.
+// SeenAnswer is the response of /seen: the number of admissions of each request ID.
 type SeenAnswer struct {
 	Seen map[string]int `json:"seen"`
 }
 
-// resident is a model or adapter with its running sequences.
+// resident is a model or adapter on an accelerator.
 type resident struct {
 	fleet.Resident
-	base    string
+	base string
+	// running is the number of admitted sequences, waiting ones included.
 	running int
 }
 
-// An Engine stands in for a model engine with several accelerators.
+// An Engine is a fake model engine with several accelerators.
 type Engine struct {
 	faultBox
 	echo *echo.Echo
@@ -72,19 +78,21 @@
 
 	mu        sync.Mutex
 	residents []*resident
-	// finished holds the ids of the orders that ended last, fence the highest token seen.
+	// finished holds the IDs of the most recently finished orders, oldest first.
 	finished []string
-	fence    int64
-	// running holds the running sequences of each accelerator, waiters those that wait.
+	// fence is the highest fencing token seen.
+	fence int64
+	// running is the number of running sequences of each accelerator.
 	running []int
+	// waiters holds the sequences that wait for a slot, in order of arrival.
 	waiters []*sequence
-	// cached holds when each cached prefix was last used.
+	// cached maps the hash of each cached prefix to the time of its last use.
 	cached map[uint64]time.Time
-	// reported is the load in the status, reportedAt when it was taken.
+	// reported is the number of running sequences in the status, as of reportedAt.
 	reported   int
 	reportedAt time.Time
 	stats      EngineStats
-	// seen counts the starts of each request id.
+	// seen counts the admissions of each request ID.
 	seen map[string]int
 }
 
@@ -102,24 +110,24 @@
 	return s
 }
 
-// listSeen answers with the starts of each request id.
 func (s *Engine) listSeen(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.JSON(http.StatusOK, SeenAnswer{Seen: s.seen})
 }
 
-// ServeHTTP makes Engine an http.Handler.
+// ServeHTTP implements http.Handler.
 func (s *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
-// Stats returns the counts so far.
+// Stats returns a copy of the counters.
 func (s *Engine) Stats() EngineStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// status answers with the engine's report; its load is as old as the lag allows.
+// status responds with the engine's status. The reported load is refreshed once it is
+// older than ReportLag.
 func (s *Engine) status(c echo.Context) error {
 	s.mu.Lock()
 	if now := time.Now(); now.Sub(s.reportedAt) >= s.opts.ReportLag {
@@ -136,7 +144,7 @@
 	return c.JSON(http.StatusOK, st)
 }
 
-// busy returns the running sequences of all accelerators; s.mu is held.
+// busy returns the number of running sequences of all accelerators. s.mu must be held.
 func (s *Engine) busy() int {
 	n := 0
 	for _, r := range s.running {
@@ -145,7 +153,8 @@
 	return n
 }
 
-// order takes an order and carries it out after the acknowledgement.
+// order acknowledges an order, which then runs in the background. An order delayed by
+// LateOrdersMs is acknowledged before its fencing token is checked.
 func (s *Engine) order(c echo.Context) error {
 	var o engine.Order
 	if err := c.Bind(&o); err != nil {
@@ -161,7 +170,7 @@
 	return c.NoContent(http.StatusAccepted)
 }
 
-// take starts an order unless it is fenced off.
+// take starts an order. It reports false if the order's fencing token is out of date.
 func (s *Engine) take(o engine.Order) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +188,7 @@
 	return true
 }
 
-// startLoad takes the memory and loads in the background; s.mu is held.
+// startLoad reserves the memory and loads in the background. s.mu must be held.
 func (s *Engine) startLoad(o engine.Order) {
 	if s.find(o.Name, o.Accelerator) != nil || o.Accelerator >= s.opts.Accelerators {
 		s.finish(o.ID)
@@ -203,7 +212,7 @@
 	go s.load(o, r)
 }
 
-// load fetches the weights and ends the order.
+// load fetches the weights and finishes the order. If that fails, it removes the resident.
 func (s *Engine) load(o engine.Order, r *resident) {
 	err := s.fetch(o.Name)
 	s.mu.Lock()
@@ -216,10 +225,10 @@
 	s.finish(o.ID)
 }
 
-// fetchRetry is the pause before a load that the weight store refused is tried again.
+// fetchRetry is the delay before a fetch that the weight store rate-limited is retried.
 const fetchRetry = 20 * time.Millisecond
 
-// fetch waits for the weight store to deliver.
+// fetch gets the weights from the weight store. It retries while the store limits the rate.
 func (s *Engine) fetch(name string) error {
 	if s.opts.Weights == "" {
 		return nil
@@ -246,7 +255,8 @@
 	}
 }
 
-// startUnload frees the memory in the background; s.mu is held.
+// startUnload frees the memory after UnloadTime. An unload of something that is not ready
+// finishes without effect. s.mu must be held.
 func (s *Engine) startUnload(o engine.Order) {
 	r := s.find(o.Name, o.Accelerator)
 	if r == nil || r.State != fleet.StateReady {
@@ -264,7 +274,7 @@
 	})
 }
 
-// find returns what is resident on an accelerator under a name, or nil; s.mu is held.
+// find returns the resident of that name on an accelerator, or nil. s.mu must be held.
 func (s *Engine) find(name string, accelerator int) *resident {
 	i := slices.IndexFunc(s.residents, func(r *resident) bool {
 		return r.Name == name && r.Accelerator == accelerator
@@ -275,12 +285,12 @@
 	return s.residents[i]
 }
 
-// remove takes a resident out; s.mu is held.
+// remove removes a resident. s.mu must be held.
 func (s *Engine) remove(r *resident) {
 	s.residents = slices.DeleteFunc(s.residents, func(o *resident) bool { return o == r })
 }
 
-// finish lists an order among those that ended; s.mu is held.
+// finish records an order as finished. s.mu must be held.
 func (s *Engine) finish(id string) {
 	s.finished = append(s.finished, id)
 	if extra := len(s.finished) - finishedKept; extra > 0 {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -8,48 +8,48 @@
 	"github.com/labstack/echo/v4"
 )
 
-// PathFault is where a stand-in takes its Faults by PUT.
+// PathFault is the path at which a fake accepts its Faults by PUT.
 const PathFault = "/fault"
 
-// Faults are the failures that a stand-in can be given.
+// Faults selects the failures that a fake injects. The zero value injects none.
 type Faults struct {
-	// Outage refuses every call with status 503.
+	// Outage makes every call fail with status 503.
 	Outage bool `json:"outage"`
-	// DelayMs delays every call.
+	// DelayMs is the delay of every call, in milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// LoseAnswers is the number of writes that take effect while their answer is lost.
+	// LoseAnswers is the number of writes to the key-value service that take effect and
+	// whose response is lost.
 	LoseAnswers int `json:"lose_answers"`
-	// LateOrders delays orders to an engine by so many milliseconds after they were
-	// acknowledged as received.
+	// LateOrdersMs is the delay between the acknowledgement of an order by an engine and its
+	// start, in milliseconds.
 	LateOrdersMs int `json:"late_orders_ms"`
-	// FailLoads is the number of loads that fail half-way.
+	// FailLoads is the number of loads that fail after the weights were fetched.
 	FailLoads int `json:"fail_loads"`
-	// EndOn, if not empty, ends the process of an engine that begins to run a request whose body has
-	// that text.
+	// EndOn, if not empty, ends the process of an engine when it starts a request whose body
+	// contains that text.
 	EndOn string `json:"end_on"`
 }
 
-// A faultBox holds the faults of one stand-in.
+// A faultBox holds the faults of one fake.
 type faultBox struct {
 	mu     sync.Mutex
 	faults Faults
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults in force.
 func (b *faultBox) SetFaults(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
 }
 
-// get returns the faults.
 func (b *faultBox) get() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
 }
 
-// loseAnswer reports whether the answer of a write is to be lost.
+// loseAnswer reports whether to drop the response of this write, and counts it.
 func (b *faultBox) loseAnswer() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +60,7 @@
 	return true
 }
 
-// failLoad reports whether a load is to fail.
+// failLoad reports whether to fail this load, and counts it.
 func (b *faultBox) failLoad() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,7 +71,7 @@
 	return true
 }
 
-// register adds the path that sets the faults and the middleware that applies them.
+// register adds the handler of PathFault, and the middleware that injects outages and delays.
 func (b *faultBox) register(e *echo.Echo) {
 	e.PUT(PathFault, func(c echo.Context) error {
 		var f Faults
@@ -98,7 +98,7 @@
 	})
 }
 
-// pause waits and reports whether the caller is still there.
+// pause waits for d. It reports false if the request was canceled first.
 func pause(c echo.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -108,7 +108,7 @@
 	}
 }
 
-// newEcho returns a quiet router.
+// newEcho returns a router that prints no banner.
 func newEcho() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -116,5 +116,5 @@
 	return e
 }
 
-// abort drops the connection so that the caller gets no answer.
+// abort closes the connection without completing the response.
 func abort() error { panic(http.ErrAbortHandler) }
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -21,32 +21,33 @@
 	"rockcleat/rendezvous"
 )
 
-// A sequence is one request inside the engine.
+// A sequence is one admitted request.
 type sequence struct {
 	priority int
 	model    string
 	acc      int
-	start    chan bool
+	// start receives a value once the sequence has a slot.
+	start chan bool
 }
 
-// How the engine behaves.
+// Parameters of the simulated engine.
 const (
-	// defaultTokens is the length of an answer whose request sets none.
+	// defaultTokens is the number of tokens of a response whose request sets no maximum.
 	defaultTokens = 16
-	// batchSlowdown is by how much a full batch slows each step.
+	// batchSlowdown is the fraction by which a full batch lengthens each decoding step.
 	batchSlowdown = 0.5
-	// prefixBytes is how much of a prompt counts as its prefix.
+	// prefixBytes is the length of the part of a prompt that the cache holds.
 	prefixBytes = 256
-	// bytesPerToken is the length of a token of a prompt.
+	// bytesPerToken is the assumed length of a prompt token.
 	bytesPerToken = 4
-	// cacheLimit is the number of prefixes that the engine keeps.
+	// cacheLimit is the maximum number of cached prefixes.
 	cacheLimit = 64
 )
 
-// endedByRequest is the exit code of an engine that a request has ended.
+// endedByRequest is the exit code of an engine ended by Faults.EndOn.
 const endedByRequest = 3
 
-// generate answers a completion with tokens that follow from the prompt alone.
+// generate handles a completion request. The tokens depend only on the model and the prompt.
 func (s *Engine) generate(c echo.Context) error {
 	data, err := io.ReadAll(c.Request().Body)
 	if err != nil {
@@ -86,7 +87,8 @@
 	return s.whole(c, q, req, total)
 }
 
-// admit puts the sequence into its accelerator's batch or its queue.
+// admit adds the sequence to the batch of its accelerator, or to the queue if the batch is
+// full. It reports false if the model is not ready on that accelerator.
 func (s *Engine) admit(q *sequence, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +108,7 @@
 	return true
 }
 
-// withdraw takes back a sequence that waits or was just started.
+// withdraw cancels a sequence that is still queued or has just been given a slot.
 func (s *Engine) withdraw(q *sequence) {
 	s.mu.Lock()
 	i := slices.Index(s.waiters, q)
@@ -122,7 +124,8 @@
 	}
 }
 
-// leave ends a sequence and starts the waiting one of the highest priority.
+// leave ends a sequence and gives its slot to the queued sequence of the highest priority,
+// the first to arrive among equals.
 func (s *Engine) leave(q *sequence) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +147,8 @@
 	w.start <- true
 }
 
-// prefill returns the time to read the prompt, little if its prefix is cached.
+// prefill returns the prefill time of the prompt and caches its prefix. A prefix that was
+// already cached costs nothing.
 func (s *Engine) prefill(req openai.Request) time.Duration {
 	prompt := req.Prompt()
 	tokens := float64(len(prompt))/bytesPerToken + 1
@@ -162,7 +166,8 @@
 	return time.Duration(tokens / s.opts.PrefillPerSecond * float64(time.Second))
 }
 
-// evict drops the prefix used longest ago; s.mu is held.
+// evict removes the least recently used prefix if the cache is over its limit. s.mu must be
+// held.
 func (s *Engine) evict() {
 	if len(s.cached) <= cacheLimit {
 		return
@@ -177,12 +182,13 @@
 	delete(s.cached, oldest)
 }
 
-// token returns the i-th token of the answer to a prompt.
+// token returns the i-th token of the response to a request.
 func token(req openai.Request, i int) string {
 	return fmt.Sprintf("w%d-%04x ", i, rendezvous.Key(req.Model+req.Prompt()+strconv.Itoa(i))&0xffff)
 }
 
-// Text returns the first n tokens of the answer to a request, as any engine gives them.
+// Text returns the first n tokens of the response to a request, which are the same on every
+// Engine.
 func Text(req openai.Request, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -191,7 +197,8 @@
 	return b.String()
 }
 
-// step waits for one decoding step and reports whether the sequence goes on.
+// step waits for one decoding step. It reports false if the request was canceled or the model
+// was not resident when the step began.
 func (s *Engine) step(c echo.Context, q *sequence) bool {
 	s.mu.Lock()
 	part := float64(s.running[q.acc]) / float64(s.opts.Slots)
@@ -201,7 +208,7 @@
 	return pause(c, time.Duration(float64(s.opts.Step)*(1+batchSlowdown*part))) && resident
 }
 
-// stream sends the tokens from one on as events, and the end mark.
+// stream sends the tokens beginning with index from as server-sent events, followed by [DONE].
 func (s *Engine) stream(c echo.Context, q *sequence, req openai.Request, from, total int) error {
 	w := c.Response()
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -223,14 +230,13 @@
 	return nil
 }
 
-// completed counts an answer that was sent whole.
 func (s *Engine) completed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Completed++
 }
 
-// writeEvent sends one event.
+// writeEvent sends one server-sent event.
 func writeEvent(w *echo.Response, chunk openai.Completion) error {
 	data, err := json.Marshal(chunk)
 	if err != nil {
@@ -243,7 +249,7 @@
 	return nil
 }
 
-// whole sends the answer at once, after the time of all its steps.
+// whole sends the complete response after all decoding steps.
 func (s *Engine) whole(c echo.Context, q *sequence, req openai.Request, total int) error {
 	for range total {
 		if !s.step(c, q) {
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -14,47 +14,49 @@
 	"rockcleat/kv"
 )
 
-// maxValue is the longest value that the service holds, in bytes.
+// maxValue is the maximum length of a value, in bytes.
 const maxValue = 1 << 20
 
-// KVOptions configure a KV.
+// KVOptions configures a KV.
 type KVOptions struct {
-	// ReadsPerSecond and WritesPerSecond are the service's rates; zero is no limit.
+	// ReadsPerSecond and WritesPerSecond are rate limits; zero means no limit.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
 }
 
-// KVStats counts the calls that the service took.
+// KVStats holds the counters of a KV.
 type KVStats struct {
-	Reads   int64 `json:"reads"`
-	Writes  int64 `json:"writes"`
+	Reads  int64 `json:"reads"`
+	Writes int64 `json:"writes"`
+	// Limited counts calls refused by a rate limit; Reads and Writes exclude them.
 	Limited int64 `json:"limited"`
 }
 
-// kvLease is one lease with its keys.
 type kvLease struct {
 	ttl     time.Duration
 	expires time.Time
 	keys    map[string]bool
 }
 
-// A KV stands in for the platform's key-value service.
+// A KV is a fake of the platform's key-value service.
 type KV struct {
 	faultBox
 	echo   *echo.Echo
 	reads  *rate.Limiter
 	writes *rate.Limiter
 
-	mu       sync.Mutex
-	entries  map[string]kv.Entry
+	mu      sync.Mutex
+	entries map[string]kv.Entry
+	// leaseOf maps each key that is attached to a lease to that lease.
 	leaseOf  map[string]kv.LeaseID
 	leases   map[kv.LeaseID]*kvLease
 	revision kv.Revision
-	changed  chan struct{}
-	stats    KVStats
+	// changed is closed and replaced at each change of an entry.
+	changed chan struct{}
+	stats   KVStats
 }
 
-// NewKV returns an empty service.
+// NewKV returns a KV without entries or leases.
 func NewKV(o KVOptions) *KV {
 	s := &KV{
 		echo:    newEcho(),
@@ -78,7 +80,7 @@
 	return s
 }
 
-// limiter returns a limiter of a rate; zero is no limit.
+// limiter returns a rate limiter with a burst of one second; a rate of zero means no limit.
 func limiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -86,22 +88,23 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1))
 }
 
-// ServeHTTP makes KV an http.Handler.
+// ServeHTTP implements http.Handler.
 func (s *KV) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
-// Stats returns the calls so far.
+// Stats returns a copy of the counters.
 func (s *KV) Stats() KVStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// read counts and limits a call that changes nothing.
+// read wraps the handler of a read with the read rate limit and counter.
 func (s *KV) read(f echo.HandlerFunc) echo.HandlerFunc {
 	return s.counted(s.reads, func() { s.stats.Reads++ }, f)
 }
 
-// write applies the rate and, if so told, loses the answer after the effect.
+// write wraps the handler of a write with the write rate limit and counter. If
+// Faults.LoseAnswers says so, it runs the handler and then aborts the connection.
 func (s *KV) write(f echo.HandlerFunc) echo.HandlerFunc {
 	return s.counted(s.writes, func() { s.stats.Writes++ }, func(c echo.Context) error {
 		if !s.loseAnswer() {
@@ -115,7 +118,8 @@
 	})
 }
 
-// counted applies a rate, counts the call and ends leases that are over before it.
+// counted wraps a handler with a rate limit and a counter. It expires leases before each call.
+// It calls count with s.mu held.
 func (s *KV) counted(l *rate.Limiter, count func(), f echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		allowed := l.Allow()
@@ -134,13 +138,13 @@
 	}
 }
 
-// discard is a ResponseWriter that throws the body away.
+// discard is an http.ResponseWriter that drops the status and the body.
 type discard struct{ http.ResponseWriter }
 
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 func (discard) WriteHeader(int)             {}
 
-// expire ends the leases whose time is over; s.mu is held.
+// expire removes the leases that have expired by now. s.mu must be held.
 func (s *KV) expire(now time.Time) {
 	for id, l := range s.leases {
 		if now.After(l.expires) {
@@ -149,7 +153,7 @@
 	}
 }
 
-// end removes a lease and its keys; s.mu is held.
+// end removes a lease and its keys. s.mu must be held.
 func (s *KV) end(id kv.LeaseID) {
 	for key := range s.leases[id].keys {
 		delete(s.entries, key)
@@ -159,14 +163,13 @@
 	delete(s.leases, id)
 }
 
-// bump takes the next revision and wakes the watches; s.mu is held.
+// bump increments the revision and wakes the watchers. s.mu must be held.
 func (s *KV) bump() {
 	s.revision++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// get answers with one entry.
 func (s *KV) get(c echo.Context) error {
 	s.mu.Lock()
 	e, ok := s.entries[c.QueryParam("key")]
@@ -177,7 +180,7 @@
 	return c.JSON(http.StatusOK, e)
 }
 
-// list answers with the entries of a prefix, in the order of their keys.
+// list responds with the entries whose keys have the prefix, sorted by key.
 func (s *KV) list(c echo.Context) error {
 	prefix := c.QueryParam("prefix")
 	var a kv.ListAnswer
@@ -192,7 +195,8 @@
 	return c.JSON(http.StatusOK, a)
 }
 
-// watch answers with an entry once it is newer than a revision, or after the wait.
+// watch responds with an entry once its revision is greater than after, or when wait_ms have
+// passed.
 func (s *KV) watch(c echo.Context) error {
 	key := c.QueryParam("key")
 	after, _ := strconv.ParseInt(c.QueryParam("after"), 10, 64)
@@ -219,7 +223,7 @@
 	}
 }
 
-// put writes an entry if its revision is the expected one.
+// put writes an entry if its current revision is the expected one.
 func (s *KV) put(c echo.Context) error {
 	var w kv.Write
 	if err := c.Bind(&w); err != nil {
@@ -243,7 +247,8 @@
 	return c.JSON(http.StatusOK, kv.Entry{Key: w.Key, Revision: s.revision})
 }
 
-// attach binds the key to the lease and to no other; s.mu is held.
+// attach attaches a key to a lease and detaches it from its former one; a lease of zero only
+// detaches. s.mu must be held.
 func (s *KV) attach(key string, id kv.LeaseID) {
 	if old, ok := s.leaseOf[key]; ok {
 		delete(s.leases[old].keys, key)
@@ -255,7 +260,7 @@
 	}
 }
 
-// delete removes an entry if its revision is the expected one.
+// delete removes an entry if its current revision is the expected one.
 func (s *KV) delete(c echo.Context) error {
 	key := c.QueryParam("key")
 	expect, err := strconv.ParseInt(c.QueryParam("expect"), 10, 64)
@@ -277,7 +282,7 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// grant makes a lease.
+// grant creates a lease. Its ID is the next revision.
 func (s *KV) grant(c echo.Context) error {
 	var m kv.LeaseMessage
 	if err := c.Bind(&m); err != nil {
@@ -292,17 +297,17 @@
 	return c.JSON(http.StatusOK, kv.LeaseMessage{ID: id})
 }
 
-// keepAlive renews a lease.
 func (s *KV) keepAlive(c echo.Context) error {
 	return s.withLease(c, func(l *kvLease) { l.expires = time.Now().Add(l.ttl) })
 }
 
-// revoke ends a lease with its keys.
+// revoke removes a lease and its keys.
 func (s *KV) revoke(c echo.Context) error {
 	return s.withLease(c, func(l *kvLease) { l.expires = time.Time{} })
 }
 
-// withLease calls f with the lease that the message names.
+// withLease calls f with the lease that the message names and with s.mu held, then expires
+// leases. It responds with status 410 if there is no such lease.
 func (s *KV) withLease(c echo.Context, f func(*kvLease)) error {
 	var m kv.LeaseMessage
 	if err := c.Bind(&m); err != nil {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,27 +10,29 @@
 	"github.com/labstack/echo/v4"
 )
 
-// EffectsAnswer says how often calls with each idempotency key took effect.
+// EffectsAnswer is the response of /effects: how often calls took effect.
 type EffectsAnswer struct {
-	Total   int            `json:"total"`
+	Total int `json:"total"`
+	// Effects counts the effects of each idempotency key.
 	Effects map[string]int `json:"effects"`
-	// Requests counts the effects of each request id.
+	// Requests counts the effects of each request ID.
 	Requests map[string]int `json:"requests"`
 }
 
-// A Service stands in for a plain service; each call other than GET has an effect.
+// A Service is a fake plain service. Each call other than a GET takes effect.
 type Service struct {
 	faultBox
 	echo  *echo.Echo
 	delay time.Duration
 
-	mu      sync.Mutex
-	total   int
+	mu    sync.Mutex
+	total int
+	// effects counts by idempotency key, byID by request ID.
 	effects map[string]int
 	byID    map[string]int
 }
 
-// NewService returns a service whose calls take the given time.
+// NewService returns a service whose calls take delay.
 func NewService(delay time.Duration) *Service {
 	s := &Service{echo: newEcho(), delay: delay, effects: make(map[string]int), byID: make(map[string]int)}
 	s.register(s.echo)
@@ -39,27 +41,28 @@
 	return s
 }
 
-// ServeHTTP makes Service an http.Handler.
+// ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
-// Effects returns the effects so far.
+// Effects returns a copy of the counters.
 func (s *Service) Effects() EffectsAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return EffectsAnswer{Total: s.total, Effects: maps.Clone(s.effects), Requests: maps.Clone(s.byID)}
 }
 
-// serviceAnswer is what a call answers.
+// serviceAnswer is the response of a call. Effect is the call's number among those that took
+// effect, zero for a GET.
 type serviceAnswer struct {
 	Path   string `json:"path"`
 	Body   string `json:"body"`
 	Effect int    `json:"effect"`
 }
 
-// maxServiceBody bounds the body that a call echoes, in bytes.
+// maxServiceBody is the maximum length of the body that a call echoes, in bytes.
 const maxServiceBody = 1 << 20
 
-// serve answers a call and counts its effect.
+// serve counts the effect of a call, waits for the delay and echoes the path and the body.
 func (s *Service) serve(c echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxServiceBody))
 	if err != nil {
--- a/internal/standin/standintest/standintest.go
+++ b/internal/standin/standintest/standintest.go
@@ -1,4 +1,4 @@
-// Package standintest starts stand-ins inside a test.
+// Package standintest starts the fakes of package standin inside the process of a test.
 package standintest
 
 import (
@@ -10,11 +10,11 @@
 	"rockcleat/kv"
 )
 
-// clientTimeout bounds one call of a test's client.
+// clientTimeout is the timeout of one call.
 const clientTimeout = 2 * time.Second
 
-// KV starts an empty key-value service without limits and returns it with a
-// client of it; both end with the test.
+// KV starts an empty key-value service without rate limits and returns it with a client. The
+// service stops when the test ends.
 func KV(t testing.TB) (*standin.KV, *kv.Client) {
 	t.Helper()
 	s := standin.NewKV(standin.KVOptions{})
--- a/internal/standin/vms.go
+++ b/internal/standin/vms.go
@@ -11,14 +11,14 @@
 	"rockcleat/internal/inventory"
 )
 
-// vmRecord is a VM with when and in which version it changed.
+// vmRecord is the state of a VM as of a version of the list.
 type vmRecord struct {
 	vm      inventory.VM
 	version uint64
 	at      time.Time
 }
 
-// VMs stands in for the platform's lagging list of VMs.
+// VMs is a fake of the platform's list of VMs, which shows changes after a lag.
 type VMs struct {
 	faultBox
 	echo *echo.Echo
@@ -29,7 +29,7 @@
 	log     []vmRecord
 }
 
-// NewVMs returns an empty list that shows each change after the lag.
+// NewVMs returns an empty list that shows each change after lag.
 func NewVMs(lag time.Duration) *VMs {
 	s := &VMs{echo: newEcho(), lag: lag}
 	s.register(s.echo)
@@ -38,10 +38,10 @@
 	return s
 }
 
-// ServeHTTP makes VMs an http.Handler.
+// ServeHTTP implements http.Handler.
 func (s *VMs) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
-// Set adds a VM to the list or changes it.
+// Set adds a VM to the list or replaces the one with its ID.
 func (s *VMs) Set(vm inventory.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,6 @@
 	s.log = append(s.log, vmRecord{vm: vm, version: s.version, at: time.Now()})
 }
 
-// change sets VMs.
 func (s *VMs) change(c echo.Context) error {
 	var l inventory.VMList
 	if err := c.Bind(&l); err != nil {
@@ -61,7 +60,7 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// list answers with the last visible state of each VM that changed since.
+// list responds with the latest visible state of each VM that changed after the version since.
 func (s *VMs) list(c echo.Context) error {
 	since, _ := strconv.ParseUint(c.QueryParam("since"), 10, 64)
 	visible := time.Now().Add(-s.lag)
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -12,17 +12,18 @@
 	"rockcleat/placement"
 )
 
-// WeightsOptions configure a Weights.
+// WeightsOptions configures a Weights.
 type WeightsOptions struct {
-	// LoadsPerSecond is the rate of loads; above it a load is refused.
+	// LoadsPerSecond is the rate limit of loads; zero means no limit.
 	LoadsPerSecond float64
-	// FullSpeed is the number of loads at once that run at full speed; more share it.
+	// FullSpeed is the number of concurrent loads that run at full speed. More loads share
+	// the bandwidth of that many; zero means that loads do not slow each other.
 	FullSpeed int
-	// MiBPerSecond is the speed of one load.
+	// MiBPerSecond is the full speed of one load.
 	MiBPerSecond float64
 }
 
-// Weights stands in for the rate-limited weight store.
+// Weights is a fake of the rate-limited weight store.
 type Weights struct {
 	faultBox
 	echo  *echo.Echo
@@ -34,7 +35,7 @@
 	running int
 }
 
-// NewWeights returns a store that holds nothing.
+// NewWeights returns an empty store.
 func NewWeights(o WeightsOptions) *Weights {
 	s := &Weights{echo: newEcho(), opts: o, limit: limiter(o.LoadsPerSecond), sizes: make(map[string]placement.Size)}
 	s.register(s.echo)
@@ -44,24 +45,23 @@
 	return s
 }
 
-// ServeHTTP makes Weights an http.Handler.
+// ServeHTTP implements http.Handler.
 func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
-// Set puts a model or adapter into the store.
+// Set adds a model or adapter to the store or replaces its size.
 func (s *Weights) Set(name string, size placement.Size) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sizes[name] = size
 }
 
-// catalogue answers with what the store holds.
+// catalogue responds with the sizes of all models and adapters.
 func (s *Weights) catalogue(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.JSON(http.StatusOK, inventory.Catalogue{Sizes: s.sizes})
 }
 
-// add puts models and adapters into the store.
 func (s *Weights) add(c echo.Context) error {
 	var a inventory.Catalogue
 	if err := c.Bind(&a); err != nil {
@@ -73,10 +73,10 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// loadStep is how often a load's progress is counted.
+// loadStep is the interval at which a load's progress is updated.
 const loadStep = 5 * time.Millisecond
 
-// load takes as long as the weights need at the store's present speed.
+// load responds after the time that the weights take at the current speed. It sends no data.
 func (s *Weights) load(c echo.Context) error {
 	s.mu.Lock()
 	size, ok := s.sizes[c.QueryParam("name")]
@@ -102,14 +102,13 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// count changes the number of loads in progress.
 func (s *Weights) count(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running += n
 }
 
-// speed returns a load's share of the store's speed in MiB/s.
+// speed returns the current speed of each load, in MiB/s.
 func (s *Weights) speed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
