--- a/internal/lab/call.go
+++ b/internal/lab/call.go
@@ -16,26 +16,33 @@
 	"rockcleat/internal/wire"
 )
 
-// An Answer is what a caller saw of one request.
+// An Answer is the response to one request as the client saw it.
 type Answer struct {
 	Status     int
 	Outcome    wire.Outcome
 	Replayed   bool
 	RetryAfter time.Duration
 	Reason     string
-	Body       string
-	// Text is the answer's text and Tokens the number of its events.
-	Text   string
+	// Body is the body of a response that is not streamed.
+	Body string
+	// Text is the generated text.
+	Text string
+	// Tokens is the number of events of a stream that carry text.
 	Tokens int
-	// Whole says that a stream had its end mark, or another answer its full length.
-	Whole      bool
+	// Whole reports whether the response is complete: a stream ended with [DONE], or another
+	// body was read to its end without an error.
+	Whole bool
+	// FirstToken is the time from sending to the first event of a stream, or to the end of
+	// another body.
 	FirstToken time.Duration
-	Total      time.Duration
-	// Err is the transport's error, if the answer was cut.
+	// Total is the time from sending to the end of the response.
+	Total time.Duration
+	// Err is the error of sending the request, of reading the response or of decoding an event.
 	Err error
 }
 
-// ChatBody returns the body of a chat request.
+// ChatBody returns the body of a chat completion request. tokens is the maximum number of
+// tokens to generate.
 func ChatBody(model, prompt string, tokens int, stream bool) []byte {
 	content, err := json.Marshal(prompt)
 	if err != nil {
@@ -51,29 +58,32 @@
 	return b
 }
 
-// A Caller sends requests as the system's callers do.
+// A Caller is an HTTP client of the system.
 type Caller struct {
 	HTTP *http.Client
 }
 
-// NewCaller returns a Caller with connections of its own.
+// NewCaller returns a Caller with its own connection pool.
 func NewCaller() *Caller {
 	return &Caller{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}}
 }
 
-// A Request is one request of a caller.
+// A Request describes one HTTP request.
 type Request struct {
-	// Method is POST if empty, Path that of chat completions.
+	// Method is the HTTP method, by default POST.
 	Method string
-	Addr   string
-	Path   string
-	Body   []byte
-	// Key, if not empty, is the Idempotency-Key, and ID the request id.
+	// Addr is the host and port.
+	Addr string
+	// Path is the URL path, by default that of chat completions.
+	Path string
+	Body []byte
+	// Key is the idempotency key, if any.
 	Key string
-	ID  string
+	// ID is the request ID, if any.
+	ID string
 }
 
-// Send sends a request and reads its answer to the end.
+// Send sends a request without transport retries and reads the response to its end.
 func (c *Caller) Send(ctx context.Context, r Request) Answer {
 	began := time.Now()
 	if r.Method == "" {
@@ -113,7 +123,7 @@
 	return a
 }
 
-// readWhole reads an answer that is no stream.
+// readWhole reads a response that is not streamed.
 func (a *Answer) readWhole(r io.Reader, began time.Time) {
 	data, err := io.ReadAll(r)
 	a.FirstToken = time.Since(began)
@@ -124,7 +134,7 @@
 	}
 }
 
-// readStream reads the events of a stream.
+// readStream reads server-sent events until the stream ends.
 func (a *Answer) readStream(r io.Reader, began time.Time) {
 	s := bufio.NewScanner(r)
 	var text strings.Builder
@@ -142,7 +152,7 @@
 		}
 		var c openai.Completion
 		if json.Unmarshal([]byte(data), &c) != nil || len(c.Choices) == 0 {
-			a.Err = eris.Errorf("lab: event %q", data)
+			a.Err = eris.Errorf("lab: malformed stream event: %q", data)
 			continue
 		}
 		if d := c.Choices[0].Delta; d != nil && d.Content != "" {
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -16,60 +16,62 @@
 	"rockcleat/table"
 )
 
-// Fault gives faults to a stand-in.
+// Fault replaces the faults that the stand-in at url injects.
 func Fault(ctx context.Context, url string, f standin.Faults) error {
 	return send(ctx, http.MethodPut, url+standin.PathFault, f, nil)
 }
 
-// Fetch reads JSON from a stand-in.
+// Fetch gets url from a stand-in and decodes the JSON response into out.
 func Fetch(ctx context.Context, url string, out any) error {
 	return send(ctx, http.MethodGet, url, nil, out)
 }
 
-// send sends JSON and decodes the answer.
+// send sends in as JSON, if it is not nil, and decodes the response into out, if that is not
+// nil. Any status other than 200 is an error.
 func send(ctx context.Context, method, url string, in, out any) error {
 	var body bytes.Buffer
 	if in != nil {
 		if err := json.NewEncoder(&body).Encode(in); err != nil {
-			return eris.Wrap(err, "lab: encode")
+			return eris.Wrap(err, "lab: encode request body")
 		}
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, &body)
 	if err != nil {
-		return eris.Wrap(err, "lab: make request")
+		return eris.Wrap(err, "lab: create request")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "lab: send")
+		return eris.Wrap(err, "lab: send request")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("lab: %s %s: status %d", method, url, resp.StatusCode)
+		return eris.Errorf("lab: %s %s: unexpected status %d", method, url, resp.StatusCode)
 	}
 	if out == nil {
 		return nil
 	}
-	return eris.Wrap(json.NewDecoder(resp.Body).Decode(out), "lab: decode")
+	return eris.Wrap(json.NewDecoder(resp.Body).Decode(out), "lab: decode response")
 }
 
-// Client returns a client for the processes' control interfaces.
+// Client returns a new client for the control interfaces of entries and agents.
 func Client() *wire.Client { return wire.NewClient(Secret, wire.NewTransport(&wire.Traffic{})) }
 
-// Save saves changes as one edit through the first live entry.
+// Save saves changes as one edit through the first entry and returns its table version.
 func (s *System) Save(ctx context.Context, changes []table.Change) (uint64, error) {
 	e := table.Edit{ID: uuid.NewString(), Author: "lab", Time: time.Now().Unix(), Changes: changes}
 	return s.SaveEdit(ctx, s.Entries[0], e)
 }
 
-// SaveEdit saves an edit through an entry.
+// SaveEdit saves an edit through an entry and returns the table version that the entry reports.
 func (s *System) SaveEdit(ctx context.Context, n *Node, e table.Edit) (uint64, error) {
 	var a wire.SaveAnswer
 	err := Client().Post(ctx, n.Control, wire.PathTable, wire.SaveRequest{Edit: e}, &a)
 	return a.Version, err
 }
 
-// Status returns an entry's status, with the table version of each VM if asked.
+// Status returns the status of an entry. If versions is set, it includes the table version of
+// each VM.
 func (s *System) Status(ctx context.Context, n *Node, versions bool) (wire.StatusAnswer, error) {
 	path := wire.PathStatus
 	if versions {
@@ -80,7 +82,7 @@
 	return a, err
 }
 
-// AwaitPlaced waits until every entry knows a place for every row.
+// AwaitPlaced waits until every running entry lists a ready server for every row.
 func (s *System) AwaitPlaced(ctx context.Context) error {
 	for _, e := range s.Entries {
 		if e.Exited() {
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// placed reports whether an entry knows a ready place for every row.
+// placed reports whether an entry lists a ready server for every row.
 func (s *System) placed(ctx context.Context, e *Node) bool {
 	st, err := s.Status(ctx, e, false)
 	if err != nil {
@@ -118,14 +120,14 @@
 	return true
 }
 
-// AwaitVersion waits until every VM that answers has the table version in force.
+// AwaitVersion waits until every running daemon has applied the table version or a later one.
 func (s *System) AwaitVersion(ctx context.Context, version uint64) error {
 	return Until(ctx, fmt.Sprintf("version %d is in force on every VM", version), func() bool {
 		return s.inForce(ctx, version)
 	})
 }
 
-// inForce reports whether every daemon that runs has the version.
+// inForce reports whether every running daemon responds with the table version or a later one.
 func (s *System) inForce(ctx context.Context, version uint64) bool {
 	for _, n := range s.nodes() {
 		var v wire.VersionAnswer
--- a/internal/lab/nodes.go
+++ b/internal/lab/nodes.go
@@ -13,7 +13,7 @@
 	"rockcleat/internal/inventory"
 )
 
-// process fills in the settings that all daemons have.
+// process sets the settings that all daemons share, with free addresses.
 func (s *System) process(p *config.Process, id, hall string) error {
 	var err error
 	if p.Listen, err = FreeAddr(); err != nil {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// addBackend starts the agent of a backend server and puts its VM into the list.
+// addBackend starts the agent of a backend server and adds its VM to the platform's list.
 func (s *System) addBackend(ctx context.Context, b *Backend, id, hall string, set func(*config.Agent)) error {
 	var a config.Agent
 	config.Defaults(&a)
@@ -54,7 +54,7 @@
 	return s.SetVM(ctx, n, inventory.RoleBackend, inventory.VMLive)
 }
 
-// AddEntry starts one more entry and puts it into the list of VMs.
+// AddEntry starts another entry and adds its VM to the platform's list.
 func (s *System) AddEntry(ctx context.Context) (*Node, error) {
 	i := len(s.Entries)
 	var e config.Entry
@@ -89,7 +89,8 @@
 	return n, s.StartNode(ctx, n)
 }
 
-// StartNode starts a daemon, anew if it has ended.
+// StartNode starts or restarts a daemon and waits until its control address accepts
+// connections. A previous process of the node must have exited.
 func (s *System) StartNode(ctx context.Context, n *Node) error {
 	p, err := Launch(s.opts.Dir, n.ID, filepath.Join(s.opts.Bin, n.program), "-config", n.config)
 	if err != nil {
@@ -103,13 +104,13 @@
 	defer cancel()
 	err = Until(ctx, n.ID+" listens", func() bool { return p.Exited() || listens(n.Control) })
 	if err == nil && p.Exited() {
-		return eris.Errorf("lab: %s ended at its start; see %s", n.ID, filepath.Join(s.opts.Dir, n.ID+".log"))
+		return eris.Errorf("lab: %s exited during startup; see %s", n.ID, filepath.Join(s.opts.Dir, n.ID+".log"))
 	}
 	return err
 }
 
-// SecondAgent starts another agent with the same settings but addresses of its
-// own, as when a VM that was thought dead comes back.
+// SecondAgent starts another agent for the same backend server, with the same settings but its
+// own addresses, as when a VM that was considered dead returns.
 func (s *System) SecondAgent(ctx context.Context, b *Backend) (*Node, error) {
 	var a config.Agent
 	if err := config.Read(b.Agent.config, &a); err != nil {
@@ -126,24 +127,24 @@
 	return n, s.StartNode(ctx, n)
 }
 
-// RestartServer starts a backend server anew after it was killed, with nothing resident.
+// RestartServer restarts a backend server that has exited. Nothing is resident on the new one.
 func (s *System) RestartServer(b *Backend) error {
 	p, err := b.start()
 	b.Server = p
 	return err
 }
 
-// SetVM changes a node's VM in the platform's list.
+// SetVM sets a node's VM in the platform's list.
 func (s *System) SetVM(ctx context.Context, n *Node, role inventory.Role, state inventory.VMState) error {
 	return s.PutVM(ctx, inventory.VM{ID: n.ID, Role: role, Hall: n.Hall, Addr: n.Addr, Control: n.Control, State: state})
 }
 
-// PutVM changes a VM in the platform's list, which may name other addresses than its node's.
+// PutVM sets a VM in the platform's list. Its addresses may differ from those of the node, for
+// example to route traffic through a proxy.
 func (s *System) PutVM(ctx context.Context, vm inventory.VM) error {
 	return send(ctx, http.MethodPost, s.VMsURL+"/v1/vms", inventory.VMList{VMs: []inventory.VM{vm}}, nil)
 }
 
-// nodes returns all daemons.
 func (s *System) nodes() []*Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -16,25 +16,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// A Process is one process that the lab has started.
+// A Process is a process that the lab started.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
-	// done is closed at the end, after err has been set.
+	// done is closed when the process has exited, after err is set.
 	done chan struct{}
 	err  error
 }
 
-// Launch starts a program whose output goes to a file in dir.
+// Launch starts a program and appends its output to the file name.log in dir.
 func Launch(dir, name, program string, args ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, eris.Wrap(err, "lab: open log")
+		return nil, eris.Wrap(err, "lab: open log file")
 	}
 	defer log.Close()
 	cmd := exec.Command(program, args...)
 	cmd.Stdout, cmd.Stderr = log, log
-	// A lab that dies takes its processes with it.
+	// The kernel kills the process when the lab dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, eris.Wrapf(err, "lab: start %s", name)
@@ -47,28 +47,28 @@
 	return p, nil
 }
 
-// PID returns the process's id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal.
+// Signal sends a signal and ignores errors, such as that the process has exited.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Freeze stops the process until Thaw.
+// Freeze suspends the process until Thaw.
 func (p *Process) Freeze() { p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a suspended process.
 func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to stop in order.
+// Terminate asks the process to shut down gracefully and does not wait.
 func (p *Process) Terminate() { p.Signal(syscall.SIGTERM) }
 
-// Exited reports whether the process has ended.
+// Exited reports whether the process has exited.
 func (p *Process) Exited() bool {
 	select {
 	case <-p.done:
@@ -78,7 +78,7 @@
 	}
 }
 
-// Wait waits for the process's end and returns its exit code.
+// Wait waits until the process has exited and returns its exit code, -1 if a signal ended it.
 func (p *Process) Wait(ctx context.Context) (int, error) {
 	select {
 	case <-p.done:
@@ -92,24 +92,23 @@
 	return 0, p.err
 }
 
-// Ports of the lab's processes lie below those that the system gives to outgoing connections,
-// which could otherwise take one before its process listens.
+// The ports lie below the range from which the system assigns ports to outgoing connections,
+// so that no connection takes a port before the process that it is meant for listens.
 const (
-	// firstPort is the first of the ports, portCount their number.
 	firstPort = 10000
 	portCount = 20000
-	// portStep is how far apart labs whose process ids follow each other begin to search.
+	// portStep is the distance between the search offsets of consecutive process IDs.
 	portStep = 997
 )
 
-// nextPort is where the search for a free port goes on; labs of different
-// processes start in different places.
+// nextPort is the offset at which the search for a free port continues. It starts at an offset
+// derived from the process ID, so that labs in different processes begin at different ports.
 var nextPort atomic.Int64
 
 func init() { nextPort.Store(int64(os.Getpid()) * portStep) }
 
-// FreeAddr returns a loopback address whose port is free now and that no other
-// call in this process returns soon.
+// FreeAddr returns a loopback address whose port is free at present. Calls in one process do not
+// return the same port again before the search has gone through the whole range.
 func FreeAddr() (string, error) {
 	for range portCount {
 		port := firstPort + nextPort.Add(1)%portCount
@@ -118,15 +117,15 @@
 		if err != nil {
 			continue
 		}
-		return addr, eris.Wrap(l.Close(), "lab: find a free port")
+		return addr, eris.Wrap(l.Close(), "lab: close the listener that probed a port")
 	}
-	return "", eris.New("lab: no free port")
+	return "", eris.New("lab: no free port in the lab's range")
 }
 
-// pollEvery is the time between two looks at a condition.
+// pollEvery is the interval between two evaluations of a condition.
 const pollEvery = 10 * time.Millisecond
 
-// Until waits until the condition holds or ctx ends.
+// Until polls ok until it returns true or ctx ends. what describes the condition in the error.
 func Until(ctx context.Context, what string, ok func() bool) error {
 	for !ok() {
 		select {
@@ -138,7 +137,7 @@
 	return nil
 }
 
-// answers reports whether a GET of the URL gets status 200.
+// answers reports whether a GET of url returns status 200.
 func answers(url string) bool {
 	resp, err := http.Get(url)
 	if err != nil {
@@ -148,7 +147,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// listens reports whether something listens on the address.
+// listens reports whether addr accepts TCP connections.
 func listens(addr string) bool {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -158,10 +157,10 @@
 	return true
 }
 
-// Build builds the programs into dir.
+// Build builds the commands of the module at root into dir.
 func Build(ctx context.Context, root, dir string) error {
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", dir+"/", "./cmd/...")
 	cmd.Dir = root
 	out, err := cmd.CombinedOutput()
-	return eris.Wrapf(err, "lab: build: %s", out)
+	return eris.Wrapf(err, "lab: go build failed: %s", out)
 }
--- a/internal/lab/small.go
+++ b/internal/lab/small.go
@@ -7,7 +7,7 @@
 	"rockcleat/table"
 )
 
-// Names of the small system's rows.
+// Names of table rows of the small system, and the path of its service.
 const (
 	SmallModel   = "clue-draft"
 	SmallAdapter = "clue-draft/sapporo"
@@ -15,8 +15,8 @@
 	SmallPath    = "/renewals"
 )
 
-// Small returns a small system of two entries, three engines and one plain
-// service: enough to try everything out.
+// Small returns the options of a system of two entries, three engines and one plain service.
+// bin is the folder of the programs, dir the one for settings and logs.
 func Small(bin, dir string) Options {
 	rows, sizes := smallRows()
 	return Options{
@@ -32,7 +32,7 @@
 	}
 }
 
-// smallRows returns the rows and the sizes of their models and adapters.
+// smallRows returns the table rows and the sizes of the models and adapters.
 func smallRows() ([]table.Row, map[string]placement.Size) {
 	sizes := make(map[string]placement.Size)
 	row := func(name string, kind table.Kind, tier table.Tier, mib int) table.Row {
--- a/internal/lab/system.go
+++ b/internal/lab/system.go
@@ -20,97 +20,108 @@
 	"rockcleat/table"
 )
 
-// Secret is the shared secret of a lab's processes.
+// Secret is the shared secret in the settings of all daemons of a lab.
 const Secret = "lab-secret-0123456789"
 
-// An EngineSpec describes the engines of a lab.
+// An EngineSpec configures the engines of a lab.
 type EngineSpec struct {
 	Accelerators int
-	// MemoryMiB is the memory of each accelerator, Slots the number of sequences that it batches.
+	// MemoryMiB is the memory of each accelerator.
 	MemoryMiB int
-	Slots     int
-	// Step is the time of a decoding step, Prefill the number of prompt tokens read a second.
-	Step    time.Duration
+	// Slots is the maximum batch size of an accelerator, in sequences.
+	Slots int
+	// Step is the duration of a decoding step.
+	Step time.Duration
+	// Prefill is the prefill rate in prompt tokens per second.
 	Prefill float64
-	// NoFence makes the engine take orders of any fencing token.
+	// NoFence makes the engine accept orders with any fencing token.
 	NoFence bool
 }
 
-// Options describe a lab.
+// Options configures a System.
 type Options struct {
 	// Bin is the folder of the built programs, Dir the one for settings and logs.
 	Bin, Dir string
+	// Halls are the data halls, over which the VMs of each kind are spread in turn.
 	Halls    []string
 	Entries  int
 	Engines  int
 	Services int
 	Engine   EngineSpec
-	// ServiceRows are the table rows that the plain services answer.
+	// ServiceRows are the names of the table rows that every plain service serves.
 	ServiceRows []string
-	Rows        []table.Row
-	Sizes       map[string]placement.Size
-	// VMLag is how late the list of VMs is.
+	// Rows are saved as the first table.
+	Rows []table.Row
+	// Sizes are the models and adapters in the weight store.
+	Sizes map[string]placement.Size
+	// VMLag is the delay before the list of VMs shows a change.
 	VMLag time.Duration
-	// KVReads and KVWrites are the key-value service's rates; 0 is no limit.
+	// KVReads and KVWrites are the rate limits of the key-value service per second; zero means
+	// no limit.
 	KVReads, KVWrites float64
-	// Loads, FullSpeed and LoadSpeed are the weight store's; see standin.WeightsOptions.
+	// Loads is the rate limit of the weight store in loads per second, FullSpeed its number of
+	// concurrent loads at full speed, and LoadSpeed the full speed of a load in MiB/s.
 	Loads     float64
 	FullSpeed int
 	LoadSpeed float64
-	// ServiceDelay is the time of a plain service's call.
+	// ServiceDelay is the duration of a call of a plain service.
 	ServiceDelay time.Duration
-	// Entry and Agent change the settings of each process, if not nil.
+	// Entry and Agent, if not nil, change the settings of each entry and each agent.
 	Entry func(*config.Entry)
 	Agent func(*config.Agent)
-	// EntryPort is the first entry's port for callers, the next one is for control;
-	// 0 takes free ones.
+	// EntryPort is the port of the first entry for clients; the next port is its control port.
+	// Zero selects free ports.
 	EntryPort int
 }
 
-// A Node is one daemon of a lab.
+// A Node is a daemon of a lab: an entry or an agent.
 type Node struct {
 	*Process
+	// ID is the ID of its VM, Hall the data hall.
 	ID   string
 	Hall string
-	// Addr is the address for requests, Control the one for control.
+	// Addr is the address for requests, Control that of the control interface.
 	Addr    string
 	Control string
-	// config is the settings file, program the name of what runs.
+	// config is the path of the settings file, program the name of the executable.
 	config  string
 	program string
 }
 
-// A Backend is a backend server with the agent beside it.
+// A Backend is a backend server and its agent.
 type Backend struct {
 	Agent  *Node
 	Server *Process
-	URL    string
-	// start starts the server anew at the same address.
+	// URL is the base URL of the server.
+	URL string
+	// start starts another process of the server at the same address.
 	start func() (*Process, error)
-	// Service says that it is a plain service.
+	// Service is set for a plain service and unset for an engine.
 	Service bool
 }
 
 // A System is a running lab.
 type System struct {
 	opts Options
-	// KVURL, VMsURL and WURL are the stand-ins for the key-value service, the list of VMs and
-	// the weight store.
+	// KVURL, VMsURL and WURL are the base URLs of the key-value service, the list of VMs and the
+	// weight store.
 	KVURL  string
 	VMsURL string
 	WURL   string
 
+	// mu is held while the fields below are changed.
 	mu       sync.Mutex
 	Entries  []*Node
 	Backends []*Backend
-	// all holds every process ever started.
+	// all holds every process started, those that have exited included.
 	all []*Process
 }
 
-// startTime bounds the start of one process.
+// startTime is the timeout of the start of one process.
 const startTime = 30 * time.Second
 
-// Start starts a lab and waits until its entries are ready and every row has a place.
+// Start starts a system and, if it has table rows, waits until its entries are ready and list a
+// ready server for every row. If it fails, it stops all processes.
 func Start(ctx context.Context, o Options) (*System, error) {
 	s := &System{opts: o}
 	if err := s.startAll(ctx); err != nil {
@@ -120,7 +131,8 @@
 	return s, nil
 }
 
-// startAll starts the platform's stand-ins, then backend servers, then entries, and saves the rows.
+// startAll starts the platform's stand-ins, the backend servers and the entries in this order,
+// then saves the rows.
 func (s *System) startAll(ctx context.Context) error {
 	if err := s.startPlatform(ctx); err != nil {
 		return err
@@ -154,7 +166,8 @@
 	return s.AwaitPlaced(ctx)
 }
 
-// run starts a stand-in on a free address and waits until it listens.
+// run starts a stand-in on a free address and waits until it listens. It returns the process,
+// its base URL and a function that starts another process at the same address.
 func (s *System) run(ctx context.Context, name string, args ...string) (*Process, string, func() (*Process, error), error) {
 	addr, err := FreeAddr()
 	if err != nil {
@@ -177,10 +190,9 @@
 	return p, "http://" + addr, again, err
 }
 
-// float formats a flag's value.
 func float(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
 
-// startPlatform starts the stand-ins for the platform's services.
+// startPlatform starts the stand-ins of the platform's services and fills the weight store.
 func (s *System) startPlatform(ctx context.Context) (err error) {
 	o := s.opts
 	if _, s.KVURL, _, err = s.run(ctx, "kv", "kv", "-reads", float(o.KVReads), "-writes", float(o.KVWrites)); err != nil {
@@ -197,10 +209,9 @@
 	return send(ctx, http.MethodPut, s.WURL+"/v1/weights", inventory.Catalogue{Sizes: o.Sizes}, nil)
 }
 
-// hall returns the data hall of the i-th VM of a kind.
+// hall returns the data hall of the i-th VM of its kind.
 func (s *System) hall(i int) string { return s.opts.Halls[i%len(s.opts.Halls)] }
 
-// startEngine starts an engine and its agent.
 func (s *System) startEngine(ctx context.Context, i int) error {
 	o := s.opts.Engine
 	name := fmt.Sprintf("engine-%d", i)
@@ -217,7 +228,6 @@
 	})
 }
 
-// startService starts a plain service and its agent.
 func (s *System) startService(ctx context.Context, i int) error {
 	name := fmt.Sprintf("service-%d", i)
 	p, url, again, err := s.run(ctx, name, "service", "-delay", s.opts.ServiceDelay.String())
@@ -230,7 +240,7 @@
 	})
 }
 
-// Stop ends every process that the lab has started and waits for their ends.
+// Stop kills every process that the system started and waits until all have exited.
 func (s *System) Stop() {
 	s.mu.Lock()
 	all := s.all
@@ -244,7 +254,7 @@
 	}
 }
 
-// Left returns the names of processes that have not ended.
+// Left returns the names of the processes that have not exited.
 func (s *System) Left() []string {
 	var names []string
 	for _, p := range s.all {
@@ -255,8 +265,8 @@
 	return names
 }
 
-// TempDir returns a new folder for programs, settings and logs.
+// TempDir creates a temporary folder for programs, settings and logs. The caller removes it.
 func TempDir() (string, error) {
 	dir, err := os.MkdirTemp("", "rockcleat-lab-")
-	return dir, eris.Wrap(err, "lab: make folder")
+	return dir, eris.Wrap(err, "lab: create temporary folder")
 }
