--- a/internal/proofs/checks_test.go
+++ b/internal/proofs/checks_test.go
@@ -9,7 +9,8 @@
 	"rockcleat/internal/wire"
 )
 
-// checkChats checks that no answer passed on as whole is another than its own.
+// checkChats checks that each complete response is the expected one and that every other
+// response is a prefix of it. It returns the numbers of both.
 func (tr *trial) checkChats() (whole, cut int) {
 	for _, s := range tr.all() {
 		req, err := openai.ParseRequest(s.Request.Body)
@@ -31,8 +32,8 @@
 	return whole, cut
 }
 
-// seen returns how often each request id started on the engines and services
-// that answer.
+// seen returns how often each request ID started on the running engines and took effect on the
+// running services.
 func (tr *trial) seen() map[string]int {
 	total := make(map[string]int)
 	for _, b := range tr.Backends {
@@ -56,8 +57,8 @@
 	return total
 }
 
-// checkNotRun checks that what was refused as not run never started, and that
-// each refusal says when to come back.
+// checkNotRun checks that no request refused as not run has started, and that each refusal with
+// status 429 or above has a retry delay. It returns the number of refusals.
 func (tr *trial) checkNotRun() (refused int) {
 	ran := tr.seen()
 	for _, s := range tr.all() {
@@ -75,7 +76,7 @@
 	return refused
 }
 
-// effects returns how often each idempotency key took effect, over all services.
+// effects returns how often each idempotency key took effect on all services together.
 func (tr *trial) effects() map[string]int {
 	total := make(map[string]int)
 	for _, b := range tr.Backends {
--- a/internal/proofs/doc.go
+++ b/internal/proofs/doc.go
@@ -1,6 +1,10 @@
-// Package proofs holds the tests that show what must always hold under failure:
-// real daemons as separate processes, behind a proxy that injects faults, with
-// the platform's stand-ins failing too. docs/PROOFS.md says what each shows.
+// Package proofs contains fault-injection tests of the system's numbered promises,
+// which docs/PROOFS.md lists.
 //
-// It has no code of its own outside its tests.
+// Each test runs real daemons as separate processes through package lab. It sends
+// load, injects faults into processes, network connections and the platform's
+// stand-ins, and checks that the promise was kept. The flag -proofs.seed selects the
+// faults and their order; -proofs.report prints one line for each promise.
+//
+// The package has no code outside its tests.
 package proofs
--- a/internal/proofs/harness_test.go
+++ b/internal/proofs/harness_test.go
@@ -26,21 +26,22 @@
 	reportFlag = flag.Bool("proofs.report", false, "print a row for each promise")
 )
 
-// trialTime bounds one proof; its conditions are met long before.
+// trialTime is the timeout of one trial.
 const trialTime = 3 * time.Minute
 
-// binDir is where TestMain has built the programs.
+// binDir is the folder in which TestMain builds the programs.
 var binDir string
 
-// A row is one promise's line in the report.
+// A row is the line of one promise in the report.
 type row struct {
 	promise    int
 	name       string
 	faults     []string
 	requests   int
 	violations []string
-	worst      string
-	passed     bool
+	// worst describes the worst observed value, such as the longest delay.
+	worst  string
+	passed bool
 }
 
 var (
@@ -89,7 +90,7 @@
 	fmt.Printf("promises proved: %d/%d\n", proved, promises)
 }
 
-// A sent is one request with its answer.
+// A sent is one request with its response and the number of tokens requested.
 type sent struct {
 	lab.Request
 	lab.Answer
@@ -97,7 +98,7 @@
 	tokens int
 }
 
-// A trial is one proof's system with its load and its record.
+// A trial is the system under test of one test, with the requests sent and the violations found.
 type trial struct {
 	*lab.System
 	t      *testing.T
@@ -105,13 +106,15 @@
 	rng    *rand.Rand
 	caller *lab.Caller
 	row    *row
-	swaps  int
+	// swaps is the number of calls of swap.
+	swaps int
 
+	// mu guards sent and the violations of row.
 	mu   sync.Mutex
 	sent []sent
 }
 
-// quick makes the daemons notice failures soon, so that proofs are short.
+// quick shortens the timeouts and intervals of the daemons to keep the tests short.
 func quick(o *lab.Options) {
 	entry, agent := o.Entry, o.Agent
 	o.Entry = func(e *config.Entry) {
@@ -138,7 +141,7 @@
 	}
 }
 
-// start starts a small system for the proof of a promise.
+// start starts a small system for a test of a promise. The system stops when the test ends.
 func start(t *testing.T, promise int, name string, change func(*lab.Options)) *trial {
 	t.Helper()
 	t.Parallel()
@@ -147,7 +150,7 @@
 	assert.NilError(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log("logs are kept in", dir)
+			t.Log("logs of the failed test are kept in", dir)
 			return
 		}
 		_ = os.RemoveAll(dir)
@@ -175,7 +178,8 @@
 	return tr
 }
 
-// finish adds the trial to its promise's row; a promise may have several trials.
+// finish reports the violations as errors and merges the trial into the report row of its
+// promise, which may have several trials.
 func (tr *trial) finish() {
 	for _, v := range tr.row.violations {
 		tr.t.Error(v)
@@ -221,7 +225,7 @@
 	tr.must(lab.Until(tr.ctx, what, ok))
 }
 
-// send sends a request, keeps its answer and returns it.
+// send sends a request, records its response and returns it.
 func (tr *trial) send(r lab.Request, tokens int) lab.Answer {
 	if r.ID == "" {
 		r.ID = uuid.NewString()
@@ -240,7 +244,7 @@
 	return append([]sent(nil), tr.sent...)
 }
 
-// load sends what make gives from several goroutines until stop is called.
+// load sends the requests that makeRequest returns from several goroutines until stop is called.
 func (tr *trial) load(workers int, makeRequest func(worker, i int) (lab.Request, int)) (stop func()) {
 	return repeat(workers, func(w, i int, done <-chan struct{}) {
 		r, tokens := makeRequest(w, i)
@@ -250,7 +254,7 @@
 	})
 }
 
-// repeat calls f again and again from several goroutines until stop is called.
+// repeat calls f repeatedly from several goroutines until stop is called. stop waits for them.
 func repeat(workers int, f func(worker, i int, done <-chan struct{})) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -275,7 +279,7 @@
 	}
 }
 
-// pause keeps a load's goroutine from spinning on refusals.
+// pause waits for d or until done is closed.
 func pause(done <-chan struct{}, d time.Duration) {
 	select {
 	case <-done:
@@ -283,7 +287,7 @@
 	}
 }
 
-// liveEntry returns an entry that runs, another one for each i.
+// liveEntry returns the i-th entry, or the next one that is running.
 func (tr *trial) liveEntry(i int) *lab.Node {
 	n := len(tr.Entries)
 	for k := range n {
@@ -294,12 +298,11 @@
 	return tr.Entries[0]
 }
 
-// chat returns a streamed chat request that no other has the prompt of.
+// chat returns a streaming chat request with a unique prompt, and its number of tokens.
 func (tr *trial) chat(addr, model string, tokens int) (lab.Request, int) {
 	return lab.Request{Addr: addr, Body: lab.ChatBody(model, uuid.NewString(), tokens, true)}, tokens
 }
 
-// engines returns the backends that are model engines.
 func (tr *trial) engines() []*lab.Backend {
 	var out []*lab.Backend
 	for _, b := range tr.Backends {
@@ -310,26 +313,25 @@
 	return out
 }
 
-// shuffled returns the steps in an order that the seed chooses.
+// shuffled returns a copy of steps in an order determined by the seed.
 func shuffled[T any](tr *trial, steps []T) []T {
 	out := append([]T(nil), steps...)
 	tr.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
-// A step is one named fault.
 type step struct {
 	name string
 	do   func()
 }
 
-// runSteps does every step twice in an order that the seed chooses, so that
-// each meets others before it, and at times itself.
+// runSteps runs every step twice in an order determined by the seed, so that steps run after
+// different other steps, and at times after themselves.
 func (tr *trial) runSteps(steps []step) {
 	for _, s := range shuffled(tr, append(append([]step(nil), steps...), steps...)) {
 		began := time.Now()
 		s.do()
-		tr.t.Logf("fault: %s (%.1fs)", s.name, time.Since(began).Seconds())
+		tr.t.Logf("injected fault: %s (took %.1fs)", s.name, time.Since(began).Seconds())
 	}
 	for _, s := range steps {
 		tr.fault("%s x2", s.name)
--- a/internal/proofs/history_test.go
+++ b/internal/proofs/history_test.go
@@ -18,8 +18,8 @@
 	return errors.As(err, &s) && s.Status == http.StatusConflict
 }
 
-// watchVersions asks every daemon for its version all the time; one process may
-// never name a lower version than before. It returns a function that ends it.
+// watchVersions polls the table version of every daemon until stop is called. A version lower
+// than an earlier one of the same process is a violation.
 func (tr *trial) watchVersions() (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -63,10 +63,11 @@
 	}
 }
 
-// An editRecord collects the edits that stand in the record, by version: the oldest are cut from time to time.
+// An editRecord accumulates the edits of the table history by version. The daemons remove the
+// oldest edits from the history.
 type editRecord struct{ byVersion map[uint64]table.Edit }
 
-// read adds what stands in the record now. A version never gets another edit.
+// read adds the edits of the current history. A version whose edit has changed is a violation.
 func (r *editRecord) read(tr *trial) {
 	var h wire.HistoryAnswer
 	tr.must(lab.Client().Get(tr.ctx, tr.liveEntry(0).Control, wire.PathHistory, &h))
@@ -81,12 +82,13 @@
 	}
 }
 
-// checkHistory checks the record of edits: versions follow each other, each
-// edit that was reported as saved stands in it once under the version reported
-// or an earlier one, and no row changes under an edit that had not seen its last change.
+// checkHistory checks that the versions in the history are consecutive, that it contains each
+// edit reported as saved exactly once, under the reported version or an earlier one, and that no
+// edit changed a row without having seen the row's previous change.
 //
-// An edit that is saved again after an answer was lost is reported with the newest version, so that nothing says
-// whether it is older than what was cut. The record is therefore read before any of it can be cut.
+// A retry of an edit whose response was lost reports the newest version instead of the edit's
+// own. The reported version therefore does not show whether the edit has already been removed
+// from the history, and callers must read the history before its oldest edits are removed.
 func (tr *trial) checkHistory(record *editRecord, accepted map[string]uint64) {
 	record.read(tr)
 	seen := make(map[string]uint64)
--- a/internal/proofs/leaving_test.go
+++ b/internal/proofs/leaving_test.go
@@ -14,15 +14,15 @@
 	"rockcleat/internal/wire"
 )
 
-// Promise 6: a backend server that is leaving receives no new work.
+// TestLeaving checks promise 6: a backend server that is leaving receives no new work.
 func TestLeaving(t *testing.T) {
 	tr := start(t, 6, "no new work for a leaver", nil)
 	stop := tr.load(8, func(w, i int) (lab.Request, int) {
 		return tr.chat(tr.liveEntry(w+i).Addr, []string{"hint", "headline", lab.SmallModel}[(w+i)%3], 8)
 	})
 	var worst time.Duration
-	// quiet waits until the engine has started nothing for a while under load and
-	// returns how long after the leaving began it last started something.
+	// quiet waits until the engine has started none of more than 30 consecutive requests. It adds
+	// the delay between began and the engine's last start to worst.
 	quiet := func(b *lab.Backend, began time.Time) {
 		var s standin.EngineStats
 		tr.until("the leaver gets no new work", func() bool {
@@ -97,10 +97,10 @@
 	tr.row.worst = fmt.Sprintf("last start %.1fs after leaving began", worst.Seconds())
 }
 
-// Promise 7: a planned stop cuts off no request in progress.
+// TestPlannedStop checks promise 7: a planned stop interrupts no request in progress.
 func TestPlannedStop(t *testing.T) {
 	tr := start(t, 7, "a planned stop cuts off nothing", func(o *lab.Options) { o.Entries = 3 })
-	// Callers go only where the balancer would send them: to entries that say they are ready.
+	// ready returns an entry that reports itself ready, as a load balancer would.
 	ready := func(i int) *lab.Node {
 		for k := range tr.Entries {
 			e := tr.Entries[(i+k)%len(tr.Entries)]
@@ -165,6 +165,6 @@
 			tr.violation("request %s was cut: status %d, outcome %q, %d of %d tokens, %v", s.ID, s.Status, s.Outcome, s.Tokens, s.tokens, s.Err)
 		}
 	}
-	tr.t.Logf("refused: %v", reasons)
+	tr.t.Logf("refused requests by reason: %v", reasons)
 	tr.row.worst = fmt.Sprintf("%d whole streams, %d refused, longest stop %.1fs", whole, refused, worst.Seconds())
 }
--- a/internal/proofs/memory_test.go
+++ b/internal/proofs/memory_test.go
@@ -11,7 +11,8 @@
 	"rockcleat/internal/standin"
 )
 
-// Promise 1: accelerator memory is never overcommitted.
+// TestMemory checks promise 1: accelerator memory is never overcommitted, whether or not the
+// engines check the fencing tokens of orders.
 func TestMemory(t *testing.T) {
 	for name, unchecked := range map[string]bool{"orders checked": false, "orders not checked": true} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +78,8 @@
 	}
 }
 
-// twoAgents freezes an agent, lets another take over its server, and thaws the first.
+// twoAgents suspends an agent, starts another one for the same server, and resumes the first
+// while the second is in charge.
 func (tr *trial) twoAgents(b *lab.Backend) {
 	first := b.Agent
 	first.Freeze()
--- a/internal/proofs/not_run_test.go
+++ b/internal/proofs/not_run_test.go
@@ -11,7 +11,8 @@
 	"rockcleat/internal/wire"
 )
 
-// Promise 4: what is refused as not run did not run, and is refused at once.
+// TestNotRun checks promise 4: a request refused as not run did not run. It also reports the
+// slowest refusal for the queue time.
 func TestNotRun(t *testing.T) {
 	tr := start(t, 4, "refused means not run", func(o *lab.Options) {
 		o.Engine.Slots = 2
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -14,8 +14,9 @@
 	"rockcleat/internal/wire"
 )
 
-// keyed sends calls that may not be repeated, each again and again through
-// changing entries until it is answered or given up, as eager callers do.
+// keyed sends calls with idempotency keys from several goroutines and retries each through
+// different entries until it is answered or keyTries is reached. stop returns the number
+// answered.
 func (tr *trial) keyed(workers int) (stop func() (answered int)) {
 	var answered atomic.Int64
 	end := repeat(workers, func(w, i int, done <-chan struct{}) {
@@ -29,7 +30,7 @@
 	}
 }
 
-// keyTries bounds how often a caller sends one key.
+// keyTries is the maximum number of attempts with one key.
 const keyTries = 30
 
 func (tr *trial) oneKey(w int, key string, done <-chan struct{}) bool {
@@ -37,7 +38,7 @@
 		r := lab.Request{Addr: tr.liveEntry(w + try).Addr, Path: lab.SmallPath, Body: []byte(key), Key: key}
 		a := tr.send(r, 0)
 		if a.Outcome == wire.OutcomeAnswered && a.Err == nil {
-			// Once more, although it was answered.
+			// A repetition after the response must not take effect again.
 			tr.send(r, 0)
 			return true
 		}
@@ -46,8 +47,8 @@
 	return false
 }
 
-// checkEffects checks that each key took effect at most once, and exactly once
-// if any of its callers got an answer.
+// checkEffects checks that each key took effect at most once, that it took effect exactly once
+// if any attempt was answered, and that all attempts answered got the same body.
 func (tr *trial) checkEffects() {
 	effects := tr.effects()
 	bodies := make(map[string]string)
@@ -70,7 +71,7 @@
 	}
 }
 
-// Promise 5: a request that may not be repeated runs at most once.
+// TestAtMostOnce checks promise 5: a request that is not idempotent runs at most once.
 func TestAtMostOnce(t *testing.T) {
 	tr := start(t, 5, "at most once", func(o *lab.Options) { o.Services, o.Entries = 2, 3 })
 	var proxies []*faultProxy
@@ -131,8 +132,8 @@
 	tr.row.worst = fmt.Sprintf("%d keys answered", answered)
 }
 
-// claimsWork reports whether a call with a fresh key is answered by an entry
-// other than the frozen one, for several keys, so for several shards.
+// claimsWork reports whether the entries other than the frozen one answer calls with new keys.
+// It sends several keys, so that they fall into several shards.
 func (tr *trial) claimsWork(frozen *lab.Node) bool {
 	for i := range 6 {
 		e := tr.Entries[i%len(tr.Entries)]
--- a/internal/proofs/poison_test.go
+++ b/internal/proofs/poison_test.go
@@ -12,17 +12,17 @@
 	"rockcleat/internal/wire"
 )
 
-// poisonMark stands in the prompt of a request under which engines end.
+// poisonMark is the prompt of a request that makes engines exit.
 const poisonMark = "ends whoever runs it"
 
-// Bounds of what such a request may do: after the third end it is refused. A copy may be sent to further
-// servers while the end of the last one is not known to its entry.
+// The request is refused after it has ended three servers. maxPoisonEnd is higher, as a copy may
+// be sent to further servers before its entry has learned that the last one ended.
 const (
 	poisonCopies = 10
 	maxPoisonEnd = 5
 )
 
-// Promise 9: a request under which three servers ended is refused, and no other is.
+// TestPoison checks promise 9: a request that ended three servers is refused, and no other is.
 func TestPoison(t *testing.T) {
 	tr := start(t, 9, "requests that end servers are refused", nil)
 	tr.must(tr.AwaitPlaced(tr.ctx))
@@ -50,21 +50,22 @@
 	tr.row.worst = fmt.Sprintf("%d engines ended", ends)
 }
 
-// mark makes every engine end under the request.
+// mark makes every engine exit when it runs the request.
 func (tr *trial) mark() {
 	for _, b := range tr.engines() {
 		tr.must(lab.Fault(tr.ctx, b.URL, standin.Faults{EndOn: poisonMark}))
 	}
 }
 
-// unmark makes the engines sound.
+// unmark removes the faults of the engines.
 func (tr *trial) unmark() {
 	for _, b := range tr.engines() {
 		tr.must(lab.Fault(tr.ctx, b.URL, standin.Faults{}))
 	}
 }
 
-// restartEnded starts the engines anew that have ended, and returns their number.
+// restartEnded restarts the engines that have exited, waits until every row is placed and returns
+// their number. A restarted engine has no faults.
 func (tr *trial) restartEnded() (ended int) {
 	for _, b := range tr.engines() {
 		if b.Server.Exited() {
@@ -76,7 +77,8 @@
 	return ended
 }
 
-// quarantinedEverywhere reports whether each entry has a request in quarantine.
+// quarantinedEverywhere reports whether the first request in the quarantine list of each entry is
+// quarantined.
 func (tr *trial) quarantinedEverywhere() bool {
 	for _, e := range tr.Entries {
 		var list wire.QuarantineList
@@ -90,12 +92,12 @@
 	return true
 }
 
-// Promise 9: a request that runs well after servers have ended under it counts as sound again at every
-// entry. Without that, one that was at three servers which ended for other reasons was refused, however
-// often it had run well between.
+// TestSoundRequest checks, as part of promise 9, that a successful run clears a request of the
+// servers that ended under it, at every entry. Otherwise a request that happened to be on three
+// servers which ended for other reasons would be refused.
 func TestSoundRequest(t *testing.T) {
 	tr := start(t, 9, "requests that end servers are refused", func(o *lab.Options) {
-		// All engines may end under the request before it is refused.
+		// High enough that the request is not quarantined when it ends all engines.
 		o.Entry = func(e *config.Entry) { e.Quarantine.Ends = 8 }
 	})
 	tr.must(tr.AwaitPlaced(tr.ctx))
@@ -103,7 +105,6 @@
 	tr.mark()
 	first := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.liveEntry(0).Addr, ID: "first", Body: body})
 	assert.Assert(t, first.Outcome != wire.OutcomeAnswered)
-	// Engines that start anew are sound.
 	ended := tr.restartEnded()
 	assert.Assert(t, ended > 0)
 	tr.until("both entries know of the ends", func() bool { return tr.suspectedEverywhere(true) })
@@ -114,16 +115,16 @@
 	tr.fault("engine ended by a request x%d", ended)
 }
 
-// suspects returns the number of requests under which an entry knows of ends; it reports false if the entry
-// does not answer.
+// suspects returns the number of requests in the quarantine list of an entry, which includes
+// those below the limit. ok is false if the entry does not respond.
 func (tr *trial) suspects(e *lab.Node) (n int, ok bool) {
 	var list wire.QuarantineList
 	err := lab.Client().Get(tr.ctx, e.Control, wire.PathQuarantine, &list)
 	return len(list.Items), err == nil
 }
 
-// suspectedEverywhere reports whether each entry knows of ends under a request, or with want false that none
-// does.
+// suspectedEverywhere reports whether the quarantine list of every entry is non-empty if want is
+// set, and empty if it is not.
 func (tr *trial) suspectedEverywhere(want bool) bool {
 	for _, e := range tr.Entries {
 		if n, ok := tr.suspects(e); !ok || (n > 0) != want {
--- a/internal/proofs/proxy_test.go
+++ b/internal/proofs/proxy_test.go
@@ -13,12 +13,12 @@
 	"rockcleat/internal/lab"
 )
 
-// A faultProxy stands between others and one address.
+// A faultProxy is a TCP proxy that injects network faults.
 type faultProxy struct {
 	*toxiproxy.Proxy
 }
 
-// Directions of a toxic: what the callee sends, and what the caller sends.
+// Directions of a toxic: data sent by the server and data sent by the client.
 const (
 	fromCallee = "downstream"
 	fromCaller = "upstream"
@@ -35,18 +35,18 @@
 	return &faultProxy{Proxy: p}
 }
 
-// add adds a toxic with attributes in JSON.
+// add adds a toxic; attributes are the members of a JSON object.
 func (p *faultProxy) add(tr *trial, kind, direction, attributes string) {
 	text := fmt.Sprintf(`{"name":%q,"type":%q,"stream":%q,"attributes":{%s}}`, kind+direction, kind, direction, attributes)
 	_, err := p.Toxics.AddToxicJson(strings.NewReader(text))
 	assert.Check(tr.t, err)
 }
 
-// heal removes every toxic.
+// heal removes all toxics.
 func (p *faultProxy) heal() { p.Toxics.ResetToxics(context.Background()) }
 
-// proxied puts proxies before a backend's agent, one for requests and one for
-// control, and tells the platform's list of them.
+// proxied starts proxies for the request and control addresses of a backend's agent, puts their
+// addresses into the platform's list and waits until every entry uses them.
 func (tr *trial) proxied(b *lab.Backend) (requests, control *faultProxy) {
 	requests, control = tr.proxy(b.Agent.Addr), tr.proxy(b.Agent.Control)
 	tr.must(tr.PutVM(tr.ctx, inventory.VM{
--- a/internal/proofs/reachable_test.go
+++ b/internal/proofs/reachable_test.go
@@ -11,7 +11,8 @@
 	"rockcleat/internal/lab"
 )
 
-// Promise 2: every model and adapter stays reachable.
+// TestReachable checks promise 2: every model and adapter stays reachable, except for a time after
+// the loss of a server.
 func TestReachable(t *testing.T) {
 	tr := start(t, 2, "every model reachable", func(o *lab.Options) { o.Engine.MemoryMiB = 36000 })
 	var mu sync.Mutex
@@ -86,7 +87,7 @@
 	tr.row.worst = fmt.Sprintf("%.1fs without a place after a lost server", worst.Seconds())
 }
 
-// placedWithout reports whether every name is ready on a server other than b's.
+// placedWithout reports whether every name is on a server other than b.
 func (tr *trial) placedWithout(b *lab.Backend, names []string) bool {
 	st, err := tr.Status(tr.ctx, tr.liveEntry(0), false)
 	if err != nil {
--- a/internal/proofs/steps_test.go
+++ b/internal/proofs/steps_test.go
@@ -12,7 +12,7 @@
 	"rockcleat/table"
 )
 
-// knows reports whether a status lists a server under the address.
+// knows reports whether a status lists the server with that address.
 func knows(st wire.StatusAnswer, id, addr string) bool {
 	for _, s := range st.Servers {
 		if s.ID == id && s.Addr == addr {
@@ -22,7 +22,8 @@
 	return false
 }
 
-// edit changes one row's weight and returns the version that holds the edit.
+// edit applies change to a row, or removes the row if change is nil, and returns the table version
+// of the edit. It retries until the edit is saved.
 func (tr *trial) edit(name string, change func(*table.Row)) uint64 {
 	tr.t.Helper()
 	var version uint64
@@ -49,7 +50,7 @@
 	return version
 }
 
-// planner returns the entry that plans a cell, nil if none does now.
+// planner returns an entry that currently plans a cell, or nil.
 func (tr *trial) planner() *lab.Node {
 	for _, e := range tr.Entries {
 		if e.Exited() {
@@ -71,25 +72,24 @@
 	return p
 }
 
-// restart kills a daemon and starts it anew.
+// restart kills a daemon and starts it again.
 func (tr *trial) restart(n *lab.Node) {
 	n.Kill()
 	tr.must(tr.StartNode(tr.ctx, n))
 }
 
-// kvOutage takes the key-value service out, does f and lets it come back.
+// kvOutage calls f during an outage of the key-value service.
 func (tr *trial) kvOutage(f func()) {
 	tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{Outage: true}))
 	f()
 	tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{}))
 }
 
-// rivals are two models of which only one fits beside the others: putting one
-// into the table in place of the other makes an unload and, into the memory that
-// it frees, a load.
+// rivals are two models of which only one fits into memory beside the others. Replacing one by the
+// other in the table causes an unload and a load into the memory that it frees.
 var rivals = []string{"summary", "digest"}
 
-// swap puts the rival that is not in the table in place of the one that is.
+// swap replaces the rival in the table by the other one.
 func (tr *trial) swap() {
 	out := rivals[tr.swaps%2]
 	in := rivals[(tr.swaps+1)%2]
@@ -98,7 +98,7 @@
 	tr.edit(in, func(r *table.Row) { r.Organisation = "guild" })
 }
 
-// churn swaps the rivals and waits until the change is carried out.
+// churn swaps the rivals and waits until the engines have carried out the change.
 func (tr *trial) churn() {
 	tr.swap()
 	tr.awaitSwapped()
@@ -112,7 +112,7 @@
 	})
 }
 
-// copies returns the ready copies of each name as the engines themselves say.
+// copies returns the number of ready copies of each name, as reported by the engines.
 func (tr *trial) copies() map[string]int {
 	n := make(map[string]int)
 	for _, b := range tr.engines() {
--- a/internal/proofs/table_test.go
+++ b/internal/proofs/table_test.go
@@ -15,14 +15,14 @@
 	"rockcleat/table"
 )
 
-// Promise 8: an accepted table is in force everywhere and never reverts.
+// TestTable checks promise 8: an accepted table comes into force everywhere and never reverts.
 func TestTable(t *testing.T) {
 	tr := start(t, 8, "an accepted table never reverts", func(o *lab.Options) { o.Entries = 3 })
 	watch := tr.watchVersions()
 	var mu sync.Mutex
 	accepted := make(map[string]uint64)
 	var newest uint64
-	// race lets two operators edit the same row and rows of their own at once.
+	// race runs two operators concurrently, which edit one shared row and one row of their own.
 	race := func() {
 		var wg sync.WaitGroup
 		for o := range 2 {
@@ -91,10 +91,11 @@
 	}
 }
 
-// operatorPatience is how long an operator waits for one entry.
+// operatorPatience is the timeout of an operator's call to one entry.
 const operatorPatience = time.Second
 
-// operator saves three edits, each under one id until its outcome is known.
+// operator saves three edits. It retries each under the same ID until it is saved or refused as a
+// conflict, and calls saved for those saved.
 func (tr *trial) operator(o int, saved func(id string, v uint64)) {
 	for i := range 3 {
 		name := "hint"
@@ -105,7 +106,7 @@
 		var e table.Edit
 		tries := 0
 		tr.until("an edit's outcome is known", func() bool {
-			// A silent entry is left for the next one, as the command line does.
+			// Each attempt uses another entry, as the command line does.
 			n := tr.liveEntry(o + tries)
 			tries++
 			if e.ID == "" {
@@ -124,7 +125,7 @@
 				return true
 			}
 			if !isConflict(err) {
-				tr.t.Logf("edit %s of %s not saved yet: %v", id, name, err)
+				tr.t.Logf("saving edit %s of row %s failed, will retry: %v", id, name, err)
 			}
 			return isConflict(err)
 		})
--- a/internal/proofs/whole_test.go
+++ b/internal/proofs/whole_test.go
@@ -11,7 +11,7 @@
 	"rockcleat/internal/standin"
 )
 
-// Promise 3: a caller receives the whole answer to its own request.
+// TestWhole checks promise 3: a client receives the complete response to its own request.
 func TestWhole(t *testing.T) {
 	tr := start(t, 3, "the whole answer to its own request", nil)
 	models := []string{lab.SmallModel, "hint", "summary", "headline", lab.SmallAdapter}
@@ -81,7 +81,8 @@
 	tr.row.worst = fmt.Sprintf("%d whole, %d told as not whole", whole, cut)
 }
 
-// Promise 3, of one stream: it goes on elsewhere from the tokens already given.
+// TestStreamGoesOn checks, as part of promise 3, that a stream whose engine is killed continues on
+// another engine after the tokens already sent.
 func TestStreamGoesOn(t *testing.T) {
 	tr := start(t, 3, "the whole answer to its own request", nil)
 	for range 3 {
