--- a/internal/proofs/reachable_test.go
+++ b/internal/proofs/reachable_test.go
@@ -87,7 +87,7 @@
 	tr.row.worst = fmt.Sprintf("%.1fs without a place after a lost server", worst.Seconds())
 }
 
-// placedWithout reports whether every name is on a server other than b.
+// placedWithout reports whether every name is ready on a server other than b.
 func (tr *trial) placedWithout(b *lab.Backend, names []string) bool {
 	st, err := tr.Status(tr.ctx, tr.liveEntry(0), false)
 	if err != nil {
