--- a/internal/lab/call.go
+++ b/internal/lab/call.go
@@ -85,7 +85,7 @@
 
 // Send sends a request without transport retries and reads the response to its end.
 func (c *Caller) Send(ctx context.Context, r Request) Answer {
-	began := time.Now()
+	start := time.Now()
 	if r.Method == "" {
 		r.Method = http.MethodPost
 	}
@@ -106,7 +106,7 @@
 	wire.SendOnce(req)
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return Answer{Err: err, Total: time.Since(began)}
+		return Answer{Err: err, Total: time.Since(start)}
 	}
 	defer resp.Body.Close()
 	a := Answer{
@@ -115,18 +115,18 @@
 		Reason: resp.Header.Get(wire.HeaderReason),
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		a.readStream(resp.Body, began)
+		a.readStream(resp.Body, start)
 	} else {
-		a.readWhole(resp.Body, began)
+		a.readBody(resp.Body, start)
 	}
-	a.Total = time.Since(began)
+	a.Total = time.Since(start)
 	return a
 }
 
-// readWhole reads a response that is not streamed.
-func (a *Answer) readWhole(r io.Reader, began time.Time) {
+// readBody reads a response that is not streamed.
+func (a *Answer) readBody(r io.Reader, start time.Time) {
 	data, err := io.ReadAll(r)
-	a.FirstToken = time.Since(began)
+	a.FirstToken = time.Since(start)
 	a.Body, a.Err, a.Whole = string(data), err, err == nil
 	var c openai.Completion
 	if json.Unmarshal(data, &c) == nil && len(c.Choices) > 0 && c.Choices[0].Message != nil {
@@ -135,7 +135,7 @@
 }
 
 // readStream reads server-sent events until the stream ends.
-func (a *Answer) readStream(r io.Reader, began time.Time) {
+func (a *Answer) readStream(r io.Reader, start time.Time) {
 	s := bufio.NewScanner(r)
 	var text strings.Builder
 	for s.Scan() {
@@ -144,7 +144,7 @@
 			continue
 		}
 		if a.FirstToken == 0 {
-			a.FirstToken = time.Since(began)
+			a.FirstToken = time.Since(start)
 		}
 		if data == "[DONE]" {
 			a.Whole = true
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -18,17 +18,17 @@
 
 // Fault replaces the faults that the stand-in at url injects.
 func Fault(ctx context.Context, url string, f standin.Faults) error {
-	return send(ctx, http.MethodPut, url+standin.PathFault, f, nil)
+	return sendJSON(ctx, http.MethodPut, url+standin.PathFault, f, nil)
 }
 
 // Fetch gets url from a stand-in and decodes the JSON response into out.
 func Fetch(ctx context.Context, url string, out any) error {
-	return send(ctx, http.MethodGet, url, nil, out)
+	return sendJSON(ctx, http.MethodGet, url, nil, out)
 }
 
-// send sends in as JSON, if it is not nil, and decodes the response into out, if that is not
+// sendJSON sends in as JSON, if it is not nil, and decodes the response into out, if that is not
 // nil. Any status other than 200 is an error.
-func send(ctx context.Context, method, url string, in, out any) error {
+func sendJSON(ctx context.Context, method, url string, in, out any) error {
 	var body bytes.Buffer
 	if in != nil {
 		if err := json.NewEncoder(&body).Encode(in); err != nil {
@@ -88,15 +88,15 @@
 		if e.Exited() {
 			continue
 		}
-		if err := Until(ctx, "every row has a place in the eyes of "+e.ID, func() bool { return s.placed(ctx, e) }); err != nil {
+		if err := Until(ctx, "every row has a place in the eyes of "+e.ID, func() bool { return s.allRowsReady(ctx, e) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// placed reports whether an entry lists a ready server for every row.
-func (s *System) placed(ctx context.Context, e *Node) bool {
+// allRowsReady reports whether an entry lists a ready server for every row.
+func (s *System) allRowsReady(ctx context.Context, e *Node) bool {
 	st, err := s.Status(ctx, e, false)
 	if err != nil {
 		return false
@@ -123,12 +123,12 @@
 // AwaitVersion waits until every running daemon has applied the table version or a later one.
 func (s *System) AwaitVersion(ctx context.Context, version uint64) error {
 	return Until(ctx, fmt.Sprintf("version %d is in force on every VM", version), func() bool {
-		return s.inForce(ctx, version)
+		return s.allApplied(ctx, version)
 	})
 }
 
-// inForce reports whether every running daemon responds with the table version or a later one.
-func (s *System) inForce(ctx context.Context, version uint64) bool {
+// allApplied reports whether every running daemon responds with the table version or a later one.
+func (s *System) allApplied(ctx context.Context, version uint64) bool {
 	for _, n := range s.nodes() {
 		var v wire.VersionAnswer
 		if n.Exited() {
--- a/internal/lab/nodes.go
+++ b/internal/lab/nodes.go
@@ -13,8 +13,8 @@
 	"rockcleat/internal/inventory"
 )
 
-// process sets the settings that all daemons share, with free addresses.
-func (s *System) process(p *config.Process, id, hall string) error {
+// setProcessConfig sets the settings that all daemons share, with free addresses.
+func (s *System) setProcessConfig(p *config.Process, id, hall string) error {
 	var err error
 	if p.Listen, err = FreeAddr(); err != nil {
 		return err
@@ -28,20 +28,20 @@
 }
 
 // addBackend starts the agent of a backend server and adds its VM to the platform's list.
-func (s *System) addBackend(ctx context.Context, b *Backend, id, hall string, set func(*config.Agent)) error {
+func (s *System) addBackend(ctx context.Context, b *Backend, id, hall string, configure func(*config.Agent)) error {
 	var a config.Agent
 	config.Defaults(&a)
-	if err := s.process(&a.Process, id, hall); err != nil {
+	if err := s.setProcessConfig(&a.Process, id, hall); err != nil {
 		return err
 	}
 	a.Backend.URL, a.VMs = b.URL, s.VMsURL
-	set(&a)
+	configure(&a)
 	if s.opts.Agent != nil {
 		s.opts.Agent(&a)
 	}
 	n := &Node{ID: id, Hall: hall, Addr: a.Listen, Control: a.ControlListen, program: "rockcleat-agent"}
-	n.config = filepath.Join(s.opts.Dir, id+".yaml")
-	if err := config.Write(n.config, &a); err != nil {
+	n.configPath = filepath.Join(s.opts.Dir, id+".yaml")
+	if err := config.Write(n.configPath, &a); err != nil {
 		return err
 	}
 	b.Agent = n
@@ -60,7 +60,7 @@
 	var e config.Entry
 	config.Defaults(&e)
 	id := fmt.Sprintf("entry-%d", i)
-	if err := s.process(&e.Process, id, s.hall(i)); err != nil {
+	if err := s.setProcessConfig(&e.Process, id, s.hallOf(i)); err != nil {
 		return nil, err
 	}
 	if s.opts.EntryPort > 0 && i == 0 {
@@ -76,8 +76,8 @@
 		s.opts.Entry(&e)
 	}
 	n := &Node{ID: id, Hall: e.Hall, Addr: e.Listen, Control: e.ControlListen, program: "rockcleat-entry"}
-	n.config = filepath.Join(s.opts.Dir, id+".yaml")
-	if err := config.Write(n.config, &e); err != nil {
+	n.configPath = filepath.Join(s.opts.Dir, id+".yaml")
+	if err := config.Write(n.configPath, &e); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -92,17 +92,17 @@
 // StartNode starts or restarts a daemon and waits until its control address accepts
 // connections. A previous process of the node must have exited.
 func (s *System) StartNode(ctx context.Context, n *Node) error {
-	p, err := Launch(s.opts.Dir, n.ID, filepath.Join(s.opts.Bin, n.program), "-config", n.config)
+	p, err := Launch(s.opts.Dir, n.ID, filepath.Join(s.opts.Bin, n.program), "-config", n.configPath)
 	if err != nil {
 		return err
 	}
 	n.Process = p
 	s.mu.Lock()
-	s.all = append(s.all, p)
+	s.processes = append(s.processes, p)
 	s.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	err = Until(ctx, n.ID+" listens", func() bool { return p.Exited() || listens(n.Control) })
+	err = Until(ctx, n.ID+" listens", func() bool { return p.Exited() || acceptsConnections(n.Control) })
 	if err == nil && p.Exited() {
 		return eris.Errorf("lab: %s exited during startup; see %s", n.ID, filepath.Join(s.opts.Dir, n.ID+".log"))
 	}
@@ -113,15 +113,15 @@
 // own addresses, as when a VM that was considered dead returns.
 func (s *System) SecondAgent(ctx context.Context, b *Backend) (*Node, error) {
 	var a config.Agent
-	if err := config.Read(b.Agent.config, &a); err != nil {
+	if err := config.Read(b.Agent.configPath, &a); err != nil {
 		return nil, err
 	}
-	if err := s.process(&a.Process, a.ID, a.Hall); err != nil {
+	if err := s.setProcessConfig(&a.Process, a.ID, a.Hall); err != nil {
 		return nil, err
 	}
 	n := &Node{ID: a.ID, Hall: a.Hall, Addr: a.Listen, Control: a.ControlListen, program: "rockcleat-agent"}
-	n.config = filepath.Join(s.opts.Dir, a.ID+"-second.yaml")
-	if err := config.Write(n.config, &a); err != nil {
+	n.configPath = filepath.Join(s.opts.Dir, a.ID+"-second.yaml")
+	if err := config.Write(n.configPath, &a); err != nil {
 		return nil, err
 	}
 	return n, s.StartNode(ctx, n)
@@ -129,7 +129,7 @@
 
 // RestartServer restarts a backend server that has exited. Nothing is resident on the new one.
 func (s *System) RestartServer(b *Backend) error {
-	p, err := b.start()
+	p, err := b.startServer()
 	b.Server = p
 	return err
 }
@@ -142,7 +142,7 @@
 // PutVM sets a VM in the platform's list. Its addresses may differ from those of the node, for
 // example to route traffic through a proxy.
 func (s *System) PutVM(ctx context.Context, vm inventory.VM) error {
-	return send(ctx, http.MethodPost, s.VMsURL+"/v1/vms", inventory.VMList{VMs: []inventory.VM{vm}}, nil)
+	return sendJSON(ctx, http.MethodPost, s.VMsURL+"/v1/vms", inventory.VMList{VMs: []inventory.VM{vm}}, nil)
 }
 
 func (s *System) nodes() []*Node {
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -122,8 +122,8 @@
 	return "", eris.New("lab: no free port in the lab's range")
 }
 
-// pollEvery is the interval between two evaluations of a condition.
-const pollEvery = 10 * time.Millisecond
+// pollInterval is the interval between two evaluations of a condition.
+const pollInterval = 10 * time.Millisecond
 
 // Until polls ok until it returns true or ctx ends. what describes the condition in the error.
 func Until(ctx context.Context, what string, ok func() bool) error {
@@ -131,14 +131,14 @@
 		select {
 		case <-ctx.Done():
 			return eris.Wrapf(ctx.Err(), "lab: waiting until %s", what)
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-// answers reports whether a GET of url returns status 200.
-func answers(url string) bool {
+// respondsOK reports whether a GET of url returns status 200.
+func respondsOK(url string) bool {
 	resp, err := http.Get(url)
 	if err != nil {
 		return false
@@ -147,8 +147,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// listens reports whether addr accepts TCP connections.
-func listens(addr string) bool {
+// acceptsConnections reports whether addr accepts TCP connections.
+func acceptsConnections(addr string) bool {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return false
--- a/internal/lab/system.go
+++ b/internal/lab/system.go
@@ -83,9 +83,9 @@
 	// Addr is the address for requests, Control that of the control interface.
 	Addr    string
 	Control string
-	// config is the path of the settings file, program the name of the executable.
-	config  string
-	program string
+	// configPath is the path of the settings file, program the name of the executable.
+	configPath string
+	program    string
 }
 
 // A Backend is a backend server and its agent.
@@ -94,8 +94,8 @@
 	Server *Process
 	// URL is the base URL of the server.
 	URL string
-	// start starts another process of the server at the same address.
-	start func() (*Process, error)
+	// startServer starts another process of the server at the same address.
+	startServer func() (*Process, error)
 	// Service is set for a plain service and unset for an engine.
 	Service bool
 }
@@ -114,11 +114,11 @@
 	Entries  []*Node
 	Backends []*Backend
 	// all holds every process started, those that have exited included.
-	all []*Process
+	processes []*Process
 }
 
-// startTime is the timeout of the start of one process.
-const startTime = 30 * time.Second
+// startTimeout is the timeout of the start of one process.
+const startTimeout = 30 * time.Second
 
 // Start starts a system and, if it has table rows, waits until its entries are ready and list a
 // ready server for every row. If it fails, it stops all processes.
@@ -159,83 +159,83 @@
 		return err
 	}
 	for _, e := range s.Entries {
-		if err := Until(ctx, e.ID+" is ready", func() bool { return answers("http://" + e.Control + wire.PathReady) }); err != nil {
+		if err := Until(ctx, e.ID+" is ready", func() bool { return respondsOK("http://" + e.Control + wire.PathReady) }); err != nil {
 			return err
 		}
 	}
 	return s.AwaitPlaced(ctx)
 }
 
-// run starts a stand-in on a free address and waits until it listens. It returns the process,
+// startStandin starts a stand-in on a free address and waits until it listens. It returns the process,
 // its base URL and a function that starts another process at the same address.
-func (s *System) run(ctx context.Context, name string, args ...string) (*Process, string, func() (*Process, error), error) {
+func (s *System) startStandin(ctx context.Context, name string, args ...string) (*Process, string, func() (*Process, error), error) {
 	addr, err := FreeAddr()
 	if err != nil {
 		return nil, "", nil, err
 	}
-	again := func() (*Process, error) {
-		all := append(append([]string{}, args...), "-listen", addr)
-		p, err := Launch(s.opts.Dir, name, filepath.Join(s.opts.Bin, "rockcleat-standin"), all...)
+	startAgain := func() (*Process, error) {
+		allArgs := append(append([]string{}, args...), "-listen", addr)
+		p, err := Launch(s.opts.Dir, name, filepath.Join(s.opts.Bin, "rockcleat-standin"), allArgs...)
 		if err != nil {
 			return nil, err
 		}
 		s.mu.Lock()
-		s.all = append(s.all, p)
+		s.processes = append(s.processes, p)
 		s.mu.Unlock()
-		ctx, cancel := context.WithTimeout(ctx, startTime)
+		ctx, cancel := context.WithTimeout(ctx, startTimeout)
 		defer cancel()
-		return p, Until(ctx, name+" listens", func() bool { return listens(addr) })
+		return p, Until(ctx, name+" listens", func() bool { return acceptsConnections(addr) })
 	}
-	p, err := again()
-	return p, "http://" + addr, again, err
+	p, err := startAgain()
+	return p, "http://" + addr, startAgain, err
 }
 
-func float(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
+func formatFloat(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
 
 // startPlatform starts the stand-ins of the platform's services and fills the weight store.
 func (s *System) startPlatform(ctx context.Context) (err error) {
 	o := s.opts
-	if _, s.KVURL, _, err = s.run(ctx, "kv", "kv", "-reads", float(o.KVReads), "-writes", float(o.KVWrites)); err != nil {
+	if _, s.KVURL, _, err = s.startStandin(ctx, "kv", "kv", "-reads", formatFloat(o.KVReads), "-writes", formatFloat(o.KVWrites)); err != nil {
 		return err
 	}
-	if _, s.VMsURL, _, err = s.run(ctx, "vms", "vms", "-lag", o.VMLag.String()); err != nil {
+	if _, s.VMsURL, _, err = s.startStandin(ctx, "vms", "vms", "-lag", o.VMLag.String()); err != nil {
 		return err
 	}
-	_, s.WURL, _, err = s.run(ctx, "weights", "weights", "-loads", float(o.Loads),
-		"-full-speed", strconv.Itoa(o.FullSpeed), "-speed", float(o.LoadSpeed))
+	_, s.WURL, _, err = s.startStandin(ctx, "weights", "weights", "-loads", formatFloat(o.Loads),
+		"-full-speed", strconv.Itoa(o.FullSpeed), "-speed", formatFloat(o.LoadSpeed))
 	if err != nil {
 		return err
 	}
-	return send(ctx, http.MethodPut, s.WURL+"/v1/weights", inventory.Catalogue{Sizes: o.Sizes}, nil)
+	return sendJSON(ctx, http.MethodPut, s.WURL+"/v1/weights", inventory.Catalogue{Sizes: o.Sizes}, nil)
 }
 
-// hall returns the data hall of the i-th VM of its kind.
-func (s *System) hall(i int) string { return s.opts.Halls[i%len(s.opts.Halls)] }
+// hallOf returns the data hall of the i-th VM of its kind.
+func (s *System) hallOf(i int) string { return s.opts.Halls[i%len(s.opts.Halls)] }
 
 func (s *System) startEngine(ctx context.Context, i int) error {
 	o := s.opts.Engine
 	name := fmt.Sprintf("engine-%d", i)
-	p, url, again, err := s.run(ctx, name, "engine",
+	p, url, startAgain, err := s.startStandin(ctx, name, "engine",
 		"-accelerators", strconv.Itoa(o.Accelerators), "-memory", strconv.Itoa(o.MemoryMiB),
-		"-slots", strconv.Itoa(o.Slots), "-step", o.Step.String(), "-prefill", float(o.Prefill),
+		"-slots", strconv.Itoa(o.Slots), "-step", o.Step.String(), "-prefill", formatFloat(o.Prefill),
 		"-weights", s.WURL, "-checks-orders="+strconv.FormatBool(!o.NoFence))
 	if err != nil {
 		return err
 	}
-	b := &Backend{Server: p, URL: url, start: again}
-	return s.addBackend(ctx, b, fmt.Sprintf("worker-%d", i), s.hall(i), func(a *config.Agent) {
+	b := &Backend{Server: p, URL: url, startServer: startAgain}
+	return s.addBackend(ctx, b, fmt.Sprintf("worker-%d", i), s.hallOf(i), func(a *config.Agent) {
 		a.Backend.Kind = config.BackendEngine
 	})
 }
 
 func (s *System) startService(ctx context.Context, i int) error {
 	name := fmt.Sprintf("service-%d", i)
-	p, url, again, err := s.run(ctx, name, "service", "-delay", s.opts.ServiceDelay.String())
+	p, url, startAgain, err := s.startStandin(ctx, name, "service", "-delay", s.opts.ServiceDelay.String())
 	if err != nil {
 		return err
 	}
-	b := &Backend{Server: p, URL: url, start: again, Service: true}
-	return s.addBackend(ctx, b, name, s.hall(i), func(a *config.Agent) {
+	b := &Backend{Server: p, URL: url, startServer: startAgain, Service: true}
+	return s.addBackend(ctx, b, name, s.hallOf(i), func(a *config.Agent) {
 		a.Backend.Kind, a.Backend.Services = config.BackendService, s.opts.ServiceRows
 	})
 }
@@ -243,13 +243,13 @@
 // Stop kills every process that the system started and waits until all have exited.
 func (s *System) Stop() {
 	s.mu.Lock()
-	all := s.all
+	processes := s.processes
 	s.mu.Unlock()
-	for _, p := range all {
+	for _, p := range processes {
 		p.Thaw()
 		p.Signal(syscall.SIGKILL)
 	}
-	for _, p := range all {
+	for _, p := range processes {
 		<-p.done
 	}
 }
@@ -257,7 +257,7 @@
 // Left returns the names of the processes that have not exited.
 func (s *System) Left() []string {
 	var names []string
-	for _, p := range s.all {
+	for _, p := range s.processes {
 		if !p.Exited() {
 			names = append(names, p.Name)
 		}
--- a/internal/proofs/checks_test.go
+++ b/internal/proofs/checks_test.go
@@ -9,32 +9,32 @@
 	"rockcleat/internal/wire"
 )
 
-// checkChats checks that each complete response is the expected one and that every other
+// checkCompletions checks that each complete response is the expected one and that every other
 // response is a prefix of it. It returns the numbers of both.
-func (tr *trial) checkChats() (whole, cut int) {
-	for _, s := range tr.all() {
+func (tr *trial) checkCompletions() (complete, incomplete int) {
+	for _, s := range tr.sentRequests() {
 		req, err := openai.ParseRequest(s.Request.Body)
 		if err != nil {
 			continue
 		}
-		want := standin.Text(req, s.tokens)
+		want := standin.Text(req, s.wantTokens)
 		switch {
 		case s.Whole && s.Outcome == wire.OutcomeAnswered && s.Text != want:
-			tr.violation("request %s: whole answer is not its own: %d tokens of %d", s.ID, s.Tokens, s.tokens)
+			tr.recordViolation("request %s: whole answer is not its own: %d tokens of %d", s.ID, s.Tokens, s.wantTokens)
 		case s.Whole && s.Outcome == wire.OutcomeAnswered:
-			whole++
+			complete++
 		case !strings.HasPrefix(want, s.Text):
-			tr.violation("request %s: tokens doubled, skipped or of another answer", s.ID)
+			tr.recordViolation("request %s: tokens doubled, skipped or of another answer", s.ID)
 		default:
-			cut++
+			incomplete++
 		}
 	}
-	return whole, cut
+	return complete, incomplete
 }
 
 // seen returns how often each request ID started on the running engines and took effect on the
 // running services.
-func (tr *trial) seen() map[string]int {
+func (tr *trial) startCounts() map[string]int {
 	total := make(map[string]int)
 	for _, b := range tr.Backends {
 		if b.Server.Exited() {
@@ -60,24 +60,24 @@
 // checkNotRun checks that no request refused as not run has started, and that each refusal with
 // status 429 or above has a retry delay. It returns the number of refusals.
 func (tr *trial) checkNotRun() (refused int) {
-	ran := tr.seen()
-	for _, s := range tr.all() {
+	starts := tr.startCounts()
+	for _, s := range tr.sentRequests() {
 		if s.Outcome != wire.OutcomeNotRun {
 			continue
 		}
 		refused++
-		if ran[s.ID] > 0 {
-			tr.violation("request %s was refused as not run (%s) and ran %d times", s.ID, s.Reason, ran[s.ID])
+		if starts[s.ID] > 0 {
+			tr.recordViolation("request %s was refused as not run (%s) and ran %d times", s.ID, s.Reason, starts[s.ID])
 		}
 		if s.Status >= 429 && s.RetryAfter <= 0 {
-			tr.violation("refusal of %s (%s) does not say when to come back", s.ID, s.Reason)
+			tr.recordViolation("refusal of %s (%s) does not say when to come back", s.ID, s.Reason)
 		}
 	}
 	return refused
 }
 
-// effects returns how often each idempotency key took effect on all services together.
-func (tr *trial) effects() map[string]int {
+// effectCounts returns how often each idempotency key took effect on all services together.
+func (tr *trial) effectCounts() map[string]int {
 	total := make(map[string]int)
 	for _, b := range tr.Backends {
 		if !b.Service {
--- a/internal/proofs/harness_test.go
+++ b/internal/proofs/harness_test.go
@@ -26,14 +26,14 @@
 	reportFlag = flag.Bool("proofs.report", false, "print a row for each promise")
 )
 
-// trialTime is the timeout of one trial.
-const trialTime = 3 * time.Minute
+// trialTimeout is the timeout of one trial.
+const trialTimeout = 3 * time.Minute
 
 // binDir is the folder in which TestMain builds the programs.
 var binDir string
 
 // A row is the line of one promise in the report.
-type row struct {
+type reportRow struct {
 	promise    int
 	name       string
 	faults     []string
@@ -45,8 +45,8 @@
 }
 
 var (
-	rowsMu sync.Mutex
-	rows   = make(map[int]*row)
+	reportMu   sync.Mutex
+	reportRows = make(map[int]*reportRow)
 )
 
 func TestMain(m *testing.M) {
@@ -68,13 +68,13 @@
 	os.Exit(code)
 }
 
-const promises = 9
+const promiseCount = 9
 
 func printReport() {
 	fmt.Printf("seed %d\n", *seedFlag)
-	proved := 0
-	for i := 1; i <= promises; i++ {
-		r, ok := rows[i]
+	passed := 0
+	for i := 1; i <= promiseCount; i++ {
+		r, ok := reportRows[i]
 		if !ok {
 			fmt.Printf("%d  not run\n", i)
 			continue
@@ -82,20 +82,20 @@
 		verdict := "FAILED"
 		if r.passed {
 			verdict = "proved"
-			proved++
+			passed++
 		}
 		fmt.Printf("%d  %-34s %s  requests %-5d violations %d  worst %s  faults: %s\n",
 			r.promise, r.name, verdict, r.requests, len(r.violations), r.worst, strings.Join(r.faults, ", "))
 	}
-	fmt.Printf("promises proved: %d/%d\n", proved, promises)
+	fmt.Printf("promises proved: %d/%d\n", passed, promiseCount)
 }
 
 // A sent is one request with its response and the number of tokens requested.
-type sent struct {
+type sentRequest struct {
 	lab.Request
 	lab.Answer
-	began  time.Time
-	tokens int
+	start      time.Time
+	wantTokens int
 }
 
 // A trial is the system under test of one test, with the requests sent and the violations found.
@@ -105,17 +105,17 @@
 	ctx    context.Context
 	rng    *rand.Rand
 	caller *lab.Caller
-	row    *row
+	row    *reportRow
 	// swaps is the number of calls of swap.
 	swaps int
 
 	// mu guards sent and the violations of row.
 	mu   sync.Mutex
-	sent []sent
+	sent []sentRequest
 }
 
-// quick shortens the timeouts and intervals of the daemons to keep the tests short.
-func quick(o *lab.Options) {
+// shortenTimeouts shortens the timeouts and intervals of the daemons to keep the tests short.
+func shortenTimeouts(o *lab.Options) {
 	entry, agent := o.Entry, o.Agent
 	o.Entry = func(e *config.Entry) {
 		e.Planner.ExchangeEvery = config.Duration(500 * time.Millisecond)
@@ -141,11 +141,11 @@
 	}
 }
 
-// start starts a small system for a test of a promise. The system stops when the test ends.
-func start(t *testing.T, promise int, name string, change func(*lab.Options)) *trial {
+// startTrial starts a small system for a test of a promise. The system stops when the test ends.
+func startTrial(t *testing.T, promise int, name string, configure func(*lab.Options)) *trial {
 	t.Helper()
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), trialTime)
+	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 	dir, err := lab.TempDir()
 	assert.NilError(t, err)
 	t.Cleanup(func() {
@@ -159,57 +159,57 @@
 	o.VMLag = 200 * time.Millisecond
 	o.Engine.Step = 5 * time.Millisecond
 	o.KVReads, o.KVWrites = 0, 0
-	if change != nil {
-		change(&o)
+	if configure != nil {
+		configure(&o)
 	}
-	quick(&o)
+	shortenTimeouts(&o)
 	s, err := lab.Start(ctx, o)
 	assert.NilError(t, err)
 	tr := &trial{
 		System: s, t: t, ctx: ctx, caller: lab.NewCaller(),
 		rng: rand.New(rand.NewPCG(*seedFlag, uint64(promise))),
 	}
-	tr.row = &row{promise: promise, name: name, worst: "-"}
+	tr.row = &reportRow{promise: promise, name: name, worst: "-"}
 	t.Cleanup(func() {
-		tr.finish()
+		tr.addToReport()
 		s.Stop()
 		cancel()
 	})
 	return tr
 }
 
-// finish reports the violations as errors and merges the trial into the report row of its
+// addToReport reports the violations as errors and merges the trial into the report row of its
 // promise, which may have several trials.
-func (tr *trial) finish() {
+func (tr *trial) addToReport() {
 	for _, v := range tr.row.violations {
 		tr.t.Error(v)
 	}
-	tr.row.requests = len(tr.all())
+	tr.row.requests = len(tr.sentRequests())
 	tr.row.passed = !tr.t.Failed()
 	tr.t.Logf("seed %d, faults: %s; worst %s", *seedFlag, strings.Join(tr.row.faults, ", "), tr.row.worst)
-	rowsMu.Lock()
-	defer rowsMu.Unlock()
-	all, ok := rows[tr.row.promise]
+	reportMu.Lock()
+	defer reportMu.Unlock()
+	merged, ok := reportRows[tr.row.promise]
 	if !ok {
-		rows[tr.row.promise] = tr.row
+		reportRows[tr.row.promise] = tr.row
 		return
 	}
-	all.requests += tr.row.requests
-	all.violations = append(all.violations, tr.row.violations...)
-	all.passed = all.passed && tr.row.passed
-	all.worst += "; " + tr.row.worst
+	merged.requests += tr.row.requests
+	merged.violations = append(merged.violations, tr.row.violations...)
+	merged.passed = merged.passed && tr.row.passed
+	merged.worst += "; " + tr.row.worst
 	for _, f := range tr.row.faults {
-		if !slices.Contains(all.faults, f) {
-			all.faults = append(all.faults, f)
+		if !slices.Contains(merged.faults, f) {
+			merged.faults = append(merged.faults, f)
 		}
 	}
 }
 
-func (tr *trial) fault(format string, args ...any) {
+func (tr *trial) recordFault(format string, args ...any) {
 	tr.row.faults = append(tr.row.faults, fmt.Sprintf(format, args...))
 }
 
-func (tr *trial) violation(format string, args ...any) {
+func (tr *trial) recordViolation(format string, args ...any) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.row.violations = append(tr.row.violations, fmt.Sprintf(format, args...))
@@ -220,7 +220,7 @@
 	assert.NilError(tr.t, err)
 }
 
-func (tr *trial) until(what string, ok func() bool) {
+func (tr *trial) waitUntil(what string, ok func() bool) {
 	tr.t.Helper()
 	tr.must(lab.Until(tr.ctx, what, ok))
 }
@@ -230,32 +230,32 @@
 	if r.ID == "" {
 		r.ID = uuid.NewString()
 	}
-	began := time.Now()
+	start := time.Now()
 	a := tr.caller.Send(tr.ctx, r)
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.sent = append(tr.sent, sent{Request: r, Answer: a, began: began, tokens: tokens})
+	tr.sent = append(tr.sent, sentRequest{Request: r, Answer: a, start: start, wantTokens: tokens})
 	return a
 }
 
-func (tr *trial) all() []sent {
+func (tr *trial) sentRequests() []sentRequest {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	return append([]sent(nil), tr.sent...)
+	return append([]sentRequest(nil), tr.sent...)
 }
 
-// load sends the requests that makeRequest returns from several goroutines until stop is called.
-func (tr *trial) load(workers int, makeRequest func(worker, i int) (lab.Request, int)) (stop func()) {
-	return repeat(workers, func(w, i int, done <-chan struct{}) {
+// startLoad sends the requests that makeRequest returns from several goroutines until stop is called.
+func (tr *trial) startLoad(workers int, makeRequest func(worker, i int) (lab.Request, int)) (stop func()) {
+	return startWorkers(workers, func(w, i int, done <-chan struct{}) {
 		r, tokens := makeRequest(w, i)
 		if a := tr.send(r, tokens); a.Outcome != wire.OutcomeAnswered {
-			pause(done, 20*time.Millisecond)
+			sleep(done, 20*time.Millisecond)
 		}
 	})
 }
 
-// repeat calls f repeatedly from several goroutines until stop is called. stop waits for them.
-func repeat(workers int, f func(worker, i int, done <-chan struct{})) (stop func()) {
+// startWorkers calls f repeatedly from several goroutines until stop is called. stop waits for them.
+func startWorkers(workers int, f func(worker, i int, done <-chan struct{})) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for w := range workers {
@@ -279,16 +279,16 @@
 	}
 }
 
-// pause waits for d or until done is closed.
-func pause(done <-chan struct{}, d time.Duration) {
+// sleep waits for d or until done is closed.
+func sleep(done <-chan struct{}, d time.Duration) {
 	select {
 	case <-done:
 	case <-time.After(d):
 	}
 }
 
-// liveEntry returns the i-th entry, or the next one that is running.
-func (tr *trial) liveEntry(i int) *lab.Node {
+// runningEntry returns the i-th entry, or the next one that is running.
+func (tr *trial) runningEntry(i int) *lab.Node {
 	n := len(tr.Entries)
 	for k := range n {
 		if e := tr.Entries[(i+k)%n]; !e.Exited() {
@@ -298,8 +298,8 @@
 	return tr.Entries[0]
 }
 
-// chat returns a streaming chat request with a unique prompt, and its number of tokens.
-func (tr *trial) chat(addr, model string, tokens int) (lab.Request, int) {
+// chatRequest returns a streaming chat request with a unique prompt, and its number of tokens.
+func (tr *trial) chatRequest(addr, model string, tokens int) (lab.Request, int) {
 	return lab.Request{Addr: addr, Body: lab.ChatBody(model, uuid.NewString(), tokens, true)}, tokens
 }
 
@@ -320,20 +320,20 @@
 	return out
 }
 
-type step struct {
-	name string
-	do   func()
+type faultStep struct {
+	name   string
+	inject func()
 }
 
-// runSteps runs every step twice in an order determined by the seed, so that steps run after
+// runFaultSteps runs every step twice in an order determined by the seed, so that steps run after
 // different other steps, and at times after themselves.
-func (tr *trial) runSteps(steps []step) {
-	for _, s := range shuffled(tr, append(append([]step(nil), steps...), steps...)) {
-		began := time.Now()
-		s.do()
-		tr.t.Logf("injected fault: %s (took %.1fs)", s.name, time.Since(began).Seconds())
+func (tr *trial) runFaultSteps(steps []faultStep) {
+	for _, s := range shuffled(tr, append(append([]faultStep(nil), steps...), steps...)) {
+		start := time.Now()
+		s.inject()
+		tr.t.Logf("injected fault: %s (took %.1fs)", s.name, time.Since(start).Seconds())
 	}
 	for _, s := range steps {
-		tr.fault("%s x2", s.name)
+		tr.recordFault("%s x2", s.name)
 	}
 }
--- a/internal/proofs/history_test.go
+++ b/internal/proofs/history_test.go
@@ -48,35 +48,35 @@
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
-		now := n.Process
+		current := n.Process
 		var v wire.VersionAnswer
-		if err := lab.Client().Get(tr.ctx, n.Control, wire.PathStatus, &v); err != nil || now != n.Process {
+		if err := lab.Client().Get(tr.ctx, n.Control, wire.PathStatus, &v); err != nil || current != n.Process {
 			continue
 		}
-		if now != process {
-			process, last = now, 0
+		if current != process {
+			process, last = current, 0
 		}
 		if v.TableVersion < last {
-			tr.violation("%s went back from version %d to %d", n.ID, last, v.TableVersion)
+			tr.recordViolation("%s went back from version %d to %d", n.ID, last, v.TableVersion)
 		}
 		last = v.TableVersion
 	}
 }
 
-// An editRecord accumulates the edits of the table history by version. The daemons remove the
+// An editHistory accumulates the edits of the table history by version. The daemons remove the
 // oldest edits from the history.
-type editRecord struct{ byVersion map[uint64]table.Edit }
+type editHistory struct{ byVersion map[uint64]table.Edit }
 
 // read adds the edits of the current history. A version whose edit has changed is a violation.
-func (r *editRecord) read(tr *trial) {
+func (r *editHistory) read(tr *trial) {
 	var h wire.HistoryAnswer
-	tr.must(lab.Client().Get(tr.ctx, tr.liveEntry(0).Control, wire.PathHistory, &h))
+	tr.must(lab.Client().Get(tr.ctx, tr.runningEntry(0).Control, wire.PathHistory, &h))
 	if r.byVersion == nil {
 		r.byVersion = make(map[uint64]table.Edit)
 	}
 	for _, e := range h.Edits {
 		if before, ok := r.byVersion[e.Version]; ok && before.ID != e.ID {
-			tr.violation("version %d was edit %s and is %s", e.Version, before.ID, e.ID)
+			tr.recordViolation("version %d was edit %s and is %s", e.Version, before.ID, e.ID)
 		}
 		r.byVersion[e.Version] = e
 	}
@@ -89,39 +89,39 @@
 // A retry of an edit whose response was lost reports the newest version instead of the edit's
 // own. The reported version therefore does not show whether the edit has already been removed
 // from the history, and callers must read the history before its oldest edits are removed.
-func (tr *trial) checkHistory(record *editRecord, accepted map[string]uint64) {
-	record.read(tr)
-	seen := make(map[string]uint64)
-	lastOf := make(map[string]uint64)
+func (tr *trial) checkHistory(history *editHistory, accepted map[string]uint64) {
+	history.read(tr)
+	versionOf := make(map[string]uint64)
+	lastChange := make(map[string]uint64)
 	last := uint64(0)
-	for _, version := range slices.Sorted(maps.Keys(record.byVersion)) {
+	for _, version := range slices.Sorted(maps.Keys(history.byVersion)) {
 		if last > 0 && version != last+1 {
-			tr.violation("version %d follows %d", version, last)
+			tr.recordViolation("version %d follows %d", version, last)
 		}
 		last = version
-		e := record.byVersion[version]
-		if _, twice := seen[e.ID]; twice {
-			tr.violation("edit %s stands twice in the record", e.ID)
+		e := history.byVersion[version]
+		if _, twice := versionOf[e.ID]; twice {
+			tr.recordViolation("edit %s stands twice in the record", e.ID)
 		}
-		seen[e.ID] = version
+		versionOf[e.ID] = version
 		for _, c := range e.Changes {
-			checkSeen(tr, c, version, lastOf)
+			checkChangeSeen(tr, c, version, lastChange)
 		}
 	}
 	for id, v := range accepted {
-		at, ok := seen[id]
+		actual, ok := versionOf[id]
 		switch {
 		case !ok:
-			tr.violation("edit %s was reported as saved and is not in the record", id)
-		case at > v:
-			tr.violation("edit %s was reported as version %d and is %d", id, v, at)
+			tr.recordViolation("edit %s was reported as saved and is not in the record", id)
+		case actual > v:
+			tr.recordViolation("edit %s was reported as version %d and is %d", id, v, actual)
 		}
 	}
 }
 
-func checkSeen(tr *trial, c table.Change, version uint64, lastOf map[string]uint64) {
-	if last, ok := lastOf[c.Name]; ok && c.Seen != last {
-		tr.violation("version %d changed row %s without having seen version %d", version, c.Name, last)
+func checkChangeSeen(tr *trial, c table.Change, version uint64, lastChange map[string]uint64) {
+	if last, ok := lastChange[c.Name]; ok && c.Seen != last {
+		tr.recordViolation("version %d changed row %s without having seen version %d", version, c.Name, last)
 	}
-	lastOf[c.Name] = version
+	lastChange[c.Name] = version
 }
--- a/internal/proofs/memory_test.go
+++ b/internal/proofs/memory_test.go
@@ -16,60 +16,60 @@
 func TestMemory(t *testing.T) {
 	for name, unchecked := range map[string]bool{"orders checked": false, "orders not checked": true} {
 		t.Run(name, func(t *testing.T) {
-			tr := start(t, 1, "memory never overcommitted", func(o *lab.Options) {
+			tr := startTrial(t, 1, "memory never overcommitted", func(o *lab.Options) {
 				o.Engine.NoFence = unchecked
 				o.Engine.Accelerators = 1
 				o.Engine.MemoryMiB = 24000
 				o.LoadSpeed = 40000
 				o.Sizes["digest"] = o.Sizes["summary"]
 			})
-			b := func() *lab.Backend { return tr.engines()[tr.rng.IntN(len(tr.engines()))] }
-			tr.runSteps([]step{
-				{"models swapped", tr.churn},
+			pickEngine := func() *lab.Backend { return tr.engines()[tr.rng.IntN(len(tr.engines()))] }
+			tr.runFaultSteps([]faultStep{
+				{"models swapped", tr.swapAndWait},
 				{"models swapped and agents killed", func() {
 					tr.swap()
-					tr.restart(b().Agent)
-					tr.restart(b().Agent)
+					tr.restart(pickEngine().Agent)
+					tr.restart(pickEngine().Agent)
 					tr.awaitSwapped()
 				}},
 				{"orders late and agents killed", func() {
-					for _, x := range tr.engines() {
-						tr.must(lab.Fault(tr.ctx, x.URL, standin.Faults{LateOrdersMs: 400}))
+					for _, engine := range tr.engines() {
+						tr.must(lab.Fault(tr.ctx, engine.URL, standin.Faults{LateOrdersMs: 400}))
 					}
 					tr.swap()
-					tr.restart(b().Agent)
+					tr.restart(pickEngine().Agent)
 					tr.swap()
-					tr.restart(b().Agent)
+					tr.restart(pickEngine().Agent)
 					tr.awaitSwapped()
-					for _, x := range tr.engines() {
-						tr.must(lab.Fault(tr.ctx, x.URL, standin.Faults{}))
+					for _, engine := range tr.engines() {
+						tr.must(lab.Fault(tr.ctx, engine.URL, standin.Faults{}))
 					}
 				}},
 				{"load fails half-way", func() {
-					for _, x := range tr.engines() {
-						tr.must(lab.Fault(tr.ctx, x.URL, standin.Faults{FailLoads: 1}))
+					for _, engine := range tr.engines() {
+						tr.must(lab.Fault(tr.ctx, engine.URL, standin.Faults{FailLoads: 1}))
 					}
-					tr.churn()
+					tr.swapAndWait()
 				}},
 				{"planner killed", func() {
-					p := tr.awaitPlanner()
+					planner := tr.awaitPlanner()
 					tr.swap()
-					tr.restart(p)
+					tr.restart(planner)
 					tr.awaitSwapped()
 				}},
-				{"second agent while the first is frozen", func() { tr.twoAgents(b()) }},
+				{"second agent while the first is frozen", func() { tr.takeOverByAgent(pickEngine()) }},
 				{"key-value answers lost", func() {
 					tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseAnswers: 3}))
-					tr.churn()
+					tr.swapAndWait()
 				}},
 			})
 			loads := 0
-			for _, x := range tr.engines() {
+			for _, engine := range tr.engines() {
 				var s standin.EngineStats
-				tr.must(lab.Fetch(tr.ctx, x.URL+"/stats", &s))
+				tr.must(lab.Fetch(tr.ctx, engine.URL+"/stats", &s))
 				loads += s.Loads
 				for range s.Overcommits {
-					tr.violation("%s was ordered to overcommit its memory", x.Agent.ID)
+					tr.recordViolation("%s was ordered to overcommit its memory", engine.Agent.ID)
 				}
 			}
 			assert.Assert(t, loads > tr.swaps, "%d swaps met %d loads", tr.swaps, loads)
@@ -78,25 +78,25 @@
 	}
 }
 
-// twoAgents suspends an agent, starts another one for the same server, and resumes the first
+// takeOverByAgent suspends an agent, starts another one for the same server, and resumes the first
 // while the second is in charge.
-func (tr *trial) twoAgents(b *lab.Backend) {
+func (tr *trial) takeOverByAgent(b *lab.Backend) {
 	first := b.Agent
 	first.Freeze()
 	second, err := tr.SecondAgent(tr.ctx, b)
 	tr.must(err)
 	tr.must(tr.SetVM(tr.ctx, second, inventory.RoleBackend, inventory.VMLive))
-	tr.until("the second agent is known", func() bool {
+	tr.waitUntil("the second agent is known", func() bool {
 		st, err := tr.Status(tr.ctx, tr.awaitPlanner(), false)
-		return err == nil && knows(st, second.ID, second.Addr)
+		return err == nil && listsServer(st, second.ID, second.Addr)
 	})
 	first.Thaw()
-	tr.churn()
+	tr.swapAndWait()
 	second.Kill()
 	tr.restart(first)
 	tr.must(tr.SetVM(tr.ctx, first, inventory.RoleBackend, inventory.VMLive))
-	tr.until("the first agent is known again", func() bool {
+	tr.waitUntil("the first agent is known again", func() bool {
 		st, err := tr.Status(tr.ctx, tr.awaitPlanner(), false)
-		return err == nil && knows(st, first.ID, first.Addr)
+		return err == nil && listsServer(st, first.ID, first.Addr)
 	})
 }
--- a/internal/proofs/poison_test.go
+++ b/internal/proofs/poison_test.go
@@ -12,61 +12,61 @@
 	"rockcleat/internal/wire"
 )
 
-// poisonMark is the prompt of a request that makes engines exit.
-const poisonMark = "ends whoever runs it"
+// poisonPrompt is the prompt of a request that makes engines exit.
+const poisonPrompt = "ends whoever runs it"
 
-// The request is refused after it has ended three servers. maxPoisonEnd is higher, as a copy may
+// The request is refused after it has ended three servers. maxPoisonEnds is higher, as a copy may
 // be sent to further servers before its entry has learned that the last one ended.
 const (
-	poisonCopies = 10
-	maxPoisonEnd = 5
+	poisonCopies  = 10
+	maxPoisonEnds = 5
 )
 
 // TestPoison checks promise 9: a request that ended three servers is refused, and no other is.
 func TestPoison(t *testing.T) {
-	tr := start(t, 9, "requests that end servers are refused", nil)
+	tr := startTrial(t, 9, "requests that end servers are refused", nil)
 	tr.must(tr.AwaitPlaced(tr.ctx))
 	ends := 0
 	for i := range poisonCopies {
-		tr.mark()
+		tr.setEndOn()
 		a := tr.caller.Send(tr.ctx, lab.Request{
-			Addr: tr.liveEntry(i).Addr, ID: fmt.Sprint("copy-", i), Body: lab.ChatBody(lab.SmallModel, poisonMark, 5, true),
+			Addr: tr.runningEntry(i).Addr, ID: fmt.Sprint("copy-", i), Body: lab.ChatBody(lab.SmallModel, poisonPrompt, 5, true),
 		})
 		assert.Assert(t, a.Outcome != wire.OutcomeAnswered)
-		ends += tr.restartEnded()
+		ends += tr.restartExitedEngines()
 		if ends >= 3 {
-			tr.until("both entries refuse the request", func() bool { return tr.quarantinedEverywhere() })
+			tr.waitUntil("both entries refuse the request", func() bool { return tr.quarantinedEverywhere() })
 		}
 	}
-	assert.Assert(t, ends >= 3 && ends <= maxPoisonEnd, "%d engines ended under %d copies", ends, poisonCopies)
-	last := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.liveEntry(0).Addr, ID: "last", Body: lab.ChatBody(lab.SmallModel, poisonMark, 5, true)})
+	assert.Assert(t, ends >= 3 && ends <= maxPoisonEnds, "%d engines ended under %d copies", ends, poisonCopies)
+	last := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.runningEntry(0).Addr, ID: "last", Body: lab.ChatBody(lab.SmallModel, poisonPrompt, 5, true)})
 	assert.Equal(t, last.Outcome, wire.OutcomeNotRun)
 	for i := range len(tr.Entries) {
-		r, tokens := tr.chat(tr.liveEntry(i).Addr, lab.SmallModel, 5)
+		r, tokens := tr.chatRequest(tr.runningEntry(i).Addr, lab.SmallModel, 5)
 		assert.Equal(t, tr.send(r, tokens).Outcome, wire.OutcomeAnswered, "another request of the same model")
 	}
-	tr.checkChats()
-	tr.fault("engine ended by a request x%d", ends)
+	tr.checkCompletions()
+	tr.recordFault("engine ended by a request x%d", ends)
 	tr.row.worst = fmt.Sprintf("%d engines ended", ends)
 }
 
-// mark makes every engine exit when it runs the request.
-func (tr *trial) mark() {
+// setEndOn makes every engine exit when it runs the request.
+func (tr *trial) setEndOn() {
 	for _, b := range tr.engines() {
-		tr.must(lab.Fault(tr.ctx, b.URL, standin.Faults{EndOn: poisonMark}))
+		tr.must(lab.Fault(tr.ctx, b.URL, standin.Faults{EndOn: poisonPrompt}))
 	}
 }
 
-// unmark removes the faults of the engines.
-func (tr *trial) unmark() {
+// clearEngineFaults removes the faults of the engines.
+func (tr *trial) clearEngineFaults() {
 	for _, b := range tr.engines() {
 		tr.must(lab.Fault(tr.ctx, b.URL, standin.Faults{}))
 	}
 }
 
-// restartEnded restarts the engines that have exited, waits until every row is placed and returns
+// restartExitedEngines restarts the engines that have exited, waits until every row is placed and returns
 // their number. A restarted engine has no faults.
-func (tr *trial) restartEnded() (ended int) {
+func (tr *trial) restartExitedEngines() (ended int) {
 	for _, b := range tr.engines() {
 		if b.Server.Exited() {
 			ended++
@@ -92,42 +92,42 @@
 	return true
 }
 
-// TestSoundRequest checks, as part of promise 9, that a successful run clears a request of the
+// TestSuccessClearsRequest checks, as part of promise 9, that a successful run clears a request of the
 // servers that ended under it, at every entry. Otherwise a request that happened to be on three
 // servers which ended for other reasons would be refused.
-func TestSoundRequest(t *testing.T) {
-	tr := start(t, 9, "requests that end servers are refused", func(o *lab.Options) {
+func TestSuccessClearsRequest(t *testing.T) {
+	tr := startTrial(t, 9, "requests that end servers are refused", func(o *lab.Options) {
 		// High enough that the request is not quarantined when it ends all engines.
 		o.Entry = func(e *config.Entry) { e.Quarantine.Ends = 8 }
 	})
 	tr.must(tr.AwaitPlaced(tr.ctx))
-	body := lab.ChatBody(lab.SmallModel, poisonMark, 5, true)
-	tr.mark()
-	first := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.liveEntry(0).Addr, ID: "first", Body: body})
+	body := lab.ChatBody(lab.SmallModel, poisonPrompt, 5, true)
+	tr.setEndOn()
+	first := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.runningEntry(0).Addr, ID: "first", Body: body})
 	assert.Assert(t, first.Outcome != wire.OutcomeAnswered)
-	ended := tr.restartEnded()
+	ended := tr.restartExitedEngines()
 	assert.Assert(t, ended > 0)
-	tr.until("both entries know of the ends", func() bool { return tr.suspectedEverywhere(true) })
-	tr.unmark()
-	sound := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.liveEntry(0).Addr, ID: "sound", Body: body})
+	tr.waitUntil("both entries know of the ends", func() bool { return tr.listedEverywhere(true) })
+	tr.clearEngineFaults()
+	sound := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.runningEntry(0).Addr, ID: "sound", Body: body})
 	assert.Equal(t, sound.Outcome, wire.OutcomeAnswered)
-	tr.until("no entry suspects the request", func() bool { return tr.suspectedEverywhere(false) })
-	tr.fault("engine ended by a request x%d", ended)
+	tr.waitUntil("no entry suspects the request", func() bool { return tr.listedEverywhere(false) })
+	tr.recordFault("engine ended by a request x%d", ended)
 }
 
-// suspects returns the number of requests in the quarantine list of an entry, which includes
+// listedRequests returns the number of requests in the quarantine list of an entry, which includes
 // those below the limit. ok is false if the entry does not respond.
-func (tr *trial) suspects(e *lab.Node) (n int, ok bool) {
+func (tr *trial) listedRequests(e *lab.Node) (n int, ok bool) {
 	var list wire.QuarantineList
 	err := lab.Client().Get(tr.ctx, e.Control, wire.PathQuarantine, &list)
 	return len(list.Items), err == nil
 }
 
-// suspectedEverywhere reports whether the quarantine list of every entry is non-empty if want is
+// listedEverywhere reports whether the quarantine list of every entry is non-empty if want is
 // set, and empty if it is not.
-func (tr *trial) suspectedEverywhere(want bool) bool {
+func (tr *trial) listedEverywhere(want bool) bool {
 	for _, e := range tr.Entries {
-		if n, ok := tr.suspects(e); !ok || (n > 0) != want {
+		if n, ok := tr.listedRequests(e); !ok || (n > 0) != want {
 			return false
 		}
 	}
--- a/internal/proofs/proxy_test.go
+++ b/internal/proofs/proxy_test.go
@@ -20,11 +20,11 @@
 
 // Directions of a toxic: data sent by the server and data sent by the client.
 const (
-	fromCallee = "downstream"
-	fromCaller = "upstream"
+	fromServer = "downstream"
+	fromClient = "upstream"
 )
 
-func (tr *trial) proxy(upstream string) *faultProxy {
+func (tr *trial) startProxy(upstream string) *faultProxy {
 	tr.t.Helper()
 	addr, err := lab.FreeAddr()
 	tr.must(err)
@@ -35,28 +35,28 @@
 	return &faultProxy{Proxy: p}
 }
 
-// add adds a toxic; attributes are the members of a JSON object.
-func (p *faultProxy) add(tr *trial, kind, direction, attributes string) {
+// addToxic adds a toxic; attributes are the members of a JSON object.
+func (p *faultProxy) addToxic(tr *trial, kind, direction, attributes string) {
 	text := fmt.Sprintf(`{"name":%q,"type":%q,"stream":%q,"attributes":{%s}}`, kind+direction, kind, direction, attributes)
 	_, err := p.Toxics.AddToxicJson(strings.NewReader(text))
 	assert.Check(tr.t, err)
 }
 
-// heal removes all toxics.
-func (p *faultProxy) heal() { p.Toxics.ResetToxics(context.Background()) }
+// removeToxics removes all toxics.
+func (p *faultProxy) removeToxics() { p.Toxics.ResetToxics(context.Background()) }
 
-// proxied starts proxies for the request and control addresses of a backend's agent, puts their
+// proxyAgent starts proxies for the request and control addresses of a backend's agent, puts their
 // addresses into the platform's list and waits until every entry uses them.
-func (tr *trial) proxied(b *lab.Backend) (requests, control *faultProxy) {
-	requests, control = tr.proxy(b.Agent.Addr), tr.proxy(b.Agent.Control)
+func (tr *trial) proxyAgent(b *lab.Backend) (requests, control *faultProxy) {
+	requests, control = tr.startProxy(b.Agent.Addr), tr.startProxy(b.Agent.Control)
 	tr.must(tr.PutVM(tr.ctx, inventory.VM{
 		ID: b.Agent.ID, Role: inventory.RoleBackend, Hall: b.Agent.Hall, Addr: requests.Listen, Control: control.Listen,
 		State: inventory.VMLive,
 	}))
-	tr.until("requests go through the proxy of "+b.Agent.ID, func() bool {
+	tr.waitUntil("requests go through the proxy of "+b.Agent.ID, func() bool {
 		for i := range tr.Entries {
-			st, err := tr.Status(tr.ctx, tr.liveEntry(i), false)
-			if err != nil || !knows(st, b.Agent.ID, requests.Listen) {
+			st, err := tr.Status(tr.ctx, tr.runningEntry(i), false)
+			if err != nil || !listsServer(st, b.Agent.ID, requests.Listen) {
 				return false
 			}
 		}
--- a/internal/proofs/reachable_test.go
+++ b/internal/proofs/reachable_test.go
@@ -14,13 +14,13 @@
 // TestReachable checks promise 2: every model and adapter stays reachable, except for a time after
 // the loss of a server.
 func TestReachable(t *testing.T) {
-	tr := start(t, 2, "every model reachable", func(o *lab.Options) { o.Engine.MemoryMiB = 36000 })
+	tr := startTrial(t, 2, "every model reachable", func(o *lab.Options) { o.Engine.MemoryMiB = 36000 })
 	var mu sync.Mutex
 	allowed := false
-	allow := func(v bool) { mu.Lock(); allowed = v; mu.Unlock() }
+	setAllowed := func(v bool) { mu.Lock(); allowed = v; mu.Unlock() }
 	names := slices.Sorted(func(yield func(string) bool) {
-		for n := range tr.copies() {
-			if !yield(n) {
+		for copies := range tr.readyCopies() {
+			if !yield(copies) {
 				return
 			}
 		}
@@ -32,10 +32,10 @@
 		defer wg.Done()
 		for {
 			mu.Lock()
-			n := tr.copies()
+			copies := tr.readyCopies()
 			for _, name := range names {
-				if n[name] == 0 && !allowed {
-					tr.violation("%s had nowhere to run though no server was lost", name)
+				if copies[name] == 0 && !allowed {
+					tr.recordViolation("%s had nowhere to run though no server was lost", name)
 				}
 			}
 			mu.Unlock()
@@ -47,27 +47,27 @@
 		}
 	}()
 	var worst time.Duration
-	tr.runSteps([]step{
+	tr.runFaultSteps([]faultStep{
 		{"tenfold demand of one model", func() {
 			name := names[tr.rng.IntN(len(names))]
-			stop := tr.load(24, func(_, i int) (lab.Request, int) { return tr.chat(tr.liveEntry(i).Addr, name, 40) })
-			tr.until("a second copy of "+name+" is there", func() bool { return tr.copies()[name] > 1 })
+			stop := tr.startLoad(24, func(_, i int) (lab.Request, int) { return tr.chatRequest(tr.runningEntry(i).Addr, name, 40) })
+			tr.waitUntil("a second copy of "+name+" is there", func() bool { return tr.readyCopies()[name] > 1 })
 			stop()
 		}},
 		{"planner killed", func() { tr.restart(tr.awaitPlanner()) }},
 		{"server and agent killed", func() {
 			tr.must(tr.AwaitPlaced(tr.ctx))
-			allow(true)
+			setAllowed(true)
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
-			began := time.Now()
+			start := time.Now()
 			b.Server.Kill()
 			b.Agent.Kill()
-			tr.until("every model has a place again", func() bool {
-				n := tr.copies()
-				return !slices.ContainsFunc(names, func(name string) bool { return n[name] == 0 })
+			tr.waitUntil("every model has a place again", func() bool {
+				copies := tr.readyCopies()
+				return !slices.ContainsFunc(names, func(name string) bool { return copies[name] == 0 })
 			})
-			worst = max(worst, time.Since(began))
-			allow(false)
+			worst = max(worst, time.Since(start))
+			setAllowed(false)
 			tr.must(tr.RestartServer(b))
 			tr.must(tr.StartNode(tr.ctx, b.Agent))
 			tr.must(tr.AwaitPlaced(tr.ctx))
@@ -75,7 +75,7 @@
 		{"server leaves", func() {
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
 			tr.must(tr.SetVM(tr.ctx, b.Agent, inventory.RoleBackend, inventory.VMLeaving))
-			tr.until("every model has a place off the leaver", func() bool { return tr.placedWithout(b, names) })
+			tr.waitUntil("every model has a place off the leaver", func() bool { return tr.readyWithout(b, names) })
 			tr.restart(b.Agent)
 			tr.must(tr.SetVM(tr.ctx, b.Agent, inventory.RoleBackend, inventory.VMLive))
 			tr.must(tr.AwaitPlaced(tr.ctx))
@@ -83,13 +83,13 @@
 	})
 	close(done)
 	wg.Wait()
-	tr.checkChats()
+	tr.checkCompletions()
 	tr.row.worst = fmt.Sprintf("%.1fs without a place after a lost server", worst.Seconds())
 }
 
-// placedWithout reports whether every name is ready on a server other than b.
-func (tr *trial) placedWithout(b *lab.Backend, names []string) bool {
-	st, err := tr.Status(tr.ctx, tr.liveEntry(0), false)
+// readyWithout reports whether every name is ready on a server other than b.
+func (tr *trial) readyWithout(b *lab.Backend, names []string) bool {
+	st, err := tr.Status(tr.ctx, tr.runningEntry(0), false)
 	if err != nil {
 		return false
 	}
--- a/internal/proofs/steps_test.go
+++ b/internal/proofs/steps_test.go
@@ -12,8 +12,8 @@
 	"rockcleat/table"
 )
 
-// knows reports whether a status lists the server with that address.
-func knows(st wire.StatusAnswer, id, addr string) bool {
+// listsServer reports whether a status lists the server with that address.
+func listsServer(st wire.StatusAnswer, id, addr string) bool {
 	for _, s := range st.Servers {
 		if s.ID == id && s.Addr == addr {
 			return true
@@ -22,14 +22,14 @@
 	return false
 }
 
-// edit applies change to a row, or removes the row if change is nil, and returns the table version
+// editRow applies change to a row, or removes the row if change is nil, and returns the table version
 // of the edit. It retries until the edit is saved.
-func (tr *trial) edit(name string, change func(*table.Row)) uint64 {
+func (tr *trial) editRow(name string, change func(*table.Row)) uint64 {
 	tr.t.Helper()
 	var version uint64
-	tr.until("an edit of "+name+" is saved", func() bool {
+	tr.waitUntil("an edit of "+name+" is saved", func() bool {
 		var t wire.TableAnswer
-		e := tr.liveEntry(0)
+		e := tr.runningEntry(0)
 		if err := lab.Client().Get(tr.ctx, e.Control, wire.PathTable, &t); err != nil {
 			return false
 		}
@@ -50,8 +50,8 @@
 	return version
 }
 
-// planner returns an entry that currently plans a cell, or nil.
-func (tr *trial) planner() *lab.Node {
+// findPlanner returns an entry that currently plans a cell, or nil.
+func (tr *trial) findPlanner() *lab.Node {
 	for _, e := range tr.Entries {
 		if e.Exited() {
 			continue
@@ -65,8 +65,8 @@
 
 func (tr *trial) awaitPlanner() *lab.Node {
 	var p *lab.Node
-	tr.until("a planner plans", func() bool {
-		p = tr.planner()
+	tr.waitUntil("a planner plans", func() bool {
+		p = tr.findPlanner()
 		return p != nil
 	})
 	return p
@@ -78,42 +78,42 @@
 	tr.must(tr.StartNode(tr.ctx, n))
 }
 
-// kvOutage calls f during an outage of the key-value service.
-func (tr *trial) kvOutage(f func()) {
+// withKVOutage calls f during an outage of the key-value service.
+func (tr *trial) withKVOutage(f func()) {
 	tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{Outage: true}))
 	f()
 	tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{}))
 }
 
-// rivals are two models of which only one fits into memory beside the others. Replacing one by the
+// swappedModels are two models of which only one fits into memory beside the others. Replacing one by the
 // other in the table causes an unload and a load into the memory that it frees.
-var rivals = []string{"summary", "digest"}
+var swappedModels = []string{"summary", "digest"}
 
 // swap replaces the rival in the table by the other one.
 func (tr *trial) swap() {
-	out := rivals[tr.swaps%2]
-	in := rivals[(tr.swaps+1)%2]
+	out := swappedModels[tr.swaps%2]
+	in := swappedModels[(tr.swaps+1)%2]
 	tr.swaps++
-	tr.edit(out, nil)
-	tr.edit(in, func(r *table.Row) { r.Organisation = "guild" })
+	tr.editRow(out, nil)
+	tr.editRow(in, func(r *table.Row) { r.Organisation = "guild" })
 }
 
-// churn swaps the rivals and waits until the engines have carried out the change.
-func (tr *trial) churn() {
+// swapAndWait swaps the rivals and waits until the engines have carried out the change.
+func (tr *trial) swapAndWait() {
 	tr.swap()
 	tr.awaitSwapped()
 }
 
 func (tr *trial) awaitSwapped() {
-	in, out := rivals[tr.swaps%2], rivals[(tr.swaps+1)%2]
-	tr.until(in+" is there and "+out+" is gone", func() bool {
-		n := tr.copies()
+	in, out := swappedModels[tr.swaps%2], swappedModels[(tr.swaps+1)%2]
+	tr.waitUntil(in+" is there and "+out+" is gone", func() bool {
+		n := tr.readyCopies()
 		return n[in] > 0 && n[out] == 0
 	})
 }
 
-// copies returns the number of ready copies of each name, as reported by the engines.
-func (tr *trial) copies() map[string]int {
+// readyCopies returns the number of ready copies of each name, as reported by the engines.
+func (tr *trial) readyCopies() map[string]int {
 	n := make(map[string]int)
 	for _, b := range tr.engines() {
 		var st engine.Status
--- a/internal/proofs/table_test.go
+++ b/internal/proofs/table_test.go
@@ -17,19 +17,19 @@
 
 // TestTable checks promise 8: an accepted table comes into force everywhere and never reverts.
 func TestTable(t *testing.T) {
-	tr := start(t, 8, "an accepted table never reverts", func(o *lab.Options) { o.Entries = 3 })
-	watch := tr.watchVersions()
+	tr := startTrial(t, 8, "an accepted table never reverts", func(o *lab.Options) { o.Entries = 3 })
+	stopWatch := tr.watchVersions()
 	var mu sync.Mutex
 	accepted := make(map[string]uint64)
 	var newest uint64
-	// race runs two operators concurrently, which edit one shared row and one row of their own.
-	race := func() {
+	// editConcurrently runs two operators concurrently, which edit one shared row and one row of their own.
+	editConcurrently := func() {
 		var wg sync.WaitGroup
 		for o := range 2 {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				tr.operator(o, func(id string, v uint64) {
+				tr.runOperator(o, func(id string, v uint64) {
 					mu.Lock()
 					defer mu.Unlock()
 					accepted[id] = v
@@ -40,50 +40,50 @@
 		wg.Wait()
 	}
 	var worst time.Duration
-	settle := func() {
-		began := time.Now()
+	awaitNewest := func() {
+		start := time.Now()
 		tr.must(tr.AwaitVersion(tr.ctx, newest))
-		worst = max(worst, time.Since(began))
+		worst = max(worst, time.Since(start))
 	}
-	steps := []step{
-		{"two operators at once", func() { race(); settle() }},
+	steps := []faultStep{
+		{"two operators at once", func() { editConcurrently(); awaitNewest() }},
 		{"key-value answers lost", func() {
 			tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseAnswers: 4}))
-			race()
-			settle()
+			editConcurrently()
+			awaitNewest()
 		}},
-		{"entry killed after the save", func() { race(); tr.restart(tr.Entries[tr.rng.IntN(3)]); settle() }},
+		{"entry killed after the save", func() { editConcurrently(); tr.restart(tr.Entries[tr.rng.IntN(3)]); awaitNewest() }},
 		{"key-value service out during the spread, entry and agent killed", func() {
-			race()
-			tr.kvOutage(func() {
+			editConcurrently()
+			tr.withKVOutage(func() {
 				tr.restart(tr.Entries[tr.rng.IntN(3)])
 				tr.restart(tr.Backends[tr.rng.IntN(len(tr.Backends))].Agent)
-				settle()
+				awaitNewest()
 			})
 		}},
 		{"entry frozen during the spread", func() {
 			e := tr.Entries[1]
 			e.Freeze()
-			race()
+			editConcurrently()
 			e.Thaw()
-			settle()
+			awaitNewest()
 		}},
-		{"planner killed", func() { tr.awaitPlanner().Kill(); tr.restartDead(); race(); settle() }},
+		{"planner killed", func() { tr.awaitPlanner().Kill(); tr.restartExitedEntries(); editConcurrently(); awaitNewest() }},
 	}
-	record := &editRecord{}
+	history := &editHistory{}
 	for i, s := range steps {
-		steps[i].do = func() {
-			record.read(tr)
-			s.do()
+		steps[i].inject = func() {
+			history.read(tr)
+			s.inject()
 		}
 	}
-	tr.runSteps(steps)
-	watch()
-	tr.checkHistory(record, accepted)
+	tr.runFaultSteps(steps)
+	stopWatch()
+	tr.checkHistory(history, accepted)
 	tr.row.worst = fmt.Sprintf("%.1fs from an edit to everywhere, %d edits", worst.Seconds(), len(accepted))
 }
 
-func (tr *trial) restartDead() {
+func (tr *trial) restartExitedEntries() {
 	for _, e := range tr.Entries {
 		if e.Exited() {
 			tr.must(tr.StartNode(tr.ctx, e))
@@ -91,12 +91,12 @@
 	}
 }
 
-// operatorPatience is the timeout of an operator's call to one entry.
-const operatorPatience = time.Second
+// operatorTimeout is the timeout of an operator's call to one entry.
+const operatorTimeout = time.Second
 
-// operator saves three edits. It retries each under the same ID until it is saved or refused as a
+// runOperator saves three edits. It retries each under the same ID until it is saved or refused as a
 // conflict, and calls saved for those saved.
-func (tr *trial) operator(o int, saved func(id string, v uint64)) {
+func (tr *trial) runOperator(o int, saved func(id string, v uint64)) {
 	for i := range 3 {
 		name := "hint"
 		if i > 0 {
@@ -104,20 +104,20 @@
 		}
 		id := uuid.NewString()
 		var e table.Edit
-		tries := 0
-		tr.until("an edit's outcome is known", func() bool {
+		attempts := 0
+		tr.waitUntil("an edit's outcome is known", func() bool {
 			// Each attempt uses another entry, as the command line does.
-			n := tr.liveEntry(o + tries)
-			tries++
+			n := tr.runningEntry(o + attempts)
+			attempts++
 			if e.ID == "" {
-				r, ok := tr.rowNow(n, name)
+				r, ok := tr.currentRow(n, name)
 				if !ok {
 					return false
 				}
 				r.Weight = r.Weight%1000 + 1
 				e = table.Edit{ID: id, Changes: []table.Change{{Name: name, Seen: r.Version, Row: &r}}}
 			}
-			ctx, cancel := context.WithTimeout(tr.ctx, operatorPatience)
+			ctx, cancel := context.WithTimeout(tr.ctx, operatorTimeout)
 			defer cancel()
 			v, err := tr.SaveEdit(ctx, n, e)
 			if err == nil {
@@ -132,8 +132,8 @@
 	}
 }
 
-func (tr *trial) rowNow(n *lab.Node, name string) (table.Row, bool) {
-	ctx, cancel := context.WithTimeout(tr.ctx, operatorPatience)
+func (tr *trial) currentRow(n *lab.Node, name string) (table.Row, bool) {
+	ctx, cancel := context.WithTimeout(tr.ctx, operatorTimeout)
 	defer cancel()
 	var t wire.TableAnswer
 	if err := lab.Client().Get(ctx, n.Control, wire.PathTable, &t); err != nil {
--- a/internal/proofs/whole_test.go
+++ b/internal/proofs/whole_test.go
@@ -13,47 +13,47 @@
 
 // TestWhole checks promise 3: a client receives the complete response to its own request.
 func TestWhole(t *testing.T) {
-	tr := start(t, 3, "the whole answer to its own request", nil)
+	tr := startTrial(t, 3, "the whole answer to its own request", nil)
 	models := []string{lab.SmallModel, "hint", "summary", "headline", lab.SmallAdapter}
 	var proxies []*faultProxy
 	for _, b := range tr.engines() {
-		p, _ := tr.proxied(b)
+		p, _ := tr.proxyAgent(b)
 		proxies = append(proxies, p)
 	}
-	stop := tr.load(8, func(w, i int) (lab.Request, int) {
-		return tr.chat(tr.liveEntry(w+i).Addr, models[(w+i)%len(models)], 10+(w*7+i)%60)
+	stop := tr.startLoad(8, func(w, i int) (lab.Request, int) {
+		return tr.chatRequest(tr.runningEntry(w+i).Addr, models[(w+i)%len(models)], 10+(w*7+i)%60)
 	})
-	for_ := func(p *faultProxy) {
-		n := len(tr.all())
-		tr.until("requests have met the fault", func() bool { return len(tr.all()) > n+20 })
-		p.heal()
+	awaitAndRemove := func(p *faultProxy) {
+		sentBefore := len(tr.sentRequests())
+		tr.waitUntil("requests have met the fault", func() bool { return len(tr.sentRequests()) > sentBefore+20 })
+		p.removeToxics()
 	}
 	pick := func() *faultProxy { return proxies[tr.rng.IntN(len(proxies))] }
-	tr.runSteps([]step{
+	tr.runFaultSteps([]faultStep{
 		{"connection reset mid-answer", func() {
 			p := pick()
-			p.add(tr, "reset_peer", fromCallee, fmt.Sprintf(`"timeout":%d`, 20+tr.rng.IntN(200)))
-			for_(p)
+			p.addToxic(tr, "reset_peer", fromServer, fmt.Sprintf(`"timeout":%d`, 20+tr.rng.IntN(200)))
+			awaitAndRemove(p)
 		}},
 		{"answer cut after some bytes", func() {
 			p := pick()
-			p.add(tr, "limit_data", fromCallee, fmt.Sprintf(`"bytes":%d`, 500+tr.rng.IntN(5000)))
-			for_(p)
+			p.addToxic(tr, "limit_data", fromServer, fmt.Sprintf(`"bytes":%d`, 500+tr.rng.IntN(5000)))
+			awaitAndRemove(p)
 		}},
 		{"answers late", func() {
 			p := pick()
-			p.add(tr, "latency", fromCallee, `"latency":150,"jitter":100`)
-			for_(p)
+			p.addToxic(tr, "latency", fromServer, `"latency":150,"jitter":100`)
+			awaitAndRemove(p)
 		}},
 		{"answers in small pieces", func() {
 			p := pick()
-			p.add(tr, "slicer", fromCallee, `"average_size":17,"size_variation":9,"delay":100`)
-			for_(p)
+			p.addToxic(tr, "slicer", fromServer, `"average_size":17,"size_variation":9,"delay":100`)
+			awaitAndRemove(p)
 		}},
 		{"one way cut", func() {
 			p := pick()
-			p.add(tr, "timeout", fromCallee, `"timeout":0`)
-			for_(p)
+			p.addToxic(tr, "timeout", fromServer, `"timeout":0`)
+			awaitAndRemove(p)
 		}},
 		{"engine killed under streams", func() {
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
@@ -69,44 +69,44 @@
 		{"agent frozen", func() {
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
 			b.Agent.Freeze()
-			n := len(tr.all())
-			tr.until("requests have met the fault", func() bool { return len(tr.all()) > n+20 })
+			sentBefore := len(tr.sentRequests())
+			tr.waitUntil("requests have met the fault", func() bool { return len(tr.sentRequests()) > sentBefore+20 })
 			b.Agent.Thaw()
 		}},
 	})
 	stop()
-	whole, cut := tr.checkChats()
+	complete, incomplete := tr.checkCompletions()
 	tr.checkNotRun()
-	assert.Assert(t, whole > cut, "%d whole, %d not", whole, cut)
-	tr.row.worst = fmt.Sprintf("%d whole, %d told as not whole", whole, cut)
+	assert.Assert(t, complete > incomplete, "%d whole, %d not", complete, incomplete)
+	tr.row.worst = fmt.Sprintf("%d whole, %d told as not whole", complete, incomplete)
 }
 
-// TestStreamGoesOn checks, as part of promise 3, that a stream whose engine is killed continues on
+// TestStreamContinues checks, as part of promise 3, that a stream whose engine is killed continues on
 // another engine after the tokens already sent.
-func TestStreamGoesOn(t *testing.T) {
-	tr := start(t, 3, "the whole answer to its own request", nil)
+func TestStreamContinues(t *testing.T) {
+	tr := startTrial(t, 3, "the whole answer to its own request", nil)
 	for range 3 {
 		tr.must(tr.AwaitPlaced(tr.ctx))
-		r, tokens := tr.chat(tr.liveEntry(0).Addr, "hint", 400)
+		r, tokens := tr.chatRequest(tr.runningEntry(0).Addr, "hint", 400)
 		r.ID = uuid.NewString()
 		result := make(chan lab.Answer, 1)
 		go func() { result <- tr.send(r, tokens) }()
-		var on *lab.Backend
-		tr.until("the stream runs", func() bool {
+		var running *lab.Backend
+		tr.waitUntil("the stream runs", func() bool {
 			for _, b := range tr.engines() {
 				var s standin.SeenAnswer
 				if lab.Fetch(tr.ctx, b.URL+"/seen", &s) == nil && s.Seen[r.ID] > 0 {
-					on = b
+					running = b
 					return true
 				}
 			}
 			return false
 		})
-		on.Server.Kill()
+		running.Server.Kill()
 		a := <-result
 		assert.Assert(t, a.Whole && a.Tokens == tokens, "%d of %d tokens, status %d: %s", a.Tokens, tokens, a.Status, a.Reason)
-		tr.must(tr.RestartServer(on))
+		tr.must(tr.RestartServer(running))
 	}
-	tr.checkChats()
-	tr.fault("engine killed under a stream x3")
+	tr.checkCompletions()
+	tr.recordFault("engine killed under a stream x3")
 }
--- a/internal/standin/answers.go
+++ b/internal/standin/answers.go
@@ -3,7 +3,7 @@
 import "rockcleat/internal/openai"
 
 // chunk returns one chunk of a streamed response. An empty finish leaves the finish reason out.
-func chunk(r openai.Request, text, finish string) openai.Completion {
+func newChunk(r openai.Request, text, finish string) openai.Completion {
 	c := openai.Choice{}
 	if finish != "" {
 		c.FinishReason = &finish
@@ -19,7 +19,7 @@
 }
 
 // whole returns a complete, non-streaming response.
-func whole(r openai.Request, text string, tokens int) openai.Completion {
+func newCompletion(r openai.Request, text string, tokens int) openai.Completion {
 	finish := "length"
 	c := openai.Choice{FinishReason: &finish}
 	object := "chat.completion"
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -38,8 +38,8 @@
 	ReportLag time.Duration
 }
 
-// finishedKept is the maximum number of finished orders in a status.
-const finishedKept = 256
+// maxFinished is the maximum number of finished orders in a status.
+const maxFinished = 256
 
 // EngineStats holds the counters of an Engine.
 type EngineStats struct {
@@ -67,12 +67,12 @@
 	fleet.Resident
 	base string
 	// running is the number of admitted sequences, waiting ones included.
-	running int
+	admitted int
 }
 
 // An Engine is a fake model engine with several accelerators.
 type Engine struct {
-	faultBox
+	faultInjector
 	echo *echo.Echo
 	opts EngineOptions
 
@@ -84,36 +84,36 @@
 	fence int64
 	// running is the number of running sequences of each accelerator.
 	running []int
-	// waiters holds the sequences that wait for a slot, in order of arrival.
-	waiters []*sequence
-	// cached maps the hash of each cached prefix to the time of its last use.
-	cached map[uint64]time.Time
-	// reported is the number of running sequences in the status, as of reportedAt.
-	reported   int
-	reportedAt time.Time
-	stats      EngineStats
-	// seen counts the admissions of each request ID.
-	seen map[string]int
+	// queue holds the sequences that wait for a slot, in order of arrival.
+	queue []*sequence
+	// prefixCache maps the hash of each cached prefix to the time of its last use.
+	prefixCache map[uint64]time.Time
+	// reportedRunning is the number of running sequences in the status, as of reportedAt.
+	reportedRunning int
+	reportedAt      time.Time
+	stats           EngineStats
+	// starts counts the admissions of each request ID.
+	starts map[string]int
 }
 
 // NewEngine returns an engine with nothing resident.
 func NewEngine(o EngineOptions) *Engine {
-	s := &Engine{echo: newEcho(), opts: o, running: make([]int, o.Accelerators), cached: make(map[uint64]time.Time)}
-	s.seen = make(map[string]int)
+	s := &Engine{echo: newEcho(), opts: o, running: make([]int, o.Accelerators), prefixCache: make(map[uint64]time.Time)}
+	s.starts = make(map[string]int)
 	s.register(s.echo)
-	s.echo.GET(engine.PathStatus, s.status)
-	s.echo.POST(engine.PathOrders, s.order)
-	s.echo.POST("/v1/chat/completions", s.generate)
-	s.echo.POST("/v1/completions", s.generate)
+	s.echo.GET(engine.PathStatus, s.handleStatus)
+	s.echo.POST(engine.PathOrders, s.handleOrder)
+	s.echo.POST("/v1/chat/completions", s.handleCompletion)
+	s.echo.POST("/v1/completions", s.handleCompletion)
 	s.echo.GET("/stats", func(c echo.Context) error { return c.JSON(http.StatusOK, s.Stats()) })
-	s.echo.GET("/seen", s.listSeen)
+	s.echo.GET("/seen", s.handleSeen)
 	return s
 }
 
-func (s *Engine) listSeen(c echo.Context) error {
+func (s *Engine) handleSeen(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.JSON(http.StatusOK, SeenAnswer{Seen: s.seen})
+	return c.JSON(http.StatusOK, SeenAnswer{Seen: s.starts})
 }
 
 // ServeHTTP implements http.Handler.
@@ -126,14 +126,14 @@
 	return s.stats
 }
 
-// status responds with the engine's status. The reported load is refreshed once it is
+// handleStatus responds with the engine's status. The reported load is refreshed once it is
 // older than ReportLag.
-func (s *Engine) status(c echo.Context) error {
+func (s *Engine) handleStatus(c echo.Context) error {
 	s.mu.Lock()
 	if now := time.Now(); now.Sub(s.reportedAt) >= s.opts.ReportLag {
-		s.reported, s.reportedAt = s.busy(), now
+		s.reportedRunning, s.reportedAt = s.totalRunning(), now
 	}
-	st := engine.Status{Fence: s.fence, Slots: s.opts.Slots, Finished: slices.Clone(s.finished), Running: s.reported}
+	st := engine.Status{Fence: s.fence, Slots: s.opts.Slots, Finished: slices.Clone(s.finished), Running: s.reportedRunning}
 	for range s.opts.Accelerators {
 		st.MemoryMiB = append(st.MemoryMiB, s.opts.MemoryMiB)
 	}
@@ -144,8 +144,8 @@
 	return c.JSON(http.StatusOK, st)
 }
 
-// busy returns the number of running sequences of all accelerators. s.mu must be held.
-func (s *Engine) busy() int {
+// totalRunning returns the number of running sequences of all accelerators. s.mu must be held.
+func (s *Engine) totalRunning() int {
 	n := 0
 	for _, r := range s.running {
 		n += r
@@ -153,25 +153,25 @@
 	return n
 }
 
-// order acknowledges an order, which then runs in the background. An order delayed by
+// handleOrder acknowledges an order, which then runs in the background. An order delayed by
 // LateOrdersMs is acknowledged before its fencing token is checked.
-func (s *Engine) order(c echo.Context) error {
+func (s *Engine) handleOrder(c echo.Context) error {
 	var o engine.Order
 	if err := c.Bind(&o); err != nil {
 		return err
 	}
-	if late := s.get().LateOrdersMs; late > 0 {
-		time.AfterFunc(time.Duration(late)*time.Millisecond, func() { s.take(o) })
+	if delayMs := s.currentFaults().LateOrdersMs; delayMs > 0 {
+		time.AfterFunc(time.Duration(delayMs)*time.Millisecond, func() { s.acceptOrder(o) })
 		return c.NoContent(http.StatusAccepted)
 	}
-	if !s.take(o) {
+	if !s.acceptOrder(o) {
 		return c.NoContent(http.StatusConflict)
 	}
 	return c.NoContent(http.StatusAccepted)
 }
 
-// take starts an order. It reports false if the order's fencing token is out of date.
-func (s *Engine) take(o engine.Order) bool {
+// acceptOrder starts an order. It reports false if the order's fencing token is out of date.
+func (s *Engine) acceptOrder(o engine.Order) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.opts.ChecksOrders && o.Fence < s.fence {
@@ -191,7 +191,7 @@
 // startLoad reserves the memory and loads in the background. s.mu must be held.
 func (s *Engine) startLoad(o engine.Order) {
 	if s.find(o.Name, o.Accelerator) != nil || o.Accelerator >= s.opts.Accelerators {
-		s.finish(o.ID)
+		s.recordFinished(o.ID)
 		return
 	}
 	used := o.MemoryMiB
@@ -202,7 +202,7 @@
 	}
 	if used > s.opts.MemoryMiB {
 		s.stats.Overcommits++
-		s.finish(o.ID)
+		s.recordFinished(o.ID)
 		return
 	}
 	r := &resident{base: o.Base}
@@ -214,22 +214,22 @@
 
 // load fetches the weights and finishes the order. If that fails, it removes the resident.
 func (s *Engine) load(o engine.Order, r *resident) {
-	err := s.fetch(o.Name)
+	err := s.fetchWeights(o.Name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err != nil || s.failLoad() {
+	if err != nil || s.takeFailedLoad() {
 		s.remove(r)
 	} else {
 		r.State = fleet.StateReady
 	}
-	s.finish(o.ID)
+	s.recordFinished(o.ID)
 }
 
-// fetchRetry is the delay before a fetch that the weight store rate-limited is retried.
-const fetchRetry = 20 * time.Millisecond
+// fetchRetryDelay is the delay before a fetch that the weight store rate-limited is retried.
+const fetchRetryDelay = 20 * time.Millisecond
 
-// fetch gets the weights from the weight store. It retries while the store limits the rate.
-func (s *Engine) fetch(name string) error {
+// fetchWeights gets the weights from the weight store. It retries while the store limits the rate.
+func (s *Engine) fetchWeights(name string) error {
 	if s.opts.Weights == "" {
 		return nil
 	}
@@ -248,7 +248,7 @@
 		case http.StatusOK:
 			return nil
 		case http.StatusTooManyRequests:
-			time.Sleep(fetchRetry)
+			time.Sleep(fetchRetryDelay)
 		default:
 			return http.ErrNotSupported
 		}
@@ -260,17 +260,17 @@
 func (s *Engine) startUnload(o engine.Order) {
 	r := s.find(o.Name, o.Accelerator)
 	if r == nil || r.State != fleet.StateReady {
-		s.finish(o.ID)
+		s.recordFinished(o.ID)
 		return
 	}
 	r.State = fleet.StateUnloading
 	s.stats.Unloads++
-	s.stats.Cut += r.running
+	s.stats.Cut += r.admitted
 	time.AfterFunc(s.opts.UnloadTime, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.remove(r)
-		s.finish(o.ID)
+		s.recordFinished(o.ID)
 	})
 }
 
@@ -290,10 +290,10 @@
 	s.residents = slices.DeleteFunc(s.residents, func(o *resident) bool { return o == r })
 }
 
-// finish records an order as finished. s.mu must be held.
-func (s *Engine) finish(id string) {
+// recordFinished records an order as finished. s.mu must be held.
+func (s *Engine) recordFinished(id string) {
 	s.finished = append(s.finished, id)
-	if extra := len(s.finished) - finishedKept; extra > 0 {
-		s.finished = slices.Clone(s.finished[extra:])
+	if excess := len(s.finished) - maxFinished; excess > 0 {
+		s.finished = slices.Clone(s.finished[excess:])
 	}
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -30,27 +30,27 @@
 	EndOn string `json:"end_on"`
 }
 
-// A faultBox holds the faults of one fake.
-type faultBox struct {
+// A faultInjector holds the faults of one fake.
+type faultInjector struct {
 	mu     sync.Mutex
 	faults Faults
 }
 
 // SetFaults replaces the faults in force.
-func (b *faultBox) SetFaults(f Faults) {
+func (b *faultInjector) SetFaults(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
 }
 
-func (b *faultBox) get() Faults {
+func (b *faultInjector) currentFaults() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
 }
 
-// loseAnswer reports whether to drop the response of this write, and counts it.
-func (b *faultBox) loseAnswer() bool {
+// takeLostResponse reports whether to drop the response of this write, and counts it.
+func (b *faultInjector) takeLostResponse() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.faults.LoseAnswers == 0 {
@@ -60,8 +60,8 @@
 	return true
 }
 
-// failLoad reports whether to fail this load, and counts it.
-func (b *faultBox) failLoad() bool {
+// takeFailedLoad reports whether to fail this load, and counts it.
+func (b *faultInjector) takeFailedLoad() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.faults.FailLoads == 0 {
@@ -72,7 +72,7 @@
 }
 
 // register adds the handler of PathFault, and the middleware that injects outages and delays.
-func (b *faultBox) register(e *echo.Echo) {
+func (b *faultInjector) register(e *echo.Echo) {
 	e.PUT(PathFault, func(c echo.Context) error {
 		var f Faults
 		if err := c.Bind(&f); err != nil {
@@ -86,11 +86,11 @@
 			if c.Path() == PathFault {
 				return next(c)
 			}
-			f := b.get()
+			f := b.currentFaults()
 			if f.Outage {
 				return c.NoContent(http.StatusServiceUnavailable)
 			}
-			if f.DelayMs > 0 && !pause(c, time.Duration(f.DelayMs)*time.Millisecond) {
+			if f.DelayMs > 0 && !sleep(c, time.Duration(f.DelayMs)*time.Millisecond) {
 				return nil
 			}
 			return next(c)
@@ -98,8 +98,8 @@
 	})
 }
 
-// pause waits for d. It reports false if the request was canceled first.
-func pause(c echo.Context, d time.Duration) bool {
+// sleep waits for d. It reports false if the request was canceled first.
+func sleep(c echo.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -116,5 +116,5 @@
 	return e
 }
 
-// abort closes the connection without completing the response.
-func abort() error { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without completing the response.
+func abortConnection() error { panic(http.ErrAbortHandler) }
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -23,32 +23,32 @@
 
 // A sequence is one admitted request.
 type sequence struct {
-	priority int
-	model    string
-	acc      int
-	// start receives a value once the sequence has a slot.
-	start chan bool
+	priority    int
+	model       string
+	accelerator int
+	// started receives a value once the sequence has a slot.
+	started chan bool
 }
 
 // Parameters of the simulated engine.
 const (
-	// defaultTokens is the number of tokens of a response whose request sets no maximum.
-	defaultTokens = 16
+	// defaultMaxTokens is the number of tokens of a response whose request sets no maximum.
+	defaultMaxTokens = 16
 	// batchSlowdown is the fraction by which a full batch lengthens each decoding step.
 	batchSlowdown = 0.5
-	// prefixBytes is the length of the part of a prompt that the cache holds.
-	prefixBytes = 256
+	// cachedPrefixLength is the length of the part of a prompt that the cache holds.
+	cachedPrefixLength = 256
 	// bytesPerToken is the assumed length of a prompt token.
 	bytesPerToken = 4
-	// cacheLimit is the maximum number of cached prefixes.
-	cacheLimit = 64
+	// maxCachedPrefixes is the maximum number of cached prefixes.
+	maxCachedPrefixes = 64
 )
 
-// endedByRequest is the exit code of an engine ended by Faults.EndOn.
-const endedByRequest = 3
+// exitCodeEndOn is the exit code of an engine ended by Faults.EndOn.
+const exitCodeEndOn = 3
 
-// generate handles a completion request. The tokens depend only on the model and the prompt.
-func (s *Engine) generate(c echo.Context) error {
+// handleCompletion handles a completion request. The tokens depend only on the model and the prompt.
+func (s *Engine) handleCompletion(c echo.Context) error {
 	data, err := io.ReadAll(c.Request().Body)
 	if err != nil {
 		return err
@@ -57,133 +57,133 @@
 	if err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	acc, _ := strconv.Atoi(c.Request().Header.Get(engine.HeaderAccelerator))
+	accelerator, _ := strconv.Atoi(c.Request().Header.Get(engine.HeaderAccelerator))
 	priority, _ := strconv.Atoi(c.Request().Header.Get(engine.HeaderPriority))
 	from, _ := strconv.Atoi(c.Request().Header.Get(wire.HeaderResume))
-	q := &sequence{priority: priority, model: req.Model, acc: acc, start: make(chan bool, 1)}
-	if !s.admit(q, c.Request().Header.Get(wire.HeaderRequestID)) {
+	seq := &sequence{priority: priority, model: req.Model, accelerator: accelerator, started: make(chan bool, 1)}
+	if !s.admit(seq, c.Request().Header.Get(wire.HeaderRequestID)) {
 		return c.JSON(http.StatusNotFound, map[string]string{"error": "model not resident"})
 	}
 	select {
-	case <-q.start:
+	case <-seq.started:
 	case <-c.Request().Context().Done():
-		s.withdraw(q)
+		s.cancel(seq)
 		return nil
 	}
-	defer s.leave(q)
-	if mark := s.get().EndOn; mark != "" && bytes.Contains(data, []byte(mark)) {
-		os.Exit(endedByRequest)
+	defer s.release(seq)
+	if trigger := s.currentFaults().EndOn; trigger != "" && bytes.Contains(data, []byte(trigger)) {
+		os.Exit(exitCodeEndOn)
 	}
 	total := req.MaxTokens
 	if total <= 0 {
-		total = defaultTokens
+		total = defaultMaxTokens
 	}
-	if !pause(c, s.prefill(req)) {
+	if !sleep(c, s.prefillTime(req)) {
 		return nil
 	}
 	if req.Stream {
-		return s.stream(c, q, req, from, total)
+		return s.sendStream(c, seq, req, from, total)
 	}
-	return s.whole(c, q, req, total)
+	return s.sendCompletion(c, seq, req, total)
 }
 
 // admit adds the sequence to the batch of its accelerator, or to the queue if the batch is
 // full. It reports false if the model is not ready on that accelerator.
-func (s *Engine) admit(q *sequence, id string) bool {
+func (s *Engine) admit(seq *sequence, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.find(q.model, q.acc)
+	r := s.find(seq.model, seq.accelerator)
 	if r == nil || r.State != fleet.StateReady {
 		return false
 	}
-	r.running++
-	s.seen[id]++
+	r.admitted++
+	s.starts[id]++
 	s.stats.LastStartMs = time.Now().UnixMilli()
-	if s.running[q.acc] < s.opts.Slots {
-		s.running[q.acc]++
-		q.start <- true
+	if s.running[seq.accelerator] < s.opts.Slots {
+		s.running[seq.accelerator]++
+		seq.started <- true
 		return true
 	}
-	s.waiters = append(s.waiters, q)
+	s.queue = append(s.queue, seq)
 	return true
 }
 
-// withdraw cancels a sequence that is still queued or has just been given a slot.
-func (s *Engine) withdraw(q *sequence) {
+// cancel cancels a sequence that is still queued or has just been given a slot.
+func (s *Engine) cancel(seq *sequence) {
 	s.mu.Lock()
-	i := slices.Index(s.waiters, q)
+	i := slices.Index(s.queue, seq)
 	if i >= 0 {
-		s.waiters = slices.Delete(s.waiters, i, i+1)
-		if r := s.find(q.model, q.acc); r != nil {
-			r.running--
+		s.queue = slices.Delete(s.queue, i, i+1)
+		if r := s.find(seq.model, seq.accelerator); r != nil {
+			r.admitted--
 		}
 	}
 	s.mu.Unlock()
 	if i < 0 {
-		s.leave(q)
+		s.release(seq)
 	}
 }
 
-// leave ends a sequence and gives its slot to the queued sequence of the highest priority,
+// release ends a sequence and gives its slot to the queued sequence of the highest priority,
 // the first to arrive among equals.
-func (s *Engine) leave(q *sequence) {
+func (s *Engine) release(seq *sequence) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.find(q.model, q.acc); r != nil {
-		r.running--
+	if r := s.find(seq.model, seq.accelerator); r != nil {
+		r.admitted--
 	}
 	next := -1
-	for i, w := range s.waiters {
-		if w.acc == q.acc && (next < 0 || w.priority > s.waiters[next].priority) {
+	for i, w := range s.queue {
+		if w.accelerator == seq.accelerator && (next < 0 || w.priority > s.queue[next].priority) {
 			next = i
 		}
 	}
 	if next < 0 {
-		s.running[q.acc]--
+		s.running[seq.accelerator]--
 		return
 	}
-	w := s.waiters[next]
-	s.waiters = slices.Delete(s.waiters, next, next+1)
-	w.start <- true
+	w := s.queue[next]
+	s.queue = slices.Delete(s.queue, next, next+1)
+	w.started <- true
 }
 
-// prefill returns the prefill time of the prompt and caches its prefix. A prefix that was
+// prefillTime returns the prefill time of the prompt and caches its prefix. A prefix that was
 // already cached costs nothing.
-func (s *Engine) prefill(req openai.Request) time.Duration {
+func (s *Engine) prefillTime(req openai.Request) time.Duration {
 	prompt := req.Prompt()
 	tokens := float64(len(prompt))/bytesPerToken + 1
-	prefix := rendezvous.Key(req.Model + "\x00" + prompt[:min(len(prompt), prefixBytes)])
+	prefix := rendezvous.Key(req.Model + "\x00" + prompt[:min(len(prompt), cachedPrefixLength)])
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.cached[prefix]; ok {
-		tokens = max(tokens-prefixBytes/bytesPerToken, 1)
+	if _, ok := s.prefixCache[prefix]; ok {
+		tokens = max(tokens-cachedPrefixLength/bytesPerToken, 1)
 	}
-	s.cached[prefix] = time.Now()
-	s.evict()
+	s.prefixCache[prefix] = time.Now()
+	s.evictPrefix()
 	if s.opts.PrefillPerSecond <= 0 {
 		return 0
 	}
 	return time.Duration(tokens / s.opts.PrefillPerSecond * float64(time.Second))
 }
 
-// evict removes the least recently used prefix if the cache is over its limit. s.mu must be
+// evictPrefix removes the least recently used prefix if the cache is over its limit. s.mu must be
 // held.
-func (s *Engine) evict() {
-	if len(s.cached) <= cacheLimit {
+func (s *Engine) evictPrefix() {
+	if len(s.prefixCache) <= maxCachedPrefixes {
 		return
 	}
 	var oldest uint64
 	first := true
-	for p, at := range s.cached {
-		if first || at.Before(s.cached[oldest]) {
+	for p, at := range s.prefixCache {
+		if first || at.Before(s.prefixCache[oldest]) {
 			oldest, first = p, false
 		}
 	}
-	delete(s.cached, oldest)
+	delete(s.prefixCache, oldest)
 }
 
-// token returns the i-th token of the response to a request.
-func token(req openai.Request, i int) string {
+// tokenAt returns the i-th token of the response to a request.
+func tokenAt(req openai.Request, i int) string {
 	return fmt.Sprintf("w%d-%04x ", i, rendezvous.Key(req.Model+req.Prompt()+strconv.Itoa(i))&0xffff)
 }
 
@@ -192,53 +192,53 @@
 func Text(req openai.Request, n int) string {
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(token(req, i))
+		b.WriteString(tokenAt(req, i))
 	}
 	return b.String()
 }
 
-// step waits for one decoding step. It reports false if the request was canceled or the model
+// decodeStep waits for one decoding step. It reports false if the request was canceled or the model
 // was not resident when the step began.
-func (s *Engine) step(c echo.Context, q *sequence) bool {
+func (s *Engine) decodeStep(c echo.Context, seq *sequence) bool {
 	s.mu.Lock()
-	part := float64(s.running[q.acc]) / float64(s.opts.Slots)
-	resident := s.find(q.model, q.acc) != nil
+	batchFill := float64(s.running[seq.accelerator]) / float64(s.opts.Slots)
+	resident := s.find(seq.model, seq.accelerator) != nil
 	s.stats.Tokens++
 	s.mu.Unlock()
-	return pause(c, time.Duration(float64(s.opts.Step)*(1+batchSlowdown*part))) && resident
+	return sleep(c, time.Duration(float64(s.opts.Step)*(1+batchSlowdown*batchFill))) && resident
 }
 
-// stream sends the tokens beginning with index from as server-sent events, followed by [DONE].
-func (s *Engine) stream(c echo.Context, q *sequence, req openai.Request, from, total int) error {
+// sendStream sends the tokens beginning with index from as server-sent events, followed by [DONE].
+func (s *Engine) sendStream(c echo.Context, seq *sequence, req openai.Request, from, total int) error {
 	w := c.Response()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	for i := from; i < total; i++ {
-		if !s.step(c, q) {
-			return abort()
+		if !s.decodeStep(c, seq) {
+			return abortConnection()
 		}
-		if err := writeEvent(w, chunk(req, token(req, i), "")); err != nil {
+		if err := writeEvent(w, newChunk(req, tokenAt(req, i), "")); err != nil {
 			return nil
 		}
 	}
-	if err := writeEvent(w, chunk(req, "", "length")); err != nil {
+	if err := writeEvent(w, newChunk(req, "", "length")); err != nil {
 		return nil
 	}
-	s.completed()
+	s.recordCompleted()
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	w.Flush()
 	return nil
 }
 
-func (s *Engine) completed() {
+func (s *Engine) recordCompleted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Completed++
 }
 
 // writeEvent sends one server-sent event.
-func writeEvent(w *echo.Response, chunk openai.Completion) error {
-	data, err := json.Marshal(chunk)
+func writeEvent(w *echo.Response, completion openai.Completion) error {
+	data, err := json.Marshal(completion)
 	if err != nil {
 		return err
 	}
@@ -249,13 +249,13 @@
 	return nil
 }
 
-// whole sends the complete response after all decoding steps.
-func (s *Engine) whole(c echo.Context, q *sequence, req openai.Request, total int) error {
+// sendCompletion sends the complete response after all decoding steps.
+func (s *Engine) sendCompletion(c echo.Context, seq *sequence, req openai.Request, total int) error {
 	for range total {
-		if !s.step(c, q) {
-			return abort()
+		if !s.decodeStep(c, seq) {
+			return abortConnection()
 		}
 	}
-	s.completed()
-	return c.JSON(http.StatusOK, whole(req, Text(req, total), total))
+	s.recordCompleted()
+	return c.JSON(http.StatusOK, newCompletion(req, Text(req, total), total))
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -14,8 +14,8 @@
 	"rockcleat/kv"
 )
 
-// maxValue is the maximum length of a value, in bytes.
-const maxValue = 1 << 20
+// maxValueLength is the maximum length of a value, in bytes.
+const maxValueLength = 1 << 20
 
 // KVOptions configures a KV.
 type KVOptions struct {
@@ -40,7 +40,7 @@
 
 // A KV is a fake of the platform's key-value service.
 type KV struct {
-	faultBox
+	faultInjector
 	echo   *echo.Echo
 	reads  *rate.Limiter
 	writes *rate.Limiter
@@ -60,8 +60,8 @@
 func NewKV(o KVOptions) *KV {
 	s := &KV{
 		echo:    newEcho(),
-		reads:   limiter(o.ReadsPerSecond),
-		writes:  limiter(o.WritesPerSecond),
+		reads:   newLimiter(o.ReadsPerSecond),
+		writes:  newLimiter(o.WritesPerSecond),
 		entries: make(map[string]kv.Entry),
 		leaseOf: make(map[string]kv.LeaseID),
 		leases:  make(map[kv.LeaseID]*kvLease),
@@ -80,8 +80,8 @@
 	return s
 }
 
-// limiter returns a rate limiter with a burst of one second; a rate of zero means no limit.
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns a rate limiter with a burst of one second; a rate of zero means no limit.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
@@ -100,27 +100,27 @@
 
 // read wraps the handler of a read with the read rate limit and counter.
 func (s *KV) read(f echo.HandlerFunc) echo.HandlerFunc {
-	return s.counted(s.reads, func() { s.stats.Reads++ }, f)
+	return s.limited(s.reads, func() { s.stats.Reads++ }, f)
 }
 
 // write wraps the handler of a write with the write rate limit and counter. If
 // Faults.LoseAnswers says so, it runs the handler and then aborts the connection.
 func (s *KV) write(f echo.HandlerFunc) echo.HandlerFunc {
-	return s.counted(s.writes, func() { s.stats.Writes++ }, func(c echo.Context) error {
-		if !s.loseAnswer() {
+	return s.limited(s.writes, func() { s.stats.Writes++ }, func(c echo.Context) error {
+		if !s.takeLostResponse() {
 			return f(c)
 		}
-		c.Response().Writer = discard{c.Response().Writer}
+		c.Response().Writer = discardWriter{c.Response().Writer}
 		if err := f(c); err != nil {
 			return err
 		}
-		return abort()
+		return abortConnection()
 	})
 }
 
-// counted wraps a handler with a rate limit and a counter. It expires leases before each call.
+// limited wraps a handler with a rate limit and a counter. It expires leases before each call.
 // It calls count with s.mu held.
-func (s *KV) counted(l *rate.Limiter, count func(), f echo.HandlerFunc) echo.HandlerFunc {
+func (s *KV) limited(l *rate.Limiter, count func(), f echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		allowed := l.Allow()
 		s.mu.Lock()
@@ -129,7 +129,7 @@
 		} else {
 			s.stats.Limited++
 		}
-		s.expire(time.Now())
+		s.expireLeases(time.Now())
 		s.mu.Unlock()
 		if !allowed {
 			return c.NoContent(http.StatusTooManyRequests)
@@ -138,33 +138,33 @@
 	}
 }
 
-// discard is an http.ResponseWriter that drops the status and the body.
-type discard struct{ http.ResponseWriter }
+// discardWriter is an http.ResponseWriter that drops the status and the body.
+type discardWriter struct{ http.ResponseWriter }
 
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
-func (discard) WriteHeader(int)             {}
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) WriteHeader(int)             {}
 
-// expire removes the leases that have expired by now. s.mu must be held.
-func (s *KV) expire(now time.Time) {
+// expireLeases removes the leases that have expired by now. s.mu must be held.
+func (s *KV) expireLeases(now time.Time) {
 	for id, l := range s.leases {
 		if now.After(l.expires) {
-			s.end(id)
+			s.removeLease(id)
 		}
 	}
 }
 
-// end removes a lease and its keys. s.mu must be held.
-func (s *KV) end(id kv.LeaseID) {
+// removeLease removes a lease and its keys. s.mu must be held.
+func (s *KV) removeLease(id kv.LeaseID) {
 	for key := range s.leases[id].keys {
 		delete(s.entries, key)
 		delete(s.leaseOf, key)
-		s.bump()
+		s.advanceRevision()
 	}
 	delete(s.leases, id)
 }
 
-// bump increments the revision and wakes the watchers. s.mu must be held.
-func (s *KV) bump() {
+// advanceRevision increments the revision and wakes the watchers. s.mu must be held.
+func (s *KV) advanceRevision() {
 	s.revision++
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -229,7 +229,7 @@
 	if err := c.Bind(&w); err != nil {
 		return err
 	}
-	if len(w.Value) > maxValue {
+	if len(w.Value) > maxValueLength {
 		return c.NoContent(http.StatusRequestEntityTooLarge)
 	}
 	s.mu.Lock()
@@ -240,16 +240,16 @@
 	if w.Lease != 0 && s.leases[w.Lease] == nil {
 		return c.NoContent(http.StatusGone)
 	}
-	s.bump()
+	s.advanceRevision()
 	e := kv.Entry{Key: w.Key, Value: w.Value, Revision: s.revision}
 	s.entries[w.Key] = e
-	s.attach(w.Key, w.Lease)
+	s.attachLease(w.Key, w.Lease)
 	return c.JSON(http.StatusOK, kv.Entry{Key: w.Key, Revision: s.revision})
 }
 
-// attach attaches a key to a lease and detaches it from its former one; a lease of zero only
+// attachLease attaches a key to a lease and detaches it from its former one; a lease of zero only
 // detaches. s.mu must be held.
-func (s *KV) attach(key string, id kv.LeaseID) {
+func (s *KV) attachLease(key string, id kv.LeaseID) {
 	if old, ok := s.leaseOf[key]; ok {
 		delete(s.leases[old].keys, key)
 		delete(s.leaseOf, key)
@@ -276,9 +276,9 @@
 	if kv.Revision(expect) != kv.Any && e.Revision != kv.Revision(expect) {
 		return c.NoContent(http.StatusConflict)
 	}
-	s.attach(key, 0)
+	s.attachLease(key, 0)
 	delete(s.entries, key)
-	s.bump()
+	s.advanceRevision()
 	return c.NoContent(http.StatusOK)
 }
 
@@ -320,6 +320,6 @@
 		return c.NoContent(http.StatusGone)
 	}
 	f(l)
-	s.expire(time.Now())
+	s.expireLeases(time.Now())
 	return c.JSON(http.StatusOK, m)
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -21,20 +21,20 @@
 
 // A Service is a fake plain service. Each call other than a GET takes effect.
 type Service struct {
-	faultBox
+	faultInjector
 	echo  *echo.Echo
 	delay time.Duration
 
 	mu    sync.Mutex
 	total int
-	// effects counts by idempotency key, byID by request ID.
-	effects map[string]int
-	byID    map[string]int
+	// effectsByKey counts by idempotency key, effectsByID by request ID.
+	effectsByKey map[string]int
+	effectsByID  map[string]int
 }
 
 // NewService returns a service whose calls take delay.
 func NewService(delay time.Duration) *Service {
-	s := &Service{echo: newEcho(), delay: delay, effects: make(map[string]int), byID: make(map[string]int)}
+	s := &Service{echo: newEcho(), delay: delay, effectsByKey: make(map[string]int), effectsByID: make(map[string]int)}
 	s.register(s.echo)
 	s.echo.GET("/effects", func(c echo.Context) error { return c.JSON(http.StatusOK, s.Effects()) })
 	s.echo.Any("/*", s.serve)
@@ -48,36 +48,36 @@
 func (s *Service) Effects() EffectsAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return EffectsAnswer{Total: s.total, Effects: maps.Clone(s.effects), Requests: maps.Clone(s.byID)}
+	return EffectsAnswer{Total: s.total, Effects: maps.Clone(s.effectsByKey), Requests: maps.Clone(s.effectsByID)}
 }
 
-// serviceAnswer is the response of a call. Effect is the call's number among those that took
+// serviceResponse is the response of a call. Effect is the call's number among those that took
 // effect, zero for a GET.
-type serviceAnswer struct {
+type serviceResponse struct {
 	Path   string `json:"path"`
 	Body   string `json:"body"`
 	Effect int    `json:"effect"`
 }
 
-// maxServiceBody is the maximum length of the body that a call echoes, in bytes.
-const maxServiceBody = 1 << 20
+// maxEchoedBody is the maximum length of the body that a call echoes, in bytes.
+const maxEchoedBody = 1 << 20
 
 // serve counts the effect of a call, waits for the delay and echoes the path and the body.
 func (s *Service) serve(c echo.Context) error {
-	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxServiceBody))
+	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxEchoedBody))
 	if err != nil {
 		return err
 	}
-	a := serviceAnswer{Path: c.Request().URL.Path, Body: string(body)}
+	a := serviceResponse{Path: c.Request().URL.Path, Body: string(body)}
 	if c.Request().Method != http.MethodGet {
 		s.mu.Lock()
 		s.total++
-		s.effects[c.Request().Header.Get("Idempotency-Key")]++
-		s.byID[c.Request().Header.Get("X-Request-Id")]++
+		s.effectsByKey[c.Request().Header.Get("Idempotency-Key")]++
+		s.effectsByID[c.Request().Header.Get("X-Request-Id")]++
 		a.Effect = s.total
 		s.mu.Unlock()
 	}
-	if s.delay > 0 && !pause(c, s.delay) {
+	if s.delay > 0 && !sleep(c, s.delay) {
 		return nil
 	}
 	return c.JSON(http.StatusOK, a)
--- a/internal/standin/vms.go
+++ b/internal/standin/vms.go
@@ -11,8 +11,8 @@
 	"rockcleat/internal/inventory"
 )
 
-// vmRecord is the state of a VM as of a version of the list.
-type vmRecord struct {
+// vmChange is the state of a VM as of a version of the list.
+type vmChange struct {
 	vm      inventory.VM
 	version uint64
 	at      time.Time
@@ -20,21 +20,21 @@
 
 // VMs is a fake of the platform's list of VMs, which shows changes after a lag.
 type VMs struct {
-	faultBox
+	faultInjector
 	echo *echo.Echo
 	lag  time.Duration
 
 	mu      sync.Mutex
 	version uint64
-	log     []vmRecord
+	changes []vmChange
 }
 
 // NewVMs returns an empty list that shows each change after lag.
 func NewVMs(lag time.Duration) *VMs {
 	s := &VMs{echo: newEcho(), lag: lag}
 	s.register(s.echo)
-	s.echo.GET("/v1/vms", s.list)
-	s.echo.POST("/v1/vms", s.change)
+	s.echo.GET("/v1/vms", s.handleList)
+	s.echo.POST("/v1/vms", s.handleChange)
 	return s
 }
 
@@ -46,10 +46,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.log = append(s.log, vmRecord{vm: vm, version: s.version, at: time.Now()})
+	s.changes = append(s.changes, vmChange{vm: vm, version: s.version, at: time.Now()})
 }
 
-func (s *VMs) change(c echo.Context) error {
+func (s *VMs) handleChange(c echo.Context) error {
 	var l inventory.VMList
 	if err := c.Bind(&l); err != nil {
 		return err
@@ -60,15 +60,15 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// list responds with the latest visible state of each VM that changed after the version since.
-func (s *VMs) list(c echo.Context) error {
+// handleList responds with the latest visible state of each VM that changed after the version since.
+func (s *VMs) handleList(c echo.Context) error {
 	since, _ := strconv.ParseUint(c.QueryParam("since"), 10, 64)
 	visible := time.Now().Add(-s.lag)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := inventory.VMList{Version: since}
 	last := make(map[string]inventory.VM)
-	for _, r := range s.log {
+	for _, r := range s.changes {
 		if r.version <= since || r.at.After(visible) {
 			continue
 		}
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -25,23 +25,23 @@
 
 // Weights is a fake of the rate-limited weight store.
 type Weights struct {
-	faultBox
-	echo  *echo.Echo
-	opts  WeightsOptions
-	limit *rate.Limiter
+	faultInjector
+	echo    *echo.Echo
+	opts    WeightsOptions
+	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	sizes   map[string]placement.Size
-	running int
+	mu          sync.Mutex
+	sizes       map[string]placement.Size
+	activeLoads int
 }
 
 // NewWeights returns an empty store.
 func NewWeights(o WeightsOptions) *Weights {
-	s := &Weights{echo: newEcho(), opts: o, limit: limiter(o.LoadsPerSecond), sizes: make(map[string]placement.Size)}
+	s := &Weights{echo: newEcho(), opts: o, limiter: newLimiter(o.LoadsPerSecond), sizes: make(map[string]placement.Size)}
 	s.register(s.echo)
-	s.echo.GET("/v1/weights", s.catalogue)
-	s.echo.PUT("/v1/weights", s.add)
-	s.echo.POST("/v1/weights/data", s.load)
+	s.echo.GET("/v1/weights", s.handleCatalogue)
+	s.echo.PUT("/v1/weights", s.handleAdd)
+	s.echo.POST("/v1/weights/data", s.handleLoad)
 	return s
 }
 
@@ -55,14 +55,14 @@
 	s.sizes[name] = size
 }
 
-// catalogue responds with the sizes of all models and adapters.
-func (s *Weights) catalogue(c echo.Context) error {
+// handleCatalogue responds with the sizes of all models and adapters.
+func (s *Weights) handleCatalogue(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.JSON(http.StatusOK, inventory.Catalogue{Sizes: s.sizes})
 }
 
-func (s *Weights) add(c echo.Context) error {
+func (s *Weights) handleAdd(c echo.Context) error {
 	var a inventory.Catalogue
 	if err := c.Bind(&a); err != nil {
 		return err
@@ -73,47 +73,47 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// loadStep is the interval at which a load's progress is updated.
-const loadStep = 5 * time.Millisecond
+// loadProgressInterval is the interval at which a load's progress is updated.
+const loadProgressInterval = 5 * time.Millisecond
 
-// load responds after the time that the weights take at the current speed. It sends no data.
-func (s *Weights) load(c echo.Context) error {
+// handleLoad responds after the time that the weights take at the current speed. It sends no data.
+func (s *Weights) handleLoad(c echo.Context) error {
 	s.mu.Lock()
 	size, ok := s.sizes[c.QueryParam("name")]
 	s.mu.Unlock()
 	if !ok {
 		return c.NoContent(http.StatusNotFound)
 	}
-	if !s.limit.Allow() {
+	if !s.limiter.Allow() {
 		return c.NoContent(http.StatusTooManyRequests)
 	}
-	s.count(1)
-	defer s.count(-1)
-	left := float64(size.WeightMiB)
+	s.addActiveLoads(1)
+	defer s.addActiveLoads(-1)
+	remaining := float64(size.WeightMiB)
 	last := time.Now()
-	for left > 0 {
-		if !pause(c, loadStep) {
+	for remaining > 0 {
+		if !sleep(c, loadProgressInterval) {
 			return nil
 		}
 		now := time.Now()
-		left -= s.speed() * now.Sub(last).Seconds()
+		remaining -= s.loadSpeed() * now.Sub(last).Seconds()
 		last = now
 	}
 	return c.NoContent(http.StatusOK)
 }
 
-func (s *Weights) count(n int) {
+func (s *Weights) addActiveLoads(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running += n
+	s.activeLoads += n
 }
 
-// speed returns the current speed of each load, in MiB/s.
-func (s *Weights) speed() float64 {
+// loadSpeed returns the current speed of each load, in MiB/s.
+func (s *Weights) loadSpeed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opts.FullSpeed > 0 && s.running > s.opts.FullSpeed {
-		return s.opts.MiBPerSecond * float64(s.opts.FullSpeed) / float64(s.running)
+	if s.opts.FullSpeed > 0 && s.activeLoads > s.opts.FullSpeed {
+		return s.opts.MiBPerSecond * float64(s.opts.FullSpeed) / float64(s.activeLoads)
 	}
 	return s.opts.MiBPerSecond
 }
