--- a/internal/lab/system.go
+++ b/internal/lab/system.go
@@ -113,7 +113,7 @@
 	mu       sync.Mutex
 	Entries  []*Node
 	Backends []*Backend
-	// all holds every process started, those that have exited included.
+	// processes holds every process started, those that have exited included.
 	processes []*Process
 }
 
@@ -166,8 +166,8 @@
 	return s.AwaitPlaced(ctx)
 }
 
-// startStandin starts a stand-in on a free address and waits until it listens. It returns the process,
-// its base URL and a function that starts another process at the same address.
+// startStandin starts a stand-in on a free address and waits until it listens. It returns the
+// process, its base URL and a function that starts another process at the same address.
 func (s *System) startStandin(ctx context.Context, name string, args ...string) (*Process, string, func() (*Process, error), error) {
 	addr, err := FreeAddr()
 	if err != nil {
--- a/internal/proofs/checks_test.go
+++ b/internal/proofs/checks_test.go
@@ -32,8 +32,8 @@
 	return complete, incomplete
 }
 
-// seen returns how often each request ID started on the running engines and took effect on the
-// running services.
+// startCounts returns how often each request ID started on the running engines and took effect
+// on the running services.
 func (tr *trial) startCounts() map[string]int {
 	total := make(map[string]int)
 	for _, b := range tr.Backends {
--- a/internal/proofs/harness_test.go
+++ b/internal/proofs/harness_test.go
@@ -32,7 +32,7 @@
 // binDir is the folder in which TestMain builds the programs.
 var binDir string
 
-// A row is the line of one promise in the report.
+// A reportRow is the line of one promise in the report.
 type reportRow struct {
 	promise    int
 	name       string
@@ -90,7 +90,7 @@
 	fmt.Printf("promises proved: %d/%d\n", passed, promiseCount)
 }
 
-// A sent is one request with its response and the number of tokens requested.
+// A sentRequest is one request with its response and the number of tokens requested.
 type sentRequest struct {
 	lab.Request
 	lab.Answer
@@ -98,7 +98,7 @@
 	wantTokens int
 }
 
-// A trial is the system under test of one test, with the requests sent and the violations found.
+// A trial is the running system of one test, with the requests sent and the violations found.
 type trial struct {
 	*lab.System
 	t      *testing.T
@@ -244,7 +244,8 @@
 	return append([]sentRequest(nil), tr.sent...)
 }
 
-// startLoad sends the requests that makeRequest returns from several goroutines until stop is called.
+// startLoad sends the requests that makeRequest returns from several goroutines until stop is
+// called. The int that makeRequest returns is the number of tokens requested.
 func (tr *trial) startLoad(workers int, makeRequest func(worker, i int) (lab.Request, int)) (stop func()) {
 	return startWorkers(workers, func(w, i int, done <-chan struct{}) {
 		r, tokens := makeRequest(w, i)
@@ -254,7 +255,8 @@
 	})
 }
 
-// startWorkers calls f repeatedly from several goroutines until stop is called. stop waits for them.
+// startWorkers calls f repeatedly from several goroutines until stop is called, which waits for
+// them. done is closed when stop is called.
 func startWorkers(workers int, f func(worker, i int, done <-chan struct{})) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
--- a/internal/proofs/leaving_test.go
+++ b/internal/proofs/leaving_test.go
@@ -22,7 +22,7 @@
 	})
 	var worst time.Duration
 	// waitIdle waits until the engine has started none of more than 30 consecutive requests. It adds
-	// the delay between began and the engine's last start to worst.
+	// the delay from start to the last request started by the engine to worst.
 	waitIdle := func(b *lab.Backend, start time.Time) {
 		var s standin.EngineStats
 		tr.waitUntil("the leaver gets no new work", func() bool {
@@ -68,8 +68,8 @@
 			thawed := time.Now()
 			b.Agent.Thaw()
 			tr.waitUntil("the leaver knows that it leaves", func() bool {
-				code := tr.caller.Send(tr.ctx, lab.Request{Method: http.MethodGet, Addr: b.Agent.Control, Path: wire.PathReady})
-				return code.Status == http.StatusServiceUnavailable
+				response := tr.caller.Send(tr.ctx, lab.Request{Method: http.MethodGet, Addr: b.Agent.Control, Path: wire.PathReady})
+				return response.Status == http.StatusServiceUnavailable
 			})
 			waitIdle(b, start)
 			var s standin.EngineStats
--- a/internal/proofs/memory_test.go
+++ b/internal/proofs/memory_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// takeOverByAgent suspends an agent, starts another one for the same server, and resumes the first
-// while the second is in charge.
+// takeOverByAgent suspends an agent, starts a second one for the same server and resumes the first
+// once the planner uses the second.
 func (tr *trial) takeOverByAgent(b *lab.Backend) {
 	first := b.Agent
 	first.Freeze()
--- a/internal/proofs/not_run_test.go
+++ b/internal/proofs/not_run_test.go
@@ -11,8 +11,8 @@
 	"rockcleat/internal/wire"
 )
 
-// TestNotRun checks promise 4: a request refused as not run did not run. It also reports the
-// slowest refusal for the queue time.
+// TestNotRun checks promise 4: a request refused as not run did not run. It reports, but does not
+// check, how long the slowest refusal for the queue time took.
 func TestNotRun(t *testing.T) {
 	tr := startTrial(t, 4, "refused means not run", func(o *lab.Options) {
 		o.Engine.Slots = 2
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -14,9 +14,9 @@
 	"rockcleat/internal/wire"
 )
 
-// startKeyedLoad sends calls with idempotency keys from several goroutines and retries each through
-// different entries until it is answered or maxKeyAttempts is reached. stop returns the number
-// answered.
+// startKeyedLoad sends calls with idempotency keys from several goroutines. It retries each call
+// through different entries until it is answered or maxKeyAttempts is reached. stop returns the
+// number of keys answered.
 func (tr *trial) startKeyedLoad(workers int) (stop func() (answered int)) {
 	var answered atomic.Int64
 	stopWorkers := startWorkers(workers, func(w, i int, done <-chan struct{}) {
@@ -132,8 +132,8 @@
 	tr.row.worst = fmt.Sprintf("%d keys answered", answered)
 }
 
-// othersAnswerKeys reports whether the entries other than the frozen one answer calls with new keys.
-// It sends several keys, so that they fall into several shards.
+// othersAnswerKeys reports whether the entries other than the frozen one answer calls with new
+// keys. It sends several keys, so that they fall into several shards.
 func (tr *trial) othersAnswerKeys(frozen *lab.Node) bool {
 	for i := range 6 {
 		e := tr.Entries[i%len(tr.Entries)]
--- a/internal/proofs/poison_test.go
+++ b/internal/proofs/poison_test.go
@@ -15,8 +15,8 @@
 // poisonPrompt is the prompt of a request that makes engines exit.
 const poisonPrompt = "ends whoever runs it"
 
-// The request is refused after it has ended three servers. maxPoisonEnds is higher, as a copy may
-// be sent to further servers before its entry has learned that the last one ended.
+// The request is refused after it has ended three servers. maxPoisonEnds is higher because an entry
+// may send a copy to further servers before it learns that the last one ended.
 const (
 	poisonCopies  = 10
 	maxPoisonEnds = 5
@@ -64,8 +64,8 @@
 	}
 }
 
-// restartExitedEngines restarts the engines that have exited, waits until every row is placed and returns
-// their number. A restarted engine has no faults.
+// restartExitedEngines restarts the engines that have exited, waits until every row has a ready
+// server and returns the number restarted. A restarted engine has no faults.
 func (tr *trial) restartExitedEngines() (ended int) {
 	for _, b := range tr.engines() {
 		if b.Server.Exited() {
@@ -92,12 +92,12 @@
 	return true
 }
 
-// TestSuccessClearsRequest checks, as part of promise 9, that a successful run clears a request of the
-// servers that ended under it, at every entry. Otherwise a request that happened to be on three
-// servers which ended for other reasons would be refused.
+// TestSuccessClearsRequest checks, as part of promise 9, that after a request has run successfully
+// no entry counts the servers that it ended before. Otherwise a request that was running on three
+// servers when they ended for other reasons would be refused.
 func TestSuccessClearsRequest(t *testing.T) {
 	tr := startTrial(t, 9, "requests that end servers are refused", func(o *lab.Options) {
-		// High enough that the request is not quarantined when it ends all engines.
+		// The request is not quarantined even if it ends every engine.
 		o.Entry = func(e *config.Entry) { e.Quarantine.Ends = 8 }
 	})
 	tr.must(tr.AwaitPlaced(tr.ctx))
@@ -109,8 +109,8 @@
 	assert.Assert(t, ended > 0)
 	tr.waitUntil("both entries know of the ends", func() bool { return tr.listedEverywhere(true) })
 	tr.clearEngineFaults()
-	sound := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.runningEntry(0).Addr, ID: "sound", Body: body})
-	assert.Equal(t, sound.Outcome, wire.OutcomeAnswered)
+	second := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.runningEntry(0).Addr, ID: "sound", Body: body})
+	assert.Equal(t, second.Outcome, wire.OutcomeAnswered)
 	tr.waitUntil("no entry suspects the request", func() bool { return tr.listedEverywhere(false) })
 	tr.recordFault("engine ended by a request x%d", ended)
 }
--- a/internal/proofs/proxy_test.go
+++ b/internal/proofs/proxy_test.go
@@ -46,7 +46,7 @@
 func (p *faultProxy) removeToxics() { p.Toxics.ResetToxics(context.Background()) }
 
 // proxyAgent starts proxies for the request and control addresses of a backend's agent, puts their
-// addresses into the platform's list and waits until every entry uses them.
+// addresses into the platform's list and waits until every entry lists the proxy for requests.
 func (tr *trial) proxyAgent(b *lab.Backend) (requests, control *faultProxy) {
 	requests, control = tr.startProxy(b.Agent.Addr), tr.startProxy(b.Agent.Control)
 	tr.must(tr.PutVM(tr.ctx, inventory.VM{
--- a/internal/proofs/reachable_test.go
+++ b/internal/proofs/reachable_test.go
@@ -19,8 +19,8 @@
 	allowed := false
 	setAllowed := func(v bool) { mu.Lock(); allowed = v; mu.Unlock() }
 	names := slices.Sorted(func(yield func(string) bool) {
-		for copies := range tr.readyCopies() {
-			if !yield(copies) {
+		for n := range tr.readyCopies() {
+			if !yield(n) {
 				return
 			}
 		}
@@ -32,9 +32,9 @@
 		defer wg.Done()
 		for {
 			mu.Lock()
-			copies := tr.readyCopies()
+			n := tr.readyCopies()
 			for _, name := range names {
-				if copies[name] == 0 && !allowed {
+				if n[name] == 0 && !allowed {
 					tr.recordViolation("%s had nowhere to run though no server was lost", name)
 				}
 			}
@@ -63,8 +63,8 @@
 			b.Server.Kill()
 			b.Agent.Kill()
 			tr.waitUntil("every model has a place again", func() bool {
-				copies := tr.readyCopies()
-				return !slices.ContainsFunc(names, func(name string) bool { return copies[name] == 0 })
+				n := tr.readyCopies()
+				return !slices.ContainsFunc(names, func(name string) bool { return n[name] == 0 })
 			})
 			worst = max(worst, time.Since(start))
 			setAllowed(false)
--- a/internal/proofs/steps_test.go
+++ b/internal/proofs/steps_test.go
@@ -22,8 +22,8 @@
 	return false
 }
 
-// editRow applies change to a row, or removes the row if change is nil, and returns the table version
-// of the edit. It retries until the edit is saved.
+// editRow applies change to a row, or removes the row if change is nil, and returns the table
+// version of the edit. It retries until the edit is saved.
 func (tr *trial) editRow(name string, change func(*table.Row)) uint64 {
 	tr.t.Helper()
 	var version uint64
@@ -85,11 +85,11 @@
 	tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{}))
 }
 
-// swappedModels are two models of which only one fits into memory beside the others. Replacing one by the
-// other in the table causes an unload and a load into the memory that it frees.
+// swappedModels are two models of which only one fits into memory beside the others. Replacing one
+// by the other in the table causes an unload, and a load into the memory that it frees.
 var swappedModels = []string{"summary", "digest"}
 
-// swap replaces the rival in the table by the other one.
+// swap replaces the swapped model that is in the table by the other one.
 func (tr *trial) swap() {
 	out := swappedModels[tr.swaps%2]
 	in := swappedModels[(tr.swaps+1)%2]
@@ -98,7 +98,7 @@
 	tr.editRow(in, func(r *table.Row) { r.Organisation = "guild" })
 }
 
-// swapAndWait swaps the rivals and waits until the engines have carried out the change.
+// swapAndWait swaps the models and waits until the engines have carried out the change.
 func (tr *trial) swapAndWait() {
 	tr.swap()
 	tr.awaitSwapped()
--- a/internal/proofs/table_test.go
+++ b/internal/proofs/table_test.go
@@ -22,7 +22,7 @@
 	var mu sync.Mutex
 	accepted := make(map[string]uint64)
 	var newest uint64
-	// editConcurrently runs two operators concurrently, which edit one shared row and one row of their own.
+	// editConcurrently runs two operators, which edit one shared row and one row of their own each.
 	editConcurrently := func() {
 		var wg sync.WaitGroup
 		for o := range 2 {
--- a/internal/proofs/whole_test.go
+++ b/internal/proofs/whole_test.go
@@ -81,8 +81,8 @@
 	tr.row.worst = fmt.Sprintf("%d whole, %d told as not whole", complete, incomplete)
 }
 
-// TestStreamContinues checks, as part of promise 3, that a stream whose engine is killed continues on
-// another engine after the tokens already sent.
+// TestStreamContinues checks, as part of promise 3, that a stream whose engine is killed continues
+// on another engine after the tokens already sent.
 func TestStreamContinues(t *testing.T) {
 	tr := startTrial(t, 3, "the whole answer to its own request", nil)
 	for range 3 {
--- a/internal/standin/answers.go
+++ b/internal/standin/answers.go
@@ -2,7 +2,7 @@
 
 import "rockcleat/internal/openai"
 
-// chunk returns one chunk of a streamed response. An empty finish leaves the finish reason out.
+// newChunk returns one chunk of a streamed response. An empty finish leaves the finish reason out.
 func newChunk(r openai.Request, text, finish string) openai.Completion {
 	c := openai.Choice{}
 	if finish != "" {
@@ -18,7 +18,7 @@
 	return openai.Completion{ID: "cmpl", Object: object, Model: r.Model, Choices: []openai.Choice{c}}
 }
 
-// whole returns a complete, non-streaming response.
+// newCompletion returns a complete, non-streaming response.
 func newCompletion(r openai.Request, text string, tokens int) openai.Completion {
 	finish := "length"
 	c := openai.Choice{FinishReason: &finish}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -66,7 +66,7 @@
 type resident struct {
 	fleet.Resident
 	base string
-	// running is the number of admitted sequences, waiting ones included.
+	// admitted is the number of its sequences, queued ones included.
 	admitted int
 }
 
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -8,10 +8,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// PathFault is the path at which a fake accepts its Faults by PUT.
+// PathFault is the path at which a stand-in accepts its Faults by PUT.
 const PathFault = "/fault"
 
-// Faults selects the failures that a fake injects. The zero value injects none.
+// Faults selects the failures that a stand-in injects. The zero value injects none.
 type Faults struct {
 	// Outage makes every call fail with status 503.
 	Outage bool `json:"outage"`
@@ -30,7 +30,7 @@
 	EndOn string `json:"end_on"`
 }
 
-// A faultInjector holds the faults of one fake.
+// A faultInjector holds the faults of one stand-in.
 type faultInjector struct {
 	mu     sync.Mutex
 	faults Faults
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -36,9 +36,9 @@
 	defaultMaxTokens = 16
 	// batchSlowdown is the fraction by which a full batch lengthens each decoding step.
 	batchSlowdown = 0.5
-	// cachedPrefixLength is the length of the part of a prompt that the cache holds.
+	// cachedPrefixLength is the length of the part of a prompt that the cache covers, in bytes.
 	cachedPrefixLength = 256
-	// bytesPerToken is the assumed length of a prompt token.
+	// bytesPerToken is the assumed length of a prompt token, in bytes.
 	bytesPerToken = 4
 	// maxCachedPrefixes is the maximum number of cached prefixes.
 	maxCachedPrefixes = 64
@@ -47,7 +47,8 @@
 // exitCodeEndOn is the exit code of an engine ended by Faults.EndOn.
 const exitCodeEndOn = 3
 
-// handleCompletion handles a completion request. The tokens depend only on the model and the prompt.
+// handleCompletion handles a completion request. The tokens depend only on the model and the
+// prompt, so that another engine can continue a stream.
 func (s *Engine) handleCompletion(c echo.Context) error {
 	data, err := io.ReadAll(c.Request().Body)
 	if err != nil {
@@ -147,8 +148,8 @@
 	w.started <- true
 }
 
-// prefillTime returns the prefill time of the prompt and caches its prefix. A prefix that was
-// already cached costs nothing.
+// prefillTime returns the prefill time of a prompt and caches its prefix. A prefix that was
+// already cached takes no time.
 func (s *Engine) prefillTime(req openai.Request) time.Duration {
 	prompt := req.Prompt()
 	tokens := float64(len(prompt))/bytesPerToken + 1
--- a/internal/standin/standintest/standintest.go
+++ b/internal/standin/standintest/standintest.go
@@ -1,4 +1,4 @@
-// Package standintest starts the fakes of package standin inside the process of a test.
+// Package standintest starts the stand-ins of package standin inside the process of a test.
 package standintest
 
 import (
--- a/internal/standin/vms.go
+++ b/internal/standin/vms.go
@@ -60,7 +60,8 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// handleList responds with the latest visible state of each VM that changed after the version since.
+// handleList responds with the latest visible state of each VM that changed after the version
+// since.
 func (s *VMs) handleList(c echo.Context) error {
 	since, _ := strconv.ParseUint(c.QueryParam("since"), 10, 64)
 	visible := time.Now().Add(-s.lag)
