--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestAtMostOnce checks promise 5: a request that is not idempotent runs at most once.
+// TestAtMostOnce checks promise 5: a request that may not be repeated runs at most once.
 func TestAtMostOnce(t *testing.T) {
 	tr := startTrial(t, 5, "at most once", func(o *lab.Options) { o.Services, o.Entries = 2, 3 })
 	var proxies []*faultProxy
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -49,7 +49,8 @@
 	return b.faults
 }
 
-// takeLostResponse reports whether to drop the response of this write, and counts it.
+// takeLostResponse reports whether to drop the response of this write, and if so decrements
+// LoseAnswers.
 func (b *faultInjector) takeLostResponse() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +61,7 @@
 	return true
 }
 
-// takeFailedLoad reports whether to fail this load, and counts it.
+// takeFailedLoad reports whether to fail this load, and if so decrements FailLoads.
 func (b *faultInjector) takeFailedLoad() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -103,8 +103,9 @@
 	return s.limited(s.reads, func() { s.stats.Reads++ }, f)
 }
 
-// write wraps the handler of a write with the write rate limit and counter. If
-// Faults.LoseAnswers says so, it runs the handler and then aborts the connection.
+// write wraps the handler of a write with the write rate limit and counter. While
+// Faults.LoseAnswers is above zero, the write takes effect and the connection is then closed
+// without a response.
 func (s *KV) write(f echo.HandlerFunc) echo.HandlerFunc {
 	return s.limited(s.writes, func() { s.stats.Writes++ }, func(c echo.Context) error {
 		if !s.takeLostResponse() {
