--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,117 +15,125 @@
 	"rockcleat/ledger"
 )
 
-// EngineOptions configure an Engine.
+// EngineOptions configures an Engine.
 type EngineOptions struct {
-	// Accelerators and MemoryMiB are the number of accelerators and each one's memory.
+	// Accelerators is the number of accelerators and MemoryMiB the memory of each.
 	Accelerators int
 	MemoryMiB    int
-	// Slots is the number of sequences that an accelerator batches.
+	// Slots is the maximum batch size of an accelerator, in sequences.
 	Slots int
-	// Step is the time of one decoding step of an accelerator with one sequence.
+	// Step is the duration of one decoding step, before the slowdown by the batch.
 	Step time.Duration
-	// PrefillPerSecond is the number of prompt tokens read a second.
+	// PrefillPerSecond is the prefill rate in prompt tokens per second. If it is zero,
+	// prefill takes no time.
 	PrefillPerSecond float64
-	// UnloadTime is the time that an unload takes.
+	// UnloadTime is the duration of an unload.
 	UnloadTime time.Duration
-	// Weights is the weight store's base URL.
+	// Weights is the base URL of the weight store. If it is empty, loads fetch nothing.
 	Weights string
-	// ChecksOrders makes the engine refuse orders with an old fencing token.
+	// ChecksOrders makes the engine refuse orders whose fencing token is lower than the
+	// highest it has seen.
 	ChecksOrders bool
-	// ReportLag is by how much the load in a status may be out of date.
+	// ReportLag is the maximum age of the load in a status.
 	ReportLag time.Duration
 }
 
-// finishedKept is the number of finished orders that the engine lists.
-const finishedKept = 256
+// maxFinished is the maximum number of finished orders in a status.
+const maxFinished = 256
 
-// EngineStats counts what must not happen and what is measured.
+// EngineStats holds the counters of an Engine.
 type EngineStats struct {
+	// Overcommits counts load orders that exceeded the memory of an accelerator.
 	Overcommits int `json:"overcommits"`
 	Loads       int `json:"loads"`
 	Unloads     int `json:"unloads"`
-	Fenced      int `json:"fenced"`
-	Cut         int `json:"cut"`
-	Completed   int `json:"completed"`
-	Tokens      int `json:"tokens"`
-	// LastStartMs is when the last request started, as Unix time.
+	// Fenced counts orders refused for their fencing token.
+	Fenced int `json:"fenced"`
+	// Cut counts sequences whose model or adapter was unloaded before they ended.
+	Cut       int `json:"cut"`
+	Completed int `json:"completed"`
+	Tokens    int `json:"tokens"`
+	// LastStartMs is the time at which the last request was admitted, in Unix milliseconds.
 	LastStartMs int64 `json:"last_start_ms"`
 }
 
-// SeenAnswer counts the starts of each request id.
+// SeenAnswer is the response of /seen: the number of admissions of each request ID.
 type SeenAnswer struct {
 	Seen map[string]int `json:"seen"`
 }
 
-// resident is a model or adapter with its running sequences.
+// resident is a model or adapter on an accelerator.
 type resident struct {
 	fleet.Resident
-	base    string
-	running int
+	base string
+	// admitted is the number of its sequences, queued ones included.
+	admitted int
 }
 
-// An Engine stands in for a model engine with several accelerators.
+// An Engine is a fake model engine with several accelerators.
 type Engine struct {
-	faultBox
+	faultInjector
 	echo *echo.Echo
 	opts EngineOptions
 
 	mu        sync.Mutex
 	residents []*resident
-	// finished holds the ids of the orders that ended last, fence the highest token seen.
+	// finished holds the IDs of the most recently finished orders, oldest first.
 	finished []string
-	fence    int64
-	// running holds the running sequences of each accelerator, waiters those that wait.
+	// fence is the highest fencing token seen.
+	fence int64
+	// running is the number of running sequences of each accelerator.
 	running []int
-	waiters []*sequence
-	// cached holds when each cached prefix was last used.
-	cached map[uint64]time.Time
-	// reported is the load in the status, reportedAt when it was taken.
-	reported   int
-	reportedAt time.Time
-	stats      EngineStats
-	// seen counts the starts of each request id.
-	seen map[string]int
+	// queue holds the sequences that wait for a slot, in order of arrival.
+	queue []*sequence
+	// prefixCache maps the hash of each cached prefix to the time of its last use.
+	prefixCache map[uint64]time.Time
+	// reportedRunning is the number of running sequences in the status, as of reportedAt.
+	reportedRunning int
+	reportedAt      time.Time
+	stats           EngineStats
+	// starts counts the admissions of each request ID.
+	starts map[string]int
 }
 
 // NewEngine returns an engine with nothing resident.
 func NewEngine(o EngineOptions) *Engine {
-	s := &Engine{echo: newEcho(), opts: o, running: make([]int, o.Accelerators), cached: make(map[uint64]time.Time)}
-	s.seen = make(map[string]int)
+	s := &Engine{echo: newEcho(), opts: o, running: make([]int, o.Accelerators), prefixCache: make(map[uint64]time.Time)}
+	s.starts = make(map[string]int)
 	s.register(s.echo)
-	s.echo.GET(engine.PathStatus, s.status)
-	s.echo.POST(engine.PathOrders, s.order)
-	s.echo.POST("/v1/chat/completions", s.generate)
-	s.echo.POST("/v1/completions", s.generate)
+	s.echo.GET(engine.PathStatus, s.handleStatus)
+	s.echo.POST(engine.PathOrders, s.handleOrder)
+	s.echo.POST("/v1/chat/completions", s.handleCompletion)
+	s.echo.POST("/v1/completions", s.handleCompletion)
 	s.echo.GET("/stats", func(c echo.Context) error { return c.JSON(http.StatusOK, s.Stats()) })
-	s.echo.GET("/seen", s.listSeen)
+	s.echo.GET("/seen", s.handleSeen)
 	return s
 }
 
-// listSeen answers with the starts of each request id.
-func (s *Engine) listSeen(c echo.Context) error {
+func (s *Engine) handleSeen(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.JSON(http.StatusOK, SeenAnswer{Seen: s.seen})
+	return c.JSON(http.StatusOK, SeenAnswer{Seen: s.starts})
 }
 
-// ServeHTTP makes Engine an http.Handler.
+// ServeHTTP implements http.Handler.
 func (s *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
-// Stats returns the counts so far.
+// Stats returns a copy of the counters.
 func (s *Engine) Stats() EngineStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// status answers with the engine's report; its load is as old as the lag allows.
-func (s *Engine) status(c echo.Context) error {
+// handleStatus responds with the engine's status. The reported load is refreshed once it is
+// older than ReportLag.
+func (s *Engine) handleStatus(c echo.Context) error {
 	s.mu.Lock()
 	if now := time.Now(); now.Sub(s.reportedAt) >= s.opts.ReportLag {
-		s.reported, s.reportedAt = s.busy(), now
+		s.reportedRunning, s.reportedAt = s.totalRunning(), now
 	}
-	st := engine.Status{Fence: s.fence, Slots: s.opts.Slots, Finished: slices.Clone(s.finished), Running: s.reported}
+	st := engine.Status{Fence: s.fence, Slots: s.opts.Slots, Finished: slices.Clone(s.finished), Running: s.reportedRunning}
 	for range s.opts.Accelerators {
 		st.MemoryMiB = append(st.MemoryMiB, s.opts.MemoryMiB)
 	}
@@ -136,8 +144,8 @@
 	return c.JSON(http.StatusOK, st)
 }
 
-// busy returns the running sequences of all accelerators; s.mu is held.
-func (s *Engine) busy() int {
+// totalRunning returns the number of running sequences of all accelerators. s.mu must be held.
+func (s *Engine) totalRunning() int {
 	n := 0
 	for _, r := range s.running {
 		n += r
@@ -145,24 +153,25 @@
 	return n
 }
 
-// order takes an order and carries it out after the acknowledgement.
-func (s *Engine) order(c echo.Context) error {
+// handleOrder acknowledges an order, which then runs in the background. An order delayed by
+// LateOrdersMs is acknowledged before its fencing token is checked.
+func (s *Engine) handleOrder(c echo.Context) error {
 	var o engine.Order
 	if err := c.Bind(&o); err != nil {
 		return err
 	}
-	if late := s.get().LateOrdersMs; late > 0 {
-		time.AfterFunc(time.Duration(late)*time.Millisecond, func() { s.take(o) })
+	if delayMs := s.currentFaults().LateOrdersMs; delayMs > 0 {
+		time.AfterFunc(time.Duration(delayMs)*time.Millisecond, func() { s.acceptOrder(o) })
 		return c.NoContent(http.StatusAccepted)
 	}
-	if !s.take(o) {
+	if !s.acceptOrder(o) {
 		return c.NoContent(http.StatusConflict)
 	}
 	return c.NoContent(http.StatusAccepted)
 }
 
-// take starts an order unless it is fenced off.
-func (s *Engine) take(o engine.Order) bool {
+// acceptOrder starts an order. It reports false if the order's fencing token is out of date.
+func (s *Engine) acceptOrder(o engine.Order) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.opts.ChecksOrders && o.Fence < s.fence {
@@ -179,10 +188,10 @@
 	return true
 }
 
-// startLoad takes the memory and loads in the background; s.mu is held.
+// startLoad reserves the memory and loads in the background. s.mu must be held.
 func (s *Engine) startLoad(o engine.Order) {
 	if s.find(o.Name, o.Accelerator) != nil || o.Accelerator >= s.opts.Accelerators {
-		s.finish(o.ID)
+		s.recordFinished(o.ID)
 		return
 	}
 	used := o.MemoryMiB
@@ -193,7 +202,7 @@
 	}
 	if used > s.opts.MemoryMiB {
 		s.stats.Overcommits++
-		s.finish(o.ID)
+		s.recordFinished(o.ID)
 		return
 	}
 	r := &resident{base: o.Base}
@@ -203,24 +212,24 @@
 	go s.load(o, r)
 }
 
-// load fetches the weights and ends the order.
+// load fetches the weights and finishes the order. If that fails, it removes the resident.
 func (s *Engine) load(o engine.Order, r *resident) {
-	err := s.fetch(o.Name)
+	err := s.fetchWeights(o.Name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err != nil || s.failLoad() {
+	if err != nil || s.takeFailedLoad() {
 		s.remove(r)
 	} else {
 		r.State = fleet.StateReady
 	}
-	s.finish(o.ID)
+	s.recordFinished(o.ID)
 }
 
-// fetchRetry is the pause before a load that the weight store refused is tried again.
-const fetchRetry = 20 * time.Millisecond
+// fetchRetryDelay is the delay before a fetch that the weight store rate-limited is retried.
+const fetchRetryDelay = 20 * time.Millisecond
 
-// fetch waits for the weight store to deliver.
-func (s *Engine) fetch(name string) error {
+// fetchWeights gets the weights from the weight store. It retries while the store limits the rate.
+func (s *Engine) fetchWeights(name string) error {
 	if s.opts.Weights == "" {
 		return nil
 	}
@@ -239,32 +248,33 @@
 		case http.StatusOK:
 			return nil
 		case http.StatusTooManyRequests:
-			time.Sleep(fetchRetry)
+			time.Sleep(fetchRetryDelay)
 		default:
 			return http.ErrNotSupported
 		}
 	}
 }
 
-// startUnload frees the memory in the background; s.mu is held.
+// startUnload frees the memory after UnloadTime. An unload of something that is not ready
+// finishes without effect. s.mu must be held.
 func (s *Engine) startUnload(o engine.Order) {
 	r := s.find(o.Name, o.Accelerator)
 	if r == nil || r.State != fleet.StateReady {
-		s.finish(o.ID)
+		s.recordFinished(o.ID)
 		return
 	}
 	r.State = fleet.StateUnloading
 	s.stats.Unloads++
-	s.stats.Cut += r.running
+	s.stats.Cut += r.admitted
 	time.AfterFunc(s.opts.UnloadTime, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.remove(r)
-		s.finish(o.ID)
+		s.recordFinished(o.ID)
 	})
 }
 
-// find returns what is resident on an accelerator under a name, or nil; s.mu is held.
+// find returns the resident of that name on an accelerator, or nil. s.mu must be held.
 func (s *Engine) find(name string, accelerator int) *resident {
 	i := slices.IndexFunc(s.residents, func(r *resident) bool {
 		return r.Name == name && r.Accelerator == accelerator
@@ -275,15 +285,15 @@
 	return s.residents[i]
 }
 
-// remove takes a resident out; s.mu is held.
+// remove removes a resident. s.mu must be held.
 func (s *Engine) remove(r *resident) {
 	s.residents = slices.DeleteFunc(s.residents, func(o *resident) bool { return o == r })
 }
 
-// finish lists an order among those that ended; s.mu is held.
-func (s *Engine) finish(id string) {
+// recordFinished records an order as finished. s.mu must be held.
+func (s *Engine) recordFinished(id string) {
 	s.finished = append(s.finished, id)
-	if extra := len(s.finished) - finishedKept; extra > 0 {
-		s.finished = slices.Clone(s.finished[extra:])
+	if excess := len(s.finished) - maxFinished; excess > 0 {
+		s.finished = slices.Clone(s.finished[excess:])
 	}
 }
