--- a/apikey/directory.go
+++ b/apikey/directory.go
@@ -11,8 +11,8 @@
 	return Digest(sum[:len(Digest{})])
 }
 
-// A Holder is an organisation and its keys in plain text.
-type Holder struct {
+// A OrganisationKeys is an organisation and its keys in plain text.
+type OrganisationKeys struct {
 	Organisation string
 	Keys         []string
 }
@@ -26,7 +26,7 @@
 
 // New returns a Directory of the given organisations' keys. A key listed for more than one organisation
 // belongs to the first one.
-func New(holders []Holder) *Directory {
+func New(holders []OrganisationKeys) *Directory {
 	keys := 0
 	for _, h := range holders {
 		keys += len(h.Keys)
--- a/apikey/directory_test.go
+++ b/apikey/directory_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDirectory(t *testing.T) {
-	d := apikey.New([]apikey.Holder{
+	d := apikey.New([]apikey.OrganisationKeys{
 		{Organisation: "guild", Keys: []string{"a", "b"}},
 		{Organisation: "desk", Keys: []string{"b", "c"}},
 		{Organisation: "none"},
@@ -37,9 +37,9 @@
 }
 
 // manyHolders returns 16 organisations with 100,000 keys in total, 20 characters each.
-func manyHolders() []apikey.Holder {
+func manyHolders() []apikey.OrganisationKeys {
 	const organisations, keys = 16, 100_000
-	holders := make([]apikey.Holder, organisations)
+	holders := make([]apikey.OrganisationKeys, organisations)
 	for i := range keys {
 		h := &holders[i%organisations]
 		h.Organisation = fmt.Sprint("org", i%organisations)
--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -137,7 +137,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var got []string
-			for _, s := range r.Snapshot().Holding(test.service, test.model) {
+			for _, s := range r.Snapshot().WithModel(test.service, test.model) {
 				got = append(got, s.ID)
 			}
 			assert.DeepEqual(t, got, test.want)
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -109,13 +109,13 @@
 // A Change is a new or changed record of a server, or its removal from the list.
 type Change struct {
 	Server
-	// Gone reports that the server is no longer listed, Unusable that its record does not describe
+	// Removed reports that the server is no longer listed, Unusable that its record does not describe
 	// a server. If either is set, only the server's name is used.
-	Gone, Unusable bool
+	Removed, Unusable bool
 }
 
 // removes reports whether the change removes the server.
-func (c *Change) removes() bool { return c.Gone || c.Unusable }
+func (c *Change) removes() bool { return c.Removed || c.Unusable }
 
 // Apply applies changes of the list in order and returns the servers that have restarted.
 func (r *Registry) Apply(changes []Change, now time.Time) []Restart {
@@ -152,7 +152,7 @@
 // vanishedRetention, since the platform still lists it.
 func (r *Registry) remove(c Change, now time.Time) {
 	old, known := r.listed[c.Name()]
-	if known && c.Gone {
+	if known && c.Removed {
 		r.noteVanished(old, now)
 	}
 	if c.Unusable {
@@ -173,7 +173,7 @@
 
 // Remove records that the server is no longer listed under the name id.
 func (r *Registry) Remove(id string, now time.Time) {
-	r.Apply([]Change{{Server: Server{ID: id}, Gone: true}}, now)
+	r.Apply([]Change{{Server: Server{ID: id}, Removed: true}}, now)
 }
 
 // SetResidency replaces the leader's residency of all engines.
@@ -200,8 +200,8 @@
 	r.rebuild(now)
 }
 
-// IsPublished reports whether the leader's residency is known for a server.
-func (r *Registry) IsPublished(id string) bool {
+// HasResidencyOf reports whether the leader's residency is known for a server.
+func (r *Registry) HasResidencyOf(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, known := r.residency[id]
@@ -273,6 +273,6 @@
 		}
 	}
 	snapshot := newSnapshot(all)
-	snapshot.unstarted = unstarted
+	snapshot.withoutInstance = unstarted
 	r.snapshot.Store(snapshot)
 }
--- a/backend/restart.go
+++ b/backend/restart.go
@@ -2,8 +2,8 @@
 
 // A Restart reports that the platform lists another run of a server than before.
 type Restart struct {
-	// Former is the run that has ended, Now the one that is listed.
-	Former, Now Server
+	// Previous is the run that has ended, Now the one that is listed.
+	Previous, Current Server
 }
 
 // endedRuns holds the runs of servers that have ended. Runs cannot be ordered by their start
@@ -30,7 +30,7 @@
 		f.byName[former.Name()] = runs
 	}
 	runs[former.ID] = true
-	return Restart{Former: former, Now: now}
+	return Restart{Previous: former, Current: now}
 }
 
 // dropWithoutInstance removes servers without an Instance if fewer than half of the servers lack
--- a/backend/restart_test.go
+++ b/backend/restart_test.go
@@ -25,7 +25,7 @@
 		return func(r *backend.Registry) []backend.Restart { return r.Replace([]backend.Server{run(id)}, now) }
 	}
 	gone := func(r *backend.Registry) []backend.Restart {
-		return r.Apply([]backend.Change{{Server: backend.Server{ID: "s"}, Gone: true}}, now)
+		return r.Apply([]backend.Change{{Server: backend.Server{ID: "s"}, Removed: true}}, now)
 	}
 	tests := map[string]struct {
 		steps    []func(r *backend.Registry) []backend.Restart
@@ -107,7 +107,7 @@
 			var r backend.Registry
 			r.Replace(test.list, now)
 			assert.Equal(t, r.Snapshot().Len(), test.want)
-			assert.Equal(t, len(r.Snapshot().Unstarted()), len(test.list)-test.want)
+			assert.Equal(t, len(r.Snapshot().WithoutInstance()), len(test.list)-test.want)
 		})
 	}
 }
--- a/backend/server.go
+++ b/backend/server.go
@@ -79,15 +79,15 @@
 
 // A Snapshot is the state of a Registry at one time. It must not be modified.
 type Snapshot struct {
-	servers   map[string]*Server
-	byService map[string][]*Server
-	byModel   map[modelKey][]*Server
-	unstarted []string
+	servers         map[string]*Server
+	byService       map[string][]*Server
+	byModel         map[modelKey][]*Server
+	withoutInstance []string
 }
 
-// Unstarted returns the names of the servers that are left out because their records have no
+// WithoutInstance returns the names of the servers that are left out because their records have no
 // Instance while those of most servers have one.
-func (s *Snapshot) Unstarted() []string { return s.unstarted }
+func (s *Snapshot) WithoutInstance() []string { return s.withoutInstance }
 
 // A modelKey identifies a model of a service.
 type modelKey struct{ service, model string }
@@ -119,9 +119,9 @@
 // Service returns the servers of a service, sorted by ID.
 func (s *Snapshot) Service(name string) []*Server { return s.byService[name] }
 
-// Holding returns the servers of a service that hold a model, sorted by ID. The empty model matches
+// WithModel returns the servers of a service that hold a model, sorted by ID. The empty model matches
 // all servers.
-func (s *Snapshot) Holding(service, model string) []*Server {
+func (s *Snapshot) WithModel(service, model string) []*Server {
 	if model == "" {
 		return s.byService[service]
 	}
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	o := &owner{holdsLease: true}
 	o.Shard = claim.NewShard(store, clocktest.Real{}, claim.Options{
-		Owner: name, Retention: time.Minute, Held: func() bool { return o.holdsLease },
+		Owner: name, Retention: time.Minute, HoldsLease: func() bool { return o.holdsLease },
 	})
 	return o
 }
@@ -36,7 +36,7 @@
 	t.Helper()
 	assert.NilError(t, o.Open(context.Background()))
 	ctx, cancel := context.WithCancel(context.Background())
-	stop := clocktest.Real{}.Subscribe(time.Millisecond, func(time.Time) { _ = o.Step(ctx) })
+	stop := clocktest.Real{}.Subscribe(time.Millisecond, func(time.Time) { _ = o.Flush(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		stop()
@@ -60,11 +60,11 @@
 	}{
 		"in progress": {func(*claim.Shard) {}, false, claim.StateClaimed},
 		"answered": {func(s *claim.Shard) {
-			s.Finish("k", "one", claim.Answer{Status: 200, Body: []byte("x"), Whole: true})
+			s.Finish("k", "one", claim.Response{Status: 200, Body: []byte("x"), Complete: true})
 		}, false, claim.StateDone},
 		"not run":                 {func(s *claim.Shard) { s.Release("k", "one") }, true, claim.StateClaimed},
 		"released by another":     {func(s *claim.Shard) { s.Release("k", "other") }, false, claim.StateClaimed},
-		"released after answered": {func(s *claim.Shard) { s.Finish("k", "one", claim.Answer{}); s.Release("k", "one") }, false, claim.StateDone},
+		"released after answered": {func(s *claim.Shard) { s.Finish("k", "one", claim.Response{}); s.Release("k", "one") }, false, claim.StateDone},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -85,12 +85,12 @@
 	a := newOwner(t, store, "a").run(t)
 	mustClaim(t, a.Shard, "claimed", "one", true)
 	mustClaim(t, a.Shard, "done", "one", true)
-	a.Finish("done", "one", claim.Answer{Status: 201, Body: []byte("paid"), Whole: true})
+	a.Finish("done", "one", claim.Response{Status: 201, Body: []byte("paid"), Complete: true})
 	mustClaim(t, a.Shard, "flush", "one", true)
 	b := newOwner(t, store, "b").run(t)
 	assert.Equal(t, mustClaim(t, b.Shard, "claimed", "two", false).State, claim.StateClaimed)
 	r := mustClaim(t, b.Shard, "done", "two", false)
-	assert.Equal(t, string(r.Answer.Body), "paid")
+	assert.Equal(t, string(r.Response.Body), "paid")
 	_, claimed, err := a.Claim(context.Background(), "new", 1, "one")
 	assert.ErrorIs(t, err, claim.ErrNotOwner)
 	assert.Assert(t, !claimed)
@@ -109,7 +109,7 @@
 		result <- err
 	}()
 	for len(result) == 0 {
-		_ = a.Step(context.Background())
+		_ = a.Flush(context.Background())
 	}
 	assert.ErrorIs(t, <-result, claim.ErrNotOwner)
 }
@@ -119,7 +119,7 @@
 func TestLostAnswers(t *testing.T) {
 	s, store := standintest.KV(t)
 	o := newOwner(t, store, "a").run(t)
-	s.SetFaults(standin.Faults{LoseAnswers: 3})
+	s.SetFaults(standin.Faults{LoseResponses: 3})
 	for i := range 10 {
 		mustClaim(t, o.Shard, fmt.Sprint(i), "one", true)
 		mustClaim(t, o.Shard, fmt.Sprint(i), "two", false)
@@ -188,7 +188,7 @@
 		case <-done:
 			waiting = false
 		case <-time.After(5 * time.Millisecond):
-			assert.NilError(t, o.Step(context.Background()))
+			assert.NilError(t, o.Flush(context.Background()))
 		}
 	}
 	writes := s.Stats().Writes - before
--- a/claim/record.go
+++ b/claim/record.go
@@ -23,19 +23,19 @@
 	StateClaimed State = "claimed"
 	// StateDone means that the request was answered.
 	StateDone State = "done"
-	// StateFree means that the request has not run. The key may be claimed again.
-	StateFree State = "free"
+	// StateReleased means that the request has not run. The key may be claimed again.
+	StateReleased State = "free"
 )
 
-// An Answer is the stored response to a request.
-type Answer struct {
+// An Response is the stored response to a request.
+type Response struct {
 	// Status is the HTTP status code.
 	Status      int    `json:"status"`
 	ContentType string `json:"type,omitempty"`
 	// Body is empty if the response is longer than MaxBody.
 	Body []byte `json:"body,omitempty"`
-	// Whole reports whether Body is the complete response.
-	Whole bool `json:"whole,omitempty"`
+	// Complete reports whether Body is the complete response.
+	Complete bool `json:"whole,omitempty"`
 }
 
 // MaxBody is the maximum size of a stored response body, in bytes. It keeps a slot of several
@@ -51,9 +51,9 @@
 	State       State  `json:"state"`
 	// Attempt identifies the attempt to send the request that made the claim.
 	Attempt string `json:"attempt"`
-	// At is when the key was claimed, in Unix seconds.
-	At     int64   `json:"at"`
-	Answer *Answer `json:"answer,omitempty"`
+	// ClaimedAt is when the key was claimed, in Unix seconds.
+	ClaimedAt int64     `json:"at"`
+	Response  *Response `json:"answer,omitempty"`
 }
 
 // A batch is the value of one slot.
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -21,10 +21,10 @@
 	Owner string
 	// Retention is the minimum time for which records are kept.
 	Retention time.Duration
-	// FlushEvery is the minimum interval between two writes.
-	FlushEvery time.Duration
-	// Held reports whether the process certainly still holds the shard's lease.
-	Held func() bool
+	// FlushInterval is the minimum interval between two writes.
+	FlushInterval time.Duration
+	// HoldsLease reports whether the process certainly still holds the shard's lease.
+	HoldsLease func() bool
 }
 
 // A Shard holds the records of one shard in a process that may own it. It is safe for concurrent use,
@@ -61,11 +61,11 @@
 // Wake returns a channel that receives a value when records are waiting to be written.
 func (s *Shard) Wake() <-chan struct{} { return s.wake }
 
-// Due returns the time until Step may write again, 0 if it may write now.
-func (s *Shard) Due() time.Duration {
+// FlushDelay returns the time until Step may write again, 0 if it may write now.
+func (s *Shard) FlushDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.opts.FlushEvery-s.clock.Now().Sub(s.lastFlush), 0)
+	return max(s.opts.FlushInterval-s.clock.Now().Sub(s.lastFlush), 0)
 }
 
 func (s *Shard) prefix() string { return fmt.Sprintf("claim/%04d/", s.opts.Index) }
@@ -151,13 +151,13 @@
 		s.mu.Unlock()
 		return Record{}, false, ErrNotOwner
 	}
-	if existing, ok := s.records[key]; ok && existing.State != StateFree {
+	if existing, ok := s.records[key]; ok && existing.State != StateReleased {
 		s.mu.Unlock()
 		// A previous owner may have recorded this attempt before it lost the shard. The
 		// attempt has not been sent, because its claim was not confirmed.
 		return existing, existing.Attempt == attempt && existing.State == StateClaimed, nil
 	}
-	r = Record{Key: key, Fingerprint: fingerprint, State: StateClaimed, Attempt: attempt, At: s.clock.Now().Unix()}
+	r = Record{Key: key, Fingerprint: fingerprint, State: StateClaimed, Attempt: attempt, ClaimedAt: s.clock.Now().Unix()}
 	outcome := s.enqueue(r)
 	s.mu.Unlock()
 	if err := await(ctx, outcome); err != nil {
@@ -168,9 +168,9 @@
 }
 
 // Finish queues a record of the response to a claimed request. It does not wait for the write.
-func (s *Shard) Finish(key, attempt string, a Answer) {
+func (s *Shard) Finish(key, attempt string, a Response) {
 	if len(a.Body) > MaxBody {
-		a.Body, a.Whole = nil, false
+		a.Body, a.Complete = nil, false
 	}
 	s.update(key, attempt, StateDone, &a)
 }
@@ -178,18 +178,18 @@
 // Release queues a record that the attempt certainly did not run, which frees the key. It does not
 // wait for the write.
 func (s *Shard) Release(key, attempt string) {
-	s.update(key, attempt, StateFree, nil)
+	s.update(key, attempt, StateReleased, nil)
 }
 
 // update changes the record of a key if the attempt holds its claim.
-func (s *Shard) update(key, attempt string, state State, a *Answer) {
+func (s *Shard) update(key, attempt string, state State, a *Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	record, ok := s.records[key]
 	if !ok || !s.open || record.Attempt != attempt || record.State != StateClaimed {
 		return
 	}
-	record.State, record.Answer = state, a
+	record.State, record.Response = state, a
 	s.enqueue(record)
 }
 
--- a/claim/write.go
+++ b/claim/write.go
@@ -12,12 +12,12 @@
 	"rockcleat/kv"
 )
 
-// Step writes the pending records, if there are any and Options.FlushEvery has passed since the last
+// Flush writes the pending records, if there are any and Options.FlushInterval has passed since the last
 // write. It must be called regularly, by one goroutine at a time.
-func (s *Shard) Step(ctx context.Context) error {
+func (s *Shard) Flush(ctx context.Context) error {
 	now := s.clock.Now()
 	s.mu.Lock()
-	if !s.open || len(s.pending) == 0 || now.Sub(s.lastFlush) < s.opts.FlushEvery {
+	if !s.open || len(s.pending) == 0 || now.Sub(s.lastFlush) < s.opts.FlushInterval {
 		s.mu.Unlock()
 		return nil
 	}
@@ -48,7 +48,7 @@
 	// The shard's lease is checked after the records' lease was granted. If the process pauses
 	// after the check until the slots of the next owner have expired, the records' lease has
 	// expired before them and the service rejects the write.
-	if !s.opts.Held() {
+	if !s.opts.HoldsLease() {
 		s.Close()
 		return ErrNotOwner
 	}
@@ -99,7 +99,7 @@
 			continue
 		}
 		if r.State == StateClaimed {
-			current.State = StateFree
+			current.State = StateReleased
 			s.records[r.Key] = current
 		}
 	}
@@ -139,7 +139,7 @@
 	defer s.mu.Unlock()
 	limit := now.Add(-2 * s.opts.Retention).Unix()
 	for key, r := range s.records {
-		if r.At < limit {
+		if r.ClaimedAt < limit {
 			delete(s.records, key)
 		}
 	}
--- a/clock/system.go
+++ b/clock/system.go
@@ -47,8 +47,8 @@
 type Source interface {
 	// Now returns the wall clock with a monotonic reading.
 	Now() time.Time
-	// Boot returns the time since the machine was started, including suspensions.
-	Boot() (time.Duration, error)
+	// SinceBoot returns the time since the machine was started, including suspensions.
+	SinceBoot() (time.Duration, error)
 }
 
 // systemSource is the Source of the machine's own clocks.
@@ -57,8 +57,8 @@
 // Now implements Source.
 func (systemSource) Now() time.Time { return time.Now() }
 
-// Boot implements Source.
-func (systemSource) Boot() (time.Duration, error) {
+// SinceBoot implements Source.
+func (systemSource) SinceBoot() (time.Duration, error) {
 	var t unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 	return time.Duration(t.Nano()), err
@@ -70,7 +70,7 @@
 // NewSystemFrom returns a System on the clocks of s.
 func NewSystemFrom(s Source) *System {
 	c := &System{source: s, timers: make(map[*systemTimer]struct{})}
-	boot, err := s.Boot()
+	boot, err := s.SinceBoot()
 	if err != nil {
 		// Without a boot clock no suspension is counted.
 		boot = 0
@@ -105,7 +105,7 @@
 // last: a pause between the two readings makes a suspension look shorter, never longer, and the
 // next reading corrects that.
 func (s *System) checkBootClock() {
-	boot, err := s.source.Boot()
+	boot, err := s.source.SinceBoot()
 	now := s.source.Now()
 	monotonic := now.Sub(s.start)
 	s.drift.Store(int64(s.driftOf(now, monotonic)))
--- a/clock/system_test.go
+++ b/clock/system_test.go
@@ -29,8 +29,8 @@
 	return m.now
 }
 
-// Boot implements Source.
-func (m *fakeSource) Boot() (time.Duration, error) {
+// SinceBoot implements Source.
+func (m *fakeSource) SinceBoot() (time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.bootReads++
--- a/cmd/rockcleat-gateway/main.go
+++ b/cmd/rockcleat-gateway/main.go
@@ -25,21 +25,21 @@
 	if err != nil {
 		return nil, err
 	}
-	client := &http.Client{Transport: wire.NewDirectTransport(s.IdleTime.Std())}
+	client := &http.Client{Transport: wire.NewDirectTransport(s.IdleTimeout.Std())}
 	store := platform.NewStore(s.Store, s.StoreTimeout.Std(), &http.Client{Transport: wire.NewDirectTransport(storeIdleTimeout)}, metrics.StoreCall)
 	return gateway.New(gateway.Options{
-		Settings:  s,
-		Names:     platform.Names(),
-		ReadyPath: platform.PathReady,
-		Store:     store,
-		Prefixes:  store,
-		OwnKeys:   store.Own(),
-		Eras:      store,
-		Decoder:   platform.Decoder{},
-		Engines:   platform.NewEngineClient(s.ID, s.EngineTimeout.Std(), client),
-		Clock:     clock.NewSystem(),
-		Log:       log,
-		Metrics:   metrics,
+		Settings:    s,
+		Names:       platform.HeaderNames(),
+		ReadyPath:   platform.PathReady,
+		Store:       store,
+		AllKeys:     store,
+		ProductKeys: store.ProductKeys(),
+		Eras:        store,
+		Decoder:     platform.Decoder{},
+		Engines:     platform.NewEngineClient(s.ID, s.EngineTimeout.Std(), client),
+		Clock:       clock.NewSystem(),
+		Log:         log,
+		Metrics:     metrics,
 	}), nil
 }
 
--- a/cmd/rockcleat-standin/main.go
+++ b/cmd/rockcleat-standin/main.go
@@ -70,7 +70,7 @@
 func vmsCommand() *ffcli.Command {
 	fs := flag.NewFlagSet("vms", flag.ExitOnError)
 	lag := fs.Duration("lag", time.Second, "how late the list shows changes")
-	return command("vms", "List of VMs.", fs, func() http.Handler { return standin.NewVMs(*lag) })
+	return command("vms", "List of VMs.", fs, func() http.Handler { return standin.NewVMList(*lag) })
 }
 
 func weightsCommand() *ffcli.Command {
@@ -79,7 +79,7 @@
 	full := fs.Int("full-speed", 10, "loads at once that run at full speed")
 	speed := fs.Float64("speed", 20000, "speed of one load in MiB/s")
 	return command("weights", "Weight store.", fs, func() http.Handler {
-		return standin.NewWeights(standin.WeightsOptions{LoadsPerSecond: *loads, FullSpeed: *full, MiBPerSecond: *speed})
+		return standin.NewWeightStore(standin.WeightStoreOptions{LoadsPerSecond: *loads, FullSpeedLoads: *full, MiBPerSecond: *speed})
 	})
 }
 
@@ -89,11 +89,11 @@
 	fs.IntVar(&o.Accelerators, "accelerators", 2, "number of accelerators")
 	fs.IntVar(&o.MemoryMiB, "memory", 81920, "memory of each accelerator in MiB")
 	fs.IntVar(&o.Slots, "slots", 8, "sequences that an accelerator batches")
-	fs.DurationVar(&o.Step, "step", 20*time.Millisecond, "time of a decoding step")
-	fs.Float64Var(&o.PrefillPerSecond, "prefill", 20000, "prompt tokens read a second")
+	fs.DurationVar(&o.DecodeStep, "step", 20*time.Millisecond, "time of a decoding step")
+	fs.Float64Var(&o.PrefillTokensPerSecond, "prefill", 20000, "prompt tokens read a second")
 	fs.DurationVar(&o.UnloadTime, "unload", 50*time.Millisecond, "time of an unload")
 	fs.StringVar(&o.Weights, "weights", "", "weight store's base URL")
-	fs.BoolVar(&o.ChecksOrders, "checks-orders", true, "refuse orders with an old fencing token")
+	fs.BoolVar(&o.CheckFence, "checks-orders", true, "refuse orders with an old fencing token")
 	fs.DurationVar(&o.ReportLag, "report-lag", 500*time.Millisecond, "by how much the reported load may be out of date")
 	return command("engine", "Model engine.", fs, func() http.Handler { return standin.NewEngine(o) })
 }
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -93,8 +93,8 @@
 // recordGrant records an admission. d.mu must be held.
 func (d *Dispatcher) recordGrant(r *Request, s *backend.Server, c Candidate, now time.Time) {
 	l := d.loadOf(s.ID)
-	l.grants = append(l.grants, grant{grantedAt: now, needTokens: c.NeedTokens})
-	l.prefill.add(c.Prefill.Duration(), now)
+	l.grants = append(l.grants, grant{grantedAt: now, needTokens: c.RequiredTokens})
+	l.prefill.add(c.PrefillTime.Duration(), now)
 	l.prefixes.touch(r.targetKey(), r.Prefix)
 }
 
@@ -126,9 +126,9 @@
 	}
 	limit := l.Gap.prefillPerGap(c.Running)
 	if c.Owned {
-		return d.loadOf(s.ID).prefill.nextStart(c.Prefill.Duration(), limit.Duration(), l.Gap.MaxGap.Duration(), now)
+		return d.loadOf(s.ID).prefill.nextStart(c.PrefillTime.Duration(), limit.Duration(), l.Gap.MaxGap.Duration(), now)
 	}
-	return max((c.PrefillAhead + min(c.Prefill, limit) - limit).Duration(), minAdmissionRetry)
+	return max((c.PrefillAhead + min(c.PrefillTime, limit) - limit).Duration(), minAdmissionRetry)
 }
 
 // obtainApprovals obtains a permit if the server has a rate limit, and the owner's admission if
@@ -149,7 +149,7 @@
 // request was admitted; if not, the reservation has been released.
 func (d *Dispatcher) requestAdmission(ctx context.Context, res *Reservation) bool {
 	r := res.req
-	r.GrantsAsked++
+	r.AdmissionsRequested++
 	late := r.isLate(d.opts.Clock.Now())
 	reply, err := d.opts.Owners.Admit(ctx, res.owner, AdmissionRequest{
 		Server: res.server.ID, Model: r.Model, Adapter: r.Adapter, Prefix: r.Prefix, PromptTokens: r.PromptTokens,
@@ -166,13 +166,13 @@
 		return false
 	}
 	if reply.Admitted {
-		r.GrantsGiven++
+		r.AdmissionsGranted++
 		res.sentAt = now
 		res.load.prefixes.touch(r.targetKey(), r.Prefix)
 		d.remote[res.server.ID] = remoteLoad{Load: reply.Load.minus(res.load.Load), reportedAt: now}
 		return true
 	}
-	r.GrantsDenied++
+	r.AdmissionsDenied++
 	res.release()
 	d.remote[res.server.ID] = remoteLoad{Load: reply.Load.minus(res.load.Load), reportedAt: now}
 	res.load.admissionDeniedUntil = now.Add(time.Duration(reply.RetryAfterMs) * time.Millisecond)
@@ -182,7 +182,7 @@
 // suspendOwner suspends an owner that did not answer and reports it once per suspension. d.mu must
 // be held.
 func (d *Dispatcher) suspendOwner(owner string, now time.Time, err error) {
-	if d.owners.suspend(owner, now) && d.opts.OnOwnerSilent != nil {
-		d.opts.OnOwnerSilent(owner, err)
+	if d.owners.suspend(owner, now) && d.opts.OnOwnerUnresponsive != nil {
+		d.opts.OnOwnerUnresponsive(owner, err)
 	}
 }
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -24,7 +24,7 @@
 	// unresponsive contains the gateways that do not answer.
 	unresponsive map[string]bool
 	requests     int
-	// reportedOwners lists the owners passed to OnOwnerSilent.
+	// reportedOwners lists the owners passed to OnOwnerUnresponsive.
 	reportedOwners []string
 }
 
@@ -56,7 +56,7 @@
 	for _, x := range list {
 		d := dispatch.New(dispatch.Options{
 			ID: x.ID, Hall: x.Hall, Clock: c, Utilization: 1, CacheTokens: func(string) int { return cacheTokens }, Owners: g,
-			OnOwnerSilent: func(owner string, _ error) { g.reportedOwners = append(g.reportedOwners, owner) },
+			OnOwnerUnresponsive: func(owner string, _ error) { g.reportedOwners = append(g.reportedOwners, owner) },
 		})
 		d.SetServers(snapshot(servers...))
 		d.SetGateways(list)
@@ -108,7 +108,7 @@
 			req := longPromptRequest(c)
 			got := acquire(second, req)
 			poll.WaitOn(t, waiting(second, 1))
-			before.FirstByte()
+			before.RecordFirstByte()
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				c.Advance(10 * time.Millisecond)
 				select {
@@ -118,7 +118,7 @@
 					return poll.Continue("no place")
 				}
 			}, poll.WithDelay(time.Millisecond))
-			assert.Assert(t, req.GrantsAsked == 0 || req.GrantsAsked > req.GrantsDenied, "asked %d, denied %d", req.GrantsAsked, req.GrantsDenied)
+			assert.Assert(t, req.AdmissionsRequested == 0 || req.AdmissionsRequested > req.AdmissionsDenied, "asked %d, denied %d", req.AdmissionsRequested, req.AdmissionsDenied)
 		})
 	}
 }
@@ -133,8 +133,8 @@
 		for _, d := range g.dispatchers {
 			res, err := d.Acquire(context.Background(), longPromptRequest(c))
 			assert.NilError(t, err)
-			res.FirstByte()
-			res.Done(dispatch.Answered)
+			res.RecordFirstByte()
+			res.Done(dispatch.Succeeded)
 		}
 	}
 	assert.Equal(t, g.requestCount(), 1)
@@ -218,7 +218,7 @@
 			return poll.Continue("no place")
 		}
 	}, poll.WithDelay(time.Millisecond))
-	assert.Assert(t, req.GrantsDenied > 0)
+	assert.Assert(t, req.AdmissionsDenied > 0)
 }
 
 // TestNoAdmissionAtALeavingEngine checks that the owner of a draining engine admits nothing there,
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -48,18 +48,18 @@
 	UsedTokens, CacheTokens int
 	// Slots is the number of requests that the server runs concurrently.
 	Slots int
-	// Prefill is the time to prefill the uncached part of the prompt, PrefillTokens the length of
+	// PrefillTime is the time to prefill the uncached part of the prompt, PrefillTokens the length of
 	// that part in tokens.
-	Prefill       Milliseconds
+	PrefillTime   Milliseconds
 	PrefillTokens int
-	// NeedTokens is the maximum cache memory that the request uses, in tokens.
-	NeedTokens int
+	// RequiredTokens is the maximum cache memory that the request uses, in tokens.
+	RequiredTokens int
 	// SameHall means that the server is in this gateway's data hall.
 	SameHall bool
 	// Owned means that this gateway owns the engine and admits the requests of all gateways there.
 	Owned bool
-	// NeedsGrant means that another gateway owns the engine and has to admit the request.
-	NeedsGrant bool
+	// NeedsAdmission means that another gateway owns the engine and has to admit the request.
+	NeedsAdmission bool
 	// Jitter is a cost that differs between gateways, so that they do not all choose the same
 	// server when its load is unknown.
 	Jitter Milliseconds
@@ -91,7 +91,7 @@
 		return true
 	}
 	switch {
-	case c.Owned || c.NeedsGrant:
+	case c.Owned || c.NeedsAdmission:
 		return c.prefillFits(l.Gap.prefillPerGap(c.Running))
 	case exact:
 		return c.fitsIdle(l.Gap.prefillPerStep(c.Running) * unadmittedPrefillShare)
@@ -108,19 +108,19 @@
 	if float64(c.Running+1) > l.Utilization*float64(c.Slots) {
 		return false
 	}
-	return float64(c.UsedTokens+c.NeedTokens) <= l.Utilization*float64(c.CacheTokens)
+	return float64(c.UsedTokens+c.RequiredTokens) <= l.Utilization*float64(c.CacheTokens)
 }
 
 // prefillFits reports whether the prompt and the other prompts stay within the limit. A prompt
 // longer than the limit fits only if there are no others.
 func (c Candidate) prefillFits(limit Milliseconds) bool {
 	others := max(c.PrefillAhead, c.PrefillInGap)
-	return others == 0 || others+c.Prefill <= limit
+	return others == 0 || others+c.PrefillTime <= limit
 }
 
 // fitsIdle reports whether the engine has no prompts queued and the prompt is within the limit.
 func (c Candidate) fitsIdle(limit Milliseconds) bool {
-	return c.PrefillAhead == 0 && c.Prefill <= limit
+	return c.PrefillAhead == 0 && c.PrefillTime <= limit
 }
 
 // cost returns the expected time to first byte plus penalties.
@@ -138,7 +138,7 @@
 // engineCost returns the cost of an engine: its queued prompts, this prompt and its running
 // requests.
 func (c Candidate) engineCost() Milliseconds {
-	ms := c.PrefillAhead + c.Prefill + Milliseconds(c.Running)*requestCost
+	ms := c.PrefillAhead + c.PrefillTime + Milliseconds(c.Running)*requestCost
 	if !c.Owned {
 		ms += otherOwnerCost
 	}
@@ -164,7 +164,7 @@
 // Choose returns the index of the candidate with the lowest cost that can take the request, or -1
 // if there is none.
 func Choose(list []Candidate, l Limits) int {
-	exact := slices.ContainsFunc(list, func(c Candidate) bool { return (c.Owned || c.NeedsGrant) && !c.Stalled })
+	exact := slices.ContainsFunc(list, func(c Candidate) bool { return (c.Owned || c.NeedsAdmission) && !c.Stalled })
 	best := -1
 	bestCost := Milliseconds(0)
 	for i, c := range list {
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestChoose(t *testing.T) {
-	idle := dispatch.Candidate{CacheTokens: cacheTokens, Slots: 8, NeedTokens: 1000, Prefill: 50, SameHall: true, Owned: true}
+	idle := dispatch.Candidate{CacheTokens: cacheTokens, Slots: 8, RequiredTokens: 1000, PrefillTime: 50, SameHall: true, Owned: true}
 	with := func(change func(c *dispatch.Candidate)) dispatch.Candidate {
 		c := idle
 		change(&c)
@@ -79,7 +79,7 @@
 	}{
 		"none":                  {want: -1},
 		"least prefill ahead":   {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead = 90 }), idle}, want: 1},
-		"cached prefix":         {list: []dispatch.Candidate{idle, with(func(c *dispatch.Candidate) { c.Prefill = 10 })}, want: 1},
+		"cached prefix":         {list: []dispatch.Candidate{idle, with(func(c *dispatch.Candidate) { c.PrefillTime = 10 })}, want: 1},
 		"own hall":              {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.SameHall = false }), idle}, want: 1},
 		"own engine":            {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Owned = false }), idle}, want: 1},
 		"silent comes last":     {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Stalled = true }), with(func(c *dispatch.Candidate) { c.PrefillAhead = 900 })}, want: 1},
@@ -88,39 +88,39 @@
 		"slots full":            {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Running = 8 })}, want: -1},
 		"memory full":           {list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Running, c.UsedTokens = 1, cacheTokens })}, want: -1},
 		"larger than the memory, alone": {
-			list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.NeedTokens = 2 * cacheTokens })}, want: 0,
+			list: []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.RequiredTokens = 2 * cacheTokens })}, want: 0,
 		},
 		"prefill limit": {
 			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 })},
 			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: -1,
 		},
 		"prefill limit, nothing ahead": {
-			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.Prefill = 400 })},
+			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillTime = 400 })},
 			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: 0,
 		},
 		"another's engine that prefills, while an own one is full": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
-				with(func(c *dispatch.Candidate) { c.PrefillAhead, c.Prefill, c.Owned = 1, 30, false }),
+				with(func(c *dispatch.Candidate) { c.PrefillAhead, c.PrefillTime, c.Owned = 1, 30, false }),
 			},
 			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: -1,
 		},
 		"another's engine that is idle, for a long prompt": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
-				with(func(c *dispatch.Candidate) { c.Prefill, c.Owned = 90, false }),
+				with(func(c *dispatch.Candidate) { c.PrefillTime, c.Owned = 90, false }),
 			},
 			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: -1,
 		},
 		"another's engine that is idle": {
 			list: []dispatch.Candidate{
 				with(func(c *dispatch.Candidate) { c.PrefillAhead = 80 }),
-				with(func(c *dispatch.Candidate) { c.Prefill, c.Owned = 30, false }),
+				with(func(c *dispatch.Candidate) { c.PrefillTime, c.Owned = 30, false }),
 			},
 			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: 1,
 		},
 		"another's engine, where no own one has the model": {
-			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead, c.Prefill, c.Owned = 30, 30, false })},
+			list:   []dispatch.Candidate{with(func(c *dispatch.Candidate) { c.PrefillAhead, c.PrefillTime, c.Owned = 30, 30, false })},
 			limits: dispatch.Limits{Gap: gapForPrefill(100)}, want: 0,
 		},
 		"plain service: fewest requests": {
@@ -181,9 +181,9 @@
 	r.Adapter = "a2"
 	_, err = d.Acquire(canceledContext(), r)
 	assert.Assert(t, err != nil)
-	assert.Equal(t, d.HolderCount(r), 0)
+	assert.Equal(t, d.CountServersHolding(r), 0)
 	r.Adapter = ""
-	assert.Equal(t, d.HolderCount(r), 2)
+	assert.Equal(t, d.CountServersHolding(r), 2)
 	assert.Equal(t, missing, 1, "the wait for an adapter that nobody holds is reported")
 }
 
@@ -242,13 +242,13 @@
 				reservations = append(reservations, acquire(d, r))
 				poll.WaitOn(t, waiting(d, i+1))
 			}
-			blocker.Done(dispatch.Answered)
+			blocker.Done(dispatch.Succeeded)
 			winner, loser := reservations[0], reservations[1]
 			if test.secondWins {
 				winner, loser = loser, winner
 			}
-			(<-winner).Done(dispatch.Answered)
-			(<-loser).Done(dispatch.Answered)
+			(<-winner).Done(dispatch.Succeeded)
+			(<-loser).Done(dispatch.Succeeded)
 			assert.Equal(t, len(d.Loads()), 0)
 		})
 	}
@@ -297,15 +297,15 @@
 	r.Prefix = append(shared, dispatch.PrefixBlock{ID: "1", Tokens: 100})
 	first, err := d.Acquire(canceledContext(), r)
 	assert.NilError(t, err)
-	first.FirstByte()
-	first.Done(dispatch.Answered)
+	first.RecordFirstByte()
+	first.Done(dispatch.Succeeded)
 	for i := range 5 {
 		r := request(c)
 		r.Prefix = append(shared, dispatch.PrefixBlock{ID: fmt.Sprint("own", i), Tokens: 100})
 		res, err := d.Acquire(canceledContext(), r)
 		assert.NilError(t, err)
 		assert.Equal(t, res.Server().ID, first.Server().ID)
-		res.Done(dispatch.Answered)
+		res.Done(dispatch.Succeeded)
 	}
 }
 
@@ -327,13 +327,13 @@
 				}
 			case 1:
 				if len(open) > 0 {
-					open[rapid.IntRange(0, len(open)-1).Draw(t, "begun")].FirstByte()
+					open[rapid.IntRange(0, len(open)-1).Draw(t, "begun")].RecordFirstByte()
 				}
 			case 2:
 				if len(open) > 0 {
 					i := rapid.IntRange(0, len(open)-1).Draw(t, "done")
 					open[i].Done(dispatch.SendResult(rapid.IntRange(0, 3).Draw(t, "result")))
-					open[i].Done(dispatch.Answered)
+					open[i].Done(dispatch.Succeeded)
 					open = append(open[:i], open[i+1:]...)
 				}
 			}
@@ -344,7 +344,7 @@
 			}
 		}
 		for _, res := range open {
-			res.Done(dispatch.Abandoned)
+			res.Done(dispatch.Canceled)
 		}
 		if len(d.Loads()) != 0 || d.Demands()[model].Running != 0 || d.Demands()[model].Waiting != 0 {
 			t.Fatalf("loads %v and demands %v remain after all reservations were done", d.Loads(), d.Demands())
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -35,9 +35,9 @@
 	Owners Owners
 	// Permits, if not nil, grants permits for servers with a rate limit.
 	Permits Permits
-	// OnOwnerSilent, if not nil, is called when an owner has not answered and is suspended: it is
+	// OnOwnerUnresponsive, if not nil, is called when an owner has not answered and is suspended: it is
 	// not asked for a while. It is called with the Dispatcher locked and must not block.
-	OnOwnerSilent func(owner string, err error)
+	OnOwnerUnresponsive func(owner string, err error)
 	// OnModelMissing, if not nil, is called when a request starts to wait for a model or adapter
 	// that no server holds. It is called with the Dispatcher locked and must not block.
 	OnModelMissing func()
@@ -87,9 +87,9 @@
 	d.serveWaiting()
 }
 
-// SetRemote replaces the loads of all other processes, by server ID. busiestOnly means that the map
+// SetRemoteLoads replaces the loads of all other processes, by server ID. busiestOnly means that the map
 // holds only the busiest servers.
-func (d *Dispatcher) SetRemote(remote map[string]Load, busiestOnly bool) {
+func (d *Dispatcher) SetRemoteLoads(remote map[string]Load, busiestOnly bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.opts.Clock.Now()
@@ -132,9 +132,9 @@
 	return Choose(list, d.limitsFor(r, now)) >= 0
 }
 
-// HolderCount returns the number of servers that hold the request's model and adapter and are not
+// CountServersHolding returns the number of servers that hold the request's model and adapter and are not
 // draining, whether or not they have capacity.
-func (d *Dispatcher) HolderCount(r *Request) int {
+func (d *Dispatcher) CountServersHolding(r *Request) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.holderCount(r)
@@ -142,7 +142,7 @@
 
 func (d *Dispatcher) holderCount(r *Request) int {
 	n := 0
-	for _, s := range d.servers.Holding(r.Service, r.Model) {
+	for _, s := range d.servers.WithModel(r.Service, r.Model) {
 		if !s.Leaving && (r.Model == "" || s.Holds(r.Model, r.Adapter)) {
 			n++
 		}
@@ -183,7 +183,7 @@
 // candidate for each. d.mu must be held.
 func (d *Dispatcher) candidates(r *Request, now time.Time) (servers []*backend.Server, list []Candidate) {
 	cacheTokens := d.opts.CacheTokens(r.Service)
-	for _, s := range d.servers.Holding(r.Service, r.Model) {
+	for _, s := range d.servers.WithModel(r.Service, r.Model) {
 		if !d.isEligible(r, s) {
 			continue
 		}
@@ -206,19 +206,19 @@
 	l := d.loadOf(s.ID)
 	c := Candidate{
 		CacheTokens: cacheTokens, Slots: s.Slots, SameHall: s.Hall == d.opts.Hall, Owned: d.owners.owns(s),
-		FailureRate: l.failures.at(now), NeedTokens: r.PromptTokens + r.MaxOutputTokens, Stalled: l.isStalled(now),
+		FailureRate: l.failures.at(now), RequiredTokens: r.PromptTokens + r.MaxOutputTokens, Stalled: l.isStalled(now),
 	}
-	c.NeedsGrant = !c.Owned && r.Model != "" && d.opts.Owners != nil && d.owners.isAvailable(d.owners.ownerOf(s), now)
+	c.NeedsAdmission = !c.Owned && r.Model != "" && d.opts.Owners != nil && d.owners.isAvailable(d.owners.ownerOf(s), now)
 	d.setLoads(&c, l, s.ID, now)
 	if _, known := d.remote[s.ID]; d.busiestOnly && !known && !c.Owned {
 		c.Jitter = d.owners.jitter(s.ID)
 	}
 	if r.Model != "" {
 		c.PrefillTokens = max(r.PromptTokens-l.prefixes.cachedTokens(r.targetKey(), r.Prefix), 0)
-		c.Prefill = d.speeds.prefillTime(r.Model, c.PrefillTokens)
+		c.PrefillTime = d.speeds.prefillTime(r.Model, c.PrefillTokens)
 	}
 	if c.Owned && r.Gap.MaxGap > 0 {
-		c.PrefillInGap = InMilliseconds(l.prefill.busyWithin(c.Prefill.Duration(), r.Gap.MaxGap.Duration(), now))
+		c.PrefillInGap = InMilliseconds(l.prefill.busyWithin(c.PrefillTime.Duration(), r.Gap.MaxGap.Duration(), now))
 	}
 	return c
 }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -13,7 +13,7 @@
 // never wait.
 //
 // A Dispatcher owns the requests that this process has sent and not finished, and those that wait.
-// The caller provides the loads of other processes (SetRemote), the servers and the models that
+// The caller provides the loads of other processes (SetRemoteLoads), the servers and the models that
 // they hold (SetServers), and the list of gateways (SetGateways). Between updates the Dispatcher
 // works with the last values. The package depends on package clock for time and does no network I/O
 // itself; Owners and Permits do it on its behalf. Package residency decides which models an engine
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -26,7 +26,7 @@
 	first, _ := d.Acquire(context.Background(), request())
 	second, _ := d.Acquire(context.Background(), request())
 	fmt.Println("different servers:", first.Server().ID != second.Server().ID)
-	second.Done(dispatch.Answered)
+	second.Done(dispatch.Succeeded)
 	third, _ := d.Acquire(context.Background(), request())
 	fmt.Println("the one that is free:", third.Server().ID == second.Server().ID)
 	// Output:
--- a/dispatch/failing_server_test.go
+++ b/dispatch/failing_server_test.go
@@ -22,9 +22,9 @@
 		res, err := d.Acquire(canceledContext(), request(c))
 		assert.NilError(t, err)
 		assert.Assert(t, res.Server().ID != first.Server().ID)
-		res.FirstByte()
+		res.RecordFirstByte()
 	}
-	first.FirstByte()
+	first.RecordFirstByte()
 	res, err := d.Acquire(canceledContext(), request(c))
 	assert.NilError(t, err)
 	assert.Equal(t, res.Server().ID, first.Server().ID, "a server that spoke again is chosen again")
@@ -66,7 +66,7 @@
 	other.Model = "other"
 	res, err = d.Acquire(canceledContext(), other)
 	assert.NilError(t, err)
-	res.Done(dispatch.Answered)
+	res.Done(dispatch.Succeeded)
 	got := acquire(d, request(c))
 	poll.WaitOn(t, waiting(d, 1))
 	c.Advance(2 * time.Second)
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -107,7 +107,7 @@
 		}
 		mu.Unlock()
 		time.Sleep(backlogService)
-		res.Done(dispatch.Answered)
+		res.Done(dispatch.Succeeded)
 	}
 	time.AfterFunc(backlogUntil, func() {
 		for _, d := range g.dispatchers {
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -18,19 +18,19 @@
 	// Take requests a permit to send one request to a server. If it is not granted, wait is how
 	// long to wait before asking again.
 	Take(ctx context.Context, server string) (granted bool, wait time.Duration)
-	// GiveBack returns a permit that was granted and not used.
-	GiveBack(server string)
+	// Release returns a permit that was granted and not used.
+	Release(server string)
 }
 
-// A LimitedError means that all servers that could take the request have a rate limit, and that
+// A RateLimitError means that all servers that could take the request have a rate limit, and that
 // none can take it before its WaitUntil.
-type LimitedError struct {
+type RateLimitError struct {
 	// RetryAfter is the estimated time until a server can take the request.
 	RetryAfter time.Duration
 }
 
 // Error implements the error interface.
-func (e *LimitedError) Error() string {
+func (e *RateLimitError) Error() string {
 	return fmt.Sprintf("dispatch: the servers take no more requests for %s", e.RetryAfter)
 }
 
@@ -55,9 +55,9 @@
 // hasRateLimits reports whether any server has a rate limit now.
 func (d *Dispatcher) hasRateLimits() bool { return d.opts.Permits != nil && d.opts.Permits.Any() }
 
-// LimitChanged must be called when a server's rate limit is set, changed or removed. It discards
+// RateLimitChanged must be called when a server's rate limit is set, changed or removed. It discards
 // earlier denials and serves waiting requests.
-func (d *Dispatcher) LimitChanged(server string) {
+func (d *Dispatcher) RateLimitChanged(server string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if l := d.loads[server]; l != nil {
@@ -117,7 +117,7 @@
 // returnPermit returns the permit of an attempt that is not made.
 func (d *Dispatcher) returnPermit(res *Reservation) {
 	if res.hasPermit {
-		d.opts.Permits.GiveBack(res.server.ID)
+		d.opts.Permits.Release(res.server.ID)
 	}
 }
 
@@ -133,7 +133,7 @@
 	var soonest time.Time
 	perSecond := 0.0
 	contested := true
-	for _, s := range d.servers.Holding(r.Service, r.Model) {
+	for _, s := range d.servers.WithModel(r.Service, r.Model) {
 		rate, limited := d.rateLimitOf(s.ID)
 		if !limited && d.canLoadAdapter(r, s) {
 			return 0, false
@@ -176,7 +176,7 @@
 	for _, w := range d.queue.list {
 		target := w.req.targetKey()
 		if wait, ok := d.estimatePermitWait(w.req, ahead[target], now); ok && now.Add(wait).After(w.req.WaitUntil) {
-			w.refused = &LimitedError{RetryAfter: wait}
+			w.refused = &RateLimitError{RetryAfter: wait}
 			d.demand.get(w.req).Waiting--
 			close(w.ready)
 			continue
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -48,7 +48,7 @@
 	return true, 0
 }
 
-func (p *testPermits) GiveBack(string) { p.returned++ }
+func (p *testPermits) Release(string) { p.returned++ }
 
 // grantResults returns n results of Take that grant a permit.
 func grantResults(n int) []time.Duration { return make([]time.Duration, n) }
@@ -97,14 +97,14 @@
 			for i, want := range test.want {
 				res, err := d.Acquire(t.Context(), &dispatch.Request{Service: "app"})
 				if want == "" {
-					var limited *dispatch.LimitedError
+					var limited *dispatch.RateLimitError
 					assert.Assert(t, errors.As(err, &limited), "request %d: %v", i, err)
 					assert.Assert(t, limited.RetryAfter > 0)
 					continue
 				}
 				assert.NilError(t, err)
 				assert.Equal(t, res.Server().ID, want, "request %d", i)
-				res.Done(dispatch.Answered)
+				res.Done(dispatch.Succeeded)
 			}
 		})
 	}
@@ -131,7 +131,7 @@
 	unservable := request(c)
 	unservable.WaitUntil = c.Now().Add(600 * time.Millisecond)
 	_, err := d.Acquire(t.Context(), unservable)
-	var limited *dispatch.LimitedError
+	var limited *dispatch.RateLimitError
 	assert.Assert(t, errors.As(err, &limited), "%v", err)
 	assert.Equal(t, limited.RetryAfter, 1500*time.Millisecond, "two wait before it at two a second")
 
@@ -162,7 +162,7 @@
 	}()
 	poll.WaitOn(t, waiting(d, 1))
 	c.Advance(500 * time.Millisecond)
-	var limited *dispatch.LimitedError
+	var limited *dispatch.RateLimitError
 	assert.Assert(t, errors.As(<-errs, &limited), "it would wait in vain")
 	poll.WaitOn(t, waiting(d, 0))
 }
@@ -177,7 +177,7 @@
 	waits := acquire(d, request(c))
 	poll.WaitOn(t, waiting(d, 1))
 	delete(permits.limits, "a")
-	d.LimitChanged("a")
+	d.RateLimitChanged("a")
 	assert.Equal(t, (<-waits).Server().ID, "a")
 }
 
@@ -238,7 +238,7 @@
 				return
 			}
 			_, err := d.Acquire(t.Context(), r)
-			var limited *dispatch.LimitedError
+			var limited *dispatch.RateLimitError
 			assert.Assert(t, errors.As(err, &limited), "%v", err)
 		})
 	}
--- a/dispatch/prefill_speed.go
+++ b/dispatch/prefill_speed.go
@@ -46,17 +46,17 @@
 	byModel map[string]float64
 }
 
-// Of returns the speed of a model in milliseconds per token, or initialSpeed if there are no
+// Get returns the speed of a model in milliseconds per token, or initialSpeed if there are no
 // samples.
-func (s *PrefillSpeeds) Of(model string) float64 {
+func (s *PrefillSpeeds) Get(model string) float64 {
 	if v, ok := s.byModel[model]; ok {
 		return v
 	}
 	return initialSpeed
 }
 
-// Known returns the speeds of all models that have been observed or set.
-func (s *PrefillSpeeds) Known() map[string]float64 { return maps.Clone(s.byModel) }
+// All returns the speeds of all models that have been observed or set.
+func (s *PrefillSpeeds) All() map[string]float64 { return maps.Clone(s.byModel) }
 
 // Set sets the speed of a model in milliseconds per token.
 func (s *PrefillSpeeds) Set(model string, speed float64) {
@@ -70,7 +70,7 @@
 // step, any other raises it by a small one, so that it converges to the speedQuantile of the
 // samples.
 func (s *PrefillSpeeds) Observe(x PrefillSample) {
-	v := s.Of(x.Model)
+	v := s.Get(x.Model)
 	if x.MsPerToken < v {
 		v *= 1 - speedStepSize*(1-speedQuantile)
 	} else {
@@ -81,5 +81,5 @@
 
 // prefillTime returns the time to prefill the given number of tokens.
 func (s *PrefillSpeeds) prefillTime(model string, tokens int) Milliseconds {
-	return Milliseconds(s.Of(model) * float64(tokens))
+	return Milliseconds(s.Get(model) * float64(tokens))
 }
--- a/dispatch/prefill_speed_test.go
+++ b/dispatch/prefill_speed_test.go
@@ -15,15 +15,15 @@
 func TestPrefillSpeeds(t *testing.T) {
 	const fast = 0.0057
 	var s dispatch.PrefillSpeeds
-	assert.Equal(t, s.Of("m"), 0.05)
+	assert.Equal(t, s.Get("m"), 0.05)
 	for range 60 {
 		s.Observe(dispatch.PrefillSample{Model: "m", MsPerToken: fast})
 	}
-	assert.Assert(t, s.Of("m") < 1.1*fast && s.Of("m") > 0.9*fast, "%v", s.Of("m"))
+	assert.Assert(t, s.Get("m") < 1.1*fast && s.Get("m") > 0.9*fast, "%v", s.Get("m"))
 	for range 60 {
 		s.Observe(dispatch.PrefillSample{Model: "m", MsPerToken: 100})
 	}
-	assert.Assert(t, s.Of("m") < 5*fast, "most samples hold waiting for other prompts")
+	assert.Assert(t, s.Get("m") < 5*fast, "most samples hold waiting for other prompts")
 
 	c := clocktest.New(time.Unix(1000, 0))
 	d := dispatcher(c, engine("e1"))
@@ -33,7 +33,7 @@
 	res, err := d.Acquire(canceledContext(), r)
 	assert.NilError(t, err)
 	c.Advance(time.Second)
-	res.FirstByte()
+	res.RecordFirstByte()
 	assert.Equal(t, d.PrefillSpeeds()[model], fast)
 	samples := d.TakePrefillSamples()
 	assert.Equal(t, len(samples), 1)
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -32,9 +32,9 @@
 	// MayHaveRun means that a server may have processed the request already. Such a request is
 	// never late and never shed.
 	MayHaveRun bool
-	// GrantsAsked is the number of admissions requested from other gateways, GrantsGiven and
-	// GrantsDenied the numbers granted and denied; the others were not answered.
-	GrantsAsked, GrantsGiven, GrantsDenied int
+	// AdmissionsRequested is the number of admissions requested from other gateways, AdmissionsGranted and
+	// AdmissionsDenied the numbers granted and denied; the others were not answered.
+	AdmissionsRequested, AdmissionsGranted, AdmissionsDenied int
 	// PermitsDenied is the number of permits denied by servers with a rate limit.
 	PermitsDenied int
 	// admittedLate means that the request is late according to the gateway that asked for
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -38,9 +38,9 @@
 	l := d.loadOf(s.ID)
 	res := &Reservation{
 		d: d, req: r, server: s, load: l, candidate: c, sentAt: d.opts.Clock.Now(),
-		prefillTokens: c.PrefillTokens, prefillMs: int(c.Prefill + 0.5), usedTokens: c.NeedTokens,
+		prefillTokens: c.PrefillTokens, prefillMs: int(c.PrefillTime + 0.5), usedTokens: c.RequiredTokens,
 	}
-	if c.NeedsGrant {
+	if c.NeedsAdmission {
 		res.owner = d.owners.ownerOf(s)
 	}
 	if r.Model == "" {
@@ -55,7 +55,7 @@
 	l.UsedTokens += res.usedTokens
 	l.awaitingFirstByte = append(l.awaitingFirstByte, res)
 	if c.Owned {
-		res.prefillEnd = l.prefill.add(c.Prefill.Duration(), res.sentAt)
+		res.prefillEnd = l.prefill.add(c.PrefillTime.Duration(), res.sentAt)
 	}
 	if r.Model == "" {
 		return res
@@ -73,8 +73,8 @@
 // Choice returns the candidate that was chosen and the number of candidates that were considered.
 func (r *Reservation) Choice() (c Candidate, candidates int) { return r.candidate, r.candidateCount }
 
-// FirstByte records that the response has begun.
-func (r *Reservation) FirstByte() {
+// RecordFirstByte records that the response has begun.
+func (r *Reservation) RecordFirstByte() {
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
 	now := r.d.opts.Clock.Now()
@@ -103,8 +103,8 @@
 type SendResult int
 
 const (
-	// Answered means that the response was complete.
-	Answered SendResult = iota
+	// Succeeded means that the response was complete.
+	Succeeded SendResult = iota
 	// Failed means that the attempt failed in a way that counts against the server, such as an
 	// error response or a broken connection.
 	Failed
@@ -114,8 +114,8 @@
 	// Misdirected means that the server does not hold the model or is a different server than
 	// expected.
 	Misdirected
-	// Abandoned means that the client or the gateway canceled the attempt.
-	Abandoned
+	// Canceled means that the client or the gateway canceled the attempt.
+	Canceled
 )
 
 // Done releases the capacity and records the outcome. Calls after the first have no effect.
@@ -127,7 +127,7 @@
 	}
 	now := r.d.opts.Clock.Now()
 	switch result {
-	case Answered:
+	case Succeeded:
 		r.load.failures.observe(0, now)
 		r.load.lastResponse = now
 	case Failed:
--- a/dispatch/speed_book.go
+++ b/dispatch/speed_book.go
@@ -62,5 +62,5 @@
 func (d *Dispatcher) PrefillSpeeds() map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.speeds.Known()
+	return d.speeds.All()
 }
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -14,7 +14,7 @@
 	req *Request
 	// Either reservation or refused is set before ready is closed.
 	reservation *Reservation
-	refused     *LimitedError
+	refused     *RateLimitError
 	ready       chan struct{}
 }
 
@@ -53,7 +53,7 @@
 }
 
 // Acquire reserves a server for a request and waits for one until the request's WaitUntil. The
-// error is ErrNoServer, ErrShed, ErrWaitTimeout, a *LimitedError or the error of ctx.
+// error is ErrNoServer, ErrShed, ErrWaitTimeout, a *RateLimitError or the error of ctx.
 func (d *Dispatcher) Acquire(ctx context.Context, r *Request) (*Reservation, error) {
 	for {
 		res, err := d.reserveOrWait(ctx, r)
@@ -95,7 +95,7 @@
 	if d.hasRateLimits() {
 		wait, ok := d.estimatePermitWait(r, d.queue.countAhead(r), now)
 		if ok && (!mayWait || now.Add(wait).After(r.WaitUntil)) {
-			return &LimitedError{RetryAfter: wait}
+			return &RateLimitError{RetryAfter: wait}
 		}
 	}
 	switch {
@@ -185,7 +185,7 @@
 // enough to admit the request, since no event signals this.
 func (d *Dispatcher) scheduleAfterPrefill(servers []*backend.Server, list []Candidate, limits Limits, now time.Time) {
 	for i, c := range list {
-		if c.Owned && c.PrefillInGap > 0 || c.NeedsGrant && c.PrefillAhead > 0 {
+		if c.Owned && c.PrefillInGap > 0 || c.NeedsAdmission && c.PrefillAhead > 0 {
 			d.scheduleServe(now.Add(d.admissionDelay(servers[i], c, limits, now)))
 		}
 	}
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -40,9 +40,9 @@
 	Records []R `json:"records,omitempty"`
 }
 
-// Answer merges the records of a message into the log and returns the reply. The reply is nil if there is
+// HandleMessage merges the records of a message into the log and returns the reply. The reply is nil if there is
 // nothing new for the peer.
-func Answer[R any](l Log[R], m Message[R]) *Reply[R] {
+func HandleMessage[R any](l Log[R], m Message[R]) *Reply[R] {
 	l.Merge(m.Records)
 	after := m.Seen.Version
 	if m.Seen.Epoch != l.Epoch() {
@@ -84,9 +84,9 @@
 	return Message[R]{Records: records, Seen: l.peerCursor}
 }
 
-// Apply merges the reply to the last message; nil stands for a reply without changes. If the peer has
+// ApplyReply merges the reply to the last message; nil stands for a reply without changes. If the peer has
 // restarted, the next message carries all records.
-func (l *Link[R]) Apply(r *Reply[R]) {
+func (l *Link[R]) ApplyReply(r *Reply[R]) {
 	l.ackedVersion = l.sentVersion
 	if r == nil {
 		return
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -52,12 +52,12 @@
 // exchange sends a message to the named peer. If replyLost is set, the reply is dropped.
 func (p *pair) exchange(name string, replyLost bool) {
 	m := p.link.Message(name)
-	reply := exchange.Answer[string](p.peer, m)
+	reply := exchange.HandleMessage[string](p.peer, m)
 	if len(m.Records) > 0 || reply != nil {
 		p.messages++
 	}
 	if !replyLost {
-		p.link.Apply(reply)
+		p.link.ApplyReply(reply)
 	}
 }
 
--- a/fairqueue/fairqueue.go
+++ b/fairqueue/fairqueue.go
@@ -53,8 +53,8 @@
 type Limit struct {
 	// Weight is the row's share relative to other rows, multiplied by the factor of its tier.
 	Weight int
-	// Running is the maximum number of concurrent requests; 0 means no limit.
-	Running int
+	// MaxRunning is the maximum number of concurrent requests; 0 means no limit.
+	MaxRunning int
 	// QueueTime is the maximum wait. If it is 0, a request that cannot run immediately is refused.
 	QueueTime time.Duration
 }
@@ -221,7 +221,7 @@
 		return 0
 	}
 	parallelism := total
-	if limit := t.Limit.Running; limit > 0 {
+	if limit := t.Limit.MaxRunning; limit > 0 {
 		parallelism = min(parallelism, limit)
 	}
 	return time.Duration(ahead / float64(parallelism) * float64(q.meanDuration))
@@ -252,7 +252,7 @@
 func (q *Queue) grantOne(now time.Time) bool {
 	for _, r := range q.rowsInOrder() {
 		t := r.waiting[0]
-		if limit := t.Limit.Running; limit > 0 && r.running >= limit {
+		if limit := t.Limit.MaxRunning; limit > 0 && r.running >= limit {
 			continue
 		}
 		slot, ok := q.slots.Take(t.Row)
@@ -335,8 +335,8 @@
 	}
 }
 
-// Rows returns the names of the rows with waiting requests.
-func (q *Queue) Rows() []string {
+// WaitingRows returns the names of the rows with waiting requests.
+func (q *Queue) WaitingRows() []string {
 	var names []string
 	for name, r := range q.rows {
 		if len(r.waiting) > 0 {
--- a/fairqueue/fairqueue_test.go
+++ b/fairqueue/fairqueue_test.go
@@ -38,7 +38,7 @@
 	r := &request{}
 	r.Ticket = &fairqueue.Ticket{
 		Row: row, Tokens: 10,
-		Limit:   fairqueue.Limit{Weight: weight, Running: running, QueueTime: queueTime},
+		Limit:   fairqueue.Limit{Weight: weight, MaxRunning: running, QueueTime: queueTime},
 		Granted: func(fairqueue.Grant) { r.granted = true },
 		Refused: func(x fairqueue.Refusal) { r.refusal = &x },
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -69,22 +69,22 @@
 	Demand []Demand `json:"dem,omitempty"`
 	// Leaving reports whether the server is shutting down.
 	Leaving bool `json:"leaving,omitempty"`
-	// Gone reports whether the server's VM is no longer in the platform's list.
-	Gone bool `json:"gone,omitempty"`
+	// Removed reports whether the server's VM is no longer in the platform's list.
+	Removed bool `json:"gone,omitempty"`
 	// Version is the cell version that last changed the record.
 	Version uint64 `json:"v"`
 }
 
-// Same reports whether the records are equal apart from their versions.
-func (s Server) Same(o Server) bool {
+// EqualExceptVersion reports whether the records are equal apart from their versions.
+func (s Server) EqualExceptVersion(o Server) bool {
 	return s.ID == o.ID && s.Addr == o.Addr && s.Hall == o.Hall && s.Incarnation == o.Incarnation &&
-		s.Slots == o.Slots && s.Leaving == o.Leaving && s.Gone == o.Gone &&
+		s.Slots == o.Slots && s.Leaving == o.Leaving && s.Removed == o.Removed &&
 		slices.Equal(s.Services, o.Services) && slices.Equal(s.Accelerators, o.Accelerators) &&
 		slices.Equal(s.Residents, o.Residents) && slices.Equal(s.Demand, o.Demand)
 }
 
-// Has reports whether the named model or adapter is ready on the server.
-func (s Server) Has(name string) bool {
+// HasReady reports whether the named model or adapter is ready on the server.
+func (s Server) HasReady(name string) bool {
 	return slices.ContainsFunc(s.Residents, func(r Resident) bool {
 		return r.Name == name && r.State == StateReady
 	})
@@ -168,8 +168,8 @@
 	return digest
 }
 
-// Since returns the deltas that a process with the given digest lacks.
-func (v *View) Since(digest Digest) []CellDelta {
+// DeltasSince returns the deltas that a process with the given digest lacks.
+func (v *View) DeltasSince(digest Digest) []CellDelta {
 	peerVersions := make(map[string]CellVersion, len(digest))
 	for _, d := range digest {
 		peerVersions[d.Cell] = d
@@ -246,7 +246,7 @@
 	v.byName = make(map[string][]Server)
 	for _, c := range v.cells {
 		for _, s := range c.servers {
-			if s.Gone {
+			if s.Removed {
 				continue
 			}
 			v.indexServer(s)
@@ -270,9 +270,9 @@
 	}
 }
 
-// Serving returns the servers that serve the named model, adapter or service, including those that
+// ServersFor returns the servers that serve the named model, adapter or service, including those that
 // are leaving. The caller must not modify the slice.
-func (v *View) Serving(name string) []Server {
+func (v *View) ServersFor(name string) []Server {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.byName[name]
@@ -285,7 +285,7 @@
 	var all []Server
 	for _, c := range v.cells {
 		for _, s := range c.servers {
-			if !s.Gone {
+			if !s.Removed {
 				all = append(all, s)
 			}
 		}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -34,7 +34,7 @@
 		"former planner":              {delta(1, 99, true, newServer("a", 99)), false, 2},
 		"next planner, whole":         {delta(3, 1, true, newServer("a", 1)), true, 1},
 		"next planner, only a change": {delta(3, 2, false, newServer("a", 2)), false, 2},
-		"server gone":                 {delta(2, 6, false, fleet.Server{ID: "a", Version: 6, Gone: true}), true, 1},
+		"server gone":                 {delta(2, 6, false, fleet.Server{ID: "a", Version: 6, Removed: true}), true, 1},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 			assert.Assert(t, v.Merge([]fleet.CellDelta{base}))
 			assert.Equal(t, v.Merge([]fleet.CellDelta{tc.delta}), tc.changed)
 			assert.Equal(t, len(v.Servers()), tc.servers)
-			assert.Equal(t, len(v.Serving("s")), tc.servers)
+			assert.Equal(t, len(v.ServersFor("s")), tc.servers)
 		})
 	}
 }
@@ -59,7 +59,7 @@
 	var digest fleet.Digest
 	assert.NilError(t, json.Unmarshal(data, &digest))
 	assert.DeepEqual(t, digest, v.Digest())
-	data, err = json.Marshal(v.Since(nil))
+	data, err = json.Marshal(v.DeltasSince(nil))
 	assert.NilError(t, err)
 	var deltas []fleet.CellDelta
 	assert.NilError(t, json.Unmarshal(data, &deltas))
@@ -76,10 +76,10 @@
 			views[0].Merge([]fleet.CellDelta{delta(1, v, false, newServer(id, v))})
 			a := rapid.IntRange(0, 3).Draw(t, "asks")
 			b := rapid.IntRange(0, 3).Draw(t, "asked")
-			views[a].Merge(views[b].Since(views[a].Digest()))
+			views[a].Merge(views[b].DeltasSince(views[a].Digest()))
 		}
 		for i := range views {
-			views[i].Merge(views[0].Since(views[i].Digest()))
+			views[i].Merge(views[0].DeltasSince(views[i].Digest()))
 			assert.DeepEqual(t, views[i].Servers(), views[0].Servers())
 			assert.DeepEqual(t, views[i].Digest(), views[0].Digest())
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -44,7 +44,7 @@
 	// Status returns the engine's status.
 	Status(ctx context.Context) (engine.Status, error)
 	// Send sends an order to load or unload.
-	Send(ctx context.Context, o engine.Order) error
+	SendOrder(ctx context.Context, o engine.Order) error
 }
 
 // A VMLister reads the platform's list of VMs.
@@ -65,7 +65,7 @@
 	Log     *zap.Logger
 	Metrics *telemetry.Metrics
 	// Traffic counts the bytes of control traffic. The platform's clients share it.
-	Traffic *wire.Traffic
+	Traffic *wire.TrafficCounter
 }
 
 // An Agent is the process that runs beside one backend server and controls access to it.
@@ -84,8 +84,8 @@
 	peers   *wire.Client
 	replica table.Replica
 	// traffic counts the bytes of control traffic, proxied those of requests.
-	traffic  *wire.Traffic
-	proxied  wire.Traffic
+	traffic  *wire.TrafficCounter
+	proxied  wire.TrafficCounter
 	requests *server.Listener
 	control  *server.Listener
 	// crashes detects crashes of the backend server, quarantine holds the requests that were
@@ -124,9 +124,9 @@
 	}
 	a.backend = &http.Client{Transport: wire.NewTransport(&a.proxied)}
 	a.peers = wire.NewClient(o.Settings.Secret, wire.NewTransport(o.Traffic))
-	a.work = newWorkload(a.server.slots, o.Settings.MaxWaiting)
+	a.work = newWorkload(a.server.slots, o.Settings.MaxQueued)
 	a.quarantine = quarantine.New(quarantine.Options{
-		Clock: o.Clock, Ends: quarantine.DefaultEnds, Hold: quarantine.DefaultHold,
+		Clock: o.Clock, CrashThreshold: quarantine.DefaultCrashThreshold, Duration: quarantine.DefaultDuration,
 	})
 	a.crashes = &crashDetector{
 		clock: o.Clock, table: a.quarantine, addr: hostPort(o.Settings.Backend.URL), namePrefix: o.Settings.ID + "/" + a.incarnation,
@@ -182,7 +182,7 @@
 // Stop marks the agent as leaving, keeps responding for twice the leave time, waits for the
 // requests in progress until ctx is done, and closes the listeners.
 func (a *Agent) Stop(ctx context.Context) error {
-	a.LeaveForGood("planned stop")
+	a.LeavePermanently("planned stop")
 	// During the first leave time the agent still accepts requests that no other server can run.
 	// During the second one it refuses all requests, so that clients get a response rather than a
 	// connection error.
@@ -223,7 +223,7 @@
 	if a.closed() {
 		a.work.queue.RefuseAll(fairqueue.ReasonLeaving)
 	}
-	for _, row := range a.work.queue.Rows() {
+	for _, row := range a.work.queue.WaitingRows() {
 		if a.server.slots.Total(row) == 0 {
 			a.work.queue.RefuseRow(row, fairqueue.ReasonNotResident)
 		}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -36,7 +36,7 @@
 }
 
 func (f *fakeEngine) Status(context.Context) (engine.Status, error) { return f.status, nil }
-func (f *fakeEngine) Send(_ context.Context, o engine.Order) error {
+func (f *fakeEngine) SendOrder(_ context.Context, o engine.Order) error {
 	f.orders = append(f.orders, o)
 	return f.err
 }
@@ -61,13 +61,13 @@
 	metrics, err := telemetry.NewMetrics()
 	assert.NilError(t, err)
 	var settings config.Agent
-	config.Defaults(&settings)
+	config.SetDefaults(&settings)
 	settings.ID, settings.Secret = "w", secret
 	f := &fixture{engine: &fakeEngine{}, clock: clocktest.New(time.Unix(1000, 0)), kv: s, store: store}
 	f.engine.status = engine.Status{MemoryMiB: []int{100}, Slots: 4}
 	f.Agent = New(Options{
 		Settings: settings, Store: store, Engine: f.engine, Clock: f.clock, Log: zap.NewNop(),
-		Metrics: metrics, Traffic: &wire.Traffic{},
+		Metrics: metrics, Traffic: &wire.TrafficCounter{},
 	})
 	return f
 }
@@ -138,7 +138,7 @@
 func TestLostRecordAnswer(t *testing.T) {
 	f := newFixture(t)
 	f.takeOver()
-	f.kv.SetFaults(standin.Faults{LoseAnswers: 1})
+	f.kv.SetFaults(standin.Faults{LoseResponses: 1})
 	load := []placement.Order{order(ledger.OpLoad, "a", 60)}
 	f.executeOrders(load)
 	assert.Equal(t, len(f.engine.orders), 0)
@@ -163,7 +163,7 @@
 	assert.Equal(t, len(f.engine.orders), 1)
 }
 
-func post(t *testing.T, h http.Handler, auth string, x wire.Exchange) (int, wire.ExchangeAnswer) {
+func post(t *testing.T, h http.Handler, auth string, x wire.Exchange) (int, wire.ExchangeResponse) {
 	t.Helper()
 	body, err := json.Marshal(x)
 	assert.NilError(t, err)
@@ -174,7 +174,7 @@
 	}
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, r)
-	var a wire.ExchangeAnswer
+	var a wire.ExchangeResponse
 	if w.Code == http.StatusOK {
 		assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &a))
 	}
@@ -248,7 +248,7 @@
 			h := listenFor(t, f)
 			_, a := post(t, h, secret, wire.Exchange{Token: 1, List: 5, Leaving: true})
 			if tc.stop {
-				f.LeaveForGood("test")
+				f.LeavePermanently("test")
 			}
 			tc.later.Token = 1
 			_, b := post(t, h, secret, tc.later)
--- a/internal/agent/catchup.go
+++ b/internal/agent/catchup.go
@@ -76,9 +76,9 @@
 // fetchTable fetches a newer table from the entry at addr and clears fetchingTable.
 func (a *Agent) fetchTable(addr string) {
 	defer a.fetchingTable.Store(false)
-	var answer wire.SyncAnswer
+	var answer wire.SyncResponse
 	r := wire.SyncRequest{From: a.settings.ID, Table: a.replica.Current().Version(), TableOnly: true}
-	if err := a.peers.PostWithin(context.Background(), fetchTableTimeout, addr, wire.PathSync, r, &answer); err != nil {
+	if err := a.peers.PostWithStallTimeout(context.Background(), fetchTableTimeout, addr, wire.PathSync, r, &answer); err != nil {
 		a.log.Debug("fetching the table from an entry failed", zap.Error(err))
 		return
 	}
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -77,13 +77,13 @@
 
 // exchangeAnswer returns the response to a planner. It contains the server's record if the planner
 // does not have its current version.
-func (a *Agent) exchangeAnswer(msg wire.Exchange) wire.ExchangeAnswer {
+func (a *Agent) exchangeAnswer(msg wire.Exchange) wire.ExchangeResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.serverRecord(a.clock.Now())
-	answer := wire.ExchangeAnswer{
+	answer := wire.ExchangeResponse{
 		Incarnation: a.incarnation, Token: a.planner.token, TableVersion: a.replica.Current().Version(), RecordSeen: a.server.version,
-		Pauses: a.planner.pauses, Quarantine: a.quarantine.Answer(msg.Quarantine, quarantine.AllEnds),
+		Pauses: a.planner.pauses, Quarantine: a.quarantine.Answer(msg.Quarantine, quarantine.AllRecords),
 	}
 	if msg.Incarnation != a.incarnation || msg.Seen != a.server.version {
 		answer.Server = &s
@@ -100,7 +100,7 @@
 	Waiting      int    `json:"waiting"`
 	Running      int    `json:"running"`
 	Leaving      bool   `json:"leaving"`
-	Armed        bool   `json:"armed"`
+	HasFence     bool   `json:"armed"`
 	ControlBytes int64  `json:"control_bytes"`
 }
 
@@ -113,7 +113,7 @@
 	defer a.mu.Unlock()
 	return c.JSON(http.StatusOK, Status{
 		ID: a.settings.ID, Incarnation: a.incarnation, TableVersion: a.replica.Current().Version(),
-		Waiting: a.work.queue.Waiting(), Running: a.work.queue.Running(), Leaving: a.membership.leaving, Armed: hasFence,
+		Waiting: a.work.queue.Waiting(), Running: a.work.queue.Running(), Leaving: a.membership.leaving, HasFence: hasFence,
 		ControlBytes: a.traffic.WireBytes(),
 	})
 }
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -56,8 +56,8 @@
 	a.requestExchange()
 }
 
-// LeaveForGood is like Leave, but the platform's list of VMs cannot undo it.
-func (a *Agent) LeaveForGood(reason string) {
+// LeavePermanently is like Leave, but the platform's list of VMs cannot undo it.
+func (a *Agent) LeavePermanently(reason string) {
 	a.Leave(reason)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,7 +76,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), requestExchangeTimeout)
 		defer cancel()
-		err := a.peers.Post(ctx, addr, wire.PathNudge, wire.Nudge{Server: a.settings.ID}, nil)
+		err := a.peers.Post(ctx, addr, wire.PathExchangeTrigger, wire.ExchangeTrigger{Server: a.settings.ID}, nil)
 		if err != nil {
 			a.log.Debug("requesting an exchange with the planner failed", zap.Error(err))
 		}
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -56,7 +56,7 @@
 		a.cancelIntents(intents)
 		a.log.Warn("recording intents failed; orders not sent", zap.Error(err))
 		if errors.Is(err, errSuperseded) {
-			a.LeaveForGood("superseded by another agent")
+			a.LeavePermanently("superseded by another agent")
 		}
 		return
 	}
@@ -81,7 +81,7 @@
 		}
 		i := ledger.Intent{
 			ID: uuid.NewString(), Op: o.Op, Name: o.Name, Base: o.Base, Accelerator: o.Accelerator,
-			MemoryMiB: o.Size.TotalMiB(), Until: a.clock.Now().Add(a.settings.Backend.OrderLifetime.Std()),
+			MemoryMiB: o.Size.TotalMiB(), ExpiresAt: a.clock.Now().Add(a.settings.Backend.OrderLifetime.Std()),
 		}
 		if err := a.server.ledger.Reserve(i); err != nil {
 			a.log.Debug("order rejected", zap.String("name", o.Name), zap.String("op", string(o.Op)), zap.Error(err))
@@ -143,7 +143,7 @@
 // sendOrder sends one order. Unless the engine rejects the fencing token, the intent stays in the
 // ledger until the engine reports the order as finished or the order's lifetime has passed.
 func (a *Agent) sendOrder(ctx context.Context, i ledger.Intent) {
-	err := a.engine.Send(ctx, engine.Order{
+	err := a.engine.SendOrder(ctx, engine.Order{
 		ID: i.ID, Fence: a.record.value.Fence, Op: i.Op, Name: i.Name, Base: i.Base,
 		Accelerator: i.Accelerator, MemoryMiB: i.MemoryMiB,
 	})
@@ -153,7 +153,7 @@
 		result = "fenced"
 		a.cancelIntents([]ledger.Intent{i})
 		a.record.superseded = true
-		a.LeaveForGood("the engine has seen a newer agent")
+		a.LeavePermanently("the engine has seen a newer agent")
 	case err != nil:
 		result = "unknown"
 		a.log.Warn("sending an order failed; its outcome is unknown", zap.String("order", i.ID), zap.Error(err))
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return a.respondBodyError(c, err)
 	}
-	stopHeartbeat := startHeartbeat(a.clock, c.Response().Writer, a.settings.Limits.SilentTime.Std()/heartbeatsPerTimeout)
+	stopHeartbeat := startHeartbeat(a.clock, c.Response().Writer, a.settings.Limits.HeartbeatTimeout.Std()/heartbeatsPerTimeout)
 	defer stopHeartbeat()
 	t, grant, refusal := a.waitForSlot(req, row)
 	if refusal != nil {
@@ -65,7 +65,7 @@
 	tokens := t.Tokens
 	defer func() { a.finish(t, tokens) }()
 	class := telemetry.Class{Tier: string(row.Tier), Organisation: row.Organisation}
-	a.metrics.Queue(class, grant.Waited.Seconds())
+	a.metrics.QueueTime(class, grant.Waited.Seconds())
 	written, err := a.forward(c, grantedRequest{row: row, grant: grant, body: body, stopHeartbeat: stopHeartbeat})
 	if row.Kind != table.KindService && written > 0 {
 		tokens = int(written / bytesPerToken)
@@ -90,7 +90,7 @@
 var errBodyTooLarge = errors.New("agent: body too long")
 
 func (a *Agent) respondBodyError(c echo.Context, err error) error {
-	f := wire.Failure{
+	f := wire.ErrorResponse{
 		Status: http.StatusBadRequest, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
 		Code: "body_unreadable", Message: err.Error(),
 	}
@@ -145,14 +145,14 @@
 	case total == 0:
 		return &fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: defaultRetryAfter}
 	}
-	t.Limit = fairqueue.Limit{Weight: row.EffectiveWeight(), QueueTime: row.QueueTime}
-	t.Limit.Running = max(1, total*row.Share/100)
-	if row.Concurrency > 0 {
+	t.Limit = fairqueue.Limit{Weight: row.EffectiveWeight(), QueueTime: row.MaxQueueTime}
+	t.Limit.MaxRunning = max(1, total*row.MaxSlotShare/100)
+	if row.MaxConcurrency > 0 {
 		grant := a.work.grants[row.Name]
 		if grant == 0 {
 			return &fairqueue.Refusal{Reason: reasonConcurrency, RetryAfter: defaultRetryAfter}
 		}
-		t.Limit.Running = min(t.Limit.Running, grant)
+		t.Limit.MaxRunning = min(t.Limit.MaxRunning, grant)
 	}
 	a.work.queue.Push(t, a.clock.Now())
 	return nil
@@ -186,7 +186,7 @@
 	if r.Reason == fairqueue.ReasonQueueTime || r.Reason == reasonConcurrency {
 		status = http.StatusTooManyRequests
 	}
-	f := wire.Failure{
+	f := wire.ErrorResponse{
 		Status: status, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded, Code: string(r.Reason),
 		Message: "the request was not run: " + string(r.Reason), RetryAfter: max(r.RetryAfter, time.Millisecond),
 	}
@@ -261,7 +261,7 @@
 	out.Header.Del("Authorization")
 	out.Header.Del(wire.HeaderEntry)
 	out.Header.Del(wire.HeaderDigest)
-	wire.SendOnce(out)
+	wire.DisableRetry(out)
 	a.mu.Lock()
 	accelerator := a.server.slots.accelerator(p.grant.Slot)
 	a.mu.Unlock()
@@ -279,7 +279,7 @@
 		return nil
 	}
 	a.setStateHeaders(c.Response().Header())
-	f := wire.Failure{
+	f := wire.ErrorResponse{
 		Status: http.StatusBadGateway, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer,
 		Code: "backend_lost", Message: "the backend server gave no answer; the request may have run",
 	}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -46,7 +46,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.server.statusFailures = 0
-	a.server.ledger.Settle(ledger.Report{MemoryMiB: status.MemoryMiB, Residents: status.Residents, Finished: status.Finished}, now)
+	a.server.ledger.ApplyReport(ledger.Report{MemoryMiB: status.MemoryMiB, Residents: status.Residents, Finished: status.Finished}, now)
 	a.server.slots.setResidents(status.Residents, len(status.MemoryMiB), status.Slots)
 	a.resumeCopies()
 	a.server.engineResponds = true
@@ -76,7 +76,7 @@
 // them. a.mu must be held.
 func (a *Agent) resumeCopies() {
 	for id := range a.server.slots.draining {
-		if _, waits := a.server.unloads[id]; !waits && !a.server.ledger.Busy(id.name) {
+		if _, waits := a.server.unloads[id]; !waits && !a.server.ledger.HasIntentFor(id.name) {
 			a.server.slots.resume(id)
 		}
 	}
@@ -97,7 +97,7 @@
 		s.Slots = a.server.slots.slotsPerAccelerator
 	}
 	s.Demand = a.work.demandLevels(now)
-	if a.server.version == 0 || !s.Same(a.server.lastRecord) {
+	if a.server.version == 0 || !s.EqualExceptVersion(a.server.lastRecord) {
 		a.server.version++
 		a.server.lastRecord = s
 	}
--- a/internal/agent/server_end.go
+++ b/internal/agent/server_end.go
@@ -98,6 +98,6 @@
 		d.log.Info("server ended", zap.String("run", run))
 	}
 	d.log.Info("request recorded with the server's end", zap.String("run", run), zap.Stringer("digest", k))
-	d.table.Ended(run, k)
+	d.table.RecordCrash(run, k)
 	d.onCrash()
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -31,7 +31,7 @@
 	m.HandleFunc("GET "+wire.PathTable, func(w http.ResponseWriter, r *http.Request) {
 		tab, _, err := l.Load(r.Context(), &table.Table{})
 		assert.Check(t, err)
-		_ = json.NewEncoder(w).Encode(wire.TableAnswer{Version: tab.Version(), Rows: tab.Rows()})
+		_ = json.NewEncoder(w).Encode(wire.TableResponse{Version: tab.Version(), Rows: tab.Rows()})
 	})
 	m.HandleFunc("POST "+wire.PathTable, func(w http.ResponseWriter, r *http.Request) {
 		var s wire.SaveRequest
@@ -39,10 +39,10 @@
 		tab, err := l.Save(r.Context(), s.Edit)
 		if err != nil {
 			w.WriteHeader(http.StatusUnprocessableEntity)
-			_ = json.NewEncoder(w).Encode(wire.SaveAnswer{Errors: []table.CheckError{{Row: "x", Column: "weight"}}})
+			_ = json.NewEncoder(w).Encode(wire.SaveResponse{Errors: []table.CheckError{{Row: "x", Column: "weight"}}})
 			return
 		}
-		_ = json.NewEncoder(w).Encode(wire.SaveAnswer{Version: tab.Version()})
+		_ = json.NewEncoder(w).Encode(wire.SaveResponse{Version: tab.Version()})
 	})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !wire.Authorized(r, secret) {
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -18,7 +18,7 @@
 		}
 		secret = strings.TrimSpace(string(data))
 	}
-	return wire.NewClient(secret, wire.NewTransport(&wire.Traffic{})), nil
+	return wire.NewClient(secret, wire.NewTransport(&wire.TrafficCounter{})), nil
 }
 
 // entries returns the control addresses in the order in which they are tried.
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -63,7 +63,7 @@
 	fmt.Fprintln(w, "DIGEST\tENDS\tLAST END\tREFUSED FOR\tSERVERS")
 	for _, item := range list.Items {
 		fmt.Fprintf(w, "%s\t%d\t%s ago\t%s\t%s\n", item.Key, len(item.Servers), roundedDuration(item.AgeMs),
-			roundedDuration(item.HeldMs), strings.Join(item.Servers, " "))
+			roundedDuration(item.RemainingMs), strings.Join(item.Servers, " "))
 	}
 	return w.Flush()
 }
@@ -86,8 +86,8 @@
 	if err != nil {
 		return err
 	}
-	var lifted wire.QuarantineLifted
-	if err := c.Post(ctx, a.quarantineAddr(gateway), wire.PathQuarantine, wire.QuarantineLift{Key: key}, &lifted); err != nil {
+	var lifted wire.LiftResponse
+	if err := c.Post(ctx, a.quarantineAddr(gateway), wire.PathQuarantine, wire.LiftRequest{Key: key}, &lifted); err != nil {
 		return err
 	}
 	if !lifted.Known {
--- a/internal/cli/save.go
+++ b/internal/cli/save.go
@@ -35,7 +35,7 @@
 	unknown := false
 	for attempt := range maxSaveAttempts {
 		addr := a.entries()[attempt%len(a.entries())]
-		var ans wire.SaveAnswer
+		var ans wire.SaveResponse
 		err = c.Post(ctx, addr, wire.PathTable, wire.SaveRequest{Edit: edit}, &ans)
 		if err == nil {
 			return ans.Version, nil
@@ -60,7 +60,7 @@
 	if !errors.As(err, &s) {
 		return nil, !errors.Is(err, wire.ErrNotSent)
 	}
-	var ans wire.SaveAnswer
+	var ans wire.SaveResponse
 	// If the body cannot be decoded, the message stays empty and the status alone decides.
 	_ = json.Unmarshal(s.Body, &ans)
 	switch s.Status {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -26,7 +26,7 @@
 
 // status prints an entry's view of VMs, backend servers and table versions.
 func (a *app) status(ctx context.Context, asJSON bool) error {
-	var s wire.StatusAnswer
+	var s wire.StatusResponse
 	if err := a.getFromEntries(ctx, wire.PathStatus+"?versions=1", &s); err != nil {
 		return err
 	}
--- a/internal/cli/table_edit.go
+++ b/internal/cli/table_edit.go
@@ -42,7 +42,7 @@
 			return err
 		}
 	}
-	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], Seen: seen, Row: &row}})
+	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], ExpectedVersion: seen, Row: &row}})
 }
 
 func (a *app) remove(ctx context.Context, args []string) error {
@@ -57,7 +57,7 @@
 	if seen == 0 {
 		return fmt.Errorf("no row %q", args[0])
 	}
-	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], Seen: seen}})
+	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], ExpectedVersion: seen}})
 }
 
 // findRow returns the row with the given name and its version, or a new row and version 0.
@@ -85,13 +85,13 @@
 
 // changesFrom returns the changes that bring the current table to the rows of a file, and the current
 // table. With replace, rows that the file lacks are removed.
-func (a *app) changesFrom(ctx context.Context, args []string, replace bool) ([]table.Change, wire.TableAnswer, error) {
+func (a *app) changesFrom(ctx context.Context, args []string, replace bool) ([]table.Change, wire.TableResponse, error) {
 	if err := checkArgCount(args, 1, 1, "one FILE, or - for standard input"); err != nil {
-		return nil, wire.TableAnswer{}, err
+		return nil, wire.TableResponse{}, err
 	}
 	rows, err := a.readRows(args[0])
 	if err != nil {
-		return nil, wire.TableAnswer{}, err
+		return nil, wire.TableResponse{}, err
 	}
 	now, err := a.fetchTable(ctx)
 	if err != nil {
--- a/internal/cli/table_read.go
+++ b/internal/cli/table_read.go
@@ -19,8 +19,8 @@
 const stdinName = "-"
 
 // fetchTable fetches the current table from an entry.
-func (a *app) fetchTable(ctx context.Context) (wire.TableAnswer, error) {
-	var t wire.TableAnswer
+func (a *app) fetchTable(ctx context.Context) (wire.TableResponse, error) {
+	var t wire.TableResponse
 	err := a.getFromEntries(ctx, wire.PathTable, &t)
 	return t, err
 }
@@ -115,7 +115,7 @@
 
 // history prints the latest edits in the order of the entry's response.
 func (a *app) history(ctx context.Context, _ []string) error {
-	var h wire.HistoryAnswer
+	var h wire.HistoryResponse
 	if err := a.getFromEntries(ctx, wire.PathHistory, &h); err != nil {
 		return err
 	}
--- a/internal/cli/why.go
+++ b/internal/cli/why.go
@@ -35,7 +35,7 @@
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "TIME\tENTRY\tDECISION\tNAME\tSERVER\tREASON")
 	for _, addr := range a.entries() {
-		var d wire.DecisionsAnswer
+		var d wire.DecisionsResponse
 		if err := c.Get(ctx, addr, wire.PathDecisions+"?name="+url.QueryEscape(name), &d); err != nil {
 			fmt.Fprintf(a.err, "rockcleat: entry %s: %v\n", addr, err)
 			continue
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -85,12 +85,12 @@
 	return Parse(file, data, into)
 }
 
-// Defaults sets the values of the keys that a settings file may omit.
-func Defaults(s Settings) { s.setDefaults() }
+// SetDefaults sets the values of the keys that a settings file may omit.
+func SetDefaults(s Settings) { s.setDefaults() }
 
 // Parse decodes and checks settings; file is the name used in errors.
 func Parse(file string, data []byte, into Settings) error {
-	Defaults(into)
+	SetDefaults(into)
 	c := &checker{file: file}
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,7 @@
 		quota      config.Quota
 	}{
 		"all bounds": {given: true, revokeTime: 5 * time.Second, quota: config.Quota{
-			Window: config.Duration(8 * time.Second), Over: 0.1, Slack: 10000,
+			Window: config.Duration(8 * time.Second), OverRatio: 0.1, Slack: 10000,
 		}},
 		"no keys and limits": {},
 	}
@@ -47,7 +47,7 @@
 			assert.Equal(t, g.Retry.Fixed, 58.0)
 			assert.DeepEqual(t, g.Seeds, []string{"10.0.0.1:82", "10.0.0.3:82"})
 			assert.Assert(t, g.FirstStart)
-			assert.Equal(t, g.RevokeTime.Std(), test.revokeTime)
+			assert.Equal(t, g.MaxRevocationDelay.Std(), test.revokeTime)
 			assert.Equal(t, g.Quota, test.quota)
 		})
 	}
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -15,9 +15,9 @@
 // limit in any Window.
 type Quota struct {
 	Window Duration `yaml:"window"`
-	// Over is relative to what the limit allows in the window; Slack is a further amount in the limit's unit.
-	Over  float64 `yaml:"over"`
-	Slack float64 `yaml:"slack"`
+	// OverRatio is relative to what the limit allows in the window; Slack is a further amount in the limit's unit.
+	OverRatio float64 `yaml:"over"`
+	Slack     float64 `yaml:"slack"`
 }
 
 // Gateway contains the settings of a gateway.
@@ -40,15 +40,15 @@
 	Grace Duration `yaml:"grace"`
 	// LeaseTTL is the time to live of the leader's lease, after which another gateway may lead.
 	LeaseTTL Duration `yaml:"lease_ttl"`
-	// WatchTime bounds one watch of the store, so that a dead connection is noticed.
-	WatchTime Duration `yaml:"watch_time"`
+	// WatchTimeout bounds one watch of the store, so that a dead connection is noticed.
+	WatchTimeout Duration `yaml:"watch_time"`
 	// StoreTimeout bounds any other call to the store, EngineTimeout a call to an engine.
 	StoreTimeout  Duration `yaml:"store_timeout"`
 	EngineTimeout Duration `yaml:"engine_timeout"`
-	// IdleTime is how long idle connections to backend servers are kept.
-	IdleTime Duration `yaml:"idle_time"`
-	// BodyTime bounds the reading of a request's body.
-	BodyTime Duration `yaml:"body_time"`
+	// IdleTimeout is how long idle connections to backend servers are kept.
+	IdleTimeout Duration `yaml:"idle_time"`
+	// BodyTimeout bounds the reading of a request's body.
+	BodyTimeout Duration `yaml:"body_time"`
 	// Gateways is the number of gateways to assume until they have been counted.
 	Gateways int `yaml:"gateways"`
 	// Seeds are the PeerListen addresses of some gateways, which may be down. A starting gateway
@@ -57,9 +57,9 @@
 	Retry      Retry      `yaml:"retry"`
 	Quarantine Quarantine `yaml:"quarantine"`
 	Quota      Quota      `yaml:"quota"`
-	// RevokeTime is the time within which every gateway rejects a key that operators revoked, whatever
+	// MaxRevocationDelay is the time within which every gateway rejects a key that operators revoked, whatever
 	// has failed; 0 for no such bound.
-	RevokeTime Duration `yaml:"revoke_time"`
+	MaxRevocationDelay Duration `yaml:"revoke_time"`
 }
 
 // Defaults of the gateway's settings. The deployment template deploy/gateway.yaml sets grace, lease_ttl
@@ -85,9 +85,9 @@
 func (g *Gateway) setDefaults() {
 	*g = Gateway{
 		Log:   Log{Level: "info", Format: "json"},
-		Grace: Duration(defaultGrace), LeaseTTL: Duration(defaultGatewayLeaseTTL), WatchTime: Duration(defaultWatchTime),
+		Grace: Duration(defaultGrace), LeaseTTL: Duration(defaultGatewayLeaseTTL), WatchTimeout: Duration(defaultWatchTime),
 		StoreTimeout: Duration(defaultStoreTimeout), EngineTimeout: Duration(defaultEngineTimeout),
-		IdleTime: Duration(defaultIdleTime), BodyTime: Duration(defaultBodyTime), Gateways: defaultGateways,
+		IdleTimeout: Duration(defaultIdleTime), BodyTimeout: Duration(defaultBodyTime), Gateways: defaultGateways,
 		Retry: Retry{Window: Duration(defaultRetryWindow), Ratio: defaultRetryRatio, Fixed: defaultRetryFixed},
 	}
 	g.Quarantine.setDefaults()
@@ -102,8 +102,8 @@
 	c.require(g.MetricsListen == "" || isAddr(g.MetricsListen), "metrics_listen", "must be IP:PORT or empty")
 	c.require(isAddr(g.Store), "store", "must be IP:PORT")
 	for key, d := range map[string]Duration{
-		"grace": g.Grace, "lease_ttl": g.LeaseTTL, "watch_time": g.WatchTime, "store_timeout": g.StoreTimeout,
-		"engine_timeout": g.EngineTimeout, "idle_time": g.IdleTime, "body_time": g.BodyTime, "retry.window": g.Retry.Window,
+		"grace": g.Grace, "lease_ttl": g.LeaseTTL, "watch_time": g.WatchTimeout, "store_timeout": g.StoreTimeout,
+		"engine_timeout": g.EngineTimeout, "idle_time": g.IdleTimeout, "body_time": g.BodyTimeout, "retry.window": g.Retry.Window,
 	} {
 		c.require(d > 0, key, "must be longer than 0s")
 	}
@@ -114,8 +114,8 @@
 	c.require(g.Retry.Ratio >= 0, "retry.ratio", "must not be negative")
 	c.require(g.Retry.Fixed >= 0, "retry.fixed", "must not be negative")
 	c.require(g.Quota.Window >= 0, "quota.window", "must not be negative")
-	c.require(g.Quota.Over >= 0, "quota.over", "must not be negative")
+	c.require(g.Quota.OverRatio >= 0, "quota.over", "must not be negative")
 	c.require(g.Quota.Slack >= 0, "quota.slack", "must not be negative")
-	c.require(g.RevokeTime >= 0, "revoke_time", "must not be negative")
+	c.require(g.MaxRevocationDelay >= 0, "revoke_time", "must not be negative")
 	g.Quarantine.check(c)
 }
--- a/internal/config/quarantine.go
+++ b/internal/config/quarantine.go
@@ -8,8 +8,8 @@
 
 // Quarantine contains the settings of the quarantine of requests under which backend servers have ended.
 type Quarantine struct {
-	// Ends is the number of servers that have to end under copies of a request before it is refused.
-	Ends int `yaml:"ends"`
+	// Threshold is the number of servers that have to end under copies of a request before it is refused.
+	Threshold int `yaml:"ends"`
 	// Hold is how long the request is refused at first. It doubles with each further server that ends.
 	Hold Duration `yaml:"hold"`
 }
@@ -25,10 +25,10 @@
 )
 
 func (q *Quarantine) setDefaults() {
-	*q = Quarantine{Ends: quarantine.DefaultEnds, Hold: Duration(quarantine.DefaultHold)}
+	*q = Quarantine{Threshold: quarantine.DefaultCrashThreshold, Hold: Duration(quarantine.DefaultDuration)}
 }
 
 func (q *Quarantine) check(c *checker) {
-	c.require(q.Ends >= minQuarantineEnds && q.Ends <= maxQuarantineEnds, "quarantine.ends", "must be from 2 to 8")
+	c.require(q.Threshold >= minQuarantineEnds && q.Threshold <= maxQuarantineEnds, "quarantine.ends", "must be from 2 to 8")
 	c.requireBetween(q.Hold, minQuarantineHold, maxQuarantineHold, "quarantine.hold")
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -34,18 +34,18 @@
 	// LeaveTime is how long a stopping process still accepts requests, so that their senders
 	// learn of the shutdown.
 	LeaveTime Duration `yaml:"leave_time"`
-	// DrainTime bounds the wait for requests in progress after LeaveTime.
-	DrainTime Duration `yaml:"drain_time"`
+	// DrainTimeout bounds the wait for requests in progress after LeaveTime.
+	DrainTimeout Duration `yaml:"drain_time"`
 }
 
 // Planner contains the settings of the planner role.
 type Planner struct {
 	// CellSize is the maximum number of backend servers in a cell.
 	CellSize int `yaml:"cell_size"`
-	// ExchangeEvery is the interval between two exchanges with an agent.
-	ExchangeEvery Duration `yaml:"exchange_every"`
-	// Headroom is the planned utilisation of a replica: a fraction of an accelerator's slots.
-	Headroom float64 `yaml:"headroom"`
+	// ExchangeInterval is the interval between two exchanges with an agent.
+	ExchangeInterval Duration `yaml:"exchange_every"`
+	// TargetUtilization is the planned utilisation of a replica: a fraction of an accelerator's slots.
+	TargetUtilization float64 `yaml:"headroom"`
 	// Hold is how long a replica is kept after demand no longer justifies it.
 	Hold Duration `yaml:"hold"`
 	// MaxLoads is the maximum number of concurrent loads from the weight store.
@@ -74,11 +74,11 @@
 	BodyBytes int64 `yaml:"body_bytes"`
 	// InFlight is the maximum number of concurrent requests.
 	InFlight int `yaml:"in_flight"`
-	// BodyTime bounds the reading of a request body.
-	BodyTime Duration `yaml:"body_time"`
-	// SilentTime is the time without a message after which an agent counts as lost. Agents send a
+	// BodyTimeout bounds the reading of a request body.
+	BodyTimeout Duration `yaml:"body_time"`
+	// HeartbeatTimeout is the time without a message after which an agent counts as lost. Agents send a
 	// heartbeat four times within it. It must be the same on all processes.
-	SilentTime Duration `yaml:"silent_time"`
+	HeartbeatTimeout Duration `yaml:"silent_time"`
 }
 
 // Entry contains the settings of an entry daemon.
@@ -87,14 +87,14 @@
 	// VMs and Weights are the base URLs of the platform's list of VMs and of its weight store.
 	VMs     string `yaml:"vms"`
 	Weights string `yaml:"weights"`
-	// VMsEvery is the interval between two requests for the list of VMs.
-	VMsEvery Duration `yaml:"vms_every"`
-	// SyncEvery is the interval between two state exchanges with another entry.
-	SyncEvery  Duration   `yaml:"sync_every"`
-	Planner    Planner    `yaml:"planner"`
-	Claims     Claims     `yaml:"claims"`
-	Quarantine Quarantine `yaml:"quarantine"`
-	Limits     Limits     `yaml:"limits"`
+	// VMsInterval is the interval between two requests for the list of VMs.
+	VMsInterval Duration `yaml:"vms_every"`
+	// SyncInterval is the interval between two state exchanges with another entry.
+	SyncInterval Duration   `yaml:"sync_every"`
+	Planner      Planner    `yaml:"planner"`
+	Claims       Claims     `yaml:"claims"`
+	Quarantine   Quarantine `yaml:"quarantine"`
+	Limits       Limits     `yaml:"limits"`
 }
 
 // Backend contains the settings of the backend server that an agent runs beside.
@@ -119,9 +119,9 @@
 	// VMs is the base URL of the platform's list of VMs, which the agent reads only while no planner
 	// contacts it; it may be empty.
 	VMs string `yaml:"vms"`
-	// MaxWaiting is the maximum number of waiting requests.
-	MaxWaiting int    `yaml:"max_waiting"`
-	Limits     Limits `yaml:"limits"`
+	// MaxQueued is the maximum number of waiting requests.
+	MaxQueued int    `yaml:"max_waiting"`
+	Limits    Limits `yaml:"limits"`
 }
 
 // Kinds of backend servers.
@@ -133,23 +133,23 @@
 func (p *Process) setDefaults() {
 	p.Log = Log{Level: "info", Format: "json"}
 	p.LeaveTime = Duration(3 * time.Second)
-	p.DrainTime = Duration(2 * time.Minute)
+	p.DrainTimeout = Duration(2 * time.Minute)
 }
 
 func (l *Limits) setDefaults() {
 	l.BodyBytes = 8 << 20
 	l.InFlight = 4096
-	l.BodyTime = Duration(20 * time.Second)
-	l.SilentTime = Duration(10 * time.Second)
+	l.BodyTimeout = Duration(20 * time.Second)
+	l.HeartbeatTimeout = Duration(10 * time.Second)
 }
 
 func (e *Entry) setDefaults() {
 	e.Process.setDefaults()
 	e.Limits.setDefaults()
-	e.VMsEvery = Duration(2 * time.Second)
-	e.SyncEvery = Duration(time.Second)
+	e.VMsInterval = Duration(2 * time.Second)
+	e.SyncInterval = Duration(time.Second)
 	e.Planner = Planner{
-		CellSize: 24, ExchangeEvery: Duration(5 * time.Second), Headroom: 0.7,
+		CellSize: 24, ExchangeInterval: Duration(5 * time.Second), TargetUtilization: 0.7,
 		Hold: Duration(time.Minute), MaxLoads: 10, LoadsPerSecond: 1.5, LeaseTTL: Duration(9 * time.Second),
 	}
 	e.Claims = Claims{
@@ -161,7 +161,7 @@
 func (a *Agent) setDefaults() {
 	a.Process.setDefaults()
 	a.Limits.setDefaults()
-	a.MaxWaiting = 1024
+	a.MaxQueued = 1024
 	a.Backend = Backend{Kind: BackendEngine, OrderLifetime: Duration(30 * time.Second), Slots: 16}
 }
 
@@ -180,7 +180,7 @@
 	c.require(slices.Contains(levels, p.Log.Level), "log.level", "must be debug, info, warn or error")
 	c.require(p.Log.Format == "json" || p.Log.Format == "console", "log.format", "must be json or console")
 	c.requireBetween(p.LeaveTime, 0, time.Minute, "leave_time")
-	c.requireBetween(p.DrainTime, time.Second, time.Hour, "drain_time")
+	c.requireBetween(p.DrainTimeout, time.Second, time.Hour, "drain_time")
 }
 
 // requireBetween adds a problem with a key unless low <= d <= high.
@@ -191,8 +191,8 @@
 func (l *Limits) check(c *checker) {
 	c.require(l.BodyBytes >= 1024 && l.BodyBytes <= 1<<30, "limits.body_bytes", "must be from 1024 to 1073741824")
 	c.require(l.InFlight >= 1 && l.InFlight <= 1000000, "limits.in_flight", "must be from 1 to 1000000")
-	c.requireBetween(l.BodyTime, 100*time.Millisecond, 10*time.Minute, "limits.body_time")
-	c.requireBetween(l.SilentTime, 100*time.Millisecond, 10*time.Minute, "limits.silent_time")
+	c.requireBetween(l.BodyTimeout, 100*time.Millisecond, 10*time.Minute, "limits.body_time")
+	c.requireBetween(l.HeartbeatTimeout, 100*time.Millisecond, 10*time.Minute, "limits.silent_time")
 }
 
 func (e *Entry) check(c *checker) {
@@ -200,8 +200,8 @@
 	e.Limits.check(c)
 	c.require(isURL(e.VMs), "vms", "must be a URL, such as http://10.0.0.2:7001")
 	c.require(isURL(e.Weights), "weights", "must be a URL, such as http://10.0.0.2:7002")
-	c.requireBetween(e.VMsEvery, 50*time.Millisecond, time.Minute, "vms_every")
-	c.requireBetween(e.SyncEvery, 50*time.Millisecond, 10*time.Second, "sync_every")
+	c.requireBetween(e.VMsInterval, 50*time.Millisecond, time.Minute, "vms_every")
+	c.requireBetween(e.SyncInterval, 50*time.Millisecond, 10*time.Second, "sync_every")
 	e.Planner.check(c)
 	e.Claims.check(c)
 	e.Quarantine.check(c)
@@ -209,8 +209,8 @@
 
 func (p *Planner) check(c *checker) {
 	c.require(p.CellSize >= 1 && p.CellSize <= 48, "planner.cell_size", "must be from 1 to 48")
-	c.requireBetween(p.ExchangeEvery, 50*time.Millisecond, 10*time.Second, "planner.exchange_every")
-	c.require(p.Headroom > 0 && p.Headroom <= 1, "planner.headroom", "must be above 0 and at most 1")
+	c.requireBetween(p.ExchangeInterval, 50*time.Millisecond, 10*time.Second, "planner.exchange_every")
+	c.require(p.TargetUtilization > 0 && p.TargetUtilization <= 1, "planner.headroom", "must be above 0 and at most 1")
 	c.requireBetween(p.Hold, 0, time.Hour, "planner.hold")
 	c.require(p.MaxLoads >= 1 && p.MaxLoads <= 1000, "planner.max_loads", "must be from 1 to 1000")
 	c.require(p.LoadsPerSecond > 0, "planner.loads_per_second", "must be above 0")
@@ -235,7 +235,7 @@
 	c.require(hasServices, "backend.services", "must name the table rows that the service answers")
 	c.requireBetween(a.Backend.OrderLifetime, 100*time.Millisecond, 10*time.Minute, "backend.order_lifetime")
 	c.require(a.Backend.Slots >= 1, "backend.slots", "must be at least 1")
-	c.require(a.MaxWaiting >= 1 && a.MaxWaiting <= 100000, "max_waiting", "must be from 1 to 100000")
+	c.require(a.MaxQueued >= 1 && a.MaxQueued <= 100000, "max_waiting", "must be from 1 to 100000")
 }
 
 // isAddr reports whether s has the form IP:PORT with a literal IP address.
--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -26,7 +26,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 5)
-				backup := f.store.Copy()
+				backup := f.store.Backup()
 				f.write(3)
 				f.wait(settleTime)
 				f.checkVersion(3)
@@ -66,7 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 3)
-				backup := f.store.Copy()
+				backup := f.store.Backup()
 				f.write(3)
 				f.wait(settleTime)
 				f.store.Restore(backup)
@@ -75,7 +75,7 @@
 					f.members = nil
 				}
 				m := f.join(false)
-				m.syncer.opts.IsSettled = func(context.Context, int64) (bool, error) { return test.settled, nil }
+				m.syncer.opts.IsCaughtUp = func(context.Context, int64) (bool, error) { return test.settled, nil }
 				f.wait(test.within / 2)
 				assert.Assert(t, test.settled || m.version.Load() != 1, "an older version is in force")
 				f.wait(test.within / 2)
--- a/internal/configsync/doc.go
+++ b/internal/configsync/doc.go
@@ -11,7 +11,7 @@
 // not by their total duration, so that a large configuration gets through.
 //
 // The package owns the bytes of the newest version and of the few before it, what is known of the
-// newest version, and the goroutine of Syncer.Run. The configuration in force belongs to the Holder.
+// newest version, and the goroutine of Syncer.Run. The configuration in force belongs to the Applier.
 // The package relies on versions that only increase, on the store's revisions, and on its callers to
 // carry News between gateways.
 //
--- a/internal/configsync/harness_test.go
+++ b/internal/configsync/harness_test.go
@@ -85,7 +85,7 @@
 	m.noStore.Store(noStore)
 	index := int64(len(f.members))
 	m.syncer = New(Options{
-		Store: m, Key: testKey, Holder: m, Peers: m, Health: m, Clock: clocktest.Real{}, Log: zap.NewNop(),
+		Store: m, Key: testKey, Applier: m, Peers: m, Health: m, Clock: clocktest.Real{}, Log: zap.NewNop(),
 		IsWatcher: func() bool { return f.leader.Load() == index }, MaxAge: func() time.Duration { return maxAge },
 		OnTransfer: m.count,
 	})
@@ -127,8 +127,8 @@
 
 // answer processes the report of another member and sends it m's news.
 func (m *member) answer(other *member) {
-	m.syncer.HeardVersion(other.syncer.News().Version, other.addr)
-	other.syncer.Heard(m.syncer.News(), m.addr, time.Now())
+	m.syncer.HandleVersion(other.syncer.Announcement().Version, other.addr)
+	other.syncer.HandleAnnouncement(m.syncer.Announcement(), m.addr, time.Now())
 }
 
 // write writes a version to the store.
@@ -151,8 +151,8 @@
 	}
 }
 
-// Offer implements Holder.
-func (m *member) Offer(value []byte, _ Origin) (uint64, error) {
+// Apply implements Applier.
+func (m *member) Apply(value []byte, _ Origin) (uint64, error) {
 	head, _, _ := bytes.Cut(value, []byte("\n"))
 	version, err := strconv.ParseUint(string(head), 10, 64)
 	if err != nil {
@@ -215,8 +215,8 @@
 	return events, at, err
 }
 
-// Unreachable implements Health.
+// Unreachable implements HealthRecorder.
 func (m *member) Unreachable(error) {}
 
-// Reachable implements Health.
+// Reachable implements HealthRecorder.
 func (m *member) Reachable() {}
--- a/internal/configsync/news.go
+++ b/internal/configsync/news.go
@@ -6,8 +6,8 @@
 	"rockcleat/kv"
 )
 
-// News describes the configuration that one gateway holds, for other gateways.
-type News struct {
+// Announcement describes the configuration that one gateway holds, for other gateways.
+type Announcement struct {
 	// Version is the version held, 0 if none.
 	Version uint64 `json:"version,omitempty"`
 	// Revision is a store revision up to which no newer version was written; 0 if unknown.
--- a/internal/configsync/read.go
+++ b/internal/configsync/read.go
@@ -140,10 +140,10 @@
 // show an older version than was in force, which would make revoked keys valid again. The caller waits
 // for news from another gateway, for the operators to rewrite the configuration, or for settleTimeout.
 func (s *Syncer) checkSettled(ctx context.Context, era int64) error {
-	if era == 0 || s.history.newest() > 0 || s.opts.IsSettled == nil {
+	if era == 0 || s.history.newest() > 0 || s.opts.IsCaughtUp == nil {
 		return nil
 	}
-	settled, err := s.opts.IsSettled(ctx, era)
+	settled, err := s.opts.IsCaughtUp(ctx, era)
 	if err != nil {
 		return err
 	}
--- a/internal/configsync/syncer.go
+++ b/internal/configsync/syncer.go
@@ -11,11 +11,11 @@
 	"rockcleat/kv"
 )
 
-// A Holder puts configurations in force.
-type Holder interface {
-	// Offer puts a configuration in force if it is newer than the current one, and returns its
+// A Applier puts configurations in force.
+type Applier interface {
+	// Apply puts a configuration in force if it is newer than the current one, and returns its
 	// version. An error means that it cannot be decoded.
-	Offer(value []byte, from Origin) (version uint64, err error)
+	Apply(value []byte, from Origin) (version uint64, err error)
 }
 
 // An Origin is where a configuration came from.
@@ -32,8 +32,8 @@
 	FetchConfig(ctx context.Context, addr string, r Request) (Transfer, error)
 }
 
-// Health records the outcomes of calls to the store.
-type Health interface {
+// HealthRecorder records the outcomes of calls to the store.
+type HealthRecorder interface {
 	Unreachable(err error)
 	Reachable()
 }
@@ -42,29 +42,29 @@
 type Options struct {
 	Store kv.PrefixStore
 	// Key is the configuration's key in the store.
-	Key    string
-	Holder Holder
-	Peers  Peers
-	Health Health
-	Clock  clock.Service
-	Log    *zap.Logger
+	Key     string
+	Applier Applier
+	Peers   Peers
+	Health  HealthRecorder
+	Clock   clock.Service
+	Log     *zap.Logger
 	// IsWatcher reports whether this gateway watches the store on behalf of the others.
 	IsWatcher func() bool
 	// MaxAge returns how old the news may be before this gateway watches the store itself, and
 	// the bound of one such watch.
 	MaxAge func() time.Duration
-	// IsSettled, if not nil, reports whether the store, restored from a backup in the given era,
+	// IsCaughtUp, if not nil, reports whether the store, restored from a backup in the given era,
 	// again contains everything that was written before. An error means that this is unknown.
-	IsSettled func(ctx context.Context, era int64) (bool, error)
+	IsCaughtUp func(ctx context.Context, era int64) (bool, error)
 	// StartWait, if not nil, returns how long a starting gateway waits for news from others
 	// before it reads the store.
 	StartWait func() time.Duration
 	// OnTransfer, if not nil, is called after each attempt to receive a configuration, with its
 	// size in bytes as sent, or the error.
 	OnTransfer func(from Origin, bytes int, err error)
-	// OnSwitch, if not nil, is called when this gateway begins to watch the store itself
+	// OnModeChange, if not nil, is called when this gateway begins to watch the store itself
 	// (direct), and when it returns to relying on news.
-	OnSwitch func(key string, direct bool)
+	OnModeChange func(key string, direct bool)
 }
 
 // A Syncer keeps one gateway's configuration up to date. All methods are safe for concurrent
@@ -113,19 +113,19 @@
 	return s
 }
 
-// News returns what this gateway reports to others.
-func (s *Syncer) News() News {
+// Announcement returns what this gateway reports to others.
+func (s *Syncer) Announcement() Announcement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.history.newest()
 	if held < s.known.version {
-		return News{Version: held, AgeMs: unknownAge.Milliseconds()}
+		return Announcement{Version: held, AgeMs: unknownAge.Milliseconds()}
 	}
-	return News{Version: held, Revision: s.known.revision, AgeMs: ageMs(s.opts.Clock.Now(), s.known.currentAt)}
+	return Announcement{Version: held, Revision: s.known.revision, AgeMs: ageMs(s.opts.Clock.Now(), s.known.currentAt)}
 }
 
-// Heard processes the news in the response of the gateway at addr to a request sent at the time asked.
-func (s *Syncer) Heard(n News, addr string, asked time.Time) {
+// HandleAnnouncement processes the news in the response of the gateway at addr to a request sent at the time asked.
+func (s *Syncer) HandleAnnouncement(n Announcement, addr string, asked time.Time) {
 	if n.Version == 0 {
 		return
 	}
@@ -135,8 +135,8 @@
 	s.merge(knownVersion{version: n.Version, source: addr, currentAt: asked.Add(-age), revision: n.Revision})
 }
 
-// HeardVersion records that the gateway at addr holds a version, which need not be the newest.
-func (s *Syncer) HeardVersion(version uint64, addr string) {
+// HandleVersion records that the gateway at addr holds a version, which need not be the newest.
+func (s *Syncer) HandleVersion(version uint64, addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version > s.known.version {
@@ -268,14 +268,14 @@
 	return step{kind: stepWait, wait: remaining, changed: s.changed}
 }
 
-// reportMode calls OnSwitch when this gateway changes between reading the store and relying on news.
+// reportMode calls OnModeChange when this gateway changes between reading the store and relying on news.
 func (s *Syncer) reportMode(k stepKind) {
 	if k == stepFetch {
 		return
 	}
 	direct := k == stepRead
-	if direct != s.direct && s.opts.OnSwitch != nil {
-		s.opts.OnSwitch(s.opts.Key, direct)
+	if direct != s.direct && s.opts.OnModeChange != nil {
+		s.opts.OnModeChange(s.opts.Key, direct)
 	}
 	s.direct = direct
 }
@@ -288,7 +288,7 @@
 
 // apply puts a configuration in force, keeps it for other gateways and returns its version.
 func (s *Syncer) apply(value []byte, from Origin) (uint64, error) {
-	version, err := s.opts.Holder.Offer(value, from)
+	version, err := s.opts.Applier.Apply(value, from)
 	if err == nil {
 		s.history.add(version, value)
 	}
--- a/internal/configsync/syncer_test.go
+++ b/internal/configsync/syncer_test.go
@@ -186,11 +186,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
 		leader := f.members[0].syncer
-		assert.Assert(t, leader.News().AgeMs <= maxAge.Milliseconds())
+		assert.Assert(t, leader.Announcement().AgeMs <= maxAge.Milliseconds())
 		f.members[0].noPeers.Store(true)
 		f.members[0].noStore.Store(true)
-		leader.HeardVersion(7, "1")
-		news := leader.News()
+		leader.HandleVersion(7, "1")
+		news := leader.Announcement()
 		assert.Equal(t, news.Version, uint64(1))
 		assert.Equal(t, int64(news.Revision), int64(0))
 		assert.Equal(t, news.AgeMs, unknownAge.Milliseconds())
--- a/internal/daemon/entry_agent.go
+++ b/internal/daemon/entry_agent.go
@@ -66,7 +66,7 @@
 		return ExitFailed
 	}
 	<-signals.stop
-	limit := 2*settings.LeaveTime.Std() + settings.DrainTime.Std()
+	limit := 2*settings.LeaveTime.Std() + settings.DrainTimeout.Std()
 	drain, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := p.Stop(drain); err != nil {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, s.Process, nil, err
 	}
-	traffic := &wire.Traffic{}
+	traffic := &wire.TrafficCounter{}
 	client := &http.Client{Transport: wire.NewTransport(traffic)}
 	e := entry.New(entry.Options{
 		Settings: s,
@@ -109,10 +109,10 @@
 	if err != nil {
 		return nil, s.Process, nil, err
 	}
-	traffic := &wire.Traffic{}
+	traffic := &wire.TrafficCounter{}
 	client := &http.Client{Transport: wire.NewTransport(traffic)}
 	// The backend server runs on the same VM, so calls to it are excluded from the traffic counts.
-	backendClient := &http.Client{Transport: wire.NewTransport(&wire.Traffic{})}
+	backendClient := &http.Client{Transport: wire.NewTransport(&wire.TrafficCounter{})}
 	var vms agent.VMLister
 	if s.VMs != "" {
 		vms = inventory.NewClient(client, s.VMs, "")
@@ -142,5 +142,5 @@
 
 // newStore returns a client of the platform's key-value service.
 func newStore(s config.Process, client *http.Client, m *telemetry.Metrics) kv.Store {
-	return kv.NewClient(kv.Options{URL: s.KV, HTTP: client, Counted: m.KVCall})
+	return kv.NewClient(kv.ClientOptions{URL: s.KV, HTTP: client, OnCall: m.KVCall})
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -64,7 +64,7 @@
 		case <-signals.reload:
 			reloadGateway(g, file, log)
 		case <-signals.stop:
-			ctx, cancel := context.WithTimeout(context.Background(), g.Grace())
+			ctx, cancel := context.WithTimeout(context.Background(), g.StopTimeout())
 			defer cancel()
 			if err := g.Stop(ctx); err != nil {
 				return ExitFailed
--- a/internal/daemon/signals_test.go
+++ b/internal/daemon/signals_test.go
@@ -57,7 +57,7 @@
 func buildGateway(s config.Gateway, log *zap.Logger) (*gateway.Gateway, error) {
 	store := kvtest.New(clocktest.Real{})
 	return gateway.New(gateway.Options{
-		Settings: s, Names: wire.Names{}, ReadyPath: "/ready", Store: store, Prefixes: store, OwnKeys: store,
+		Settings: s, Names: wire.HeaderNames{}, ReadyPath: "/ready", Store: store, AllKeys: store, ProductKeys: store,
 		Decoder: platform.Decoder{}, Clock: clocktest.Real{}, Log: log,
 	}), nil
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -97,9 +97,9 @@
 	return s, eris.Wrap(err, "engine: decode status")
 }
 
-// Send sends an order. After an error other than ErrFenced it is unknown whether the engine has
+// SendOrder sends an order. After an error other than ErrFenced it is unknown whether the engine has
 // received the order.
-func (c *Client) Send(ctx context.Context, o Order) error {
+func (c *Client) SendOrder(ctx context.Context, o Order) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	body, err := json.Marshal(o)
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -19,7 +19,7 @@
 	defer end()
 	ctx, cancel := context.WithCancel(fw.echoContext.Request().Context())
 	defer cancel()
-	watch := newStallTimer(fw.proxy.clock, fw.proxy.limits.SilentTime.Std(), cancel)
+	watch := newStallTimer(fw.proxy.clock, fw.proxy.limits.HeartbeatTimeout.Std(), cancel)
 	defer watch.stop()
 	resp, err := fw.proxy.agents.Do(fw.request(watch.trace(ctx), s))
 	if err != nil {
@@ -67,7 +67,7 @@
 	if fw.tokens > 0 {
 		h.Set(wire.HeaderResume, strconv.Itoa(fw.tokens))
 	}
-	wire.SendOnce(out)
+	wire.DisableRetry(out)
 	return out
 }
 
@@ -76,9 +76,9 @@
 func (fw *forwarder) recordServerState(s fleet.Server, h http.Header) {
 	now := fw.proxy.clock.Now()
 	if load, err := strconv.Atoi(h.Get(wire.HeaderLoad)); err == nil {
-		fw.proxy.routes.Report(s.ID, load*max(s.Slots, 1)*max(len(s.Accelerators), 1)/100, now)
+		fw.proxy.routes.ReportLoad(s.ID, load*max(s.Slots, 1)*max(len(s.Accelerators), 1)/100, now)
 	}
 	if inc := h.Get(wire.HeaderLeaving); inc != "" {
-		fw.proxy.routes.Leave(s.ID, inc)
+		fw.proxy.routes.MarkLeaving(s.ID, inc)
 	}
 }
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -56,7 +56,7 @@
 }
 
 // newCall assigns the request's id, checks its key and reads its body.
-func (p *proxy) newCall(c echo.Context) (*call, *wire.Failure) {
+func (p *proxy) newCall(c echo.Context) (*call, *wire.ErrorResponse) {
 	req := c.Request()
 	x := &call{id: req.Header.Get(wire.HeaderRequestID), arrived: p.clock.Now()}
 	if x.id == "" {
@@ -89,7 +89,7 @@
 // readBody reads the request body within the limits of size and time.
 func (p *proxy) readBody(c echo.Context) ([]byte, error) {
 	rc := http.NewResponseController(c.Response().Writer)
-	if err := rc.SetReadDeadline(clock.SystemDeadline(p.limits.BodyTime.Std())); err != nil {
+	if err := rc.SetReadDeadline(clock.SystemDeadline(p.limits.BodyTimeout.Std())); err != nil {
 		return nil, eris.Wrap(err, "entry: set read deadline")
 	}
 	limit := p.limits.BodyBytes
@@ -104,8 +104,8 @@
 }
 
 // badRequest returns a failure with status 400; callers may replace the status.
-func badRequest(code, param, message string) *wire.Failure {
-	return &wire.Failure{
+func badRequest(code, param, message string) *wire.ErrorResponse {
+	return &wire.ErrorResponse{
 		Status: http.StatusBadRequest, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
 		Code: code, Param: param, Message: message,
 	}
--- a/internal/entry/claim_calls.go
+++ b/internal/entry/claim_calls.go
@@ -30,22 +30,22 @@
 func (c *claims) shardOf(key string) int { return claim.ShardOf(key, len(c.shards)) }
 
 // claim claims the key of r at the entry that owns its shard.
-func (c *claims) claim(ctx context.Context, r wire.ClaimRequest) (wire.ClaimAnswer, error) {
+func (c *claims) claim(ctx context.Context, r wire.ClaimRequest) (wire.ClaimResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	i := c.shardOf(r.Key)
 	if c.shards[i].IsOpen() {
 		return c.claimLocal(ctx, i, r)
 	}
-	var a wire.ClaimAnswer
+	var a wire.ClaimResponse
 	err := c.callOwner(ctx, i, wire.PathClaim, r, &a)
 	return a, err
 }
 
 // claimLocal claims a key of shard i, which this entry owns.
-func (c *claims) claimLocal(ctx context.Context, i int, r wire.ClaimRequest) (wire.ClaimAnswer, error) {
+func (c *claims) claimLocal(ctx context.Context, i int, r wire.ClaimRequest) (wire.ClaimResponse, error) {
 	rec, fresh, err := c.shards[i].Claim(ctx, r.Key, r.Fingerprint, r.Attempt)
-	return wire.ClaimAnswer{Record: rec, Fresh: fresh}, err
+	return wire.ClaimResponse{Record: rec, Fresh: fresh}, err
 }
 
 // finish records the end of a claimed request. If that fails the key stays claimed, so the request
@@ -65,7 +65,7 @@
 
 // finishLocal updates the record in memory; the shard's next write stores it.
 func (c *claims) finishLocal(i int, r wire.ClaimRequest) {
-	if r.Free || r.Answer == nil {
+	if r.NotRun || r.Answer == nil {
 		c.shards[i].Release(r.Key, r.Attempt)
 		return
 	}
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -14,7 +14,7 @@
 
 // A responseRecord collects a response for the claim record.
 type responseRecord struct {
-	response   claim.Answer
+	response   claim.Response
 	bodyLength int
 }
 
@@ -32,10 +32,10 @@
 }
 
 // record returns the response to store, without a body if it exceeds claim.MaxBody.
-func (r *responseRecord) record() *claim.Answer {
+func (r *responseRecord) record() *claim.Response {
 	answer := r.response
-	answer.Whole = r.bodyLength <= claim.MaxBody
-	if !answer.Whole {
+	answer.Complete = r.bodyLength <= claim.MaxBody
+	if !answer.Complete {
 		answer.Body = nil
 	}
 	return &answer
@@ -49,9 +49,9 @@
 	a, err := p.claims.claim(c.Request().Context(), r)
 	if err != nil {
 		p.log.Warn("claim failed; request not run", zap.String("request", x.id), zap.Error(err))
-		p.claims.finish(wire.ClaimRequest{Key: x.key, Attempt: r.Attempt, Free: true})
+		p.claims.finish(wire.ClaimRequest{Key: x.key, Attempt: r.Attempt, NotRun: true})
 		p.metrics.Request(x.class(), string(wire.OutcomeNotRun))
-		return wire.Failure{
+		return wire.ErrorResponse{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer,
 			Code: "claim_not_recorded", RetryAfter: defaultRetryAfter,
 			Message: "the record that keeps this request from running twice could not be made; it was not run",
@@ -68,7 +68,7 @@
 			done.Answer = x.response.record()
 			p.claims.finish(done)
 		case wire.OutcomeNotRun:
-			done.Free = true
+			done.NotRun = true
 			p.claims.finish(done)
 		}
 	}
@@ -83,14 +83,14 @@
 		f.Status = http.StatusUnprocessableEntity
 		return f.Write(c)
 	}
-	if r.State == claim.StateDone && r.Answer != nil && r.Answer.Whole {
+	if r.State == claim.StateDone && r.Response != nil && r.Response.Complete {
 		h := c.Response().Header()
 		h.Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
 		h.Set(wire.HeaderReplayed, "true")
 		p.metrics.Request(x.class(), "replayed")
-		return c.Blob(r.Answer.Status, r.Answer.ContentType, r.Answer.Body)
+		return c.Blob(r.Response.Status, r.Response.ContentType, r.Response.Body)
 	}
-	f := wire.Failure{
+	f := wire.ErrorResponse{
 		Status: http.StatusConflict, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer, Code: "in_progress",
 		Message:    "a request with this key was sent and has no recorded answer; it will not be sent again",
 		RetryAfter: defaultRetryAfter,
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -70,8 +70,8 @@
 		})
 		c.holders = append(c.holders, h)
 		c.shards = append(c.shards, claim.NewShard(o.store, o.clock, claim.Options{
-			Index: i, Owner: o.id, Retention: s.Retention.Std(), FlushEvery: flush,
-			Held: func() bool { _, held := h.Held(); return held },
+			Index: i, Owner: o.id, Retention: s.Retention.Std(), FlushInterval: flush,
+			HoldsLease: func() bool { _, held := h.Held(); return held },
 		}))
 	}
 	return c
@@ -99,7 +99,7 @@
 		case <-c.ctx.Done():
 			return
 		}
-		clock.Sleep(c.ctx, c.clock, c.shards[i].Due())
+		clock.Sleep(c.ctx, c.clock, c.shards[i].FlushDelay())
 		c.flush(i)
 	}
 }
@@ -111,7 +111,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, claimTimeout)
 	defer cancel()
-	if err := c.shards[i].Step(ctx); err != nil {
+	if err := c.shards[i].Flush(ctx); err != nil {
 		c.log.Warn("writing claim records failed", zap.Int("shard", i), zap.Error(err))
 	}
 }
@@ -137,7 +137,7 @@
 	ctx, cancel := context.WithTimeout(c.ctx, claimTimeout)
 	defer cancel()
 	before, _ := h.Held()
-	if err := h.Step(ctx); err != nil {
+	if err := h.AcquireOrRenew(ctx); err != nil {
 		c.log.Debug("renewing or acquiring a claim lease failed", zap.Int("shard", i), zap.Error(err))
 	}
 	token, held := h.Held()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -31,7 +31,7 @@
 	Log      *zap.Logger
 	Metrics  *telemetry.Metrics
 	// Traffic counts the bytes of control traffic. The platform's clients share it.
-	Traffic *wire.Traffic
+	Traffic *wire.TrafficCounter
 }
 
 // An Entry is the process that serves clients and operators.
@@ -53,8 +53,8 @@
 	operators  *operatorAPI
 	proxy      *proxy
 	// traffic counts the bytes of control traffic, proxied those of clients' requests.
-	traffic  *wire.Traffic
-	proxied  wire.Traffic
+	traffic  *wire.TrafficCounter
+	proxied  wire.TrafficCounter
 	requests *server.Listener
 	control  *server.Listener
 	leaving  atomic.Bool
@@ -73,7 +73,7 @@
 	peers := wire.NewClient(s.Secret, wire.NewTransport(e.traffic))
 	e.members = newMembers(s.ID, o.Platform, o.Log)
 	e.quarantine = quarantine.New(quarantine.Options{
-		Clock: o.Clock, Ends: s.Quarantine.Ends, Hold: s.Quarantine.Hold.Std(), OnChange: e.quarantineChanged,
+		Clock: o.Clock, CrashThreshold: s.Quarantine.Threshold, Duration: s.Quarantine.Hold.Std(), OnChange: e.quarantineChanged,
 	})
 	e.planner = planner.New(planner.Options{
 		ID: s.ID, Addr: s.ControlListen, Settings: s.Planner, Store: o.Store, Clock: o.Clock, Members: e.members,
@@ -114,8 +114,8 @@
 		return err
 	}
 	e.members.step(e.ctx)
-	e.subscribe(e.settings.VMsEvery.Std(), func(time.Time) { e.stepMembers() })
-	e.subscribe(e.settings.SyncEvery.Std(), func(time.Time) { e.sync.step() })
+	e.subscribe(e.settings.VMsInterval.Std(), func(time.Time) { e.stepMembers() })
+	e.subscribe(e.settings.SyncInterval.Std(), func(time.Time) { e.sync.step() })
 	e.subscribe(quarantineExpireInterval, func(time.Time) { e.quarantine.Expire() })
 	e.claims.start()
 	e.planner.Start()
@@ -131,7 +131,7 @@
 	server.RegisterHealth(r, e.ready, e.metrics)
 	authorized := r.Group("", server.RequireSecret(e.settings.Secret, e.metrics))
 	authorized.POST(wire.PathSync, e.sync.handleSync)
-	authorized.POST(wire.PathNudge, e.handleNudge)
+	authorized.POST(wire.PathExchangeTrigger, e.handleNudge)
 	authorized.POST(wire.PathClaim, e.claims.serveClaim)
 	authorized.POST(wire.PathClaimFinish, e.claims.serveFinish)
 	server.RegisterQuarantine(authorized, e.quarantine)
@@ -141,11 +141,11 @@
 
 // handleNudge handles an agent's request for an immediate exchange with its planner.
 func (e *Entry) handleNudge(c echo.Context) error {
-	var n wire.Nudge
+	var n wire.ExchangeTrigger
 	if err := c.Bind(&n); err != nil {
 		return err
 	}
-	e.planner.Nudge(n.Server)
+	e.planner.RequestExchange(n.Server)
 	return c.NoContent(http.StatusOK)
 }
 
@@ -167,7 +167,7 @@
 	for _, s := range e.view.Servers() {
 		known[s.ID] = true
 	}
-	e.proxy.routes.Forget(known)
+	e.proxy.routes.RetainOnly(known)
 }
 
 // ready reports whether the load balancer should send requests to this entry, and the reason if
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -36,7 +36,7 @@
 	// tokens is the number of tokens that have been streamed to the client.
 	tokens int
 	// refusal is the refusal to return if no other server accepts the request.
-	refusal *wire.Failure
+	refusal *wire.ErrorResponse
 	// tried maps the id of each server tried to its incarnation at the time.
 	tried map[string]string
 	// mayHaveRun reports whether the request may have run on a server that was then lost.
@@ -57,7 +57,7 @@
 func (p *proxy) forwardThen(c echo.Context, x *call, finish func(wire.Outcome)) {
 	fw := &forwarder{proxy: p, echoContext: c, call: x, tried: make(map[string]string), finish: finish}
 	x.digest = digestOf(c.Request(), x.row.Name, x.body)
-	p.budget.First()
+	p.budget.RecordFirstAttempt()
 	for try := 0; try < maxAttempts; try++ {
 		s, ok := fw.next()
 		if !ok {
@@ -89,7 +89,7 @@
 	if fw.mayHaveRun {
 		since = fw.proxy.clock.Now()
 	}
-	deadline := since.Add(min(fw.call.row.QueueTime, maxServerWait))
+	deadline := since.Add(min(fw.call.row.MaxQueueTime, maxServerWait))
 	for {
 		if s, ok := fw.choose(); ok {
 			return s, true
@@ -118,7 +118,7 @@
 // choose returns the best server not yet tried. A leaving server is chosen only if no other serves
 // the row. It may still refuse the request.
 func (fw *forwarder) choose() (fleet.Server, bool) {
-	servers := slices.DeleteFunc(slices.Clone(fw.proxy.view.Serving(fw.call.row.Name)), func(s fleet.Server) bool {
+	servers := slices.DeleteFunc(slices.Clone(fw.proxy.view.ServersFor(fw.call.row.Name)), func(s fleet.Server) bool {
 		return fw.tried[s.ID] == s.Incarnation
 	})
 	staying := slices.DeleteFunc(slices.Clone(servers), fw.leaving)
@@ -140,7 +140,7 @@
 // leaving reports whether a server is leaving according to its responses, its record or the
 // platform's list of VMs.
 func (fw *forwarder) leaving(s fleet.Server) bool {
-	return s.Leaving || fw.proxy.members.isLeaving(s.ID) || fw.proxy.routes.Leaving(s.ID, s.Incarnation)
+	return s.Leaving || fw.proxy.members.isLeaving(s.ID) || fw.proxy.routes.IsLeaving(s.ID, s.Incarnation)
 }
 
 // isLoading reports whether a server is loading the model or adapter.
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -44,7 +44,7 @@
 	peers     *wire.Client
 	// inFlight returns the number of client requests in progress.
 	inFlight func() int64
-	traffic  *wire.Traffic
+	traffic  *wire.TrafficCounter
 	log      *zap.Logger
 }
 
@@ -66,7 +66,7 @@
 		o.log.Warn("loading the saved table failed; returning the table in force", zap.Error(err))
 		t = o.replica.Current()
 	}
-	return c.JSON(http.StatusOK, wire.TableAnswer{Version: t.Version(), Rows: t.Rows()})
+	return c.JSON(http.StatusOK, wire.TableResponse{Version: t.Version(), Rows: t.Rows()})
 }
 
 // saveTable saves an edit and puts the resulting table in force at this entry.
@@ -81,14 +81,14 @@
 	if err != nil {
 		return o.respondSaveError(c, err)
 	}
-	o.replica.Offer(t)
+	o.replica.StoreIfNewer(t)
 	o.log.Info("table saved", zap.Uint64("version", t.Version()), zap.String("edit", r.Edit.ID), zap.String("author", r.Edit.Author))
-	return c.JSON(http.StatusOK, wire.SaveAnswer{Version: t.Version()})
+	return c.JSON(http.StatusOK, wire.SaveResponse{Version: t.Version()})
 }
 
 // respondSaveError responds that an edit was refused or that its outcome is unknown.
 func (o *operatorAPI) respondSaveError(c echo.Context, err error) error {
-	a := wire.SaveAnswer{Message: err.Error()}
+	a := wire.SaveResponse{Message: err.Error()}
 	var invalid *table.InvalidError
 	switch {
 	case errors.As(err, &invalid):
@@ -112,9 +112,9 @@
 	now := o.replica.Current()
 	next := now.Apply(r.Edit, now.Version()+1)
 	if errs := o.tableLog.Check(next); len(errs) > 0 {
-		return c.JSON(http.StatusUnprocessableEntity, wire.SaveAnswer{Errors: errs})
+		return c.JSON(http.StatusUnprocessableEntity, wire.SaveResponse{Errors: errs})
 	}
-	return c.JSON(http.StatusOK, wire.SaveAnswer{Version: now.Version()})
+	return c.JSON(http.StatusOK, wire.SaveResponse{Version: now.Version()})
 }
 
 // tableCheck returns a validator that rejects tables whose models do not all fit on the known
@@ -138,24 +138,24 @@
 func (o *operatorAPI) history(c echo.Context) error {
 	edits, err := o.tableLog.History(c.Request().Context())
 	if err != nil {
-		return c.JSON(http.StatusServiceUnavailable, wire.SaveAnswer{Message: err.Error()})
+		return c.JSON(http.StatusServiceUnavailable, wire.SaveResponse{Message: err.Error()})
 	}
-	return c.JSON(http.StatusOK, wire.HistoryAnswer{Edits: edits})
+	return c.JSON(http.StatusOK, wire.HistoryResponse{Edits: edits})
 }
 
 // showDecisions responds with the latest decisions, or with those about the row given by the
 // parameter name.
 func (o *operatorAPI) showDecisions(c echo.Context) error {
-	a := wire.DecisionsAnswer{Entry: o.id, Decisions: o.decisions.latest(c.QueryParam("name"))}
+	a := wire.DecisionsResponse{Entry: o.id, Decisions: o.decisions.latest(c.QueryParam("name"))}
 	return c.JSON(http.StatusOK, a)
 }
 
 // status responds with this entry's state. The parameter brief omits the servers and VMs. The
 // parameter versions adds the table version that each VM reports.
 func (o *operatorAPI) status(c echo.Context) error {
-	a := wire.StatusAnswer{
-		Entry: o.id, TableVersion: o.replica.Current().Version(), Cells: o.planner.Held(),
-		Waiting: int(o.inFlight()), ControlBytes: o.traffic.WireBytes(),
+	a := wire.StatusResponse{
+		Entry: o.id, TableVersion: o.replica.Current().Version(), Cells: o.planner.HeldCells(),
+		InProgress: int(o.inFlight()), ControlBytes: o.traffic.WireBytes(),
 	}
 	if c.QueryParam("brief") != "" {
 		return c.JSON(http.StatusOK, a)
@@ -186,7 +186,7 @@
 			defer func() { <-slots }()
 			ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 			defer cancel()
-			var v wire.VersionAnswer
+			var v wire.VersionResponse
 			if err := o.peers.Get(ctx, vm.Control, wire.PathStatus, &v); err != nil {
 				out[i].State = stateSilent
 				return
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -11,7 +11,7 @@
 
 // recordRefusal records an agent's refusal unless an earlier one has a shorter Retry-After.
 func (fw *forwarder) recordRefusal(resp *http.Response) {
-	f := &wire.Failure{
+	f := &wire.ErrorResponse{
 		Status: resp.StatusCode, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
 		Code: resp.Header.Get(wire.HeaderReason), RetryAfter: wire.RetryAfter(resp.Header),
 	}
@@ -30,7 +30,7 @@
 	}
 	fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
 	if wire.IsNotSent(err) {
-		fw.refusal = &wire.Failure{
+		fw.refusal = &wire.ErrorResponse{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer,
 			Code: "backend_unreachable", Message: "no backend server could be reached; the request was not run",
 			RetryAfter: defaultRetryAfter,
@@ -60,11 +60,11 @@
 }
 
 // respond sends a failure to the client. A write error is ignored: the client has disconnected.
-func (fw *forwarder) respond(f wire.Failure) { _ = f.Write(fw.echoContext) }
+func (fw *forwarder) respond(f wire.ErrorResponse) { _ = f.Write(fw.echoContext) }
 
 // unknownOutcome returns the failure of a request that may have run and is not sent again.
-func (fw *forwarder) unknownOutcome() wire.Failure {
-	return wire.Failure{
+func (fw *forwarder) unknownOutcome() wire.ErrorResponse {
+	return wire.ErrorResponse{
 		Status: http.StatusBadGateway, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer, Code: "backend_lost",
 		Message: "the backend server was lost; the request may have run and is not sent again",
 	}
@@ -92,7 +92,7 @@
 		return
 	}
 	if fw.refusal == nil {
-		fw.refusal = &wire.Failure{
+		fw.refusal = &wire.ErrorResponse{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
 			Code: "no_place", Message: "no backend server has it ready now; the request was not run", RetryAfter: defaultRetryAfter,
 		}
@@ -112,7 +112,7 @@
 	}
 	fw.outcome = o
 	if o == wire.OutcomeAnswered {
-		fw.proxy.quarantine.Void(fw.call.digest)
+		fw.proxy.quarantine.Clear(fw.call.digest)
 	}
 	fw.proxy.metrics.Request(fw.call.class(), string(o))
 	fw.proxy.metrics.Duration(fw.call.class(), fw.proxy.clock.Now().Sub(fw.call.arrived).Seconds())
--- a/internal/entry/proxy.go
+++ b/internal/entry/proxy.go
@@ -45,7 +45,7 @@
 	log        *zap.Logger
 	metrics    *telemetry.Metrics
 	// routes holds the load of each server, budget the retry budget of this entry.
-	routes route.Table
+	routes route.LoadTable
 	budget retry.Budget
 	// inFlight is the number of client requests in progress.
 	inFlight atomic.Int64
@@ -54,7 +54,7 @@
 // router returns the handler of clients' requests.
 func (p *proxy) router() http.Handler {
 	r := server.NewRouter()
-	r.GET(wire.PathReady, p.ready.Answer)
+	r.GET(wire.PathReady, p.ready.Handle)
 	r.GET("/v1/models", p.listModels)
 	r.POST("/v1/chat/completions", p.limitInFlight(p.serveModel))
 	r.POST("/v1/completions", p.limitInFlight(p.serveModel))
@@ -71,7 +71,7 @@
 			c.Response().Header().Set("Connection", "close")
 		}
 		if n > int64(p.limits.InFlight) {
-			return wire.Failure{
+			return wire.ErrorResponse{
 				Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
 				Code: "entry_full", Message: "this entry holds as many requests as it may", RetryAfter: defaultRetryAfter,
 			}.Write(c)
@@ -109,7 +109,7 @@
 		f.Status = http.StatusNotFound
 		return f.Write(c)
 	}
-	x.row, x.stream, x.tokens = row, req.Stream, req.Cost()
+	x.row, x.stream, x.tokens = row, req.Stream, req.EstimateTokens()
 	prompt := req.Prompt()
 	x.prefix = rendezvous.Key(row.Name + "\x00" + prompt[:min(len(prompt), routingPrefixLength)])
 	x.repeatable = true
--- a/internal/entry/stream_copy.go
+++ b/internal/entry/stream_copy.go
@@ -39,7 +39,7 @@
 // copyPlain copies a response that is not an event stream. A response shorter than
 // maxBufferedResponse is read completely first, and its outcome is recorded before it is sent.
 func (fw *forwarder) copyPlain(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
-	r := transfer.NewReader(resp.Body, watch.restart)
+	r := transfer.NewProgressReader(resp.Body, watch.restart)
 	buffered, err := io.ReadAll(io.LimitReader(r, maxBufferedResponse))
 	if err != nil {
 		return fw.attemptFailed(s, err)
@@ -116,7 +116,7 @@
 // copyStream copies the events of a stream to the client. Only complete events are sent, so that
 // after an interruption another server can continue the stream with the next token.
 func (fw *forwarder) copyStream(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
-	r := bufio.NewReader(transfer.NewReader(resp.Body, watch.restart))
+	r := bufio.NewReader(transfer.NewProgressReader(resp.Body, watch.restart))
 	for {
 		event, err := readEvent(r)
 		if err != nil {
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -91,14 +91,14 @@
 		return
 	}
 	peer := peers[rand.IntN(len(peers))]
-	var a wire.SyncAnswer
+	var a wire.SyncResponse
 	link := s.link(peer.ID)
-	err := s.peers.PostWithin(s.ctx, syncTimeout, peer.Control, wire.PathSync, s.request(link.Message(peer.ID)), &a)
+	err := s.peers.PostWithStallTimeout(s.ctx, syncTimeout, peer.Control, wire.PathSync, s.request(link.Message(peer.ID)), &a)
 	if err != nil {
 		s.log.Debug("sync with another entry failed", zap.String("peer", peer.ID), zap.Error(err))
 		return
 	}
-	link.Apply(a.Quarantine)
+	link.ApplyReply(a.Quarantine)
 	s.apply(a)
 }
 
@@ -106,7 +106,7 @@
 func (s *syncer) link(id string) *quarantine.Link {
 	l := s.links[id]
 	if l == nil {
-		l = quarantine.NewLink(s.quarantine, quarantine.AllEnds)
+		l = quarantine.NewLink(s.quarantine, quarantine.AllRecords)
 		s.links[id] = l
 	}
 	return l
@@ -120,7 +120,7 @@
 }
 
 // apply merges another entry's response.
-func (s *syncer) apply(a wire.SyncAnswer) {
+func (s *syncer) apply(a wire.SyncResponse) {
 	if s.replica.Merge(a.Table) {
 		s.log.Info("table in force", zap.Uint64("version", s.replica.Current().Version()), zap.String("from", "entry"))
 	}
@@ -137,10 +137,10 @@
 		return err
 	}
 	t := s.replica.Current()
-	a := wire.SyncAnswer{Table: t.Since(r.Table), TableVersion: t.Version()}
+	a := wire.SyncResponse{Table: t.DeltaSince(r.Table), TableVersion: t.Version()}
 	if !r.TableOnly {
-		a.Cells = s.view.Since(r.Cells)
-		a.Quarantine = s.quarantine.Answer(r.Quarantine, quarantine.AllEnds)
+		a.Cells = s.view.DeltasSince(r.Cells)
+		a.Quarantine = s.quarantine.Answer(r.Quarantine, quarantine.AllRecords)
 	}
 	return c.JSON(http.StatusOK, a)
 }
@@ -166,7 +166,7 @@
 // plans a cell, ranks among the first tableWatchers entries or has not heard from another entry for
 // staleAfter. All other entries receive changes from those that watch.
 func (s *syncer) shouldWatch() bool {
-	if s.replica.Current().Version() == 0 || len(s.planner.Held()) > 0 {
+	if s.replica.Current().Version() == 0 || len(s.planner.HeldCells()) > 0 {
 		return true
 	}
 	if planner.Rank(s.id, s.members.Entries(), tableKey) < tableWatchers {
@@ -196,7 +196,7 @@
 
 // offer puts a table in force if it is newer than the current one.
 func (s *syncer) offer(t *table.Table) {
-	if s.replica.Offer(t) {
+	if s.replica.StoreIfNewer(t) {
 		s.log.Info("table in force", zap.Uint64("version", t.Version()), zap.String("from", "kv"))
 	}
 }
--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -39,7 +39,7 @@
 // answered with 401 only if the configuration is recent enough; otherwise the key may be newer than the
 // configuration, and the answer is 503 too.
 func (a *authenticator) authenticate(r *http.Request, routing *table.Routing, route table.Route, age time.Duration) (table.Organisation, *refusal) {
-	if !routing.NeedsKeys() || route.Open {
+	if !routing.RequiresKeys() || route.Public {
 		return table.Organisation{}, nil
 	}
 	organisation, err := keyHolder(r, routing)
@@ -68,7 +68,7 @@
 	if err != nil {
 		return table.Organisation{}, err
 	}
-	organisation, ok := routing.KeyHolder(k)
+	organisation, ok := routing.OrganisationByKey(k)
 	if !ok {
 		return table.Organisation{}, errUnknownKey
 	}
--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -32,10 +32,10 @@
 func useKeys(env *testEnv) {
 	urgent := 0
 	open := env.routing.Routes[1]
-	open.Name, open.Prefix, open.Open = pathOpen, pathOpen, true
+	open.Name, open.Prefix, open.Public = pathOpen, pathOpen, true
 	env.routing.Routes = append(env.routing.Routes, open)
 	env.routing.Organisations = []table.Organisation{{Name: guild, Priority: &urgent}, {Name: desk}}
-	env.routing.Keys = []apikey.Holder{
+	env.routing.Keys = []apikey.OrganisationKeys{
 		{Organisation: guild, Keys: []string{guildKey}}, {Organisation: desk, Keys: []string{deskKey}},
 	}
 }
@@ -149,7 +149,7 @@
 	env := newKeyEnv(t, func(*config.Gateway) {}, server)
 	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusOK)
 	env.routing.Version++
-	env.routing.Keys = []apikey.Holder{{Organisation: desk, Keys: []string{guildKey}}}
+	env.routing.Keys = []apikey.OrganisationKeys{{Organisation: desk, Keys: []string{guildKey}}}
 	env.putConfig()
 	env.awaitStatus(http.StatusUnauthorized, deskKey)
 	before := server.count()
@@ -192,7 +192,7 @@
 		t.Run(name, func(t *testing.T) {
 			server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
 			env := newKeyEnv(t, func(s *config.Gateway) {
-				s.RevokeTime = config.Duration(revokeTime)
+				s.MaxRevocationDelay = config.Duration(revokeTime)
 				s.StoreTimeout = config.Duration(200 * time.Millisecond)
 			}, server)
 			env.awaitStatus(http.StatusOK, guildKey)
@@ -219,8 +219,8 @@
 // rejected once the suspension is detected.
 func TestRevokedDuringSuspension(t *testing.T) {
 	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
-	machine := clocktest.NewMachine()
-	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(s *config.Gateway) { s.RevokeTime = config.Duration(5 * time.Second) }, server)
+	machine := clocktest.NewSource()
+	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(s *config.Gateway) { s.MaxRevocationDelay = config.Duration(5 * time.Second) }, server)
 	useKeys(env)
 	env.putConfig()
 	env.waitReady(http.StatusOK)
@@ -236,7 +236,7 @@
 // TestUnboundedRevocation checks that keys stay valid during a store outage if no revocation time is configured.
 func TestUnboundedRevocation(t *testing.T) {
 	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
-	machine := clocktest.NewMachine()
+	machine := clocktest.NewSource()
 	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, server)
 	useKeys(env)
 	env.putConfig()
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -15,7 +15,7 @@
 
 // forwardAnswer forwards a non-streaming answer and reports whether the request is finished.
 func (f *forwarder) forwardAnswer(ctx context.Context, res *dispatch.Reservation, resp *http.Response) bool {
-	res.FirstByte()
+	res.RecordFirstByte()
 	if resp.StatusCode >= http.StatusInternalServerError && f.mayRetry() && f.proxy.budgets.take(f.in) {
 		res.Done(dispatch.Failed)
 		f.proxy.requestLog.sendFailed(f, res, "answered "+strconv.Itoa(resp.StatusCode), nil)
@@ -37,7 +37,7 @@
 		_, err = io.Copy(f.w, resp.Body)
 	}
 	if err != nil {
-		res.Done(dispatch.Abandoned)
+		res.Done(dispatch.Canceled)
 		f.abort(err)
 	}
 	f.finish(res, resp.StatusCode)
@@ -52,8 +52,8 @@
 		f.record.outcome = outcomeFailed
 		return
 	}
-	res.Done(dispatch.Answered)
-	f.proxy.quarantine.Void(f.in.key)
+	res.Done(dispatch.Succeeded)
+	f.proxy.quarantine.Clear(f.in.key)
 	f.record.outcome = outcomeAnswered
 }
 
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -27,8 +27,8 @@
 // routing returns the configuration in force, or nil if none has been received yet.
 func (c *configuration) routing() *table.Routing { return c.current.Load() }
 
-// Offer implements configsync.Holder.
-func (c *configuration) Offer(value []byte, from configsync.Origin) (uint64, error) {
+// Offer implements configsync.Applier.
+func (c *configuration) Apply(value []byte, from configsync.Origin) (uint64, error) {
 	r, err := c.decoder.Routing(value)
 	if err != nil {
 		return 0, err
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -22,7 +22,7 @@
 //
 // While the store and the leader are unreachable, a gateway serves from its last view. Only the quarantine and the
 // list of gateways outlast the process; the leader writes both to the store. Header names and record formats are
-// defined by the platform's adapter, through wire.Names and Decoder.
+// defined by the platform's adapter, through wire.HeaderNames and Decoder.
 //
 // Callers receive HTTP answers, never errors of this package. Log fields and message fields carry their unit in
 // their name, as in waited_s and read_ms.
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -50,8 +50,8 @@
 
 // A feedReply answers a feedRequest.
 type feedReply struct {
-	Changes map[string]kv.Batch `json:"changes,omitempty"`
-	Config  configsync.News     `json:"news"`
+	Changes map[string]kv.Batch     `json:"changes,omitempty"`
+	Config  configsync.Announcement `json:"news"`
 	// HeldMs is how long the poll waited, in milliseconds.
 	HeldMs int64 `json:"held"`
 }
@@ -107,7 +107,7 @@
 	requested := f.clock.Now()
 	timeout := feedHold(f.fanout.MaxAge()) + feedTimeoutMargin
 	reply, err := f.peers.feed(ctx, addr, timeout, feedRequest{
-		Revisions: f.fanout.Revisions(), ConfigVersion: f.configs.News().Version, Addr: f.self,
+		Revisions: f.fanout.Revisions(), ConfigVersion: f.configs.Announcement().Version, Addr: f.self,
 	})
 	if err != nil {
 		f.backOff(addr, "no answer", err)
@@ -115,8 +115,8 @@
 	}
 	madeAt := requested.Add(time.Duration(reply.HeldMs) * time.Millisecond)
 	f.fanout.Apply(reply.Changes, madeAt)
-	f.configs.Heard(reply.Config, addr, madeAt)
-	if f.fanout.IsOld(reply.Changes) {
+	f.configs.HandleAnnouncement(reply.Config, addr, madeAt)
+	if f.fanout.IsStale(reply.Changes) {
 		f.backOff(addr, "too old", nil)
 		return
 	}
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -85,7 +85,7 @@
 // level, while gateways that do not lead make almost no calls to the store.
 func TestFleetFollowsTheStoreThroughOneGateway(t *testing.T) {
 	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
-	members := startFleet(t, env, relay.Width+4)
+	members := startFleet(t, env, relay.Fanout+4)
 	calls := func() (sum int64) {
 		for _, m := range members {
 			sum += m.counted.calls.Load()
@@ -126,7 +126,7 @@
 // TestFleetWithoutItsLeader checks that a change reaches all other gateways after the leader was stopped.
 func TestFleetWithoutItsLeader(t *testing.T) {
 	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
-	members := startFleet(t, env, relay.Width+4)
+	members := startFleet(t, env, relay.Fanout+4)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = env.gateway.Stop(ctx)
--- a/internal/gateway/find_leader_test.go
+++ b/internal/gateway/find_leader_test.go
@@ -44,7 +44,7 @@
 	store := kvtest.New(clocktest.Real{})
 	peers := &fakePeers{t: t, leader: "g5:1"}
 	o := Options{
-		Settings: config.Gateway{ID: "g0", PeerListen: "g0:1", Gateways: 8}, Store: store, Prefixes: store, OwnKeys: store,
+		Settings: config.Gateway{ID: "g0", PeerListen: "g0:1", Gateways: 8}, Store: store, AllKeys: store, ProductKeys: store,
 		Decoder: plainDecoder{}, Clock: clocktest.Real{}, Log: zap.NewNop(), Metrics: noMetrics{}, Peers: peers,
 	}
 	p := newComponents(t.Context(), o)
@@ -57,7 +57,7 @@
 	assert.NilError(t, err)
 	_, err = store.Put(t.Context(), kv.Write{Key: p.leader.lease.Key(), Value: record, Expect: kv.Absent})
 	assert.NilError(t, err)
-	assert.NilError(t, p.leader.lease.Step(t.Context()))
+	assert.NilError(t, p.leader.lease.AcquireOrRenew(t.Context()))
 
 	r := p.newReporter(o)
 	for range tries {
--- a/internal/gateway/fleet_keeper.go
+++ b/internal/gateway/fleet_keeper.go
@@ -30,7 +30,7 @@
 	fleetSettleTime = 3 * time.Second
 	// fleetRetention is how long a gateway that left the leader's list stays on the stored one. It exceeds the time for
 	// which such a gateway may use its share of rate limits. Restarting gateways one after another costs no writes.
-	fleetRetention = quota.AloneTime + 2*time.Second
+	fleetRetention = quota.LeaderlessTTL + 2*time.Second
 	// fleetLoadDelay is how long after its start a gateway without a list reads it from the store. A running leader
 	// has sent its list by then.
 	fleetLoadDelay = 150 * time.Millisecond
--- a/internal/gateway/fleet_keeper_test.go
+++ b/internal/gateway/fleet_keeper_test.go
@@ -50,7 +50,7 @@
 // leader's lease is still valid, gets its share of a rate limit from the stored list.
 func TestLimitAfterTheLossOfAllGateways(t *testing.T) {
 	env := newKeyEnv(t, func(*config.Gateway) {}, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
-	env.routing.Organisations[0].Limit = table.Limit{Unit: table.UnitRequests, PerSecond: 10, Burst: 10}
+	env.routing.Organisations[0].RateLimit = table.RateLimit{Unit: table.UnitRequests, PerSecond: 10, Burst: 10}
 	env.putConfig()
 	s := gatewaySettings(t, "again")
 	s.FirstStart = false
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -102,7 +102,7 @@
 		delete(f.known, name)
 		delete(f.unusable, name)
 		f.logGone(name)
-		return backend.Change{Server: backend.Server{ID: name}, Gone: true}
+		return backend.Change{Server: backend.Server{ID: name}, Removed: true}
 	}
 	c := f.decode(e.Entry)
 	if c.Unusable {
--- a/internal/gateway/followers_test.go
+++ b/internal/gateway/followers_test.go
@@ -33,7 +33,7 @@
 	return backend.Server{ID: key, Service: "app"}, nil
 }
 
-func (plainDecoder) IsOlderServer([]byte, []byte) (older, known bool) { return false, false }
+func (plainDecoder) IsOlderServerEntry([]byte, []byte) (older, known bool) { return false, false }
 
 func (plainDecoder) ServerID(key string) string { return key }
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -37,7 +37,7 @@
 // run sends the request until it is finished.
 func (f *forwarder) run() {
 	defer f.watchQuarantine()()
-	if f.proxy.quarantine.Ends(f.in.key) > 0 {
+	if f.proxy.quarantine.Crashes(f.in.key) > 0 {
 		defer f.releaseCopy(f.proxy.copies.acquire(f.ctx, f.in.key))
 	}
 	if f.isQuarantined() {
@@ -53,7 +53,7 @@
 			return
 		}
 		if f.isQuarantined() {
-			res.Done(dispatch.Abandoned)
+			res.Done(dispatch.Canceled)
 			f.refuseQuarantined()
 			return
 		}
@@ -66,7 +66,7 @@
 
 // endUnserved ends a request for which no server could be acquired.
 func (f *forwarder) endUnserved(err error) {
-	var limited *dispatch.LimitedError
+	var limited *dispatch.RateLimitError
 	switch {
 	case f.isCallerGone():
 		f.record.outcome = outcomeGone
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,7 +30,7 @@
 	ServerID(key string) string
 	// IsOlderServer reports whether value is an older record of the same server instance than another one. known is
 	// false if the records are of different instances.
-	IsOlderServer(value, than []byte) (older, known bool)
+	IsOlderServerEntry(value, than []byte) (older, known bool)
 }
 
 // A Store holds the data that must outlast the gateways; kv.Store describes its methods.
@@ -39,22 +39,22 @@
 	Delete(ctx context.Context, key string, expect kv.Revision) error
 }
 
-// Eras calls a function with each new era of the store. Eras only increase.
-type Eras interface{ OnEra(f func(era int64)) }
+// EraNotifier calls a function with each new era of the store. Eras only increase.
+type EraNotifier interface{ OnEraChange(f func(era int64)) }
 
 // Options configure a Gateway.
 type Options struct {
 	Settings config.Gateway
-	Names    wire.Names
+	Names    wire.HeaderNames
 	// ReadyPath is the path of the readiness endpoint, which the load balancer polls.
 	ReadyPath string
 	// Store holds the leader's lease, the quarantine and the list of gateways.
 	Store Store
-	// Prefixes gives access to all keys of the store, OwnKeys only to those that the product writes.
-	Prefixes kv.PrefixStore
-	OwnKeys  kv.PrefixStore
-	// Eras, if not nil, reports when the store was restored from a backup.
-	Eras    Eras
+	// AllKeys gives access to all keys of the store, ProductKeys only to those that the product writes.
+	AllKeys     kv.PrefixStore
+	ProductKeys kv.PrefixStore
+	// EraNotifier, if not nil, reports when the store was restored from a backup.
+	Eras    EraNotifier
 	Decoder Decoder
 	Engines backend.EngineClient
 	Clock   clock.Service
@@ -102,20 +102,20 @@
 		o.Metrics = noMetrics{}
 	}
 	if o.Peers == nil {
-		o.Peers = wire.NewTransport(&wire.Traffic{})
+		o.Peers = wire.NewTransport(&wire.TrafficCounter{})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p := newComponents(ctx, o)
 	g := &Gateway{
 		settings: o.Settings, decoder: o.Decoder, clock: o.Clock, log: o.Log, config: p.config, configs: p.configs,
 		health: p.health, servers: p.servers, budgets: p.budgets, conns: p.conns, lifecycle: p.lifecycle,
-		lease: p.leader.lease, prefixes: p.leader.fanout.View(p.breaker.View(o.Prefixes), false), placer: p.leader.placer,
+		lease: p.leader.lease, prefixes: p.leader.fanout.View(p.breaker.View(o.AllKeys), false), placer: p.leader.placer,
 		reporter: p.newReporter(o), feed: p.newFeed(o), pauses: p.pauses, quarantine: &p.quarantine, quarantineStore: p.newQuarantineStore(ctx, o),
 		fleetStore: p.fleetStore, serverLimits: p.serverLimits,
 		ctx: ctx, cancel: cancel,
 	}
 	if o.Eras != nil {
-		o.Eras.OnEra(g.storeRestored)
+		o.Eras.OnEraChange(g.storeRestored)
 	}
 	g.listeners = newListeners(listenerOptions{
 		settings: o.Settings, log: o.Log, conns: p.conns, ready: readyRouter(o.ReadyPath, g.ready),
@@ -153,7 +153,7 @@
 // follow starts to keep f up to date with a prefix of the store.
 func (g *Gateway) follow(prefix string, f kv.Follower) {
 	go kv.Follow(g.ctx, kv.FollowOptions{
-		Store: g.prefixes, Prefix: prefix, Round: g.settings.WatchTime.Std(), Clock: g.clock, Follower: f,
+		Store: g.prefixes, Prefix: prefix, WatchTimeout: g.settings.WatchTimeout.Std(), Clock: g.clock, Follower: f,
 	})
 }
 
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -30,7 +30,7 @@
 	"rockcleat/table"
 )
 
-var names = wire.Names{
+var names = wire.HeaderNames{
 	RequestID: "X-Id", Deadline: "X-Deadline", Signature: "X-Signature", Expect: "X-Expect", NotRun: "X-Unrun", ServerLimit: "X-Takes",
 	Model: "X-Model", Tokens: "X-Tokens", Prefix: "X-Prefix", Priority: "X-Priority",
 	Organisation: "X-Organisation", Reserved: []string{"X-Hold", "X-Pin"},
@@ -53,7 +53,7 @@
 	Limits   table.RequestLimits
 	// Organisations is empty if requests need no keys. Keys lists the keys by organisation.
 	Organisations []table.Organisation
-	Keys          []apikey.Holder
+	Keys          []apikey.OrganisationKeys
 }
 
 func (decoder) ConfigKey() string { return keyConfig }
@@ -63,7 +63,7 @@
 func (decoder) ServerID(key string) string { return strings.TrimPrefix(key, prefix) }
 
 // IsOlderServer reports whether value is not leaving and than is: the tests' records have no sequence number.
-func (decoder) IsOlderServer(value, than []byte) (older, known bool) {
+func (decoder) IsOlderServerEntry(value, than []byte) (older, known bool) {
 	var s, other backend.Server
 	known = json.Unmarshal(value, &s) == nil && json.Unmarshal(than, &other) == nil
 	return known && other.Leaving && !s.Leaving, known
@@ -127,11 +127,11 @@
 	r := func(prefix string, repeat table.RetryPolicy, streams bool, service string) table.Route {
 		return table.Route{
 			Name: prefix, Host: host, Prefix: prefix, Retry: repeat, Stream: streams, Timeout: 5 * time.Second,
-			FirstByteObjective: 400 * time.Millisecond, Attempts: 2, Priority: 1, Shares: []table.Share{{Service: service, Weight: 1}},
+			FirstByteObjective: 400 * time.Millisecond, MaxAttempts: 2, Priority: 1, Services: []table.WeightedService{{Service: service, Weight: 1}},
 		}
 	}
 	return []table.Route{
-		r(pathUnsafe, table.RetryNever, false, "app"), r(pathSafe, table.RetryWhole, false, "app"),
+		r(pathUnsafe, table.RetryNever, false, "app"), r(pathSafe, table.RetryIdempotent, false, "app"),
 		r(pathStream, table.RetryNever, true, "app"), r(pathResume, table.RetryResume, true, "app"),
 		r(pathModel, table.RetryNever, true, "llm"),
 	}
@@ -201,11 +201,11 @@
 // gatewaySettings returns settings with free addresses.
 func gatewaySettings(t *testing.T, id string) config.Gateway {
 	var s config.Gateway
-	config.Defaults(&s)
+	config.SetDefaults(&s)
 	s.ID, s.Hall = id, "h"
 	s.Listen, s.ReadyListen, s.PeerListen, s.Store = freeAddr(), freeAddr(), freeAddr(), "127.0.0.1:1"
 	s.Grace = config.Duration(4 * time.Second)
-	s.BodyTime = config.Duration(150 * time.Millisecond)
+	s.BodyTimeout = config.Duration(150 * time.Millisecond)
 	s.FirstStart, s.Gateways, s.Retry.Fixed = true, 1, 100
 	return s
 }
@@ -213,7 +213,7 @@
 // startGateway starts a gateway that reads the store through prefixes.
 func (env *testEnv) startGateway(s config.Gateway, prefixes kv.PrefixStore) *gateway.Gateway {
 	g := gateway.New(gateway.Options{
-		Settings: s, Names: names, ReadyPath: readyPath, Store: env.store, Prefixes: prefixes, OwnKeys: prefixes, Eras: env.store,
+		Settings: s, Names: names, ReadyPath: readyPath, Store: env.store, AllKeys: prefixes, ProductKeys: prefixes, Eras: env.store,
 		Decoder: decoder{}, Engines: noEngines{}, Clock: env.clock, Log: env.log,
 	})
 	assert.NilError(env.t, g.Start())
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -80,7 +80,7 @@
 	}
 	in := &inbound{
 		Request: r, id: ids[0], key: quarantineKey(r, body), route: route, configVersion: routing.Version(), body: body, arrived: now,
-		organisation: organisation, dropsKey: routing.NeedsKeys(),
+		organisation: organisation, dropsKey: routing.RequiresKeys(),
 	}
 	if refused := p.resolve(in, routing); refused != nil {
 		return nil, refused
@@ -99,7 +99,7 @@
 // resolve sets the request's service, deadline, cost and dispatcher request.
 func (p *proxy) resolve(in *inbound, routing *table.Routing) *refusal {
 	var ok bool
-	in.service, ok = routing.Service(in.route.Pick(rand.Uint64()))
+	in.service, ok = routing.Service(in.route.PickService(rand.Uint64()))
 	if !ok {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "no such service yet", retryAfter: minRetryAfter}
 	}
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -16,8 +16,8 @@
 func (p *components) newLimiter(o Options) *quota.Limiter {
 	s := o.Settings.Quota
 	return quota.New(quota.Options{
-		Self: o.Settings.ID, Clock: o.Clock, Asker: p.peers, Limit: p.config.limit, OnOwnerSilent: p.requestLog.grantFailed,
-		Tolerance: quota.Tolerance{Window: s.Window.Std(), Over: s.Over, Slack: s.Slack},
+		Self: o.Settings.ID, Clock: o.Clock, GrantClient: p.peers, Limit: p.config.limit, OnOwnerUnresponsive: p.requestLog.grantFailed,
+		Tolerance: quota.Tolerance{Window: s.Window.Std(), Over: s.OverRatio, Slack: s.Slack},
 	})
 }
 
@@ -28,7 +28,7 @@
 		return quota.Limit{}, false
 	}
 	o, ok := r.Organisation(organisation)
-	return quota.Limit{Rate: o.Limit.PerSecond, Burst: o.Limit.Burst}, ok && o.Limit.IsLimited()
+	return quota.Limit{Rate: o.RateLimit.PerSecond, Burst: o.RateLimit.Burst}, ok && o.RateLimit.IsLimited()
 }
 
 func sortByKey(list []quota.Status) {
@@ -64,13 +64,13 @@
 		return nil
 	}
 	d := p.limiter.Take(ctx, in.organisation.Name, in.cost)
-	if in.organisation.Limit.IsLimited() {
-		p.requestLog.metrics.Charged(in.organisation.Name, d.Outcome.String(), in.cost)
+	if in.organisation.RateLimit.IsLimited() {
+		p.requestLog.metrics.QuotaCharged(in.organisation.Name, d.Outcome.String(), in.cost)
 	}
 	switch d.Outcome {
-	case quota.Inside:
+	case quota.WithinLimit:
 		return nil
-	case quota.Over:
+	case quota.OverLimit:
 		return withOrganisation(&refusal{
 			status: http.StatusTooManyRequests, reason: "over the organisation's limit; not run", retryAfter: retryAfterLimit(d.RetryAfter),
 		}, in.organisation)
@@ -81,15 +81,15 @@
 // refund returns the charge of a request that has not run.
 func (p *proxy) refund(in *inbound) {
 	if in.organisation.Name != "" {
-		p.limiter.GiveBack(in.organisation.Name, in.cost)
+		p.limiter.Refund(in.organisation.Name, in.cost)
 	}
 }
 
 // costOf returns the charge of a request against its organisation's rate limit, in the limit's unit.
 func (p *proxy) costOf(in *inbound) float64 {
-	if in.organisation.Limit.Unit != table.UnitTokens {
-		return in.organisation.Limit.Cost(0)
+	if in.organisation.RateLimit.Unit != table.UnitTokens {
+		return in.organisation.RateLimit.Cost(0)
 	}
 	prompt, output := p.tokenCounts(in)
-	return in.organisation.Limit.Cost(prompt + output)
+	return in.organisation.RateLimit.Cost(prompt + output)
 }
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -15,10 +15,10 @@
 )
 
 // newLimitEnv starts a gateway, waits until it leads, and gives the first organisation a rate limit.
-func newLimitEnv(t *testing.T, limit table.Limit, servers ...*fakeServer) *testEnv {
+func newLimitEnv(t *testing.T, limit table.RateLimit, servers ...*fakeServer) *testEnv {
 	env := prepareTestEnv(t, func(*config.Gateway) {}, servers...)
 	useKeys(env)
-	env.routing.Organisations[0].Limit = limit
+	env.routing.Organisations[0].RateLimit = limit
 	env.putConfig()
 	env.waitReady(http.StatusOK)
 	env.waitLines("leadership gained", 1)
@@ -40,15 +40,15 @@
 // and reaches no server, and that other organisations and routes without keys are not affected.
 func TestOverTheLimit(t *testing.T) {
 	tests := map[string]struct {
-		limit  table.Limit
+		limit  table.RateLimit
 		tokens string
 	}{
-		"tokens":              {limit: table.Limit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000}, tokens: "900,100"},
-		"tokens, none named":  {limit: table.Limit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000, DefaultTokens: 1000}},
-		"tokens, malformed":   {limit: table.Limit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000, DefaultTokens: 1000}, tokens: "many"},
-		"tokens, negative":    {limit: table.Limit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000}, tokens: "1000,-999"},
-		"more than the burst": {limit: table.Limit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000}, tokens: "900,9100"},
-		"requests":            {limit: table.Limit{Unit: table.UnitRequests, PerSecond: 0.5, Burst: 1}, tokens: "900,100"},
+		"tokens":              {limit: table.RateLimit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000}, tokens: "900,100"},
+		"tokens, none named":  {limit: table.RateLimit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000, DefaultTokens: 1000}},
+		"tokens, malformed":   {limit: table.RateLimit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000, DefaultTokens: 1000}, tokens: "many"},
+		"tokens, negative":    {limit: table.RateLimit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000}, tokens: "1000,-999"},
+		"more than the burst": {limit: table.RateLimit{Unit: table.UnitTokens, PerSecond: 500, Burst: 1000}, tokens: "900,9100"},
+		"requests":            {limit: table.RateLimit{Unit: table.UnitRequests, PerSecond: 0.5, Burst: 1}, tokens: "900,100"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 // limit.
 func TestRefusedRequestIsRefunded(t *testing.T) {
 	x := newFakeServer(t, "full", refuse)
-	env := newLimitEnv(t, table.Limit{Unit: table.UnitRequests, PerSecond: 0.3, Burst: 1}, x)
+	env := newLimitEnv(t, table.RateLimit{Unit: table.UnitRequests, PerSecond: 0.3, Burst: 1}, x)
 	env.awaitLimit(http.StatusServiceUnavailable, "")
 	assert.Assert(t, x.count() > 0, "the server was asked")
 	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusServiceUnavailable)
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -105,7 +105,7 @@
 // readyRouter serves the readiness and health endpoints.
 func readyRouter(path string, ready server.Readiness) http.Handler {
 	e := server.NewRouter()
-	e.GET(path, ready.Answer)
+	e.GET(path, ready.Handle)
 	e.GET(wire.PathHealth, func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	return e
 }
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -36,7 +36,7 @@
 		},
 		"report with ends of servers": {
 			message: reportMessage{Report: placer.Report{GatewayID: "g1", Addr: "a1", Hall: "h1"}, Quarantine: quarantine.Message{
-				Records: []quarantine.Record{{Key: quarantine.Key{1}, Round: 2, Servers: []string{"s"}, AgeMs: 3}},
+				Records: []quarantine.Record{{Key: quarantine.Key{1}, Generation: 2, Servers: []string{"s"}, AgeMs: 3}},
 				Seen:    quarantine.Cursor{Epoch: 4, Version: 5},
 			}},
 			want: `{"from":"g1","addr":"a1","hall":"h1","residency":0,"config":0,"quarantine":{"records":[` +
@@ -57,7 +57,7 @@
 					ResidencyVersion: 3, Full: true,
 					Residency: map[string]backend.Residency{"s": {Residents: []backend.Resident{{Model: "m", Version: 4, Adapters: []string{"a"}}}}},
 				},
-				Config: configsync.News{Version: 8, Revision: 9, AgeMs: 10},
+				Config: configsync.Announcement{Version: 8, Revision: 9, AgeMs: 10},
 			},
 			want: `{"held":true,"term":1,"known":2,"gateways":[{"id":"g1","hall":"h1","addr":"a1"}],` +
 				`"loads":{"s":{"n":1,"r":2,"u":3}},"partial":true,"version":3,"full":true,` +
@@ -73,7 +73,7 @@
 					From: 5, To: 6, Events: []kv.Event{{Entry: kv.Entry{Key: "k", Value: []byte("v"), Revision: 6}}}, Full: true,
 					Filtered: true, AgeMs: 7,
 				}},
-				Config: configsync.News{Version: 8, Revision: 9, AgeMs: 10}, HeldMs: 11,
+				Config: configsync.Announcement{Version: 8, Revision: 9, AgeMs: 10}, HeldMs: 11,
 			},
 			want: `{"changes":{"p":{"from":5,"at":6,"events":[{"Entry":{"key":"k","value":"dg==","revision":6},"Deleted":false}],` +
 				`"full":true,"left":true,"age":7}},"news":{"version":8,"revision":9,"age":10},"held":11}`,
--- a/internal/gateway/outgoing.go
+++ b/internal/gateway/outgoing.go
@@ -23,7 +23,7 @@
 // serverRequestHeader returns the header of a request to a server. It is used for first sends, retries and resumed
 // streams, to engines and other servers alike.
 //
-// It forwards the caller's headers except hop-by-hop headers and those in wire.Names.Reserved, which only the system
+// It forwards the caller's headers except hop-by-hop headers and those in wire.HeaderNames.Reserved, which only the system
 // may set: engines obey them whoever the sender is.
 func (f *forwarder) serverRequestHeader(server string) http.Header {
 	names := f.proxy.names
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -68,26 +68,26 @@
 	p.serverLimits = p.newServerLimits(o)
 	p.dispatcher = dispatch.New(dispatch.Options{
 		ID: s.ID, Hall: s.Hall, Clock: o.Clock, Utilization: utilization, CacheTokens: p.config.cacheTokens,
-		Owners: p.peers, OnOwnerSilent: p.requestLog.admissionFailed, OnModelMissing: p.urgent.send,
+		Owners: p.peers, OnOwnerUnresponsive: p.requestLog.admissionFailed, OnModelMissing: p.urgent.send,
 		Permits: p.serverLimits,
 	})
 	p.servers = newServerList(o.Decoder, o.Clock, o.Log, p.dispatcher)
 	p.pauses = &pauseDetector{log: o.Log, inProgress: p.lifecycle.requests, lastCheck: o.Clock.Now()}
 	p.quarantine = p.newQuarantineRole(ctx, o)
-	p.breaker = kv.NewBreaker(kv.BreakerOptions{Clock: o.Clock, Pause: p.probePause})
+	p.breaker = kv.NewBreaker(kv.BreakerOptions{Clock: o.Clock, Cooldown: p.probePause})
 	p.leader = p.newLeaderRole(o)
 	p.limiter = p.newLimiter(o)
 	p.limiters = limiters{p.limiter, p.serverLimits.limiter}
 	p.config.onChange = func() {
 		p.servers.refresh()
-		p.leader.fanout.Recheck()
+		p.leader.fanout.RecheckWatcher()
 	}
 	p.fleetStore = p.newFleetStore(ctx, o)
 	p.configs = configsync.New(configsync.Options{
-		Store: p.breaker.View(o.Prefixes), Key: o.Decoder.ConfigKey(), Holder: p.config, Peers: p.peers,
+		Store: p.breaker.View(o.AllKeys), Key: o.Decoder.ConfigKey(), Applier: p.config, Peers: p.peers,
 		Health: p.health, Clock: o.Clock, Log: o.Log, IsWatcher: p.leader.isHeld, MaxAge: p.configMaxAge(s),
-		StartWait: p.gateways.listWait, IsSettled: p.fleetStore.isSettled,
-		OnSwitch: p.requestLog.watchSwitched, OnTransfer: func(from configsync.Origin, bytes int, err error) {
+		StartWait: p.gateways.listWait, IsCaughtUp: p.fleetStore.isSettled,
+		OnModeChange: p.requestLog.watchSwitched, OnTransfer: func(from configsync.Origin, bytes int, err error) {
 			o.Metrics.ConfigTransfer(string(from), bytes, err)
 		},
 	})
@@ -106,17 +106,17 @@
 	s := o.Settings
 	l := leaderRole{lease: lease.New(o.Store, o.Clock, lease.Options{
 		Name: leaseName, Holder: s.ID, Addr: s.PeerListen, TTL: s.LeaseTTL.Std(),
-		Delay: func() time.Duration { return p.gateways.contentionDelay(p.leaderAddr()) },
+		AcquireDelay: func() time.Duration { return p.gateways.contentionDelay(p.leaderAddr()) },
 	})}
 	l.fanout = kv.NewFanout(kv.FanoutOptions{
 		Clock: o.Clock, MaxAge: viewMaxAge(s), IsWatcher: l.isHeld,
 		OnSwitch: p.requestLog.watchSwitched, Digest: p.servers.digest, ListWait: p.gateways.listWait,
-		ExtraAge: p.extraAge(s), Writers: serverWriters(o.Decoder),
+		ExtraAge: p.extraAge(s), PeriodicWriters: serverWriters(o.Decoder),
 	})
 	l.placer = placer.New(placer.Options{
-		Lease: l.lease, Keys: l.fanout.View(p.breaker.View(o.OwnKeys), true), Engines: o.Engines, Registry: &p.servers.registry,
+		Lease: l.lease, Keys: l.fanout.View(p.breaker.View(o.ProductKeys), true), Engines: o.Engines, Registry: &p.servers.registry,
 		Routing: p.config.routing, Clock: o.Clock, Log: o.Log, SettleTime: s.LeaseTTL.Std(), FirstStart: s.FirstStart,
-		Gateways: p.gateways.list, PrefillSpeeds: p.dispatcher.PrefillSpeeds, IsInNeed: p.serverLimits.isThrottled,
+		Gateways: p.gateways.list, PrefillSpeeds: p.dispatcher.PrefillSpeeds, IsThrottled: p.serverLimits.isThrottled,
 	})
 	return l
 }
@@ -146,7 +146,7 @@
 }
 
 // viewMaxAge returns the maximum age of a store view on the first level of the tree: half the duration of a watch.
-func viewMaxAge(s config.Gateway) time.Duration { return s.WatchTime.Std() / 2 }
+func viewMaxAge(s config.Gateway) time.Duration { return s.WatchTimeout.Std() / 2 }
 
 // extraAge returns a function that returns this gateway's addition to viewMaxAge.
 func (p *components) extraAge(s config.Gateway) func() time.Duration {
@@ -172,7 +172,7 @@
 	return &reporter{
 		self: sender{id: s.ID, addr: s.PeerListen, hall: s.Hall}, dispatcher: p.dispatcher, configs: p.configs,
 		servers: p.servers, gateways: p.gateways, placer: p.leader.placer, fanout: p.leader.fanout, peers: p.peers,
-		clock: o.Clock, log: o.Log, quarantine: quarantine.NewLink(p.quarantine.table, quarantine.AllEnds),
+		clock: o.Clock, log: o.Log, quarantine: quarantine.NewLink(p.quarantine.table, quarantine.AllRecords),
 		synced: p.quarantine.synced, limiters: p.limiters, applyGateways: p.applyGateways, urgent: p.urgent,
 		serverLimits: serverlimit.NewLink(p.serverLimits.Table),
 	}
@@ -180,14 +180,14 @@
 
 func (p *components) newQuarantineStore(ctx context.Context, o Options) *quarantineStore {
 	return &quarantineStore{
-		ctx: ctx, role: &p.quarantine, store: o.Store, keys: p.breaker.View(o.OwnKeys), lease: p.leader.lease,
+		ctx: ctx, role: &p.quarantine, store: o.Store, keys: p.breaker.View(o.ProductKeys), lease: p.leader.lease,
 		clock: o.Clock, log: o.Log, timeout: o.Settings.StoreTimeout.Std(),
 	}
 }
 
 func (p *components) newFleetStore(ctx context.Context, o Options) *fleetStore {
 	return &fleetStore{
-		ctx: ctx, gateways: p.gateways, onLoad: p.applyStoredGateways, recent: make(map[placer.Gateway]time.Time), store: o.Store, keys: p.breaker.View(o.OwnKeys),
+		ctx: ctx, gateways: p.gateways, onLoad: p.applyStoredGateways, recent: make(map[placer.Gateway]time.Time), store: o.Store, keys: p.breaker.View(o.ProductKeys),
 		lease: p.leader.lease, firstStart: o.Settings.FirstStart, startedAt: o.Clock.Now(), clock: o.Clock, log: o.Log,
 		timeout: o.Settings.StoreTimeout.Std(),
 	}
@@ -222,12 +222,12 @@
 	return &proxy{
 		names: o.Names, config: p.config, authenticator: p.newAuthenticator(o.Settings), limiter: p.limiter, dispatcher: p.dispatcher, budgets: p.budgets, requestLog: p.requestLog,
 		lifecycle: p.lifecycle, conns: p.conns, quarantine: p.quarantine.table, detector: p.quarantine.detector, serverLimits: p.serverLimits.Table, clock: o.Clock,
-		transport: wire.NewDirectTransport(o.Settings.IdleTime.Std()), bodyTime: o.Settings.BodyTime.Std(),
+		transport: wire.NewDirectTransport(o.Settings.IdleTimeout.Std()), bodyTime: o.Settings.BodyTimeout.Std(),
 	}
 }
 
 func (p *components) newAuthenticator(s config.Gateway) *authenticator {
-	return &authenticator{currentAt: p.configs.CurrentAt, revokeTime: s.RevokeTime.Std(), unknownKeyMaxAge: p.configMaxAge(s)}
+	return &authenticator{currentAt: p.configs.CurrentAt, revokeTime: s.MaxRevocationDelay.Std(), unknownKeyMaxAge: p.configMaxAge(s)}
 }
 
 func (p *components) newPeerServer(c clock.Service) *peerServer {
--- a/internal/gateway/peer_client.go
+++ b/internal/gateway/peer_client.go
@@ -56,8 +56,8 @@
 	Quarantine quarantine.Message `json:"quarantine,omitzero"`
 	// ServerLimits holds new information on the rate limits that backend servers announced.
 	ServerLimits serverlimit.Message `json:"limits,omitzero"`
-	// Uninformed says that the sender does not yet know the quarantine from before its start.
-	Uninformed bool `json:"uninformed,omitempty"`
+	// QuarantineUnknown says that the sender does not yet know the quarantine from before its start.
+	QuarantineUnknown bool `json:"uninformed,omitempty"`
 }
 
 // A replyMessage answers a report.
@@ -66,18 +66,18 @@
 	// Leader is the leader's peer address if the replying gateway is not the leader; empty if it is not known.
 	Leader string `json:"holder,omitempty"`
 	// Config describes the configuration of the replying gateway.
-	Config configsync.News `json:"news"`
+	Config configsync.Announcement `json:"news"`
 	// Quarantine holds what the reporting gateway lacks; nil if it lacks nothing.
 	Quarantine *quarantine.Reply `json:"quarantine,omitempty"`
 	// ServerLimits holds what the reporting gateway lacks; nil if it lacks nothing.
 	ServerLimits *serverlimit.Reply `json:"limits,omitempty"`
 	// Lapsed is the number of gateways that recently left the leader's list, for quota.Limiter.
 	Lapsed int `json:"lapsed,omitempty"`
-	// Informed says, in reply to an uninformed gateway, that the replying gateway knows the quarantine.
-	Informed bool `json:"informed,omitempty"`
+	// QuarantineKnown says, in reply to an uninformed gateway, that the replying gateway knows the quarantine.
+	QuarantineKnown bool `json:"informed,omitempty"`
 }
 
-// A peerClient calls other gateways. It implements dispatch.Owners, configsync.Peers and quota.Asker.
+// A peerClient calls other gateways. It implements dispatch.Owners, configsync.Peers and quota.GrantClient.
 type peerClient struct {
 	http     *wire.Client
 	gateways *directory
@@ -90,7 +90,7 @@
 // report sends a report to the gateway at addr.
 func (p *peerClient) report(ctx context.Context, addr string, m reportMessage) (replyMessage, error) {
 	var reply replyMessage
-	err := p.http.PostWithin(ctx, reportTimeout, addr, pathReport, m, &reply)
+	err := p.http.PostWithStallTimeout(ctx, reportTimeout, addr, pathReport, m, &reply)
 	return reply, err
 }
 
@@ -98,14 +98,14 @@
 // read of its body.
 func (p *peerClient) feed(ctx context.Context, addr string, timeout time.Duration, r feedRequest) (feedReply, error) {
 	var reply feedReply
-	err := p.http.PostWithin(ctx, timeout, addr, pathFeed, r, &reply)
+	err := p.http.PostWithStallTimeout(ctx, timeout, addr, pathFeed, r, &reply)
 	return reply, err
 }
 
 // FetchConfig implements configsync.Peers.
 func (p *peerClient) FetchConfig(ctx context.Context, addr string, r configsync.Request) (configsync.Transfer, error) {
 	var t configsync.Transfer
-	err := p.http.PostWithin(ctx, configTimeout, addr, pathConfig, r, &t)
+	err := p.http.PostWithStallTimeout(ctx, configTimeout, addr, pathConfig, r, &t)
 	return t, err
 }
 
@@ -116,8 +116,8 @@
 	return reply, err
 }
 
-// AskGrant implements quota.Asker.
-func (p *peerClient) AskGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
+// AskGrant implements quota.GrantClient.
+func (p *peerClient) RequestGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	var reply quota.Reply
 	err := p.postTo(ctx, grantTimeout, gateway, pathGrant, r, &reply)
 	return reply, wrapEnded(err)
@@ -130,10 +130,10 @@
 	return reply, wrapEnded(err)
 }
 
-// wrapEnded adds quota.ErrEnded to the error of a refused connection, which shows that the other process has ended.
+// wrapEnded adds quota.ErrNotRunning to the error of a refused connection, which shows that the other process has ended.
 func wrapEnded(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return fmt.Errorf("%w: %w", quota.ErrEnded, err)
+		return fmt.Errorf("%w: %w", quota.ErrNotRunning, err)
 	}
 	return err
 }
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -60,10 +60,10 @@
 	if err := c.Bind(&m); err != nil {
 		return err
 	}
-	p.configs.HeardVersion(m.ConfigVersion, m.Addr)
+	p.configs.HandleVersion(m.ConfigVersion, m.Addr)
 	a := replyMessage{
-		Reply: p.placer.Report(m.Report), Config: p.configs.News(), Quarantine: p.quarantine.Answer(m.Quarantine, quarantine.SharedEnds),
-		Informed: m.Uninformed && p.synced.Load(), Lapsed: p.lapsed(), ServerLimits: p.serverLimits.Answer(m.ServerLimits),
+		Reply: p.placer.Report(m.Report), Config: p.configs.Announcement(), Quarantine: p.quarantine.Answer(m.Quarantine, quarantine.SharedMinCrashes),
+		QuarantineKnown: m.QuarantineUnknown && p.synced.Load(), Lapsed: p.lapsed(), ServerLimits: p.serverLimits.Answer(m.ServerLimits),
 	}
 	if !a.IsLeader {
 		record, _ := p.placer.Leader()
@@ -95,24 +95,24 @@
 	if err := c.Bind(&r); err != nil {
 		return err
 	}
-	p.configs.HeardVersion(r.ConfigVersion, r.Addr)
+	p.configs.HandleVersion(r.ConfigVersion, r.Addr)
 	asked := p.clock.Now()
 	p.awaitChanges(c.Request().Context(), r, asked)
 	p.markLeaseCurrent()
 	return c.JSON(http.StatusOK, feedReply{
-		Changes: p.fanout.Since(r.Revisions), Config: p.configs.News(), HeldMs: p.clock.Now().Sub(asked).Milliseconds(),
+		Changes: p.fanout.Since(r.Revisions), Config: p.configs.Announcement(), HeldMs: p.clock.Now().Sub(asked).Milliseconds(),
 	})
 }
 
 // awaitChanges waits until there is something new for the polling gateway, for at most the hold time.
 func (p *peerServer) awaitChanges(ctx context.Context, r feedRequest, asked time.Time) {
-	before := p.fanout.Views(r.Revisions)
+	before := p.fanout.CurrentTimes(r.Revisions)
 	maxAge := p.fanout.MaxAge()
 	end := asked.Add(feedHold(maxAge))
 	for ctx.Err() == nil {
 		changed := p.fanout.Changed()
 		left := end.Sub(p.clock.Now())
-		if left <= 0 || p.fanout.HasNews(r.Revisions, maxAge/feedAgeSteps, before) || p.configs.News().Version > r.ConfigVersion {
+		if left <= 0 || p.fanout.HasUpdates(r.Revisions, maxAge/feedAgeSteps, before) || p.configs.Announcement().Version > r.ConfigVersion {
 			return
 		}
 		clock.Await(ctx, p.clock, changed, left)
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -16,7 +16,7 @@
 // A proxy is the HTTP handler for callers' requests. It reads each request completely, forwards it to a server and
 // forwards the answer.
 type proxy struct {
-	names         wire.Names
+	names         wire.HeaderNames
 	config        *configuration
 	authenticator *authenticator
 	limiter       *quota.Limiter
@@ -73,7 +73,7 @@
 // finish records the result of a request in the dispatcher, the log and the metrics.
 func (p *proxy) finish(f *forwarder) {
 	if f.record.outcome == outcomeRefused {
-		f.record.holders = p.dispatcher.HolderCount(&f.req)
+		f.record.holders = p.dispatcher.CountServersHolding(&f.req)
 	}
 	if f.record.runs == 0 {
 		p.refund(f.in)
--- a/internal/gateway/quarantine_failures_test.go
+++ b/internal/gateway/quarantine_failures_test.go
@@ -21,7 +21,7 @@
 // awaitQuarantine sends copies of the request until the given number of gateways have it in quarantine.
 func (p *copySender) awaitQuarantine(gateways int) {
 	p.env.t.Helper()
-	for range quarantine.DefaultEnds {
+	for range quarantine.DefaultCrashThreshold {
 		assert.Equal(p.env.t, p.send().status, http.StatusBadGateway)
 	}
 	p.env.waitLines("request quarantined", gateways)
@@ -170,7 +170,7 @@
 func TestConcurrentCopies(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	atOnce := 2 * len(caller.fronts)
-	for servers.crashes.Load() < quarantine.DefaultEnds {
+	for servers.crashes.Load() < quarantine.DefaultCrashThreshold {
 		var copies sync.WaitGroup
 		for i := range atOnce {
 			one := &copySender{env: caller.env, path: pathUnsafe, fronts: caller.fronts, sent: 10 + i}
@@ -180,7 +180,7 @@
 	}
 	caller.env.waitLines("request quarantined", 3)
 	// Two servers may terminate before the last batch, and one under each copy of that batch.
-	most := quarantine.DefaultEnds - 1 + atOnce
+	most := quarantine.DefaultCrashThreshold - 1 + atOnce
 	assert.Assert(t, servers.crashes.Load() <= int64(most), "%d servers ended", servers.crashes.Load())
 	caller.checkRefused(servers)
 }
@@ -192,11 +192,11 @@
 		t.Run(name, func(t *testing.T) {
 			env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
 			caller := &copySender{env: env, path: path, fronts: []string{env.front}}
-			for range quarantine.DefaultEnds {
+			for range quarantine.DefaultCrashThreshold {
 				caller.send()
 			}
 			env.waitLines("request quarantined", 1)
-			assert.Assert(t, servers.crashes.Load() <= quarantine.DefaultEnds+1, "%d servers ended", servers.crashes.Load())
+			assert.Assert(t, servers.crashes.Load() <= quarantine.DefaultCrashThreshold+1, "%d servers ended", servers.crashes.Load())
 			caller.checkRefused(servers)
 		})
 	}
@@ -280,5 +280,5 @@
 		got[<-statuses]++
 	}
 	assert.DeepEqual(t, got, map[int]int{http.StatusBadGateway: 2, http.StatusServiceUnavailable: copies - 2})
-	assert.Equal(t, servers.crashes.Load(), int64(quarantine.DefaultEnds))
+	assert.Equal(t, servers.crashes.Load(), int64(quarantine.DefaultCrashThreshold))
 }
--- a/internal/gateway/quarantine_role.go
+++ b/internal/gateway/quarantine_role.go
@@ -33,7 +33,7 @@
 	s := o.Settings.Quarantine
 	r := quarantineRole{
 		table: quarantine.New(quarantine.Options{
-			Clock: o.Clock, Ends: s.Ends, Hold: s.Hold.Std(), OnChange: p.requestLog.quarantineChanged,
+			Clock: o.Clock, CrashThreshold: s.Threshold, Duration: s.Hold.Std(), OnChange: p.requestLog.quarantineChanged,
 		}),
 		synced: &atomic.Bool{}, startedAt: o.Clock.Now(),
 	}
--- a/internal/gateway/quarantine_scale_test.go
+++ b/internal/gateway/quarantine_scale_test.go
@@ -21,24 +21,24 @@
 func newQuarantineFleetOf(gateways int, r *rand.Rand) *quarantineFleet {
 	c := clocktest.New(time.Unix(0, 0))
 	table := func() *quarantine.Table {
-		return quarantine.New(quarantine.Options{Clock: c, Ends: quarantine.DefaultEnds, Hold: quarantine.DefaultHold})
+		return quarantine.New(quarantine.Options{Clock: c, CrashThreshold: quarantine.DefaultCrashThreshold, Duration: quarantine.DefaultDuration})
 	}
 	f := &quarantineFleet{}
 	var links []*quarantine.Link
 	for range gateways {
 		t := table()
 		f.tables = append(f.tables, t)
-		links = append(links, quarantine.NewLink(t, quarantine.AllEnds))
+		links = append(links, quarantine.NewLink(t, quarantine.AllRecords))
 	}
 	leader := table()
-	answer := func(m quarantine.Message) *quarantine.Reply { return leader.Answer(m, quarantine.SharedEnds) }
+	answer := func(m quarantine.Message) *quarantine.Reply { return leader.Answer(m, quarantine.SharedMinCrashes) }
 	f.simulatedFleet = newSimulatedFleet(c, answer, links, r)
 	return f
 }
 
 // terminate records the termination of a server under requests of one gateway, and schedules an urgent report.
 func (f *quarantineFleet) terminate(server string, gateway int, keys ...quarantine.Key) {
-	f.tables[gateway].Ended(server, keys...)
+	f.tables[gateway].RecordCrash(server, keys...)
 	f.reportSoon(gateway)
 }
 
@@ -65,13 +65,13 @@
 				r := rand.New(rand.NewPCG(seed, 0))
 				f := newQuarantineFleetOf(gateways, r)
 				poison := quarantine.KeyOf(quarantine.Request{Target: "/poison"})
-				for i := range quarantine.DefaultEnds {
+				for i := range quarantine.DefaultCrashThreshold {
 					keys := []quarantine.Key{poison}
 					for n := range requests - 1 {
 						keys = append(keys, quarantine.KeyOf(quarantine.Request{Target: fmt.Sprint("/", i, n)}))
 					}
 					f.terminate(fmt.Sprint("s", i), r.IntN(gateways), keys...)
-					if i < quarantine.DefaultEnds-1 {
+					if i < quarantine.DefaultCrashThreshold-1 {
 						f.step(time.Duration(r.IntN(1000)) * time.Millisecond)
 					}
 				}
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -107,7 +107,7 @@
 // save writes new and changed entries and deletes expired ones. After an error, the next step continues.
 func (q *quarantineStore) save(ctx context.Context, now time.Time) error {
 	held := make(map[quarantine.Key]bool)
-	for _, r := range q.role.table.Held() {
+	for _, r := range q.role.table.Quarantined() {
 		held[r.Key] = true
 		if q.stored[r.Key] == len(r.Servers) {
 			continue
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -132,7 +132,7 @@
 	const pace = 100 * time.Millisecond
 	env, servers := newCrashingEnv(t, 12, answer(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
-	for _, m := range startFleet(t, env, relay.Width+1) {
+	for _, m := range startFleet(t, env, relay.Fanout+1) {
 		caller.fronts = append(caller.fronts, m.front)
 	}
 	var third time.Time
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -103,7 +103,7 @@
 	r.leaseAddr = record
 	if own != r.wasLeader {
 		r.wasLeader = own
-		r.fanout.Recheck()
+		r.fanout.RecheckWatcher()
 		r.configs.Recheck()
 	}
 	if own {
@@ -111,7 +111,7 @@
 		now := r.clock.Now()
 		reply := r.placer.Report(m)
 		if reply.IsLeader {
-			r.limiters.leaderReplied(now, quota.Absence{Lapsed: r.limiters.lapsed(), Awaited: reply.Awaited})
+			r.limiters.leaderReplied(now, quota.AbsentGateways{Removed: r.limiters.lapsed(), Awaited: reply.Awaited})
 		}
 		r.apply(reply, demands)
 		r.placer.Wake()
@@ -127,26 +127,26 @@
 	m, demands := r.message()
 	requested := r.clock.Now()
 	reply, err := r.peers.report(ctx, addr, reportMessage{
-		Report: m, ConfigVersion: r.configs.News().Version, Quarantine: r.quarantine.Message(addr),
-		ServerLimits: r.serverLimits.Message(addr),
-		Uninformed:   !r.synced.Load(),
+		Report: m, ConfigVersion: r.configs.Announcement().Version, Quarantine: r.quarantine.Message(addr),
+		ServerLimits:      r.serverLimits.Message(addr),
+		QuarantineUnknown: !r.synced.Load(),
 	})
 	if err != nil {
 		r.reportFailed(addr, err)
-		r.placer.NotePeerReply(addr, false)
+		r.placer.RecordPeerReply(addr, false)
 		return
 	}
 	r.reportAnswered(addr)
-	r.quarantine.Apply(reply.Quarantine)
-	r.serverLimits.Apply(reply.ServerLimits)
-	if reply.Informed {
+	r.quarantine.ApplyReply(reply.Quarantine)
+	r.serverLimits.ApplyReply(reply.ServerLimits)
+	if reply.QuarantineKnown {
 		r.synced.Store(true)
 	}
-	r.placer.NotePeerReply(addr, !reply.IsLeader)
+	r.placer.RecordPeerReply(addr, !reply.IsLeader)
 	if reply.IsLeader {
-		r.limiters.leaderReplied(requested, quota.Absence{Lapsed: reply.Lapsed, Awaited: reply.Awaited})
+		r.limiters.leaderReplied(requested, quota.AbsentGateways{Removed: reply.Lapsed, Awaited: reply.Awaited})
 	}
-	r.configs.Heard(reply.Config, addr, requested)
+	r.configs.HandleAnnouncement(reply.Config, addr, requested)
 	r.noteLeader(addr, reply)
 	if !reply.IsLeader && r.gateways.depth(r.leader) <= 1 {
 		// The followed gateway is no longer the leader. The first level looks for the new leader in the store; the
@@ -247,7 +247,7 @@
 	}
 	r.servers.refresh()
 	r.dispatcher.SetPrefillSpeeds(a.Speeds)
-	r.dispatcher.SetRemote(a.Loads, a.BusiestOnly)
+	r.dispatcher.SetRemoteLoads(a.Loads, a.BusiestOnly)
 }
 
 // recordSent records what the leader now knows. A new leader has received only changes relative to its predecessor's
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -103,44 +103,44 @@
 type Metrics interface {
 	// Handler serves the metrics in text format.
 	Handler() http.Handler
-	// Ended counts a request of a route by its outcome. first and total are the times to the first byte and to the end,
+	// RequestEnded counts a request of a route by its outcome. first and total are the times to the first byte and to the end,
 	// in seconds; first is 0 if there was no first byte.
-	Ended(route, outcome string, first, total float64)
-	// Sent counts a send to a backend server; retry says that it was not the request's first.
-	Sent(service string, retry bool)
+	RequestEnded(route, outcome string, first, total float64)
+	// RequestSent counts a send to a backend server; retry says that it was not the request's first.
+	RequestSent(service string, retry bool)
 	// Admissions counts the answers of other gateways to admission requests; silent ones did not answer.
 	Admissions(granted, denied, silent int)
-	// Charged counts a request charged to an organisation's rate limit, with its cost in the limit's unit. outcome is
+	// QuotaCharged counts a request charged to an organisation's rate limit, with its cost in the limit's unit. outcome is
 	// "inside", "over" or "unknown".
-	Charged(organisation, outcome string, cost float64)
-	// ServerLimit counts changes of the rate limits that servers announce, by state.
-	ServerLimit(state string)
-	// Permit counts requests for a permit at a server with a rate limit. outcome is "inside", "over" or "unknown".
-	Permit(outcome string)
-	// ServerEnded counts terminations of servers under requests, by service.
-	ServerEnded(service string)
+	QuotaCharged(organisation, outcome string, cost float64)
+	// ServerLimitChanged counts changes of the rate limits that servers announce, by state.
+	ServerLimitChanged(state string)
+	// PermitRequested counts requests for a permit at a server with a rate limit. outcome is "inside", "over" or "unknown".
+	PermitRequested(outcome string)
+	// ServerCrashed counts terminations of servers under requests, by service.
+	ServerCrashed(service string)
 	// ConfigTransfer counts a transfer of the configuration and its size on the wire; err is not nil if it failed.
 	ConfigTransfer(from string, bytes int, err error)
 }
 
 type noMetrics struct{}
 
-func (noMetrics) Handler() http.Handler                  { return http.NotFoundHandler() }
-func (noMetrics) Ended(string, string, float64, float64) {}
-func (noMetrics) Sent(string, bool)                      {}
-func (noMetrics) ServerLimit(string)                     {}
-func (noMetrics) Permit(string)                          {}
-func (noMetrics) ServerEnded(string)                     {}
-func (noMetrics) Charged(string, string, float64)        {}
-func (noMetrics) Admissions(int, int, int)               {}
-func (noMetrics) ConfigTransfer(string, int, error)      {}
+func (noMetrics) Handler() http.Handler                         { return http.NotFoundHandler() }
+func (noMetrics) RequestEnded(string, string, float64, float64) {}
+func (noMetrics) RequestSent(string, bool)                      {}
+func (noMetrics) ServerLimitChanged(string)                     {}
+func (noMetrics) PermitRequested(string)                        {}
+func (noMetrics) ServerCrashed(string)                          {}
+func (noMetrics) QuotaCharged(string, string, float64)          {}
+func (noMetrics) Admissions(int, int, int)                      {}
+func (noMetrics) ConfigTransfer(string, int, error)             {}
 
 // A requestLog writes the log lines about requests and updates the metrics. It is safe for concurrent use.
 type requestLog struct {
 	log     *zap.Logger
 	metrics Metrics
 	clock   clock.Service
-	names   wire.Names
+	names   wire.HeaderNames
 	// answered and quarantined limit the lines about such requests; suppressed counts the suppressed ones.
 	answered    *rate.Limiter
 	quarantined *rate.Limiter
@@ -150,7 +150,7 @@
 	overLimit, serverLimit *lineLimiter
 }
 
-func newRequestLog(log *zap.Logger, m Metrics, c clock.Service, names wire.Names) *requestLog {
+func newRequestLog(log *zap.Logger, m Metrics, c clock.Service, names wire.HeaderNames) *requestLog {
 	return &requestLog{
 		log: log, metrics: m, clock: c, names: names,
 		answered:    rate.NewLimiter(answeredRate, answeredBurst),
@@ -166,9 +166,9 @@
 func (l *requestLog) requestEnded(in *inbound, req *dispatch.Request, r *record) {
 	now := l.clock.Now()
 	first := r.untilFirstByte(in)
-	l.metrics.Ended(in.route.Name, r.outcome, first.Seconds(), now.Sub(in.arrived).Seconds())
-	if asked := req.GrantsAsked; asked > 0 {
-		l.metrics.Admissions(req.GrantsGiven, req.GrantsDenied, asked-req.GrantsGiven-req.GrantsDenied)
+	l.metrics.RequestEnded(in.route.Name, r.outcome, first.Seconds(), now.Sub(in.arrived).Seconds())
+	if asked := req.AdmissionsRequested; asked > 0 {
+		l.metrics.Admissions(req.AdmissionsGranted, req.AdmissionsDenied, asked-req.AdmissionsGranted-req.AdmissionsDenied)
 	}
 	if !l.isLogged(r.outcome, now) {
 		l.suppressed.Add(1)
@@ -205,7 +205,7 @@
 		zap.Int(fieldSends, r.sends), zap.Int(fieldUnsent, r.unsent),
 		zap.Float64(fieldWaited, r.waited.Seconds()), zap.Float64(fieldFirst, r.untilFirstByte(in).Seconds()),
 		zap.Float64(fieldGap, r.longestGap.Seconds()), zap.Int(fieldEvents, r.events),
-		zap.Int(fieldAsked, req.GrantsAsked), zap.Int(fieldDenied, req.GrantsDenied),
+		zap.Int(fieldAsked, req.AdmissionsRequested), zap.Int(fieldDenied, req.AdmissionsDenied),
 		zap.Float64(fieldTotal, now.Sub(in.arrived).Seconds()),
 		zap.Float64(fieldLimit, in.deadline.Sub(in.arrived).Seconds()), customerField(in.organisation.Name), heldBackField(req),
 	}
@@ -227,7 +227,7 @@
 	c, among := res.Choice()
 	return []zap.Field{
 		zap.String(fieldServer, res.Server().ID), zap.Int(fieldAmong, among), zap.Int(fieldRunning, c.Running),
-		zap.Float64(fieldAhead, float64(c.PrefillAhead)), zap.Float64(fieldPrefill, float64(c.Prefill)),
+		zap.Float64(fieldAhead, float64(c.PrefillAhead)), zap.Float64(fieldPrefill, float64(c.PrefillTime)),
 		zap.Bool(fieldOwned, c.Owned), zap.Bool(fieldSameHall, c.SameHall),
 	}
 }
@@ -271,19 +271,19 @@
 
 // serverLimitChanged counts and logs a change of a server's rate limit. The lines are rate-limited.
 func (l *requestLog) serverLimitChanged(c serverlimit.Change) {
-	l.metrics.ServerLimit(string(c.State))
+	l.metrics.ServerLimitChanged(string(c.Kind))
 	suppressed, ok := l.serverLimit.allow(l.clock.Now())
 	if !ok {
 		return
 	}
-	l.log.Info(msgServerLimit, zap.String(fieldServer, c.Server), zap.String(fieldState, string(c.State)),
+	l.log.Info(msgServerLimit, zap.String(fieldServer, c.Server), zap.String(fieldState, string(c.Kind)),
 		zap.Float64(fieldPerSecond, c.PerSecond), zap.String(fieldOrigin, string(c.Origin)), zap.Float64(fieldAge, c.Age.Seconds()), suppressed)
 }
 
 // sending counts a send, and logs it if it is a retry.
 func (l *requestLog) sending(f *forwarder, res *dispatch.Reservation) {
 	retry := f.record.sends > 0
-	l.metrics.Sent(f.in.service.Name, retry)
+	l.metrics.RequestSent(f.in.service.Name, retry)
 	if !retry {
 		return
 	}
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -113,8 +113,8 @@
 	env := newTestEnv(t, server)
 	env.routing.Version = 9
 	env.routing.Routes = append(routes(), table.Route{
-		Name: "new", Host: host, Prefix: "/new/", Retry: table.RetryWhole, Timeout: time.Second,
-		Attempts: 1, Shares: []table.Share{{Service: "app"}},
+		Name: "new", Host: host, Prefix: "/new/", Retry: table.RetryIdempotent, Timeout: time.Second,
+		MaxAttempts: 1, Services: []table.WeightedService{{Service: "app"}},
 	})
 	env.putConfig()
 	env.eventually("/new/x", http.StatusOK)
@@ -122,7 +122,7 @@
 	env.putConfig()
 	env.routing.Version, env.routing.Routes = 11, append(routes(), env.routing.Routes...)
 	env.routing.Routes[0].Prefix = "/newest/"
-	env.routing.Routes[0].Retry = table.RetryWhole
+	env.routing.Routes[0].Retry = table.RetryIdempotent
 	env.putConfig()
 	env.eventually("/newest/x", http.StatusOK)
 	assert.Equal(t, env.get("/new/x").status, http.StatusNotFound, "version 11 has no such route")
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -82,9 +82,9 @@
 	w := b.byService[service]
 	if w == nil {
 		w = &retry.Window{
-			Length: b.settings.Window.Std(),
-			Ratio:  b.settings.Ratio * retryBudgetFraction,
-			Fixed:  b.settings.Fixed * retryBudgetFraction,
+			Length:       b.settings.Window.Std(),
+			Ratio:        b.settings.Ratio * retryBudgetFraction,
+			FixedRetries: b.settings.Fixed * retryBudgetFraction,
 		}
 		b.byService[service] = w
 	}
@@ -92,7 +92,9 @@
 }
 
 // countFirst counts the first send of a request.
-func (b *retryBudgets) countFirst(in *inbound) { b.budget(in.service.Name).First(in.arrived) }
+func (b *retryBudgets) countFirst(in *inbound) {
+	b.budget(in.service.Name).RecordFirstAttempt(in.arrived)
+}
 
 // take charges a retry to the budget, and reports whether the budget allows it.
 func (b *retryBudgets) take(in *inbound) bool {
@@ -103,11 +105,11 @@
 // mayRetry reports whether the request may be sent again after a send that may have run. The route must allow another
 // run, and the rest of the answer must be available: either nothing was sent to the caller, or the stream can resume.
 func (f *forwarder) mayRetry() bool {
-	if f.record.runs >= f.in.route.Attempts {
+	if f.record.runs >= f.in.route.MaxAttempts {
 		return false
 	}
 	switch f.in.route.Retry {
-	case table.RetryWhole:
+	case table.RetryIdempotent:
 		return !f.headerSent.Load()
 	case table.RetryResume:
 		return true
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -62,7 +62,7 @@
 // finished.
 func (f *forwarder) handleNoAnswer(res *dispatch.Reservation, err error) bool {
 	if f.isCallerGone() {
-		res.Done(dispatch.Abandoned)
+		res.Done(dispatch.Canceled)
 		f.record.outcome = outcomeGone
 		return true
 	}
@@ -96,8 +96,8 @@
 		return
 	}
 	values := resp.Header.Values(f.proxy.names.ServerLimit)
-	r := serverlimit.Read(values)
-	if r.Kind == serverlimit.Unreadable {
+	r := serverlimit.ParseHeader(values)
+	if r.Kind == serverlimit.Invalid {
 		f.proxy.requestLog.malformedLimit(res.Server().ID, f.proxy.names.ServerLimit, values)
 	}
 	f.proxy.serverLimits.Observe(res.Server().ID, r, sent)
@@ -114,7 +114,7 @@
 		out.Body = io.NopCloser(bytes.NewReader(f.in.body))
 		out.ContentLength = int64(len(f.in.body))
 	}
-	wire.SendOnce(out)
+	wire.DisableRetry(out)
 	return sendOnceContext(ctx, out)
 }
 
--- a/internal/gateway/server_ends.go
+++ b/internal/gateway/server_ends.go
@@ -72,7 +72,7 @@
 	if d.addSuspect(s, k, now) {
 		return
 	}
-	d.table.Ended(s.ID, k)
+	d.table.RecordCrash(s.ID, k)
 	d.onTermination()
 }
 
@@ -128,10 +128,10 @@
 func (d *terminationDetector) applyProbe(b *failedServer, before int, result wire.ProbeResult) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if result == wire.ServerLives && !b.terminated {
+	if result == wire.ServerAlive && !b.terminated {
 		b.suspects = b.suspects[before:]
 	}
-	b.probing = result == wire.ServerLives && len(b.suspects) > 0
+	b.probing = result == wire.ServerAlive && len(b.suspects) > 0
 	return b.probing
 }
 
@@ -141,10 +141,10 @@
 	if !first {
 		return
 	}
-	d.metrics.ServerEnded(b.server.Service)
+	d.metrics.ServerCrashed(b.server.Service)
 	d.log.Info(msgServerEnded, zap.String(fieldServer, b.server.ID), zap.String(fieldAddr, b.server.Addr),
 		zap.Int(fieldRequests, len(suspects)), zap.Stringers(fieldDigests, suspects[:min(len(suspects), loggedDigests)]))
-	d.table.Ended(b.server.ID, suspects...)
+	d.table.RecordCrash(b.server.ID, suspects...)
 	d.onTermination()
 }
 
--- a/internal/gateway/server_ends_test.go
+++ b/internal/gateway/server_ends_test.go
@@ -63,7 +63,7 @@
 			}
 			dialed := make(chan struct{}, wire.ConnectAttempts)
 			d := &terminationDetector{
-				ctx: t.Context(), clock: clocktest.Real{}, table: quarantine.New(quarantine.Options{Clock: c, Ends: 3, Hold: time.Minute}),
+				ctx: t.Context(), clock: clocktest.Real{}, table: quarantine.New(quarantine.Options{Clock: c, CrashThreshold: 3, Duration: time.Minute}),
 				servers: registry, wasPaused: func(time.Time) bool { return test.paused }, onTermination: func() {},
 				log: zap.NewNop(), metrics: noMetrics{}, failed: make(map[string]*failedServer),
 				dial: func(context.Context, string) error {
@@ -80,7 +80,7 @@
 			}
 			d.check(d.clock.Now())
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
-				if got := d.table.Ends(key); got != test.want {
+				if got := d.table.Crashes(key); got != test.want {
 					return poll.Continue("%d ends", got)
 				}
 				return poll.Success()
@@ -101,7 +101,7 @@
 	dialed := make(chan struct{}, 3*wire.ConnectAttempts)
 	d := &terminationDetector{
 		ctx: t.Context(), clock: clocktest.Real{}, servers: registry, wasPaused: func(time.Time) bool { return false },
-		table: quarantine.New(quarantine.Options{Clock: clocktest.Real{}, Ends: 3, Hold: time.Minute}), onTermination: func() {},
+		table: quarantine.New(quarantine.Options{Clock: clocktest.Real{}, CrashThreshold: 3, Duration: time.Minute}), onTermination: func() {},
 		log: zap.NewNop(), metrics: noMetrics{}, failed: make(map[string]*failedServer),
 		dial: func(context.Context, string) error {
 			dialed <- struct{}{}
@@ -123,14 +123,14 @@
 	ended.Store(true)
 	d.connFailed(&server, second)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if d.table.Ends(second) == 0 {
+		if d.table.Crashes(second) == 0 {
 			return poll.Continue("the end is not charged")
 		}
 		return poll.Success()
 	})
-	assert.Equal(t, d.table.Ends(first), 0)
+	assert.Equal(t, d.table.Crashes(first), 0)
 	d.connFailed(&server, first)
-	assert.Equal(t, d.table.Ends(first), 1, "it broke off after the end was known")
+	assert.Equal(t, d.table.Crashes(first), 1, "it broke off after the end was known")
 }
 
 // TestIsConnFailure checks which errors of a send indicate a failed connection.
--- a/internal/gateway/server_limit_failures_test.go
+++ b/internal/gateway/server_limit_failures_test.go
@@ -34,7 +34,7 @@
 			return 3
 		}},
 		"the store comes back from a copy": {fails: func(env *testEnv) int {
-			env.store.Restore(env.store.Copy())
+			env.store.Restore(env.store.Backup())
 			return 3
 		}, recovers: true},
 	}
