--- a/internal/gateway/server_limit_scale_test.go
+++ b/internal/gateway/server_limit_scale_test.go
@@ -35,7 +35,7 @@
 func (f *limitFleet) answers(servers int, r *rand.Rand) {
 	for i := range servers {
 		g := r.IntN(len(f.tables))
-		f.tables[g].Observe(fmt.Sprint("i-0123456", i), serverlimit.Reading{Kind: serverlimit.Named, PerSecond: 1.8}, f.clock.Now())
+		f.tables[g].Observe(fmt.Sprint("i-0123456", i), serverlimit.HeaderLimit{Kind: serverlimit.Limited, PerSecond: 1.8}, f.clock.Now())
 		f.reportSoon(g)
 	}
 }
--- a/internal/gateway/server_limits.go
+++ b/internal/gateway/server_limits.go
@@ -32,14 +32,14 @@
 	l := &serverLimits{metrics: o.Metrics}
 	l.Table = serverlimit.New(serverlimit.Options{Clock: o.Clock, OnChange: func(c serverlimit.Change) {
 		p.requestLog.serverLimitChanged(c)
-		p.dispatcher.LimitChanged(c.Server)
-		if c.Origin == serverlimit.Own {
+		p.dispatcher.RateLimitChanged(c.Server)
+		if c.Origin == serverlimit.OriginLocal {
 			p.urgent.send()
 		}
 	}})
 	l.limiter = quota.New(quota.Options{
-		Self: o.Settings.ID, Clock: o.Clock, Asker: &permitAsker{peers: p.peers, limits: l.Table},
-		Tolerance: serverlimit.Tolerance(), Limit: l.quota, OnOwnerSilent: p.requestLog.permitFailed,
+		Self: o.Settings.ID, Clock: o.Clock, GrantClient: &permitAsker{peers: p.peers, limits: l.Table},
+		Tolerance: serverlimit.Tolerance(), Limit: l.quota, OnOwnerUnresponsive: p.requestLog.permitFailed,
 	})
 	return l
 }
@@ -47,7 +47,7 @@
 // isThrottled reports whether a server's rate limit has, for some time, been too low to use its slots.
 func (l *serverLimits) isThrottled(s *backend.Server) bool {
 	status, ok := l.Status(s.ID)
-	return ok && serverlimit.IsInNeed(status, s.Slots)
+	return ok && serverlimit.IsThrottled(status, s.Slots)
 }
 
 // quota returns a server's rate limit in the form that the limiter takes.
@@ -72,28 +72,28 @@
 	d := l.limiter.Take(ctx, server, 1)
 	_, limited := l.Limit(server)
 	switch {
-	case d.Outcome == quota.Inside:
+	case d.Outcome == quota.WithinLimit:
 		granted = true
 	case !limited:
 		// The owner knows that the limit has ended.
 		granted = true
-	case d.Outcome == quota.Over:
+	case d.Outcome == quota.OverLimit:
 		wait = d.RetryAfter
 	default:
 		wait = permitRetryDelay
 	}
-	l.metrics.Permit(d.Outcome.String())
+	l.metrics.PermitRequested(d.Outcome.String())
 	return granted, wait
 }
 
 // GiveBack implements dispatch.Permits.
-func (l *serverLimits) GiveBack(server string) { l.limiter.GiveBack(server, 1) }
+func (l *serverLimits) Release(server string) { l.limiter.Refund(server, 1) }
 
 // subscribe starts the periodic work and returns the function that stops it.
 func (l *serverLimits) subscribe(c clock.Service) (stop func()) {
 	return c.Subscribe(sweepInterval, func(time.Time) {
 		l.Expire()
-		l.limiter.Keep(l.Knows)
+		l.limiter.Retain(l.Knows)
 	})
 }
 
@@ -109,14 +109,14 @@
 	Limit serverlimit.Record `json:"limit"`
 }
 
-// A permitAsker requests permits from the owners of servers' rate limits. It implements quota.Asker.
+// A permitAsker requests permits from the owners of servers' rate limits. It implements quota.GrantClient.
 type permitAsker struct {
 	peers  *peerClient
 	limits *serverlimit.Table
 }
 
-// AskGrant implements quota.Asker.
-func (a *permitAsker) AskGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
+// AskGrant implements quota.GrantClient.
+func (a *permitAsker) RequestGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	m := permitMessage{Request: r}
 	m.Limit, _ = a.limits.Record(r.Key)
 	reply, err := a.peers.requestPermit(ctx, gateway, m)
@@ -137,10 +137,10 @@
 // limiters are the rate limiters of a gateway. All use the same list of gateways.
 type limiters []*quota.Limiter
 
-// leaderReplied calls quota.Limiter.Heard on each limiter.
-func (q limiters) leaderReplied(asked time.Time, a quota.Absence) {
+// leaderReplied calls quota.Limiter.RecordLeaderReply on each limiter.
+func (q limiters) leaderReplied(asked time.Time, a quota.AbsentGateways) {
 	for _, l := range q {
-		l.Heard(asked, a)
+		l.RecordLeaderReply(asked, a)
 	}
 }
 
@@ -153,9 +153,9 @@
 // addFormer adds gateways that existed before this one started.
 func (q limiters) addFormer(ids []string) {
 	for _, l := range q {
-		l.NoteFormer(ids)
+		l.AddFormerGateways(ids)
 	}
 }
 
 // lapsed returns the number of gateways that recently left the leader's list.
-func (q limiters) lapsed() int { return q[0].Lapsed() }
+func (q limiters) lapsed() int { return q[0].CountRemoved() }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -58,10 +58,10 @@
 // reset, because each instance has its own ID.
 func (s *serverList) listChanged(restarts []backend.Restart) {
 	for _, r := range restarts {
-		s.log.Info("server restarted", zap.String("server", r.Now.ID), zap.String("former", r.Former.ID),
-			zap.String("service", r.Now.Service), zap.String("addr", r.Now.Addr))
+		s.log.Info("server restarted", zap.String("server", r.Current.ID), zap.String("former", r.Previous.ID),
+			zap.String("service", r.Current.Service), zap.String("addr", r.Current.Addr))
 	}
-	withoutInstance := s.registry.Snapshot().Unstarted()
+	withoutInstance := s.registry.Snapshot().WithoutInstance()
 	if !slices.Equal(withoutInstance, s.withoutInstance) {
 		s.withoutInstance = withoutInstance
 		s.log.Warn("servers without an instance id are not used", zap.Strings("servers", withoutInstance))
@@ -102,7 +102,7 @@
 	var h maphash.Hash
 	h.SetSeed(s.seed)
 	maphash.WriteComparable(&h, srv.Listing())
-	if !s.registry.IsPublished(srv.ID) {
+	if !s.registry.HasResidencyOf(srv.ID) {
 		writeResidents(&h, srv.Residents)
 	}
 	return h.Sum64()
--- a/internal/gateway/simulated_fleet_test.go
+++ b/internal/gateway/simulated_fleet_test.go
@@ -47,7 +47,7 @@
 		f.due[i] = now.Add(f.interval)
 		m := link.Message("leader")
 		reply := f.leader(m)
-		link.Apply(reply)
+		link.ApplyReply(reply)
 		f.count(m, reply)
 	}
 }
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -45,7 +45,7 @@
 
 // startStallTimer starts the timer of a send. It returns nil if the request may not be sent again.
 func (f *forwarder) startStallTimer(res *dispatch.Reservation, cancel context.CancelCauseFunc) *stallTimer {
-	if f.record.runs+1 >= f.in.route.Attempts || f.in.route.Retry == table.RetryNever {
+	if f.record.runs+1 >= f.in.route.MaxAttempts || f.in.route.Retry == table.RetryNever {
 		return nil
 	}
 	s := &stallTimer{f: f, reservation: res, cancel: cancel, retryRequest: f.req}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -93,10 +93,10 @@
 func (g *Gateway) unansweredTime(ctx context.Context) time.Duration {
 	end, ok := ctx.Deadline()
 	if !ok {
-		return g.Grace()
+		return g.StopTimeout()
 	}
 	return max(time.Until(end)-refusalReserve, 0)
 }
 
-// Grace returns the maximum duration of Stop.
-func (g *Gateway) Grace() time.Duration { return g.settings.Grace.Std() - exitReserve }
+// StopTimeout returns the maximum duration of Stop.
+func (g *Gateway) StopTimeout() time.Duration { return g.settings.Grace.Std() - exitReserve }
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -12,20 +12,20 @@
 // restored from a backup. Servers normally need about 2 s.
 const serverWriteTime = 3 * time.Second
 
-// serverRecords implements kv.Writers for the records that backend servers write periodically.
+// serverRecords implements kv.PeriodicWriters for the records that backend servers write periodically.
 type serverRecords struct{ decoder Decoder }
 
-// IsOlder implements kv.Writers.
+// IsOlder implements kv.PeriodicWriters.
 func (r serverRecords) IsOlder(e, than kv.Entry) (older, known bool) {
-	return r.decoder.IsOlderServer(e.Value, than.Value)
+	return r.decoder.IsOlderServerEntry(e.Value, than.Value)
 }
 
-// WriteTime implements kv.Writers.
-func (serverRecords) WriteTime() time.Duration { return serverWriteTime }
+// WriteTime implements kv.PeriodicWriters.
+func (serverRecords) MaxWriteInterval() time.Duration { return serverWriteTime }
 
 // serverWriters returns a function that returns the writers of a prefix, or nil if it is not the prefix of servers.
-func serverWriters(d Decoder) func(prefix string) kv.Writers {
-	return func(prefix string) kv.Writers {
+func serverWriters(d Decoder) func(prefix string) kv.PeriodicWriters {
+	return func(prefix string) kv.PeriodicWriters {
 		if prefix == d.ServerPrefix() {
 			return serverRecords{decoder: d}
 		}
@@ -36,5 +36,5 @@
 // storeRestored handles the restoration of the store from a backup: writes since the backup, such as the lease, are lost.
 func (g *Gateway) storeRestored(era int64) {
 	g.log.Warn("store came back from a copy", zap.Int64("era", era))
-	g.lease.EndEra(era)
+	g.lease.ExpireBeforeEra(era)
 }
--- a/internal/gateway/store_copy_test.go
+++ b/internal/gateway/store_copy_test.go
@@ -17,7 +17,7 @@
 	kept, removed := newFakeServer(t, "stays", answer(http.StatusOK, "yes")), newFakeServer(t, "gone", answer(http.StatusOK, "yes"))
 	env := newTestEnv(t, kept, removed)
 	members := startFleet(t, env, 2)
-	backup := env.store.Copy()
+	backup := env.store.Backup()
 	for range 60 {
 		env.store.Set("other", nil)
 	}
@@ -80,7 +80,7 @@
 		"copy": func(env *testEnv) {
 			value, err := env.store.Get(env.t.Context(), keyConfig)
 			assert.NilError(env.t, err)
-			env.store.Restore(env.store.Copy())
+			env.store.Restore(env.store.Backup())
 			env.store.Set(keyConfig, value.Value)
 		},
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -69,7 +69,7 @@
 			f.noteConnFailure(res, cause(ctx, err))
 			return f.handleLost(res, cause(ctx, err))
 		}
-		res.FirstByte()
+		res.RecordFirstByte()
 		stall.restart()
 		now := f.proxy.clock.Now()
 		if !last.IsZero() {
@@ -77,7 +77,7 @@
 		}
 		last = now
 		if err := f.forwardEvent(resp, buf.Bytes()); err != nil {
-			res.Done(dispatch.Abandoned)
+			res.Done(dispatch.Canceled)
 			f.record.outcome = outcomeGone
 			return true
 		}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -92,7 +92,7 @@
 
 // get decodes the JSON document at a URL into out.
 func (c *Client) get(ctx context.Context, url string, out any) error {
-	ctx, watch := transfer.Start(ctx, progressTimeout, progressTimeout)
+	ctx, watch := transfer.StartWatchdog(ctx, progressTimeout, progressTimeout)
 	defer watch.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/lab/call.go
+++ b/internal/lab/call.go
@@ -16,8 +16,8 @@
 	"rockcleat/internal/wire"
 )
 
-// An Answer is the response to one request as the client saw it.
-type Answer struct {
+// An Response is the response to one request as the client saw it.
+type Response struct {
 	Status     int
 	Outcome    wire.Outcome
 	Replayed   bool
@@ -29,9 +29,9 @@
 	Text string
 	// Tokens is the number of events of a stream that carry text.
 	Tokens int
-	// Whole reports whether the response is complete: a stream ended with [DONE], or another
+	// Complete reports whether the response is complete: a stream ended with [DONE], or another
 	// body was read to its end without an error.
-	Whole bool
+	Complete bool
 	// FirstToken is the time from sending to the first event of a stream, or to the end of
 	// another body.
 	FirstToken time.Duration
@@ -84,7 +84,7 @@
 }
 
 // Send sends a request without transport retries and reads the response to its end.
-func (c *Caller) Send(ctx context.Context, r Request) Answer {
+func (c *Caller) Send(ctx context.Context, r Request) Response {
 	start := time.Now()
 	if r.Method == "" {
 		r.Method = http.MethodPost
@@ -94,7 +94,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Addr+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	req.Header.Set("Content-Type", "application/json")
 	if r.Key != "" {
@@ -103,13 +103,13 @@
 	if r.ID != "" {
 		req.Header.Set(wire.HeaderRequestID, r.ID)
 	}
-	wire.SendOnce(req)
+	wire.DisableRetry(req)
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return Answer{Err: err, Total: time.Since(start)}
+		return Response{Err: err, Total: time.Since(start)}
 	}
 	defer resp.Body.Close()
-	a := Answer{
+	a := Response{
 		Status: resp.StatusCode, Outcome: wire.Outcome(resp.Header.Get(wire.HeaderOutcome)),
 		Replayed: resp.Header.Get(wire.HeaderReplayed) != "", RetryAfter: wire.RetryAfter(resp.Header),
 		Reason: resp.Header.Get(wire.HeaderReason),
@@ -124,10 +124,10 @@
 }
 
 // readBody reads a response that is not streamed.
-func (a *Answer) readBody(r io.Reader, start time.Time) {
+func (a *Response) readBody(r io.Reader, start time.Time) {
 	data, err := io.ReadAll(r)
 	a.FirstToken = time.Since(start)
-	a.Body, a.Err, a.Whole = string(data), err, err == nil
+	a.Body, a.Err, a.Complete = string(data), err, err == nil
 	var c openai.Completion
 	if json.Unmarshal(data, &c) == nil && len(c.Choices) > 0 && c.Choices[0].Message != nil {
 		a.Text = c.Choices[0].Message.Content
@@ -135,7 +135,7 @@
 }
 
 // readStream reads server-sent events until the stream ends.
-func (a *Answer) readStream(r io.Reader, start time.Time) {
+func (a *Response) readStream(r io.Reader, start time.Time) {
 	s := bufio.NewScanner(r)
 	var text strings.Builder
 	for s.Scan() {
@@ -147,7 +147,7 @@
 			a.FirstToken = time.Since(start)
 		}
 		if data == "[DONE]" {
-			a.Whole = true
+			a.Complete = true
 			continue
 		}
 		var c openai.Completion
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -54,41 +54,43 @@
 	return eris.Wrap(json.NewDecoder(resp.Body).Decode(out), "lab: decode response")
 }
 
-// Client returns a new client for the control interfaces of entries and agents.
-func Client() *wire.Client { return wire.NewClient(Secret, wire.NewTransport(&wire.Traffic{})) }
+// NewControlClient returns a new client for the control interfaces of entries and agents.
+func NewControlClient() *wire.Client {
+	return wire.NewClient(Secret, wire.NewTransport(&wire.TrafficCounter{}))
+}
 
-// Save saves changes as one edit through the first entry and returns its table version.
-func (s *System) Save(ctx context.Context, changes []table.Change) (uint64, error) {
+// SaveChanges saves changes as one edit through the first entry and returns its table version.
+func (s *System) SaveChanges(ctx context.Context, changes []table.Change) (uint64, error) {
 	e := table.Edit{ID: uuid.NewString(), Author: "lab", Time: time.Now().Unix(), Changes: changes}
 	return s.SaveEdit(ctx, s.Entries[0], e)
 }
 
 // SaveEdit saves an edit through an entry and returns the table version that the entry reports.
 func (s *System) SaveEdit(ctx context.Context, n *Node, e table.Edit) (uint64, error) {
-	var a wire.SaveAnswer
-	err := Client().Post(ctx, n.Control, wire.PathTable, wire.SaveRequest{Edit: e}, &a)
+	var a wire.SaveResponse
+	err := NewControlClient().Post(ctx, n.Control, wire.PathTable, wire.SaveRequest{Edit: e}, &a)
 	return a.Version, err
 }
 
 // Status returns the status of an entry. If versions is set, it includes the table version of
 // each VM.
-func (s *System) Status(ctx context.Context, n *Node, versions bool) (wire.StatusAnswer, error) {
+func (s *System) Status(ctx context.Context, n *Node, versions bool) (wire.StatusResponse, error) {
 	path := wire.PathStatus
 	if versions {
 		path += "?versions=1"
 	}
-	var a wire.StatusAnswer
-	err := Client().Get(ctx, n.Control, path, &a)
+	var a wire.StatusResponse
+	err := NewControlClient().Get(ctx, n.Control, path, &a)
 	return a, err
 }
 
-// AwaitPlaced waits until every running entry lists a ready server for every row.
-func (s *System) AwaitPlaced(ctx context.Context) error {
+// AwaitRowsReady waits until every running entry lists a ready server for every row.
+func (s *System) AwaitRowsReady(ctx context.Context) error {
 	for _, e := range s.Entries {
 		if e.Exited() {
 			continue
 		}
-		if err := Until(ctx, "every row has a place in the eyes of "+e.ID, func() bool { return s.allRowsReady(ctx, e) }); err != nil {
+		if err := WaitUntil(ctx, "every row has a place in the eyes of "+e.ID, func() bool { return s.allRowsReady(ctx, e) }); err != nil {
 			return err
 		}
 	}
@@ -120,9 +122,9 @@
 	return true
 }
 
-// AwaitVersion waits until every running daemon has applied the table version or a later one.
-func (s *System) AwaitVersion(ctx context.Context, version uint64) error {
-	return Until(ctx, fmt.Sprintf("version %d is in force on every VM", version), func() bool {
+// AwaitTableVersion waits until every running daemon has applied the table version or a later one.
+func (s *System) AwaitTableVersion(ctx context.Context, version uint64) error {
+	return WaitUntil(ctx, fmt.Sprintf("version %d is in force on every VM", version), func() bool {
 		return s.allApplied(ctx, version)
 	})
 }
@@ -130,11 +132,11 @@
 // allApplied reports whether every running daemon responds with the table version or a later one.
 func (s *System) allApplied(ctx context.Context, version uint64) bool {
 	for _, n := range s.nodes() {
-		var v wire.VersionAnswer
+		var v wire.VersionResponse
 		if n.Exited() {
 			continue
 		}
-		if err := Client().Get(ctx, n.Control, wire.PathStatus, &v); err != nil || v.TableVersion < version {
+		if err := NewControlClient().Get(ctx, n.Control, wire.PathStatus, &v); err != nil || v.TableVersion < version {
 			return false
 		}
 	}
--- a/internal/lab/nodes.go
+++ b/internal/lab/nodes.go
@@ -30,7 +30,7 @@
 // addBackend starts the agent of a backend server and adds its VM to the platform's list.
 func (s *System) addBackend(ctx context.Context, b *Backend, id, hall string, configure func(*config.Agent)) error {
 	var a config.Agent
-	config.Defaults(&a)
+	config.SetDefaults(&a)
 	if err := s.setProcessConfig(&a.Process, id, hall); err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 func (s *System) AddEntry(ctx context.Context) (*Node, error) {
 	i := len(s.Entries)
 	var e config.Entry
-	config.Defaults(&e)
+	config.SetDefaults(&e)
 	id := fmt.Sprintf("entry-%d", i)
 	if err := s.setProcessConfig(&e.Process, id, s.hallOf(i)); err != nil {
 		return nil, err
@@ -67,11 +67,11 @@
 		e.Listen = fmt.Sprintf("127.0.0.1:%d", s.opts.EntryPort)
 		e.ControlListen = fmt.Sprintf("127.0.0.1:%d", s.opts.EntryPort+1)
 	}
-	e.VMs, e.Weights = s.VMsURL, s.WURL
-	e.Planner.ExchangeEvery = config.Duration(time.Second)
+	e.VMs, e.Weights = s.VMsURL, s.WeightsURL
+	e.Planner.ExchangeInterval = config.Duration(time.Second)
 	e.Planner.LeaseTTL = config.Duration(3 * time.Second)
 	e.Claims.LeaseTTL = config.Duration(3 * time.Second)
-	e.Planner.MaxLoads, e.Planner.LoadsPerSecond = max(s.opts.FullSpeed, 1), max(s.opts.Loads, 1)
+	e.Planner.MaxLoads, e.Planner.LoadsPerSecond = max(s.opts.FullSpeedLoads, 1), max(s.opts.LoadsPerSecond, 1)
 	if s.opts.Entry != nil {
 		s.opts.Entry(&e)
 	}
@@ -92,7 +92,7 @@
 // StartNode starts or restarts a daemon and waits until its control address accepts
 // connections. A previous process of the node must have exited.
 func (s *System) StartNode(ctx context.Context, n *Node) error {
-	p, err := Launch(s.opts.Dir, n.ID, filepath.Join(s.opts.Bin, n.program), "-config", n.configPath)
+	p, err := StartProcess(s.opts.Dir, n.ID, filepath.Join(s.opts.Bin, n.program), "-config", n.configPath)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	err = Until(ctx, n.ID+" listens", func() bool { return p.Exited() || acceptsConnections(n.Control) })
+	err = WaitUntil(ctx, n.ID+" listens", func() bool { return p.Exited() || acceptsConnections(n.Control) })
 	if err == nil && p.Exited() {
 		return eris.Errorf("lab: %s exited during startup; see %s", n.ID, filepath.Join(s.opts.Dir, n.ID+".log"))
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -25,8 +25,8 @@
 	err  error
 }
 
-// Launch starts a program and appends its output to the file name.log in dir.
-func Launch(dir, name, program string, args ...string) (*Process, error) {
+// StartProcess starts a program and appends its output to the file name.log in dir.
+func StartProcess(dir, name, program string, args ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, eris.Wrap(err, "lab: open log file")
@@ -125,8 +125,8 @@
 // pollInterval is the interval between two evaluations of a condition.
 const pollInterval = 10 * time.Millisecond
 
-// Until polls ok until it returns true or ctx ends. what describes the condition in the error.
-func Until(ctx context.Context, what string, ok func() bool) error {
+// WaitUntil polls ok until it returns true or ctx ends. what describes the condition in the error.
+func WaitUntil(ctx context.Context, what string, ok func() bool) error {
 	for !ok() {
 		select {
 		case <-ctx.Done():
--- a/internal/lab/small.go
+++ b/internal/lab/small.go
@@ -15,20 +15,20 @@
 	SmallPath    = "/renewals"
 )
 
-// Small returns the options of a system of two entries, three engines and one plain service.
+// SmallOptions returns the options of a system of two entries, three engines and one plain service.
 // bin is the folder of the programs, dir the one for settings and logs.
-func Small(bin, dir string) Options {
+func SmallOptions(bin, dir string) Options {
 	rows, sizes := smallRows()
 	return Options{
 		Bin: bin, Dir: dir, Halls: []string{"sapporo-a", "sapporo-b", "sapporo-c"},
 		Entries: 2, Engines: 3, Services: 1,
-		Engine: EngineSpec{
-			Accelerators: 2, MemoryMiB: 40000, Slots: 8, Step: 10 * time.Millisecond, Prefill: 20000,
+		Engine: EngineOptions{
+			Accelerators: 2, MemoryMiB: 40000, Slots: 8, Step: 10 * time.Millisecond, PrefillTokensPerSecond: 20000,
 		},
 		ServiceRows: []string{SmallService},
 		Rows:        rows, Sizes: sizes,
-		VMLag: 500 * time.Millisecond, KVReads: 2000, KVWrites: 100,
-		Loads: 20, FullSpeed: 10, LoadSpeed: 100000, ServiceDelay: 5 * time.Millisecond,
+		VMLag: 500 * time.Millisecond, KVReadsPerSecond: 2000, KVWritesPerSecond: 100,
+		LoadsPerSecond: 20, FullSpeedLoads: 10, LoadMiBPerSecond: 100000, ServiceDelay: 5 * time.Millisecond,
 	}
 }
 
--- a/internal/lab/system.go
+++ b/internal/lab/system.go
@@ -23,8 +23,8 @@
 // Secret is the shared secret in the settings of all daemons of a lab.
 const Secret = "lab-secret-0123456789"
 
-// An EngineSpec configures the engines of a lab.
-type EngineSpec struct {
+// An EngineOptions configures the engines of a lab.
+type EngineOptions struct {
 	Accelerators int
 	// MemoryMiB is the memory of each accelerator.
 	MemoryMiB int
@@ -32,10 +32,10 @@
 	Slots int
 	// Step is the duration of a decoding step.
 	Step time.Duration
-	// Prefill is the prefill rate in prompt tokens per second.
-	Prefill float64
-	// NoFence makes the engine accept orders with any fencing token.
-	NoFence bool
+	// PrefillTokensPerSecond is the prefill rate in prompt tokens per second.
+	PrefillTokensPerSecond float64
+	// SkipFenceCheck makes the engine accept orders with any fencing token.
+	SkipFenceCheck bool
 }
 
 // Options configures a System.
@@ -47,7 +47,7 @@
 	Entries  int
 	Engines  int
 	Services int
-	Engine   EngineSpec
+	Engine   EngineOptions
 	// ServiceRows are the names of the table rows that every plain service serves.
 	ServiceRows []string
 	// Rows are saved as the first table.
@@ -56,14 +56,14 @@
 	Sizes map[string]placement.Size
 	// VMLag is the delay before the list of VMs shows a change.
 	VMLag time.Duration
-	// KVReads and KVWrites are the rate limits of the key-value service per second; zero means
+	// KVReadsPerSecond and KVWritesPerSecond are the rate limits of the key-value service per second; zero means
 	// no limit.
-	KVReads, KVWrites float64
-	// Loads is the rate limit of the weight store in loads per second, FullSpeed its number of
-	// concurrent loads at full speed, and LoadSpeed the full speed of a load in MiB/s.
-	Loads     float64
-	FullSpeed int
-	LoadSpeed float64
+	KVReadsPerSecond, KVWritesPerSecond float64
+	// LoadsPerSecond is the rate limit of the weight store in loads per second, FullSpeedLoads its number of
+	// concurrent loads at full speed, and LoadMiBPerSecond the full speed of a load in MiB/s.
+	LoadsPerSecond   float64
+	FullSpeedLoads   int
+	LoadMiBPerSecond float64
 	// ServiceDelay is the duration of a call of a plain service.
 	ServiceDelay time.Duration
 	// Entry and Agent, if not nil, change the settings of each entry and each agent.
@@ -103,11 +103,11 @@
 // A System is a running lab.
 type System struct {
 	opts Options
-	// KVURL, VMsURL and WURL are the base URLs of the key-value service, the list of VMs and the
+	// KVURL, VMsURL and WeightsURL are the base URLs of the key-value service, the list of VMs and the
 	// weight store.
-	KVURL  string
-	VMsURL string
-	WURL   string
+	KVURL      string
+	VMsURL     string
+	WeightsURL string
 
 	// mu is held while the fields below are changed.
 	mu       sync.Mutex
@@ -155,15 +155,15 @@
 	if len(s.opts.Rows) == 0 {
 		return nil
 	}
-	if _, err := s.Save(ctx, table.Diff(nil, s.opts.Rows, false)); err != nil {
+	if _, err := s.SaveChanges(ctx, table.Diff(nil, s.opts.Rows, false)); err != nil {
 		return err
 	}
 	for _, e := range s.Entries {
-		if err := Until(ctx, e.ID+" is ready", func() bool { return respondsOK("http://" + e.Control + wire.PathReady) }); err != nil {
+		if err := WaitUntil(ctx, e.ID+" is ready", func() bool { return respondsOK("http://" + e.Control + wire.PathReady) }); err != nil {
 			return err
 		}
 	}
-	return s.AwaitPlaced(ctx)
+	return s.AwaitRowsReady(ctx)
 }
 
 // startStandin starts a stand-in on a free address and waits until it listens. It returns the
@@ -175,7 +175,7 @@
 	}
 	startAgain := func() (*Process, error) {
 		allArgs := append(append([]string{}, args...), "-listen", addr)
-		p, err := Launch(s.opts.Dir, name, filepath.Join(s.opts.Bin, "rockcleat-standin"), allArgs...)
+		p, err := StartProcess(s.opts.Dir, name, filepath.Join(s.opts.Bin, "rockcleat-standin"), allArgs...)
 		if err != nil {
 			return nil, err
 		}
@@ -184,7 +184,7 @@
 		s.mu.Unlock()
 		ctx, cancel := context.WithTimeout(ctx, startTimeout)
 		defer cancel()
-		return p, Until(ctx, name+" listens", func() bool { return acceptsConnections(addr) })
+		return p, WaitUntil(ctx, name+" listens", func() bool { return acceptsConnections(addr) })
 	}
 	p, err := startAgain()
 	return p, "http://" + addr, startAgain, err
@@ -195,18 +195,18 @@
 // startPlatform starts the stand-ins of the platform's services and fills the weight store.
 func (s *System) startPlatform(ctx context.Context) (err error) {
 	o := s.opts
-	if _, s.KVURL, _, err = s.startStandin(ctx, "kv", "kv", "-reads", formatFloat(o.KVReads), "-writes", formatFloat(o.KVWrites)); err != nil {
+	if _, s.KVURL, _, err = s.startStandin(ctx, "kv", "kv", "-reads", formatFloat(o.KVReadsPerSecond), "-writes", formatFloat(o.KVWritesPerSecond)); err != nil {
 		return err
 	}
 	if _, s.VMsURL, _, err = s.startStandin(ctx, "vms", "vms", "-lag", o.VMLag.String()); err != nil {
 		return err
 	}
-	_, s.WURL, _, err = s.startStandin(ctx, "weights", "weights", "-loads", formatFloat(o.Loads),
-		"-full-speed", strconv.Itoa(o.FullSpeed), "-speed", formatFloat(o.LoadSpeed))
+	_, s.WeightsURL, _, err = s.startStandin(ctx, "weights", "weights", "-loads", formatFloat(o.LoadsPerSecond),
+		"-full-speed", strconv.Itoa(o.FullSpeedLoads), "-speed", formatFloat(o.LoadMiBPerSecond))
 	if err != nil {
 		return err
 	}
-	return sendJSON(ctx, http.MethodPut, s.WURL+"/v1/weights", inventory.Catalogue{Sizes: o.Sizes}, nil)
+	return sendJSON(ctx, http.MethodPut, s.WeightsURL+"/v1/weights", inventory.Catalogue{Sizes: o.Sizes}, nil)
 }
 
 // hallOf returns the data hall of the i-th VM of its kind.
@@ -217,8 +217,8 @@
 	name := fmt.Sprintf("engine-%d", i)
 	p, url, startAgain, err := s.startStandin(ctx, name, "engine",
 		"-accelerators", strconv.Itoa(o.Accelerators), "-memory", strconv.Itoa(o.MemoryMiB),
-		"-slots", strconv.Itoa(o.Slots), "-step", o.Step.String(), "-prefill", formatFloat(o.Prefill),
-		"-weights", s.WURL, "-checks-orders="+strconv.FormatBool(!o.NoFence))
+		"-slots", strconv.Itoa(o.Slots), "-step", o.Step.String(), "-prefill", formatFloat(o.PrefillTokensPerSecond),
+		"-weights", s.WeightsURL, "-checks-orders="+strconv.FormatBool(!o.SkipFenceCheck))
 	if err != nil {
 		return err
 	}
@@ -254,8 +254,8 @@
 	}
 }
 
-// Left returns the names of the processes that have not exited.
-func (s *System) Left() []string {
+// RunningProcesses returns the names of the processes that have not exited.
+func (s *System) RunningProcesses() []string {
 	var names []string
 	for _, p := range s.processes {
 		if !p.Exited() {
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -30,8 +30,8 @@
 	N int `json:"n"`
 	// Messages is set in chat completion requests.
 	Messages []Message `json:"messages"`
-	// Text is the prompt of a text completion request.
-	Text json.RawMessage `json:"prompt"`
+	// RawPrompt is the prompt of a text completion request.
+	RawPrompt json.RawMessage `json:"prompt"`
 }
 
 // ParseRequest decodes and validates the body of a completion request.
@@ -55,7 +55,7 @@
 // Prompt returns the JSON text of the prompt, or the roles and contents of all messages of a chat.
 func (r Request) Prompt() string {
 	if len(r.Messages) == 0 {
-		return string(r.Text)
+		return string(r.RawPrompt)
 	}
 	var b strings.Builder
 	for _, m := range r.Messages {
@@ -75,16 +75,16 @@
 	defaultCompletionTokens = 256
 )
 
-// PromptTokens returns an estimate of the number of tokens in the prompt.
-func (r Request) PromptTokens() int { return len(r.Prompt()) / bytesPerToken }
+// EstimatePromptTokens returns an estimate of the number of tokens in the prompt.
+func (r Request) EstimatePromptTokens() int { return len(r.Prompt()) / bytesPerToken }
 
-// Cost returns an estimate of the total number of tokens, prompt and completions.
-func (r Request) Cost() int {
+// EstimateTokens returns an estimate of the total number of tokens, prompt and completions.
+func (r Request) EstimateTokens() int {
 	completionTokens := r.MaxTokens
 	if completionTokens == 0 {
 		completionTokens = defaultCompletionTokens
 	}
-	return r.PromptTokens() + completionTokens*max(r.N, 1)
+	return r.EstimatePromptTokens() + completionTokens*max(r.N, 1)
 }
 
 // A Completion is a complete response or one chunk of a stream.
@@ -102,16 +102,16 @@
 type Choice struct {
 	Index int `json:"index"`
 	// Message is set in a complete chat response, Delta in a chunk of a chat stream.
-	Message *Content `json:"message,omitempty"`
-	Delta   *Content `json:"delta,omitempty"`
+	Message *ResponseMessage `json:"message,omitempty"`
+	Delta   *ResponseMessage `json:"delta,omitempty"`
 	// Text is set in text completions.
 	Text string `json:"text,omitempty"`
 	// FinishReason is nil until the choice is complete.
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Content is a generated chat message or a part of one.
-type Content struct {
+// ResponseMessage is a generated chat message or a part of one.
+type ResponseMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -186,10 +186,10 @@
 // addDemand adds one gateway's demand for a model or one of its adapters to the model's total.
 func addDemand(sum residency.Demand, x dispatch.Demand) residency.Demand {
 	objective := time.Duration(x.ObjectiveMs) * time.Millisecond
-	if !sum.Asked || objective < sum.Objective {
+	if !sum.Requested || objective < sum.Objective {
 		sum.Objective = objective
 	}
-	sum.Asked = true
+	sum.Requested = true
 	sum.Waiting += x.Waiting
 	return sum
 }
--- a/internal/placer/demand_test.go
+++ b/internal/placer/demand_test.go
@@ -35,7 +35,7 @@
 				d.apply(Report{GatewayID: fmt.Sprint("g", i), Demands: demands}, time.Unix(1000, 0))
 			}
 			got := d.modelDemands()["m"]
-			assert.Equal(t, got.Asked, test.asked)
+			assert.Equal(t, got.Requested, test.asked)
 			assert.Equal(t, got.Objective, test.want)
 		})
 	}
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -140,7 +140,7 @@
 	return l.token, l.token != 0
 }
 
-func (l *fakeLease) OtherHolder() lease.Record { return lease.Record{Addr: "last"} }
+func (l *fakeLease) LastRecord() lease.Record { return lease.Record{Addr: "last"} }
 
 func (l *fakeLease) HasSeenOther() bool { return l.seenOther }
 
@@ -162,7 +162,7 @@
 	placer   *placer.Placer
 	// secondService adds a second service of engines, which shares the weight store.
 	secondService bool
-	// throttled names the servers for which IsInNeed reports true.
+	// throttled names the servers for which IsThrottled reports true.
 	throttled map[string]bool
 }
 
@@ -175,7 +175,7 @@
 	f.spec = &table.EngineSpec{WeightsMB: 200_000, AdapterSlots: 2, LoadsPerSecond: 1}
 	for i := range models {
 		f.spec.Models = append(f.spec.Models, table.ModelSpec{
-			Name: fmt.Sprint("m", i), WeightsMB: 60_000, Adapters: 4, AdapterMB: 10, StoreLoadTime: time.Second,
+			Name: fmt.Sprint("m", i), WeightsMB: 60_000, AdapterCount: 4, AdapterMB: 10, StoreLoadTime: time.Second,
 		})
 	}
 	var servers []backend.Server
@@ -200,9 +200,9 @@
 	routing := table.NewRouting(1, nil, services, table.RequestLimits{})
 	p := placer.New(placer.Options{
 		Lease: f.lease, Engines: f.engines, Registry: &f.registry,
-		Routing:    func() *table.Routing { return routing },
-		IsInNeed:   func(s *backend.Server) bool { return f.throttled[s.ID] },
-		SettleTime: ttl, FirstStart: first, Clock: f.clock, Log: zap.NewNop(),
+		Routing:     func() *table.Routing { return routing },
+		IsThrottled: func(s *backend.Server) bool { return f.throttled[s.ID] },
+		SettleTime:  ttl, FirstStart: first, Clock: f.clock, Log: zap.NewNop(),
 	})
 	f.placer = p
 	p.Start()
--- a/internal/placer/leadership.go
+++ b/internal/placer/leadership.go
@@ -69,16 +69,16 @@
 	if p.isFirst() {
 		return firstLeaderDelay
 	}
-	notLeading := p.leadership.previousLeader.duration(p.opts.Lease.OtherHolder().Addr, now)
+	notLeading := p.leadership.previousLeader.duration(p.opts.Lease.LastRecord().Addr, now)
 	return max(p.opts.SettleTime-notLeading, 0)
 }
 
 // isFirst reports whether there was no earlier leader.
 func (p *Placer) isFirst() bool { return p.opts.FirstStart && !p.opts.Lease.HasSeenOther() }
 
-// NotePeerReply records whether the process at an address replied that it does not lead. notLeader is false
+// RecordPeerReply records whether the process at an address replied that it does not lead. notLeader is false
 // if the process leads or did not reply.
-func (p *Placer) NotePeerReply(addr string, notLeader bool) {
+func (p *Placer) RecordPeerReply(addr string, notLeader bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leadership.previousLeader.record(addr, notLeader, p.opts.Clock.Now())
--- a/internal/placer/orders.go
+++ b/internal/placer/orders.go
@@ -105,7 +105,7 @@
 	o := e.pending[0]
 	o.Sequence, o.Fence = e.sequence, int64(p.leadership.token)
 	expectedTime := e.expectedTime(spec)
-	if !o.Unload && residency.Free(spec, e.residents) < modelWeights(spec, o.Model) {
+	if !o.Unload && residency.FreeMB(spec, e.residents) < modelWeights(spec, o.Model) {
 		e.pending = nil
 		return
 	}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -30,7 +30,7 @@
 	Held() (lease.Token, bool)
 	// OtherHolder returns the record of the last other holder that was observed. HasSeenOther reports whether
 	// any was.
-	OtherHolder() lease.Record
+	LastRecord() lease.Record
 	HasSeenOther() bool
 	// Campaign tries to acquire and keep the lease until ctx is done. Release gives up the lease.
 	Campaign(ctx context.Context, keys kv.PrefixStore)
@@ -56,11 +56,11 @@
 	// PrefillSpeeds, if not nil, returns the prefill speeds known to this process, in milliseconds per token
 	// by model. A new leader starts with them.
 	PrefillSpeeds func() map[string]float64
-	// IsInNeed, if not nil, reports whether a backend server currently accepts so few requests that no
+	// IsThrottled, if not nil, reports whether a backend server currently accepts so few requests that no
 	// adapter should be placed on it.
-	IsInNeed func(*backend.Server) bool
-	Clock    clock.Service
-	Log      *zap.Logger
+	IsThrottled func(*backend.Server) bool
+	Clock       clock.Service
+	Log         *zap.Logger
 }
 
 // A Placer issues orders to engines while it holds the lease. It is safe for concurrent use.
@@ -77,7 +77,7 @@
 	// plannedAt holds the time of the last model plan of each service.
 	plannedAt map[string]time.Time
 	// successions holds, by service, the order observed in this term in which demand moves between models.
-	successions      map[string]*residency.Succession
+	successions      map[string]*residency.SequenceEstimator
 	storeLoadLimiter storeLoadLimiter
 	speeds           speedTable
 	residency        publishedResidency
@@ -118,7 +118,7 @@
 	if _, held := p.opts.Lease.Held(); held {
 		return "", true
 	}
-	return p.opts.Lease.OtherHolder().Addr, false
+	return p.opts.Lease.LastRecord().Addr, false
 }
 
 // Report applies a gateway's report and returns the reply. The reply is empty if this process does not lead.
@@ -217,7 +217,7 @@
 		p.demand.addAwaited(p.opts.Gateways(), now)
 	}
 	p.plannedAt = make(map[string]time.Time)
-	p.successions = make(map[string]*residency.Succession)
+	p.successions = make(map[string]*residency.SequenceEstimator)
 }
 
 // loseLeadership discards the state that only a leader may act on.
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -79,26 +79,26 @@
 	}{
 		"said for long that it gives none": {say: func(f *fixture, p *placer.Placer) {
 			for range 40 {
-				p.NotePeerReply("last", true)
+				p.RecordPeerReply("last", true)
 				f.advance(100 * time.Millisecond)
 			}
 		}},
-		"said so once": {waits: true, say: func(_ *fixture, p *placer.Placer) { p.NotePeerReply("last", true) }},
+		"said so once": {waits: true, say: func(_ *fixture, p *placer.Placer) { p.RecordPeerReply("last", true) }},
 		"did not answer in between": {waits: true, say: func(f *fixture, p *placer.Placer) {
 			for i := range 40 {
-				p.NotePeerReply("last", i != 38)
+				p.RecordPeerReply("last", i != 38)
 				f.advance(100 * time.Millisecond)
 			}
 		}},
 		"another said so": {waits: true, say: func(f *fixture, p *placer.Placer) {
 			for range 40 {
-				p.NotePeerReply("other", true)
+				p.RecordPeerReply("other", true)
 				f.advance(100 * time.Millisecond)
 			}
 		}},
 		"said so long ago": {waits: true, say: func(f *fixture, p *placer.Placer) {
 			for range 40 {
-				p.NotePeerReply("last", true)
+				p.RecordPeerReply("last", true)
 				f.advance(100 * time.Millisecond)
 			}
 			f.advance(2 * time.Second)
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -51,7 +51,7 @@
 	out := make([]residency.EngineView, len(engines))
 	for i, e := range engines {
 		out[i] = e.view(now)
-		out[i].InNeed = p.isThrottled(e)
+		out[i].Throttled = p.isThrottled(e)
 	}
 	return out
 }
@@ -59,7 +59,7 @@
 // isThrottled reports whether an engine currently accepts so few requests that no adapter should be placed on
 // it.
 func (p *Placer) isThrottled(e *engineState) bool {
-	return p.opts.IsInNeed != nil && p.opts.IsInNeed(e.server)
+	return p.opts.IsThrottled != nil && p.opts.IsThrottled(e.server)
 }
 
 // planModels plans and queues model moves.
@@ -67,13 +67,13 @@
 	demands := p.demand.modelDemands()
 	succession := p.successions[s.Name]
 	if succession == nil {
-		succession = &residency.Succession{}
+		succession = &residency.SequenceEstimator{}
 		p.successions[s.Name] = succession
 	}
 	views := p.engineViews(engines, now)
 	succession.Observe(s.Engine, demands, views)
 	moves := residency.Plan(residency.Input{
-		Spec: s.Engine, Engines: views, Demands: demands, Succession: succession,
+		Spec: s.Engine, Engines: views, Demands: demands, Sequence: succession,
 		StoreLoadsAllowed: p.storeLoadLimiter.available(now) - pendingStoreLoads(engines),
 	})
 	for _, m := range moves {
--- a/internal/placer/speeds.go
+++ b/internal/placer/speeds.go
@@ -30,7 +30,7 @@
 	for model, speed := range known {
 		t.speeds.Set(model, speed)
 	}
-	for model := range t.speeds.Known() {
+	for model := range t.speeds.All() {
 		t.publish(model)
 	}
 }
@@ -45,7 +45,7 @@
 
 // publish publishes a model's speed under a new version if it has changed enough.
 func (t *speedTable) publish(model string) {
-	speed := t.speeds.Of(model)
+	speed := t.speeds.Get(model)
 	previous, ok := t.published[model]
 	if ok && math.Abs(speed-previous) < minPublishedChange*previous {
 		return
--- a/internal/planner/cell.go
+++ b/internal/planner/cell.go
@@ -96,7 +96,7 @@
 	}
 	n := max(len(p.cells), 1)
 	c.placement = placement.NewPlanner(placement.Options{
-		Headroom: p.Settings.Headroom, Hold: p.Settings.Hold.Std(), MaxLoads: max(p.Settings.MaxLoads/n, 1),
+		Headroom: p.Settings.TargetUtilization, EvictionDelay: p.Settings.Hold.Std(), MaxLoads: max(p.Settings.MaxLoads/n, 1),
 	})
 	c.loadLimiter = rate.NewLimiter(rate.Limit(p.Settings.LoadsPerSecond/float64(n)), max(p.Settings.MaxLoads/n, 1))
 	old, _ := p.View.Cell(id)
@@ -136,7 +136,7 @@
 	if c.plannedVersion != c.version || len(c.pending) > 0 {
 		return busyPlanInterval
 	}
-	return min(maxPlanInterval, c.Settings.ExchangeEvery.Std())
+	return min(maxPlanInterval, c.Settings.ExchangeInterval.Std())
 }
 
 // requestExchange makes the next exchange with the server due if the server is in the cell.
@@ -154,9 +154,9 @@
 	case p.urgent:
 		return 0
 	case !p.hasReported || p.tableVersion < c.Replica.Current().Version() || c.busy(p):
-		return min(busyExchangeInterval, c.Settings.ExchangeEvery.Std())
+		return min(busyExchangeInterval, c.Settings.ExchangeInterval.Std())
 	}
-	return c.Settings.ExchangeEvery.Std()
+	return c.Settings.ExchangeInterval.Std()
 }
 
 // busy reports whether the agent is loading or unloading or has a pending order. c.mu must be held.
@@ -175,7 +175,7 @@
 		}
 		p, ok := c.peers[id]
 		if !ok {
-			p = &peer{id: id, joinedAt: now, quarantine: quarantine.NewLink(c.Quarantine, quarantine.SharedEnds)}
+			p = &peer{id: id, joinedAt: now, quarantine: quarantine.NewLink(c.Quarantine, quarantine.SharedMinCrashes)}
 			c.peers[id] = p
 		}
 		p.urgent = p.urgent || vm.State != p.vm.State && p.vm.ID != ""
@@ -202,8 +202,8 @@
 	if last.IsZero() {
 		last = p.joinedAt
 	}
-	limit := goneIntervals*c.Settings.ExchangeEvery.Std() + goneGrace
-	if now.Sub(last) > limit && !p.record.Gone {
+	limit := goneIntervals*c.Settings.ExchangeInterval.Std() + goneGrace
+	if now.Sub(last) > limit && !p.record.Removed {
 		c.Log.Warn("backend server does not respond", zap.String("server", p.id), zap.String("cell", c.id))
 		c.publishGone(p)
 	}
@@ -212,7 +212,7 @@
 // publishGone publishes that a server is gone. c.mu must be held.
 func (c *cellPlanner) publishGone(p *peer) {
 	p.record.ID = p.id
-	p.record.Gone = true
+	p.record.Removed = true
 	c.publish(p.record)
 }
 
@@ -241,7 +241,7 @@
 // held.
 func (c *cellPlanner) allReportedOrGone() bool {
 	for _, p := range c.peers {
-		if !p.hasReported && !p.record.Gone {
+		if !p.hasReported && !p.record.Removed {
 			return false
 		}
 	}
--- a/internal/planner/exchange.go
+++ b/internal/planner/exchange.go
@@ -24,7 +24,7 @@
 		List: c.Members.Version(), Lapsed: !held, Pauses: p.pauses, Quarantine: p.quarantine.Message(p.id),
 	}
 	if p.hasReported {
-		msg.Table = t.Since(p.tableVersion)
+		msg.Table = t.DeltaSince(p.tableVersion)
 	}
 	if held {
 		msg.Orders, p.orders = p.orders, nil
@@ -52,7 +52,7 @@
 func (c *cellPlanner) exchange(p *peer, msg wire.Exchange) {
 	ctx, cancel := context.WithTimeout(c.ctx, callTimeout)
 	defer cancel()
-	var a wire.ExchangeAnswer
+	var a wire.ExchangeResponse
 	err := c.Agents.Post(ctx, p.vm.Control, wire.PathExchange, msg, &a)
 	now := c.Clock.Now()
 	c.mu.Lock()
@@ -71,16 +71,16 @@
 }
 
 // apply applies an agent's response. c.mu must be held.
-func (c *cellPlanner) apply(p *peer, a wire.ExchangeAnswer, now time.Time) {
-	p.quarantine.Apply(a.Quarantine)
+func (c *cellPlanner) apply(p *peer, a wire.ExchangeResponse, now time.Time) {
+	p.quarantine.ApplyReply(a.Quarantine)
 	first := !p.hasReported
 	p.urgent = p.urgent || p.pauses != a.Pauses
 	p.pauses = a.Pauses
 	p.lastSuccess, p.hasReported, p.tableVersion = now, true, a.TableVersion
 	c.grants.report(p.id, a.Grants)
 	if a.Server == nil {
-		if p.record.Gone {
-			p.record.Gone = false
+		if p.record.Removed {
+			p.record.Removed = false
 			c.publish(p.record)
 		}
 		return
@@ -93,7 +93,7 @@
 	p.demand, next.Demand = next.Demand, nil
 	// The address in the platform's list of VMs overrides the reported one.
 	next.Addr = p.vm.Addr
-	if !next.Same(p.record) {
+	if !next.EqualExceptVersion(p.record) {
 		p.record = next
 		c.publish(p.record)
 	}
--- a/internal/planner/grants.go
+++ b/internal/planner/grants.go
@@ -63,10 +63,10 @@
 func (t *grantTracker) next(agent string, rows []table.Row, servers []fleet.Server, part limitShare, complete bool) []wire.ConcurrencyGrant {
 	var grants []wire.ConcurrencyGrant
 	for _, r := range rows {
-		if r.Concurrency == 0 {
+		if r.MaxConcurrency == 0 {
 			continue
 		}
-		limit := part(r.Concurrency)
+		limit := part(r.MaxConcurrency)
 		target := agentShare(agent, r.Name, limit, servers)
 		current := t.maxHeld[agent][r.Name]
 		if target > current {
@@ -106,7 +106,7 @@
 func agentShare(agent, row string, limit int, servers []fleet.Server) int {
 	ready := make(map[string]bool)
 	for _, s := range servers {
-		if !s.Gone && !s.Leaving && (s.Has(row) || slices.Contains(s.Services, row)) {
+		if !s.Removed && !s.Leaving && (s.HasReady(row) || slices.Contains(s.Services, row)) {
 			ready[s.ID] = true
 		}
 	}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -60,7 +60,7 @@
 func (c *cellPlanner) publishDemand() map[string]float64 {
 	total := make(map[string]float64)
 	for _, p := range c.peers {
-		if p.record.Gone {
+		if p.record.Removed {
 			continue
 		}
 		for name, slots := range slotsByRow(p.demand) {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -57,8 +57,8 @@
 	Sizes(ctx context.Context) (map[string]placement.Size, error)
 }
 
-// Agents posts messages to agents.
-type Agents interface {
+// AgentClient posts messages to agents.
+type AgentClient interface {
 	Post(ctx context.Context, addr, path string, in, out any) error
 }
 
@@ -76,7 +76,7 @@
 	Clock     clock.Service
 	Members   Members
 	Catalogue Catalogue
-	Agents    Agents
+	Agents    AgentClient
 	View      *fleet.View
 	Replica   *table.Replica
 	Recorder  Recorder
@@ -130,7 +130,7 @@
 // tickInterval returns the interval at which the held cells are checked for due exchanges and
 // plans.
 func (p *Planner) tickInterval() time.Duration {
-	return min(p.Settings.ExchangeEvery.Std()/4, 250*time.Millisecond)
+	return min(p.Settings.ExchangeInterval.Std()/4, 250*time.Millisecond)
 }
 
 // Stop stops the background tasks and releases the leases, so that other entries can acquire them
@@ -156,8 +156,8 @@
 	p.wg.Wait()
 }
 
-// Held returns the ids of the cells planned by this entry, in order.
-func (p *Planner) Held() []string {
+// HeldCells returns the ids of the cells planned by this entry, in order.
+func (p *Planner) HeldCells() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Sorted(maps.Keys(p.active))
@@ -300,7 +300,7 @@
 func (p *Planner) stepLease(cell string, h *lease.Holder) {
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 	defer cancel()
-	err := h.Step(ctx)
+	err := h.AcquireOrRenew(ctx)
 	if err != nil {
 		p.Log.Debug("renewing or acquiring a cell lease failed", zap.String("cell", cell), zap.Error(err))
 	}
@@ -334,8 +334,8 @@
 	}
 }
 
-// Nudge makes the next exchange with a backend server due at once.
-func (p *Planner) Nudge(server string) {
+// RequestExchange makes the next exchange with a backend server due at once.
+func (p *Planner) RequestExchange(server string) {
 	p.mu.Lock()
 	active := slices.Collect(maps.Values(p.active))
 	p.mu.Unlock()
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -21,7 +21,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 10
 		row := table.NewRow("m")
-		row.Concurrency = limit
+		row.MaxConcurrency = limit
 		ids := []string{"a", "b", "c"}
 		has := make(map[string]int)
 		running := make(map[string]int)
--- a/internal/proofs/checks_test.go
+++ b/internal/proofs/checks_test.go
@@ -17,11 +17,11 @@
 		if err != nil {
 			continue
 		}
-		want := standin.Text(req, s.wantTokens)
+		want := standin.ResponseText(req, s.wantTokens)
 		switch {
-		case s.Whole && s.Outcome == wire.OutcomeAnswered && s.Text != want:
+		case s.Complete && s.Outcome == wire.OutcomeAnswered && s.Text != want:
 			tr.recordViolation("request %s: whole answer is not its own: %d tokens of %d", s.ID, s.Tokens, s.wantTokens)
-		case s.Whole && s.Outcome == wire.OutcomeAnswered:
+		case s.Complete && s.Outcome == wire.OutcomeAnswered:
 			complete++
 		case !strings.HasPrefix(want, s.Text):
 			tr.recordViolation("request %s: tokens doubled, skipped or of another answer", s.ID)
@@ -41,14 +41,14 @@
 			continue
 		}
 		if b.Service {
-			var e standin.EffectsAnswer
+			var e standin.EffectsResponse
 			tr.must(lab.Fetch(tr.ctx, b.URL+"/effects", &e))
 			for id, n := range e.Requests {
 				total[id] += n
 			}
 			continue
 		}
-		var e standin.SeenAnswer
+		var e standin.SeenResponse
 		tr.must(lab.Fetch(tr.ctx, b.URL+"/seen", &e))
 		for id, n := range e.Seen {
 			total[id] += n
@@ -83,7 +83,7 @@
 		if !b.Service {
 			continue
 		}
-		var e standin.EffectsAnswer
+		var e standin.EffectsResponse
 		tr.must(lab.Fetch(tr.ctx, b.URL+"/effects", &e))
 		for k, n := range e.Effects {
 			total[k] += n
--- a/internal/proofs/harness_test.go
+++ b/internal/proofs/harness_test.go
@@ -93,7 +93,7 @@
 // A sentRequest is one request with its response and the number of tokens requested.
 type sentRequest struct {
 	lab.Request
-	lab.Answer
+	lab.Response
 	start      time.Time
 	wantTokens int
 }
@@ -118,21 +118,21 @@
 func shortenTimeouts(o *lab.Options) {
 	entry, agent := o.Entry, o.Agent
 	o.Entry = func(e *config.Entry) {
-		e.Planner.ExchangeEvery = config.Duration(500 * time.Millisecond)
+		e.Planner.ExchangeInterval = config.Duration(500 * time.Millisecond)
 		e.Planner.LeaseTTL = config.Duration(2 * time.Second)
 		e.Planner.Hold = config.Duration(time.Second)
 		e.Claims.LeaseTTL = config.Duration(2 * time.Second)
 		e.Claims.WritesPerSecond = 200
-		e.SyncEvery = config.Duration(200 * time.Millisecond)
-		e.VMsEvery = config.Duration(200 * time.Millisecond)
-		e.Limits.SilentTime = config.Duration(2 * time.Second)
+		e.SyncInterval = config.Duration(200 * time.Millisecond)
+		e.VMsInterval = config.Duration(200 * time.Millisecond)
+		e.Limits.HeartbeatTimeout = config.Duration(2 * time.Second)
 		e.LeaveTime = config.Duration(1500 * time.Millisecond)
 		if entry != nil {
 			entry(e)
 		}
 	}
 	o.Agent = func(a *config.Agent) {
-		a.Limits.SilentTime = config.Duration(2 * time.Second)
+		a.Limits.HeartbeatTimeout = config.Duration(2 * time.Second)
 		a.LeaveTime = config.Duration(1500 * time.Millisecond)
 		a.Backend.OrderLifetime = config.Duration(1500 * time.Millisecond)
 		if agent != nil {
@@ -155,10 +155,10 @@
 		}
 		_ = os.RemoveAll(dir)
 	})
-	o := lab.Small(binDir, dir)
+	o := lab.SmallOptions(binDir, dir)
 	o.VMLag = 200 * time.Millisecond
 	o.Engine.Step = 5 * time.Millisecond
-	o.KVReads, o.KVWrites = 0, 0
+	o.KVReadsPerSecond, o.KVWritesPerSecond = 0, 0
 	if configure != nil {
 		configure(&o)
 	}
@@ -222,11 +222,11 @@
 
 func (tr *trial) waitUntil(what string, ok func() bool) {
 	tr.t.Helper()
-	tr.must(lab.Until(tr.ctx, what, ok))
+	tr.must(lab.WaitUntil(tr.ctx, what, ok))
 }
 
 // send sends a request, records its response and returns it.
-func (tr *trial) send(r lab.Request, tokens int) lab.Answer {
+func (tr *trial) send(r lab.Request, tokens int) lab.Response {
 	if r.ID == "" {
 		r.ID = uuid.NewString()
 	}
@@ -234,7 +234,7 @@
 	a := tr.caller.Send(tr.ctx, r)
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.sent = append(tr.sent, sentRequest{Request: r, Answer: a, start: start, wantTokens: tokens})
+	tr.sent = append(tr.sent, sentRequest{Request: r, Response: a, start: start, wantTokens: tokens})
 	return a
 }
 
--- a/internal/proofs/history_test.go
+++ b/internal/proofs/history_test.go
@@ -49,8 +49,8 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 		current := n.Process
-		var v wire.VersionAnswer
-		if err := lab.Client().Get(tr.ctx, n.Control, wire.PathStatus, &v); err != nil || current != n.Process {
+		var v wire.VersionResponse
+		if err := lab.NewControlClient().Get(tr.ctx, n.Control, wire.PathStatus, &v); err != nil || current != n.Process {
 			continue
 		}
 		if current != process {
@@ -69,8 +69,8 @@
 
 // read adds the edits of the current history. A version whose edit has changed is a violation.
 func (r *editHistory) read(tr *trial) {
-	var h wire.HistoryAnswer
-	tr.must(lab.Client().Get(tr.ctx, tr.runningEntry(0).Control, wire.PathHistory, &h))
+	var h wire.HistoryResponse
+	tr.must(lab.NewControlClient().Get(tr.ctx, tr.runningEntry(0).Control, wire.PathHistory, &h))
 	if r.byVersion == nil {
 		r.byVersion = make(map[uint64]table.Edit)
 	}
@@ -120,7 +120,7 @@
 }
 
 func checkChangeSeen(tr *trial, c table.Change, version uint64, lastChange map[string]uint64) {
-	if last, ok := lastChange[c.Name]; ok && c.Seen != last {
+	if last, ok := lastChange[c.Name]; ok && c.ExpectedVersion != last {
 		tr.recordViolation("version %d changed row %s without having seen version %d", version, c.Name, last)
 	}
 	lastChange[c.Name] = version
--- a/internal/proofs/leaving_test.go
+++ b/internal/proofs/leaving_test.go
@@ -36,7 +36,7 @@
 	restore := func(b *lab.Backend) {
 		tr.restart(b.Agent)
 		tr.must(tr.SetVM(tr.ctx, b.Agent, inventory.RoleBackend, inventory.VMLive))
-		tr.must(tr.AwaitPlaced(tr.ctx))
+		tr.must(tr.AwaitRowsReady(tr.ctx))
 	}
 	pick := func() *lab.Backend { return tr.engines()[tr.rng.IntN(len(tr.engines()))] }
 	listLeaving := func(b *lab.Backend) { tr.must(tr.SetVM(tr.ctx, b.Agent, inventory.RoleBackend, inventory.VMLeaving)) }
@@ -86,7 +86,7 @@
 			tr.must(err)
 			waitIdle(b, start)
 			tr.must(tr.StartNode(tr.ctx, b.Agent))
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 		}},
 	})
 	stop()
@@ -133,7 +133,7 @@
 		worst = max(worst, time.Since(start))
 		tr.must(tr.StartNode(tr.ctx, n))
 		tr.must(tr.SetVM(tr.ctx, n, role, inventory.VMLive))
-		tr.must(tr.AwaitPlaced(tr.ctx))
+		tr.must(tr.AwaitRowsReady(tr.ctx))
 	}
 	tr.runFaultSteps([]faultStep{
 		{"entry stopped", func() { restartGracefully(tr.Entries[tr.rng.IntN(3)], inventory.RoleEntry) }},
@@ -147,7 +147,7 @@
 				tr.must(err)
 				tr.must(tr.StartNode(tr.ctx, b.Agent))
 			})
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 		}},
 	})
 	stop()
@@ -161,7 +161,7 @@
 		case s.Outcome == wire.OutcomeNotRun:
 			refused++
 			reasons[s.Reason]++
-		case s.Outcome != wire.OutcomeAnswered || !s.Whole:
+		case s.Outcome != wire.OutcomeAnswered || !s.Complete:
 			tr.recordViolation("request %s was cut: status %d, outcome %q, %d of %d tokens, %v", s.ID, s.Status, s.Outcome, s.Tokens, s.wantTokens, s.Err)
 		}
 	}
--- a/internal/proofs/memory_test.go
+++ b/internal/proofs/memory_test.go
@@ -17,10 +17,10 @@
 	for name, unchecked := range map[string]bool{"orders checked": false, "orders not checked": true} {
 		t.Run(name, func(t *testing.T) {
 			tr := startTrial(t, 1, "memory never overcommitted", func(o *lab.Options) {
-				o.Engine.NoFence = unchecked
+				o.Engine.SkipFenceCheck = unchecked
 				o.Engine.Accelerators = 1
 				o.Engine.MemoryMiB = 24000
-				o.LoadSpeed = 40000
+				o.LoadMiBPerSecond = 40000
 				o.Sizes["digest"] = o.Sizes["summary"]
 			})
 			pickEngine := func() *lab.Backend { return tr.engines()[tr.rng.IntN(len(tr.engines()))] }
@@ -34,7 +34,7 @@
 				}},
 				{"orders late and agents killed", func() {
 					for _, engine := range tr.engines() {
-						tr.must(lab.Fault(tr.ctx, engine.URL, standin.Faults{LateOrdersMs: 400}))
+						tr.must(lab.Fault(tr.ctx, engine.URL, standin.Faults{OrderDelayMs: 400}))
 					}
 					tr.swap()
 					tr.restart(pickEngine().Agent)
@@ -59,7 +59,7 @@
 				}},
 				{"second agent while the first is frozen", func() { tr.takeOverByAgent(pickEngine()) }},
 				{"key-value answers lost", func() {
-					tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseAnswers: 3}))
+					tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseResponses: 3}))
 					tr.swapAndWait()
 				}},
 			})
--- a/internal/proofs/not_run_test.go
+++ b/internal/proofs/not_run_test.go
@@ -19,7 +19,7 @@
 		o.ServiceDelay = 20 * time.Millisecond
 		o.Services = 2
 		for i := range o.Rows {
-			o.Rows[i].QueueTime = 100 * time.Millisecond
+			o.Rows[i].MaxQueueTime = 100 * time.Millisecond
 		}
 	})
 	var proxies []*faultProxy
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -59,10 +59,10 @@
 		if effects[s.Key] != 1 {
 			tr.recordViolation("key %s was answered and took effect %d times", s.Key, effects[s.Key])
 		}
-		if old, ok := bodies[s.Key]; ok && old != s.Answer.Body {
+		if old, ok := bodies[s.Key]; ok && old != s.Response.Body {
 			tr.recordViolation("key %s was answered in two ways", s.Key)
 		}
-		bodies[s.Key] = s.Answer.Body
+		bodies[s.Key] = s.Response.Body
 	}
 	for key, n := range effects {
 		if key != "" && n > 1 {
@@ -111,7 +111,7 @@
 			p.removeToxics()
 		}},
 		{"key-value answers lost", func() {
-			tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseAnswers: 10}))
+			tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseResponses: 10}))
 			waitForRequests()
 		}},
 		{"key-value service out", func() { tr.withKVOutage(waitForRequests) }},
--- a/internal/proofs/poison_test.go
+++ b/internal/proofs/poison_test.go
@@ -25,7 +25,7 @@
 // TestPoison checks promise 9: a request that ended three servers is refused, and no other is.
 func TestPoison(t *testing.T) {
 	tr := startTrial(t, 9, "requests that end servers are refused", nil)
-	tr.must(tr.AwaitPlaced(tr.ctx))
+	tr.must(tr.AwaitRowsReady(tr.ctx))
 	ends := 0
 	for i := range poisonCopies {
 		tr.setEndOn()
@@ -53,7 +53,7 @@
 // setEndOn makes every engine exit when it runs the request.
 func (tr *trial) setEndOn() {
 	for _, b := range tr.engines() {
-		tr.must(lab.Fault(tr.ctx, b.URL, standin.Faults{EndOn: poisonPrompt}))
+		tr.must(lab.Fault(tr.ctx, b.URL, standin.Faults{ExitOn: poisonPrompt}))
 	}
 }
 
@@ -73,7 +73,7 @@
 			tr.must(tr.RestartServer(b))
 		}
 	}
-	tr.must(tr.AwaitPlaced(tr.ctx))
+	tr.must(tr.AwaitRowsReady(tr.ctx))
 	return ended
 }
 
@@ -82,10 +82,10 @@
 func (tr *trial) quarantinedEverywhere() bool {
 	for _, e := range tr.Entries {
 		var list wire.QuarantineList
-		if err := lab.Client().Get(tr.ctx, e.Control, wire.PathQuarantine, &list); err != nil {
+		if err := lab.NewControlClient().Get(tr.ctx, e.Control, wire.PathQuarantine, &list); err != nil {
 			return false
 		}
-		if len(list.Items) == 0 || list.Items[0].HeldMs == 0 {
+		if len(list.Items) == 0 || list.Items[0].RemainingMs == 0 {
 			return false
 		}
 	}
@@ -98,9 +98,9 @@
 func TestSuccessClearsRequest(t *testing.T) {
 	tr := startTrial(t, 9, "requests that end servers are refused", func(o *lab.Options) {
 		// The request is not quarantined even if it ends every engine.
-		o.Entry = func(e *config.Entry) { e.Quarantine.Ends = 8 }
+		o.Entry = func(e *config.Entry) { e.Quarantine.Threshold = 8 }
 	})
-	tr.must(tr.AwaitPlaced(tr.ctx))
+	tr.must(tr.AwaitRowsReady(tr.ctx))
 	body := lab.ChatBody(lab.SmallModel, poisonPrompt, 5, true)
 	tr.setEndOn()
 	first := tr.caller.Send(tr.ctx, lab.Request{Addr: tr.runningEntry(0).Addr, ID: "first", Body: body})
@@ -119,7 +119,7 @@
 // those below the limit. ok is false if the entry does not respond.
 func (tr *trial) listedRequests(e *lab.Node) (n int, ok bool) {
 	var list wire.QuarantineList
-	err := lab.Client().Get(tr.ctx, e.Control, wire.PathQuarantine, &list)
+	err := lab.NewControlClient().Get(tr.ctx, e.Control, wire.PathQuarantine, &list)
 	return len(list.Items), err == nil
 }
 
--- a/internal/proofs/reachable_test.go
+++ b/internal/proofs/reachable_test.go
@@ -56,7 +56,7 @@
 		}},
 		{"planner killed", func() { tr.restart(tr.awaitPlanner()) }},
 		{"server and agent killed", func() {
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 			setAllowed(true)
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
 			start := time.Now()
@@ -70,7 +70,7 @@
 			setAllowed(false)
 			tr.must(tr.RestartServer(b))
 			tr.must(tr.StartNode(tr.ctx, b.Agent))
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 		}},
 		{"server leaves", func() {
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
@@ -78,7 +78,7 @@
 			tr.waitUntil("every model has a place off the leaver", func() bool { return tr.readyWithout(b, names) })
 			tr.restart(b.Agent)
 			tr.must(tr.SetVM(tr.ctx, b.Agent, inventory.RoleBackend, inventory.VMLive))
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 		}},
 	})
 	close(done)
@@ -96,7 +96,7 @@
 	for _, name := range names {
 		has := false
 		for _, s := range st.Servers {
-			has = has || s.ID != b.Agent.ID && s.Has(name)
+			has = has || s.ID != b.Agent.ID && s.HasReady(name)
 		}
 		if !has {
 			return false
--- a/internal/proofs/steps_test.go
+++ b/internal/proofs/steps_test.go
@@ -13,7 +13,7 @@
 )
 
 // listsServer reports whether a status lists the server with that address.
-func listsServer(st wire.StatusAnswer, id, addr string) bool {
+func listsServer(st wire.StatusResponse, id, addr string) bool {
 	for _, s := range st.Servers {
 		if s.ID == id && s.Addr == addr {
 			return true
@@ -28,9 +28,9 @@
 	tr.t.Helper()
 	var version uint64
 	tr.waitUntil("an edit of "+name+" is saved", func() bool {
-		var t wire.TableAnswer
+		var t wire.TableResponse
 		e := tr.runningEntry(0)
-		if err := lab.Client().Get(tr.ctx, e.Control, wire.PathTable, &t); err != nil {
+		if err := lab.NewControlClient().Get(tr.ctx, e.Control, wire.PathTable, &t); err != nil {
 			return false
 		}
 		i := slices.IndexFunc(t.Rows, func(r table.Row) bool { return r.Name == name })
@@ -38,7 +38,7 @@
 		if i >= 0 {
 			r, seen = t.Rows[i], t.Rows[i].Version
 		}
-		c := table.Change{Name: name, Seen: seen}
+		c := table.Change{Name: name, ExpectedVersion: seen}
 		if change != nil {
 			change(&r)
 			c.Row = &r
--- a/internal/proofs/table_test.go
+++ b/internal/proofs/table_test.go
@@ -42,13 +42,13 @@
 	var worst time.Duration
 	awaitNewest := func() {
 		start := time.Now()
-		tr.must(tr.AwaitVersion(tr.ctx, newest))
+		tr.must(tr.AwaitTableVersion(tr.ctx, newest))
 		worst = max(worst, time.Since(start))
 	}
 	steps := []faultStep{
 		{"two operators at once", func() { editConcurrently(); awaitNewest() }},
 		{"key-value answers lost", func() {
-			tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseAnswers: 4}))
+			tr.must(lab.Fault(tr.ctx, tr.KVURL, standin.Faults{LoseResponses: 4}))
 			editConcurrently()
 			awaitNewest()
 		}},
@@ -115,7 +115,7 @@
 					return false
 				}
 				r.Weight = r.Weight%1000 + 1
-				e = table.Edit{ID: id, Changes: []table.Change{{Name: name, Seen: r.Version, Row: &r}}}
+				e = table.Edit{ID: id, Changes: []table.Change{{Name: name, ExpectedVersion: r.Version, Row: &r}}}
 			}
 			ctx, cancel := context.WithTimeout(tr.ctx, operatorTimeout)
 			defer cancel()
@@ -135,8 +135,8 @@
 func (tr *trial) currentRow(n *lab.Node, name string) (table.Row, bool) {
 	ctx, cancel := context.WithTimeout(tr.ctx, operatorTimeout)
 	defer cancel()
-	var t wire.TableAnswer
-	if err := lab.Client().Get(ctx, n.Control, wire.PathTable, &t); err != nil {
+	var t wire.TableResponse
+	if err := lab.NewControlClient().Get(ctx, n.Control, wire.PathTable, &t); err != nil {
 		return table.Row{}, false
 	}
 	for _, r := range t.Rows {
--- a/internal/proofs/whole_test.go
+++ b/internal/proofs/whole_test.go
@@ -59,12 +59,12 @@
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
 			b.Server.Kill()
 			tr.must(tr.RestartServer(b))
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 		}},
 		{"agent killed under streams", func() {
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
 			tr.restart(b.Agent)
-			tr.must(tr.AwaitPlaced(tr.ctx))
+			tr.must(tr.AwaitRowsReady(tr.ctx))
 		}},
 		{"agent frozen", func() {
 			b := tr.engines()[tr.rng.IntN(len(tr.engines()))]
@@ -86,15 +86,15 @@
 func TestStreamContinues(t *testing.T) {
 	tr := startTrial(t, 3, "the whole answer to its own request", nil)
 	for range 3 {
-		tr.must(tr.AwaitPlaced(tr.ctx))
+		tr.must(tr.AwaitRowsReady(tr.ctx))
 		r, tokens := tr.chatRequest(tr.runningEntry(0).Addr, "hint", 400)
 		r.ID = uuid.NewString()
-		result := make(chan lab.Answer, 1)
+		result := make(chan lab.Response, 1)
 		go func() { result <- tr.send(r, tokens) }()
 		var running *lab.Backend
 		tr.waitUntil("the stream runs", func() bool {
 			for _, b := range tr.engines() {
-				var s standin.SeenAnswer
+				var s standin.SeenResponse
 				if lab.Fetch(tr.ctx, b.URL+"/seen", &s) == nil && s.Seen[r.ID] > 0 {
 					running = b
 					return true
@@ -104,7 +104,7 @@
 		})
 		running.Server.Kill()
 		a := <-result
-		assert.Assert(t, a.Whole && a.Tokens == tokens, "%d of %d tokens, status %d: %s", a.Tokens, tokens, a.Status, a.Reason)
+		assert.Assert(t, a.Complete && a.Tokens == tokens, "%d of %d tokens, status %d: %s", a.Tokens, tokens, a.Status, a.Reason)
 		tr.must(tr.RestartServer(running))
 	}
 	tr.checkCompletions()
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -19,12 +19,12 @@
 
 // LogQuarantine logs that a request's quarantine began or ended, at the time now.
 func LogQuarantine(log *zap.Logger, c quarantine.Change, now time.Time) {
-	if c.State == quarantine.Began {
+	if c.Kind == quarantine.Began {
 		log.Warn("request quarantined", zap.Stringer("digest", c.Key), zap.Strings("servers", c.Servers),
 			zap.Duration("for", c.Until.Sub(now)))
 		return
 	}
-	log.Info("quarantine ended", zap.Stringer("digest", c.Key), zap.String("reason", string(c.State)))
+	log.Info("quarantine ended", zap.Stringer("digest", c.Key), zap.String("reason", string(c.Kind)))
 }
 
 // RegisterQuarantine registers the handlers by which operators list the requests under which servers have
@@ -34,10 +34,10 @@
 		return c.JSON(http.StatusOK, wire.QuarantineList{Items: t.List()})
 	})
 	r.POST(wire.PathQuarantine, func(c echo.Context) error {
-		var l wire.QuarantineLift
+		var l wire.LiftRequest
 		if err := c.Bind(&l); err != nil {
 			return err
 		}
-		return c.JSON(http.StatusOK, wire.QuarantineLifted{Known: t.Void(l.Key)})
+		return c.JSON(http.StatusOK, wire.LiftResponse{Known: t.Clear(l.Key)})
 	})
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -40,7 +40,7 @@
 
 // Listen binds addr for the handler h. t counts the bytes of its connections. Requests are accepted once
 // Serve is called.
-func Listen(addr string, h http.Handler, t *wire.Traffic, log *zap.Logger) (*Listener, error) {
+func Listen(addr string, h http.Handler, t *wire.TrafficCounter, log *zap.Logger) (*Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "server: listen on %s", addr)
@@ -51,7 +51,7 @@
 		IdleTimeout:       idleTimeout,
 		ErrorLog:          zap.NewStdLog(log),
 	}
-	return &Listener{http: s, net: t.Listen(l), log: log}, nil
+	return &Listener{http: s, net: t.WrapListener(l), log: log}, nil
 }
 
 // Addr returns the bound address.
@@ -79,8 +79,8 @@
 			if wire.Authorized(c.Request(), secret) {
 				return next(c)
 			}
-			m.Denied(c.Path())
-			f := wire.Failure{
+			m.Unauthorized(c.Path())
+			f := wire.ErrorResponse{
 				Status: http.StatusUnauthorized, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
 				Code: "unauthorized", Message: "the shared secret is missing or wrong",
 			}
@@ -95,12 +95,12 @@
 // RegisterHealth registers the handlers for health, readiness and metrics.
 func RegisterHealth(e *echo.Echo, ready Readiness, m *telemetry.Metrics) {
 	e.GET(wire.PathHealth, func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
-	e.GET(wire.PathReady, ready.Answer)
+	e.GET(wire.PathReady, ready.Handle)
 	e.GET(wire.PathMetrics, echo.WrapHandler(m.Handler()))
 }
 
-// Answer handles a readiness check of the load balancer: it responds with 200, or with 503 and the reason.
-func (r Readiness) Answer(c echo.Context) error {
+// Handle handles a readiness check of the load balancer: it responds with 200, or with 503 and the reason.
+func (r Readiness) Handle(c echo.Context) error {
 	ok, reason := r()
 	if !ok {
 		return c.String(http.StatusServiceUnavailable, reason+"\n")
--- a/internal/standin/answers.go
+++ b/internal/standin/answers.go
@@ -13,7 +13,7 @@
 		object = "text_completion"
 		c.Text = text
 	} else {
-		c.Delta = &openai.Content{Content: text}
+		c.Delta = &openai.ResponseMessage{Content: text}
 	}
 	return openai.Completion{ID: "cmpl", Object: object, Model: r.Model, Choices: []openai.Choice{c}}
 }
@@ -27,9 +27,9 @@
 		object = "text_completion"
 		c.Text = text
 	} else {
-		c.Message = &openai.Content{Role: "assistant", Content: text}
+		c.Message = &openai.ResponseMessage{Role: "assistant", Content: text}
 	}
-	prompt := r.PromptTokens()
+	prompt := r.EstimatePromptTokens()
 	usage := &openai.Usage{PromptTokens: prompt, CompletionTokens: tokens, TotalTokens: prompt + tokens}
 	return openai.Completion{ID: "cmpl", Object: object, Model: r.Model, Choices: []openai.Choice{c}, Usage: usage}
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -22,18 +22,18 @@
 	MemoryMiB    int
 	// Slots is the maximum batch size of an accelerator, in sequences.
 	Slots int
-	// Step is the duration of one decoding step, before the slowdown by the batch.
-	Step time.Duration
-	// PrefillPerSecond is the prefill rate in prompt tokens per second. If it is zero,
+	// DecodeStep is the duration of one decoding step, before the slowdown by the batch.
+	DecodeStep time.Duration
+	// PrefillTokensPerSecond is the prefill rate in prompt tokens per second. If it is zero,
 	// prefill takes no time.
-	PrefillPerSecond float64
+	PrefillTokensPerSecond float64
 	// UnloadTime is the duration of an unload.
 	UnloadTime time.Duration
 	// Weights is the base URL of the weight store. If it is empty, loads fetch nothing.
 	Weights string
-	// ChecksOrders makes the engine refuse orders whose fencing token is lower than the
+	// CheckFence makes the engine refuse orders whose fencing token is lower than the
 	// highest it has seen.
-	ChecksOrders bool
+	CheckFence bool
 	// ReportLag is the maximum age of the load in a status.
 	ReportLag time.Duration
 }
@@ -49,16 +49,16 @@
 	Unloads     int `json:"unloads"`
 	// Fenced counts orders refused for their fencing token.
 	Fenced int `json:"fenced"`
-	// Cut counts sequences whose model or adapter was unloaded before they ended.
-	Cut       int `json:"cut"`
-	Completed int `json:"completed"`
-	Tokens    int `json:"tokens"`
+	// Interrupted counts sequences whose model or adapter was unloaded before they ended.
+	Interrupted int `json:"cut"`
+	Completed   int `json:"completed"`
+	Tokens      int `json:"tokens"`
 	// LastStartMs is the time at which the last request was admitted, in Unix milliseconds.
 	LastStartMs int64 `json:"last_start_ms"`
 }
 
-// SeenAnswer is the response of /seen: the number of admissions of each request ID.
-type SeenAnswer struct {
+// SeenResponse is the response of /seen: the number of admissions of each request ID.
+type SeenResponse struct {
 	Seen map[string]int `json:"seen"`
 }
 
@@ -113,7 +113,7 @@
 func (s *Engine) handleSeen(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.JSON(http.StatusOK, SeenAnswer{Seen: s.starts})
+	return c.JSON(http.StatusOK, SeenResponse{Seen: s.starts})
 }
 
 // ServeHTTP implements http.Handler.
@@ -154,13 +154,13 @@
 }
 
 // handleOrder acknowledges an order, which then runs in the background. An order delayed by
-// LateOrdersMs is acknowledged before its fencing token is checked.
+// OrderDelayMs is acknowledged before its fencing token is checked.
 func (s *Engine) handleOrder(c echo.Context) error {
 	var o engine.Order
 	if err := c.Bind(&o); err != nil {
 		return err
 	}
-	if delayMs := s.currentFaults().LateOrdersMs; delayMs > 0 {
+	if delayMs := s.currentFaults().OrderDelayMs; delayMs > 0 {
 		time.AfterFunc(time.Duration(delayMs)*time.Millisecond, func() { s.acceptOrder(o) })
 		return c.NoContent(http.StatusAccepted)
 	}
@@ -174,7 +174,7 @@
 func (s *Engine) acceptOrder(o engine.Order) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opts.ChecksOrders && o.Fence < s.fence {
+	if s.opts.CheckFence && o.Fence < s.fence {
 		s.stats.Fenced++
 		return false
 	}
@@ -265,7 +265,7 @@
 	}
 	r.State = fleet.StateUnloading
 	s.stats.Unloads++
-	s.stats.Cut += r.admitted
+	s.stats.Interrupted += r.admitted
 	time.AfterFunc(s.opts.UnloadTime, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -17,17 +17,17 @@
 	Outage bool `json:"outage"`
 	// DelayMs is the delay of every call, in milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// LoseAnswers is the number of writes to the key-value service that take effect and
+	// LoseResponses is the number of writes to the key-value service that take effect and
 	// whose response is lost.
-	LoseAnswers int `json:"lose_answers"`
-	// LateOrdersMs is the delay between the acknowledgement of an order by an engine and its
+	LoseResponses int `json:"lose_answers"`
+	// OrderDelayMs is the delay between the acknowledgement of an order by an engine and its
 	// start, in milliseconds.
-	LateOrdersMs int `json:"late_orders_ms"`
+	OrderDelayMs int `json:"late_orders_ms"`
 	// FailLoads is the number of loads that fail after the weights were fetched.
 	FailLoads int `json:"fail_loads"`
-	// EndOn, if not empty, ends the process of an engine when it starts a request whose body
+	// ExitOn, if not empty, ends the process of an engine when it starts a request whose body
 	// contains that text.
-	EndOn string `json:"end_on"`
+	ExitOn string `json:"end_on"`
 }
 
 // A faultInjector holds the faults of one stand-in.
@@ -50,14 +50,14 @@
 }
 
 // takeLostResponse reports whether to drop the response of this write, and if so decrements
-// LoseAnswers.
+// LoseResponses.
 func (b *faultInjector) takeLostResponse() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.faults.LoseAnswers == 0 {
+	if b.faults.LoseResponses == 0 {
 		return false
 	}
-	b.faults.LoseAnswers--
+	b.faults.LoseResponses--
 	return true
 }
 
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -44,7 +44,7 @@
 	maxCachedPrefixes = 64
 )
 
-// exitCodeEndOn is the exit code of an engine ended by Faults.EndOn.
+// exitCodeEndOn is the exit code of an engine ended by Faults.ExitOn.
 const exitCodeEndOn = 3
 
 // handleCompletion handles a completion request. The tokens depend only on the model and the
@@ -72,7 +72,7 @@
 		return nil
 	}
 	defer s.release(seq)
-	if trigger := s.currentFaults().EndOn; trigger != "" && bytes.Contains(data, []byte(trigger)) {
+	if trigger := s.currentFaults().ExitOn; trigger != "" && bytes.Contains(data, []byte(trigger)) {
 		os.Exit(exitCodeEndOn)
 	}
 	total := req.MaxTokens
@@ -161,10 +161,10 @@
 	}
 	s.prefixCache[prefix] = time.Now()
 	s.evictPrefix()
-	if s.opts.PrefillPerSecond <= 0 {
+	if s.opts.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(tokens / s.opts.PrefillPerSecond * float64(time.Second))
+	return time.Duration(tokens / s.opts.PrefillTokensPerSecond * float64(time.Second))
 }
 
 // evictPrefix removes the least recently used prefix if the cache is over its limit. s.mu must be
@@ -188,9 +188,9 @@
 	return fmt.Sprintf("w%d-%04x ", i, rendezvous.Key(req.Model+req.Prompt()+strconv.Itoa(i))&0xffff)
 }
 
-// Text returns the first n tokens of the response to a request, which are the same on every
+// ResponseText returns the first n tokens of the response to a request, which are the same on every
 // Engine.
-func Text(req openai.Request, n int) string {
+func ResponseText(req openai.Request, n int) string {
 	var b strings.Builder
 	for i := range n {
 		b.WriteString(tokenAt(req, i))
@@ -206,7 +206,7 @@
 	resident := s.find(seq.model, seq.accelerator) != nil
 	s.stats.Tokens++
 	s.mu.Unlock()
-	return sleep(c, time.Duration(float64(s.opts.Step)*(1+batchSlowdown*batchFill))) && resident
+	return sleep(c, time.Duration(float64(s.opts.DecodeStep)*(1+batchSlowdown*batchFill))) && resident
 }
 
 // sendStream sends the tokens beginning with index from as server-sent events, followed by [DONE].
@@ -258,5 +258,5 @@
 		}
 	}
 	s.recordCompleted()
-	return c.JSON(http.StatusOK, newCompletion(req, Text(req, total), total))
+	return c.JSON(http.StatusOK, newCompletion(req, ResponseText(req, total), total))
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -104,7 +104,7 @@
 }
 
 // write wraps the handler of a write with the write rate limit and counter. While
-// Faults.LoseAnswers is above zero, the write takes effect and the connection is then closed
+// Faults.LoseResponses is above zero, the write takes effect and the connection is then closed
 // without a response.
 func (s *KV) write(f echo.HandlerFunc) echo.HandlerFunc {
 	return s.limited(s.writes, func() { s.stats.Writes++ }, func(c echo.Context) error {
@@ -184,7 +184,7 @@
 // list responds with the entries whose keys have the prefix, sorted by key.
 func (s *KV) list(c echo.Context) error {
 	prefix := c.QueryParam("prefix")
-	var a kv.ListAnswer
+	var a kv.ListResponse
 	s.mu.Lock()
 	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,8 +10,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// EffectsAnswer is the response of /effects: how often calls took effect.
-type EffectsAnswer struct {
+// EffectsResponse is the response of /effects: how often calls took effect.
+type EffectsResponse struct {
 	Total int `json:"total"`
 	// Effects counts the effects of each idempotency key.
 	Effects map[string]int `json:"effects"`
@@ -45,10 +45,10 @@
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
 // Effects returns a copy of the counters.
-func (s *Service) Effects() EffectsAnswer {
+func (s *Service) Effects() EffectsResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return EffectsAnswer{Total: s.total, Effects: maps.Clone(s.effectsByKey), Requests: maps.Clone(s.effectsByID)}
+	return EffectsResponse{Total: s.total, Effects: maps.Clone(s.effectsByKey), Requests: maps.Clone(s.effectsByID)}
 }
 
 // serviceResponse is the response of a call. Effect is the call's number among those that took
--- a/internal/standin/standintest/standintest.go
+++ b/internal/standin/standintest/standintest.go
@@ -23,5 +23,5 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	return s, kv.NewClient(kv.Options{URL: server.URL, Timeout: clientTimeout})
+	return s, kv.NewClient(kv.ClientOptions{URL: server.URL, Timeout: clientTimeout})
 }
--- a/internal/standin/vms.go
+++ b/internal/standin/vms.go
@@ -18,8 +18,8 @@
 	at      time.Time
 }
 
-// VMs is a fake of the platform's list of VMs, which shows changes after a lag.
-type VMs struct {
+// VMList is a fake of the platform's list of VMList, which shows changes after a lag.
+type VMList struct {
 	faultInjector
 	echo *echo.Echo
 	lag  time.Duration
@@ -29,9 +29,9 @@
 	changes []vmChange
 }
 
-// NewVMs returns an empty list that shows each change after lag.
-func NewVMs(lag time.Duration) *VMs {
-	s := &VMs{echo: newEcho(), lag: lag}
+// NewVMList returns an empty list that shows each change after lag.
+func NewVMList(lag time.Duration) *VMList {
+	s := &VMList{echo: newEcho(), lag: lag}
 	s.register(s.echo)
 	s.echo.GET("/v1/vms", s.handleList)
 	s.echo.POST("/v1/vms", s.handleChange)
@@ -39,17 +39,17 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (s *VMs) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
+func (s *VMList) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
 // Set adds a VM to the list or replaces the one with its ID.
-func (s *VMs) Set(vm inventory.VM) {
+func (s *VMList) Set(vm inventory.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	s.changes = append(s.changes, vmChange{vm: vm, version: s.version, at: time.Now()})
 }
 
-func (s *VMs) handleChange(c echo.Context) error {
+func (s *VMList) handleChange(c echo.Context) error {
 	var l inventory.VMList
 	if err := c.Bind(&l); err != nil {
 		return err
@@ -62,7 +62,7 @@
 
 // handleList responds with the latest visible state of each VM that changed after the version
 // since.
-func (s *VMs) handleList(c echo.Context) error {
+func (s *VMList) handleList(c echo.Context) error {
 	since, _ := strconv.ParseUint(c.QueryParam("since"), 10, 64)
 	visible := time.Now().Add(-s.lag)
 	s.mu.Lock()
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -12,22 +12,22 @@
 	"rockcleat/placement"
 )
 
-// WeightsOptions configures a Weights.
-type WeightsOptions struct {
+// WeightStoreOptions configures a WeightStore.
+type WeightStoreOptions struct {
 	// LoadsPerSecond is the rate limit of loads; zero means no limit.
 	LoadsPerSecond float64
-	// FullSpeed is the number of concurrent loads that run at full speed. More loads share
+	// FullSpeedLoads is the number of concurrent loads that run at full speed. More loads share
 	// the bandwidth of that many; zero means that loads do not slow each other.
-	FullSpeed int
+	FullSpeedLoads int
 	// MiBPerSecond is the full speed of one load.
 	MiBPerSecond float64
 }
 
-// Weights is a fake of the rate-limited weight store.
-type Weights struct {
+// WeightStore is a fake of the rate-limited weight store.
+type WeightStore struct {
 	faultInjector
 	echo    *echo.Echo
-	opts    WeightsOptions
+	opts    WeightStoreOptions
 	limiter *rate.Limiter
 
 	mu          sync.Mutex
@@ -35,9 +35,9 @@
 	activeLoads int
 }
 
-// NewWeights returns an empty store.
-func NewWeights(o WeightsOptions) *Weights {
-	s := &Weights{echo: newEcho(), opts: o, limiter: newLimiter(o.LoadsPerSecond), sizes: make(map[string]placement.Size)}
+// NewWeightStore returns an empty store.
+func NewWeightStore(o WeightStoreOptions) *WeightStore {
+	s := &WeightStore{echo: newEcho(), opts: o, limiter: newLimiter(o.LoadsPerSecond), sizes: make(map[string]placement.Size)}
 	s.register(s.echo)
 	s.echo.GET("/v1/weights", s.handleCatalogue)
 	s.echo.PUT("/v1/weights", s.handleAdd)
@@ -46,23 +46,23 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
+func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
 // Set adds a model or adapter to the store or replaces its size.
-func (s *Weights) Set(name string, size placement.Size) {
+func (s *WeightStore) Set(name string, size placement.Size) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sizes[name] = size
 }
 
 // handleCatalogue responds with the sizes of all models and adapters.
-func (s *Weights) handleCatalogue(c echo.Context) error {
+func (s *WeightStore) handleCatalogue(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.JSON(http.StatusOK, inventory.Catalogue{Sizes: s.sizes})
 }
 
-func (s *Weights) handleAdd(c echo.Context) error {
+func (s *WeightStore) handleAdd(c echo.Context) error {
 	var a inventory.Catalogue
 	if err := c.Bind(&a); err != nil {
 		return err
@@ -77,7 +77,7 @@
 const loadProgressInterval = 5 * time.Millisecond
 
 // handleLoad responds after the time that the weights take at the current speed. It sends no data.
-func (s *Weights) handleLoad(c echo.Context) error {
+func (s *WeightStore) handleLoad(c echo.Context) error {
 	s.mu.Lock()
 	size, ok := s.sizes[c.QueryParam("name")]
 	s.mu.Unlock()
@@ -102,18 +102,18 @@
 	return c.NoContent(http.StatusOK)
 }
 
-func (s *Weights) addActiveLoads(n int) {
+func (s *WeightStore) addActiveLoads(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.activeLoads += n
 }
 
 // loadSpeed returns the current speed of each load, in MiB/s.
-func (s *Weights) loadSpeed() float64 {
+func (s *WeightStore) loadSpeed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opts.FullSpeed > 0 && s.activeLoads > s.opts.FullSpeed {
-		return s.opts.MiBPerSecond * float64(s.opts.FullSpeed) / float64(s.activeLoads)
+	if s.opts.FullSpeedLoads > 0 && s.activeLoads > s.opts.FullSpeedLoads {
+		return s.opts.MiBPerSecond * float64(s.opts.FullSpeedLoads) / float64(s.activeLoads)
 	}
 	return s.opts.MiBPerSecond
 }
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -93,9 +93,9 @@
 // Handler returns the handler that Prometheus scrapes.
 func (m *GatewayMetrics) Handler() http.Handler { return m.handler }
 
-// Ended counts a request of a route by its outcome, and records the times from its arrival to the first
+// RequestEnded counts a request of a route by its outcome, and records the times from its arrival to the first
 // byte and to the end of the response, in seconds. first is 0 if no byte was sent.
-func (m *GatewayMetrics) Ended(route, outcome string, first, total float64) {
+func (m *GatewayMetrics) RequestEnded(route, outcome string, first, total float64) {
 	ctx := context.Background()
 	route = m.boundedLabel(route)
 	byOutcome := m.attributeSet("route", route, "outcome", outcome)
@@ -106,8 +106,8 @@
 	}
 }
 
-// Sent counts a request sent to a backend server; retry means that it was sent before.
-func (m *GatewayMetrics) Sent(service string, retry bool) {
+// RequestSent counts a request sent to a backend server; retry means that it was sent before.
+func (m *GatewayMetrics) RequestSent(service string, retry bool) {
 	kind := "first"
 	if retry {
 		kind = "repeat"
@@ -137,23 +137,23 @@
 }
 
 // ServerEnded counts a backend server of a service that ended while it ran requests.
-func (m *GatewayMetrics) ServerEnded(service string) {
+func (m *GatewayMetrics) ServerCrashed(service string) {
 	m.serverEnds.Add(context.Background(), 1, m.attributeSet("service", service, "", ""))
 }
 
 // ServerLimit counts a limit that a backend server announced, changed or ended, by state.
-func (m *GatewayMetrics) ServerLimit(state string) {
+func (m *GatewayMetrics) ServerLimitChanged(state string) {
 	m.serverLimits.Add(context.Background(), 1, m.attributeSet("state", state, "", ""))
 }
 
 // Permit counts a request for a permit at a backend server with a limit, by outcome.
-func (m *GatewayMetrics) Permit(outcome string) {
+func (m *GatewayMetrics) PermitRequested(outcome string) {
 	m.permits.Add(context.Background(), 1, m.attributeSet("outcome", outcome, "", ""))
 }
 
 // Charged counts a request that was charged to an organisation's limit, by outcome. Requests inside the
 // limit also add their cost, in the limit's unit.
-func (m *GatewayMetrics) Charged(organisation, outcome string, cost float64) {
+func (m *GatewayMetrics) QuotaCharged(organisation, outcome string, cost float64) {
 	ctx := context.Background()
 	organisation = m.boundedLabel(organisation)
 	m.charges.Add(ctx, 1, m.attributeSet("customer", organisation, "outcome", outcome))
--- a/internal/telemetry/gateway_test.go
+++ b/internal/telemetry/gateway_test.go
@@ -16,11 +16,11 @@
 	m, err := telemetry.NewGatewayMetrics()
 	assert.NilError(t, err)
 	for i := range 200 {
-		m.Ended(fmt.Sprint("r", i), "answered", 0.03, 0.3)
+		m.RequestEnded(fmt.Sprint("r", i), "answered", 0.03, 0.3)
 	}
-	m.Ended("r1", "refused", 0, 0.1)
-	m.Sent("llm", false)
-	m.Sent("llm", true)
+	m.RequestEnded("r1", "refused", 0, 0.1)
+	m.RequestSent("llm", false)
+	m.RequestSent("llm", true)
 	m.StoreCall("read")
 	m.Admissions(2, 1, 4)
 	m.Admissions(1, 2, 0)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -145,16 +145,16 @@
 	m.duration.Record(context.Background(), seconds, c.attributes())
 }
 
-// Queue records the time that a request waited at its agent, in seconds.
-func (m *Metrics) Queue(c Class, seconds float64) {
+// QueueTime records the time that a request waited at its agent, in seconds.
+func (m *Metrics) QueueTime(c Class, seconds float64) {
 	m.queueTime.Record(context.Background(), seconds, c.attributes())
 }
 
 // Retry counts a request that was sent to a further backend server.
 func (m *Metrics) Retry(c Class) { m.retries.Add(context.Background(), 1, c.attributes()) }
 
-// Denied counts a message on a path that was refused for a missing or wrong secret.
-func (m *Metrics) Denied(path string) {
+// Unauthorized counts a message on a path that was refused for a missing or wrong secret.
+func (m *Metrics) Unauthorized(path string) {
 	m.unauthorized.Add(context.Background(), 1, metric.WithAttributes(attribute.String("path", path)))
 }
 
--- a/internal/transfer/reader.go
+++ b/internal/transfer/reader.go
@@ -2,19 +2,19 @@
 
 import "io"
 
-// A Reader calls a function after each read that returned data.
-type Reader struct {
+// A ProgressReader calls a function after each read that returned data.
+type ProgressReader struct {
 	source     io.Reader
 	onProgress func()
 }
 
-// NewReader returns a Reader that reads from source.
-func NewReader(source io.Reader, onProgress func()) *Reader {
-	return &Reader{source: source, onProgress: onProgress}
+// NewProgressReader returns a ProgressReader that reads from source.
+func NewProgressReader(source io.Reader, onProgress func()) *ProgressReader {
+	return &ProgressReader{source: source, onProgress: onProgress}
 }
 
 // Read implements io.Reader.
-func (r *Reader) Read(b []byte) (int, error) {
+func (r *ProgressReader) Read(b []byte) (int, error) {
 	n, err := r.source.Read(b)
 	if n > 0 {
 		r.onProgress()
--- a/internal/transfer/watch.go
+++ b/internal/transfer/watch.go
@@ -14,41 +14,41 @@
 // for 12 MB at 10 Mbit/s.
 const maxTransferTime = 10 * time.Second
 
-// A Watch cancels the context of one call when its response does not begin in time or stalls.
-type Watch struct {
+// A Watchdog cancels the context of one call when its response does not begin in time or stalls.
+type Watchdog struct {
 	cancel       context.CancelFunc
 	stallTimeout time.Duration
 	stallTimer   *time.Timer
 	totalTimer   *time.Timer
 }
 
-// Start returns a context for a call and the call's Watch. The context is canceled if ReadAll has not
+// StartWatchdog returns a context for a call and the call's Watchdog. The context is canceled if ReadAll has not
 // been called within responseTimeout, if ReadAll then receives no data for stallTimeout, or if the call
 // exceeds the maximum total time. Its cause is then context.DeadlineExceeded. The caller must call Stop
 // when the call is over.
-func Start(ctx context.Context, responseTimeout, stallTimeout time.Duration) (context.Context, *Watch) {
+func StartWatchdog(ctx context.Context, responseTimeout, stallTimeout time.Duration) (context.Context, *Watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	expire := func() { cancel(context.DeadlineExceeded) }
-	return ctx, &Watch{
+	return ctx, &Watchdog{
 		cancel: func() { cancel(context.Canceled) }, stallTimeout: stallTimeout,
 		stallTimer: time.AfterFunc(responseTimeout, expire), totalTimer: time.AfterFunc(responseTimeout+maxTransferTime, expire),
 	}
 }
 
 // Stop cancels the call's context and stops its timers.
-func (w *Watch) Stop() {
+func (w *Watchdog) Stop() {
 	w.stallTimer.Stop()
 	w.totalTimer.Stop()
 	w.cancel()
 }
 
-func (w *Watch) restartStallTimer() { w.stallTimer.Reset(w.stallTimeout) }
+func (w *Watchdog) restartStallTimer() { w.stallTimer.Reset(w.stallTimeout) }
 
 // ReadAll reads at most limit bytes of a response body. Its error states the number of bytes received,
 // which distinguishes an unresponsive peer from a slow link.
-func (w *Watch) ReadAll(ctx context.Context, body io.Reader, limit int64) ([]byte, error) {
+func (w *Watchdog) ReadAll(ctx context.Context, body io.Reader, limit int64) ([]byte, error) {
 	w.restartStallTimer()
-	data, err := io.ReadAll(io.LimitReader(NewReader(body, w.restartStallTimer), limit))
+	data, err := io.ReadAll(io.LimitReader(NewProgressReader(body, w.restartStallTimer), limit))
 	if err != nil {
 		return data, eris.Wrapf(Cause(ctx, err), "transfer: %d bytes of the answer received", len(data))
 	}
--- a/internal/transfer/watch_test.go
+++ b/internal/transfer/watch_test.go
@@ -65,7 +65,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
-				ctx, watch := transfer.Start(t.Context(), begin, stall)
+				ctx, watch := transfer.StartWatchdog(t.Context(), begin, stall)
 				defer watch.Stop()
 				data, err := watch.ReadAll(ctx, &pacedBody{ctx: ctx, pauses: test.pauses}, 1<<20)
 				assert.Equal(t, time.Since(start), test.took)
@@ -84,7 +84,7 @@
 func TestCallIsCanceledWithoutResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		ctx, watch := transfer.Start(t.Context(), time.Second, time.Minute)
+		ctx, watch := transfer.StartWatchdog(t.Context(), time.Second, time.Minute)
 		defer watch.Stop()
 		<-ctx.Done()
 		assert.Equal(t, time.Since(start), time.Second)
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -64,10 +64,10 @@
 	return c.do(req, out, readBody)
 }
 
-// PostWithin is Post with a bound on stalls instead of the total duration: neither the response's start
+// PostWithStallTimeout is Post with a bound on stalls instead of the total duration: neither the response's start
 // nor the wait for more of its body may take longer than maxStall.
-func (c *Client) PostWithin(ctx context.Context, maxStall time.Duration, addr, path string, in, out any) error {
-	ctx, watch := transfer.Start(ctx, maxStall, maxStall)
+func (c *Client) PostWithStallTimeout(ctx context.Context, maxStall time.Duration, addr, path string, in, out any) error {
+	ctx, watch := transfer.StartWatchdog(ctx, maxStall, maxStall)
 	defer watch.Stop()
 	req, err := newPost(ctx, addr, path, in)
 	if err != nil {
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -38,7 +38,7 @@
 				}
 			}))
 			defer s.Close()
-			client := &http.Client{Transport: wire.NewTransport(&wire.Traffic{})}
+			client := &http.Client{Transport: wire.NewTransport(&wire.TrafficCounter{})}
 			warm, err := client.Get(s.URL)
 			assert.NilError(t, err)
 			assert.NilError(t, warm.Body.Close())
@@ -46,7 +46,7 @@
 			assert.NilError(t, err)
 			req.Header.Set(wire.HeaderIdempotencyKey, "k")
 			if tc.sendOnce {
-				wire.SendOnce(req)
+				wire.DisableRetry(req)
 			}
 			resp, err := client.Do(req)
 			if err == nil {
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -26,10 +26,10 @@
 	TypeServer         = "server_error"
 )
 
-// A Failure is an error response of an entry or agent itself, rather than of the backend server, in the
+// A ErrorResponse is an error response of an entry or agent itself, rather than of the backend server, in the
 // form of the OpenAI API. Gateways send plain text in the form of the users' platform instead
 // (package gateway).
-type Failure struct {
+type ErrorResponse struct {
 	Status     int
 	Outcome    Outcome
 	Type       string
@@ -40,12 +40,12 @@
 }
 
 // Body returns the error object.
-func (f Failure) Body() ErrorBody {
+func (f ErrorResponse) Body() ErrorBody {
 	return ErrorBody{Error: ErrorDetail{Message: f.Message, Type: f.Type, Code: f.Code, Param: f.Param}}
 }
 
 // Write sends the response.
-func (f Failure) Write(c echo.Context) error {
+func (f ErrorResponse) Write(c echo.Context) error {
 	h := c.Response().Header()
 	h.Set(HeaderOutcome, string(f.Outcome))
 	h.Set(HeaderReason, f.Code)
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -10,19 +10,19 @@
 
 // Paths of the interfaces between processes and for operators.
 const (
-	PathExchange    = "/rockcleat/v1/exchange"
-	PathSync        = "/rockcleat/v1/sync"
-	PathNudge       = "/rockcleat/v1/nudge"
-	PathClaim       = "/rockcleat/v1/claim"
-	PathClaimFinish = "/rockcleat/v1/claim/finish"
-	PathTable       = "/rockcleat/v1/table"
-	PathTableCheck  = "/rockcleat/v1/table/check"
-	PathHistory     = "/rockcleat/v1/table/history"
-	PathStatus      = "/rockcleat/v1/status"
-	PathDecisions   = "/rockcleat/v1/decisions"
-	PathHealth      = "/rockcleat/health"
-	PathReady       = "/rockcleat/ready"
-	PathMetrics     = "/rockcleat/metrics"
+	PathExchange        = "/rockcleat/v1/exchange"
+	PathSync            = "/rockcleat/v1/sync"
+	PathExchangeTrigger = "/rockcleat/v1/nudge"
+	PathClaim           = "/rockcleat/v1/claim"
+	PathClaimFinish     = "/rockcleat/v1/claim/finish"
+	PathTable           = "/rockcleat/v1/table"
+	PathTableCheck      = "/rockcleat/v1/table/check"
+	PathHistory         = "/rockcleat/v1/table/history"
+	PathStatus          = "/rockcleat/v1/status"
+	PathDecisions       = "/rockcleat/v1/decisions"
+	PathHealth          = "/rockcleat/health"
+	PathReady           = "/rockcleat/ready"
+	PathMetrics         = "/rockcleat/metrics"
 )
 
 // A ConcurrencyGrant is the share of a row's concurrency that an agent may use.
@@ -31,9 +31,9 @@
 	Max int    `json:"max"`
 }
 
-// A Nudge asks a planner to exchange messages with a backend server's agent without waiting for the
+// A ExchangeTrigger asks a planner to exchange messages with a backend server's agent without waiting for the
 // next regular exchange, because of an urgent change there.
-type Nudge struct {
+type ExchangeTrigger struct {
 	Server string `json:"server"`
 }
 
@@ -65,8 +65,8 @@
 	Quarantine quarantine.Message `json:"quarantine,omitzero"`
 }
 
-// An ExchangeAnswer is the agent's response to an Exchange.
-type ExchangeAnswer struct {
+// An ExchangeResponse is the agent's response to an Exchange.
+type ExchangeResponse struct {
 	Incarnation string `json:"inc"`
 	// Token is the highest token of a planner that the agent has seen. An Exchange with a lower one
 	// had no effect.
@@ -93,8 +93,8 @@
 	Quarantine quarantine.Message `json:"quarantine,omitzero"`
 }
 
-// A SyncAnswer is the response to a SyncRequest.
-type SyncAnswer struct {
+// A SyncResponse is the response to a SyncRequest.
+type SyncResponse struct {
 	Table *table.Delta      `json:"table,omitempty"`
 	Cells []fleet.CellDelta `json:"cells,omitempty"`
 	// TableVersion is the responding process's table version.
@@ -109,13 +109,13 @@
 	Key         string `json:"key"`
 	Fingerprint uint64 `json:"fp"`
 	Attempt     string `json:"attempt"`
-	// Free states that the attempt did not run; it is used only with PathClaimFinish.
-	Free   bool          `json:"free,omitempty"`
-	Answer *claim.Answer `json:"answer,omitempty"`
+	// NotRun states that the attempt did not run; it is used only with PathClaimFinish.
+	NotRun bool            `json:"free,omitempty"`
+	Answer *claim.Response `json:"answer,omitempty"`
 }
 
-// A ClaimAnswer is the shard owner's response to a claim.
-type ClaimAnswer struct {
+// A ClaimResponse is the shard owner's response to a claim.
+type ClaimResponse struct {
 	Fresh  bool         `json:"fresh"`
 	Record claim.Record `json:"record"`
 }
@@ -125,21 +125,21 @@
 	Edit table.Edit `json:"edit"`
 }
 
-// A SaveAnswer contains the version that includes the edit, or the reason why it was not saved.
-type SaveAnswer struct {
+// A SaveResponse contains the version that includes the edit, or the reason why it was not saved.
+type SaveResponse struct {
 	Version uint64             `json:"version,omitempty"`
 	Errors  []table.CheckError `json:"errors,omitempty"`
 	Message string             `json:"message,omitempty"`
 }
 
-// A TableAnswer contains all rows of one table version.
-type TableAnswer struct {
+// A TableResponse contains all rows of one table version.
+type TableResponse struct {
 	Version uint64      `json:"version"`
 	Rows    []table.Row `json:"rows"`
 }
 
-// A HistoryAnswer lists the latest edits.
-type HistoryAnswer struct {
+// A HistoryResponse lists the latest edits.
+type HistoryResponse struct {
 	Edits []table.Edit `json:"edits"`
 }
 
@@ -155,22 +155,22 @@
 	Running      int    `json:"running"`
 }
 
-// A VersionAnswer is the part of a process's status that entries request from it.
-type VersionAnswer struct {
+// A VersionResponse is the part of a process's status that entries request from it.
+type VersionResponse struct {
 	TableVersion uint64 `json:"table_version"`
 	Waiting      int    `json:"waiting"`
 	Running      int    `json:"running"`
 	ControlBytes int64  `json:"control_bytes"`
 }
 
-// A StatusAnswer is an entry's view of the whole system.
-type StatusAnswer struct {
+// A StatusResponse is an entry's view of the whole system.
+type StatusResponse struct {
 	Entry        string         `json:"entry"`
 	TableVersion uint64         `json:"table_version"`
 	Cells        []string       `json:"cells_planned_here"`
 	VMs          []VMStatus     `json:"vms,omitempty"`
 	Servers      []fleet.Server `json:"servers,omitempty"`
-	Waiting      int            `json:"requests_in_progress"`
+	InProgress   int            `json:"requests_in_progress"`
 	// ControlBytes is the number of bytes that the control connections have carried, headers included.
 	ControlBytes int64 `json:"control_bytes"`
 }
@@ -184,8 +184,8 @@
 	Reason string `json:"reason"`
 }
 
-// A DecisionsAnswer lists an entry's latest decisions.
-type DecisionsAnswer struct {
+// A DecisionsResponse lists an entry's latest decisions.
+type DecisionsResponse struct {
 	Entry     string     `json:"entry"`
 	Decisions []Decision `json:"decisions"`
 }
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -1,7 +1,7 @@
 package wire
 
-// Names are the header names of the interface between callers, gateways and backend servers.
-type Names struct {
+// HeaderNames are the header names of the interface between callers, gateways and backend servers.
+type HeaderNames struct {
 	// RequestID identifies a request; its response carries the same value.
 	RequestID string
 	// Deadline is the time that the sender waits for the response, in milliseconds.
--- a/internal/wire/probe.go
+++ b/internal/wire/probe.go
@@ -27,8 +27,8 @@
 const (
 	// ServerUnknown means that the connection attempt neither succeeded nor was refused.
 	ServerUnknown ProbeResult = iota
-	// ServerLives means that the server accepts connections.
-	ServerLives
+	// ServerAlive means that the server accepts connections.
+	ServerAlive
 	// ServerEnded means that connections to the server's address are refused.
 	ServerEnded
 )
@@ -66,7 +66,7 @@
 	err := p.Connect(ctx, addr)
 	switch {
 	case err == nil:
-		return ServerLives
+		return ServerAlive
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return ServerEnded
 	}
--- a/internal/wire/quarantine.go
+++ b/internal/wire/quarantine.go
@@ -11,12 +11,12 @@
 	Items []quarantine.Item `json:"items"`
 }
 
-// A QuarantineLift asks a gateway or an entry to discard the ends recorded for one request.
-type QuarantineLift struct {
+// A LiftRequest asks a gateway or an entry to discard the ends recorded for one request.
+type LiftRequest struct {
 	Key quarantine.Key `json:"key"`
 }
 
-// A QuarantineLifted is the response; Known reports whether ends were recorded for the request.
-type QuarantineLifted struct {
+// A LiftResponse is the response; Known reports whether ends were recorded for the request.
+type LiftResponse struct {
 	Known bool `json:"known"`
 }
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// A Traffic counts the bytes that connections carry, HTTP headers included. The zero value is ready to
+// A TrafficCounter counts the bytes that connections carry, HTTP headers included. The zero value is ready to
 // use. It is safe for concurrent use.
-type Traffic struct {
+type TrafficCounter struct {
 	bytes    atomic.Int64
 	segments atomic.Int64
 }
@@ -19,18 +19,18 @@
 
 // WireBytes returns the number of bytes sent and received, with an allowance for TCP and IP headers
 // and acknowledgements.
-func (t *Traffic) WireBytes() int64 { return t.bytes.Load() + segmentOverhead*t.segments.Load() }
+func (t *TrafficCounter) WireBytes() int64 { return t.bytes.Load() + segmentOverhead*t.segments.Load() }
 
 // count adds one read or write of n bytes.
-func (t *Traffic) count(n int) {
+func (t *TrafficCounter) count(n int) {
 	t.bytes.Add(int64(n))
 	if n > 0 {
 		t.segments.Add(1)
 	}
 }
 
-// Dial returns a dial function for d whose connections are counted.
-func (t *Traffic) Dial(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
+// DialContext returns a dial function for d whose connections are counted.
+func (t *TrafficCounter) DialContext(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, addr)
 		if err != nil {
@@ -40,14 +40,14 @@
 	}
 }
 
-// Listen wraps l so that the connections it accepts are counted.
-func (t *Traffic) Listen(l net.Listener) net.Listener {
+// WrapListener wraps l so that the connections it accepts are counted.
+func (t *TrafficCounter) WrapListener(l net.Listener) net.Listener {
 	return &countedListener{Listener: l, traffic: t}
 }
 
 type countedListener struct {
 	net.Listener
-	traffic *Traffic
+	traffic *TrafficCounter
 }
 
 func (l *countedListener) Accept() (net.Conn, error) {
@@ -60,7 +60,7 @@
 
 type countedConn struct {
 	net.Conn
-	traffic *Traffic
+	traffic *TrafficCounter
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -68,9 +68,9 @@
 }
 
 // NewTransport returns the transport for other processes of the system. Its traffic is counted by t.
-func NewTransport(t *Traffic) *http.Transport {
+func NewTransport(t *TrafficCounter) *http.Transport {
 	return &http.Transport{
-		DialContext:         t.Dial(&net.Dialer{Timeout: dialTimeout}),
+		DialContext:         t.DialContext(&net.Dialer{Timeout: dialTimeout}),
 		MaxIdleConnsPerHost: maxIdlePerProcess,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
@@ -84,13 +84,13 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// SendOnce prevents the transport of net/http from retrying a request by itself.
+// DisableRetry prevents the transport of net/http from retrying a request by itself.
 //
 // That transport resends a request when a reused connection breaks, if the body can be read again and
 // the request has an idempotent method or a header with the canonical name Idempotency-Key. Here that
 // header marks requests that must not be repeated, so it is sent in lower case, which is equivalent in
 // HTTP.
-func SendOnce(r *http.Request) {
+func DisableRetry(r *http.Request) {
 	r.GetBody = nil
 	if v, ok := r.Header[HeaderIdempotencyKey]; ok {
 		delete(r.Header, HeaderIdempotencyKey)
--- a/kv/breaker.go
+++ b/kv/breaker.go
@@ -14,8 +14,8 @@
 // BreakerOptions configure a Breaker.
 type BreakerOptions struct {
 	Clock clock.Service
-	// Pause returns how long calls are refused after a failed call; at 0 none is refused.
-	Pause func() time.Duration
+	// Cooldown returns how long calls are refused after a failed call; at 0 none is refused.
+	Cooldown func() time.Duration
 }
 
 // A Breaker is a circuit breaker for the service. After a failed call it refuses further calls with
@@ -49,7 +49,7 @@
 func (b *Breaker) allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.open || b.opts.Pause() == 0 {
+	if !b.open || b.opts.Cooldown() == 0 {
 		return true
 	}
 	if b.probing || b.opts.Clock.Now().Before(b.retryAt) {
@@ -71,7 +71,7 @@
 	case ctx.Err() != nil:
 	default:
 		b.open = true
-		b.retryAt = b.opts.Clock.Now().Add(b.opts.Pause())
+		b.retryAt = b.opts.Clock.Now().Add(b.opts.Cooldown())
 	}
 }
 
--- a/kv/breaker_test.go
+++ b/kv/breaker_test.go
@@ -53,7 +53,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := clocktest.New(time.Unix(1000, 0))
 			s := &scriptedStore{errs: test.errs}
-			b := kv.NewBreaker(kv.BreakerOptions{Clock: c, Pause: func() time.Duration { return test.pause }})
+			b := kv.NewBreaker(kv.BreakerOptions{Clock: c, Cooldown: func() time.Duration { return test.pause }})
 			lists, watches := b.View(s), b.View(s)
 			for i := range 40 {
 				before := s.calls
@@ -77,7 +77,7 @@
 // progress, and that a probe canceled by its caller does not count as a failure.
 func TestBreakerLetsOneCallProbe(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
-	b := kv.NewBreaker(kv.BreakerOptions{Clock: c, Pause: func() time.Duration { return time.Second }})
+	b := kv.NewBreaker(kv.BreakerOptions{Clock: c, Cooldown: func() time.Duration { return time.Second }})
 	s := &scriptedStore{errs: []error{kv.ErrUnavailable, nil}}
 	_, _, _ = b.View(s).ListPrefix(t.Context(), "a/")
 	c.Advance(2 * time.Second)
--- a/kv/client.go
+++ b/kv/client.go
@@ -21,11 +21,11 @@
 // base64 within JSON, and a list holds several.
 const maxResponseBytes = 16 << 20
 
-// defaultTimeout is the default of Options.Timeout.
+// defaultTimeout is the default of ClientOptions.Timeout.
 const defaultTimeout = 3 * time.Second
 
-// Options configure a Client.
-type Options struct {
+// ClientOptions configure a Client.
+type ClientOptions struct {
 	// URL is the base URL of the service, such as http://10.0.0.5:7000.
 	URL string
 	// Timeout bounds the time until a call is answered, beyond the wait of a watch, and each
@@ -33,8 +33,8 @@
 	Timeout time.Duration
 	// HTTP is the client to use; nil means a new one.
 	HTTP *http.Client
-	// Counted, if not nil, is called with CallRead or CallWrite for each call.
-	Counted func(kind string)
+	// OnCall, if not nil, is called with CallRead or CallWrite for each call.
+	OnCall func(kind string)
 }
 
 // A Client is a Store that calls the service over HTTP with JSON.
@@ -42,18 +42,18 @@
 	base    string
 	timeout time.Duration
 	http    *http.Client
-	counted func(kind string)
+	onCall  func(kind string)
 }
 
-// Kinds of calls passed to Options.Counted.
+// Kinds of calls passed to ClientOptions.Counted.
 const (
 	CallRead  = "read"
 	CallWrite = "write"
 )
 
 // NewClient returns a Client of the service at o.URL.
-func NewClient(o Options) *Client {
-	c := &Client{base: o.URL, timeout: o.Timeout, http: o.HTTP, counted: o.Counted}
+func NewClient(o ClientOptions) *Client {
+	c := &Client{base: o.URL, timeout: o.Timeout, http: o.HTTP, onCall: o.OnCall}
 	if c.timeout <= 0 {
 		c.timeout = defaultTimeout
 	}
@@ -70,14 +70,14 @@
 	return e, err
 }
 
-// ListAnswer is the body of the response to a list.
-type ListAnswer struct {
+// ListResponse is the body of the response to a list.
+type ListResponse struct {
 	Entries []Entry `json:"entries"`
 }
 
 // List implements Store.
 func (c *Client) List(ctx context.Context, prefix string) ([]Entry, error) {
-	var a ListAnswer
+	var a ListResponse
 	err := c.call(ctx, request{method: http.MethodGet, path: "/v1/list?prefix=" + url.QueryEscape(prefix), out: &a})
 	return a.Entries, err
 }
@@ -140,7 +140,7 @@
 
 // call sends a request and decodes its response.
 func (c *Client) call(ctx context.Context, r request) error {
-	ctx, watch := transfer.Start(ctx, r.serverWait+c.timeout, c.timeout)
+	ctx, watch := transfer.StartWatchdog(ctx, r.serverWait+c.timeout, c.timeout)
 	defer watch.Stop()
 	var body io.Reader
 	if r.in != nil {
@@ -180,14 +180,14 @@
 }
 
 func (c *Client) count(method string) {
-	if c.counted == nil {
+	if c.onCall == nil {
 		return
 	}
 	kind := CallWrite
 	if method == http.MethodGet {
 		kind = CallRead
 	}
-	c.counted(kind)
+	c.onCall(kind)
 }
 
 // TransportError returns the outcome of a call that got no response: ErrUnavailable if the
--- a/kv/copy.go
+++ b/kv/copy.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Writers describe processes that rewrite their entries under a prefix periodically for as long as
+// PeriodicWriters describe processes that rewrite their entries under a prefix periodically for as long as
 // they run.
 //
 // After the service is restored from a backup, it holds entries of writers that have ended since,
 // lacks those of writers that started, and has outdated values for others. Every running writer
-// writes its entry again within WriteTime.
-type Writers interface {
+// writes its entry again within MaxWriteInterval.
+type PeriodicWriters interface {
 	// IsOlder reports whether e was written before than. If the two belong to different
 	// incarnations of the writer, known is false.
 	IsOlder(e, than Entry) (older, known bool)
-	// WriteTime returns the time within which every running writer writes its entry again.
-	WriteTime() time.Duration
+	// MaxWriteInterval returns the time within which every running writer writes its entry again.
+	MaxWriteInterval() time.Duration
 }
 
 // A staleEntry is an entry of a backup that is ignored because newer data was known before the
@@ -36,7 +36,7 @@
 // written in the same history before the restore, so the lower count is the older one. Without this
 // rule, an entry of an ended incarnation would be taken for a restart, and the running incarnation
 // would be treated as ended for good.
-func isOlder(e, before Entry, w Writers) bool {
+func isOlder(e, before Entry, w PeriodicWriters) bool {
 	if older, known := w.IsOlder(e, before); known {
 		return older
 	}
@@ -47,7 +47,7 @@
 // known entry is not replaced by an older one. An entry that the backup lacks is kept until its
 // writer has had time to write it again. An entry of the backup that was unknown or deleted before
 // is ignored until it is written again.
-func (l *changeLog) mergeRestored(entries []Entry, at Revision, w Writers, now time.Time) []Entry {
+func (l *changeLog) mergeRestored(entries []Entry, at Revision, w PeriodicWriters, now time.Time) []Entry {
 	merged := make([]Entry, 0, len(l.entries))
 	listed := make(map[string]bool, len(entries))
 	previousStale := l.stale
@@ -69,7 +69,7 @@
 		if listed[key] {
 			continue
 		}
-		l.missing[key] = now.Add(w.WriteTime())
+		l.missing[key] = now.Add(w.MaxWriteInterval())
 		e.Revision = at
 		merged = append(merged, e)
 	}
--- a/kv/copy_test.go
+++ b/kv/copy_test.go
@@ -16,7 +16,7 @@
 	"rockcleat/kv/kvtest"
 )
 
-// writeTime is the WriteTime of counterWriters.
+// writeTime is the MaxWriteInterval of counterWriters.
 const writeTime = 3 * time.Second
 
 // counterWriters write increasing digits.
@@ -27,7 +27,7 @@
 	return bytes.Compare(e.Value, than.Value) < 0, e.Value[0] <= '9' && than.Value[0] <= '9'
 }
 
-func (counterWriters) WriteTime() time.Duration { return writeTime }
+func (counterWriters) MaxWriteInterval() time.Duration { return writeTime }
 
 // A restorableService is a service with counterWriters under s/, seen by a watcher.
 type restorableService struct {
@@ -41,7 +41,7 @@
 	s := &restorableService{t: t, store: kvtest.New(clocktest.Real{})}
 	f := kv.NewFanout(kv.FanoutOptions{
 		Clock: clocktest.Real{}, MaxAge: time.Second, IsWatcher: func() bool { return true },
-		Writers: func(string) kv.Writers { return counterWriters{} },
+		PeriodicWriters: func(string) kv.PeriodicWriters { return counterWriters{} },
 	})
 	s.view = f.View(s.store, false)
 	return s
@@ -81,7 +81,7 @@
 		s.store.Set("s/gone", []byte("5"))
 		s.store.Set("s/leaving", []byte("5"))
 		s.store.Set("s/ended", []byte("5"))
-		backup := s.store.Copy()
+		backup := s.store.Backup()
 		s.store.Remove("s/gone")
 		s.store.Set("s/leaving", []byte("6"))
 		s.store.Set("s/new", []byte("1"))
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newRestorableService(t)
 		s.store.Set("s/a", []byte("a1"))
-		backup := s.store.Copy()
+		backup := s.store.Backup()
 		s.store.Set("s/a", []byte("b1"))
 		s.list()
 		for range 2 {
@@ -142,7 +142,7 @@
 func TestRestoreTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRestorableService(t)
-		backup := s.store.Copy()
+		backup := s.store.Backup()
 		s.store.Set("s/a", []byte("1"))
 		s.list()
 		for range 2 {
@@ -186,7 +186,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
 					go kv.Follow(ctx, kv.FollowOptions{
-						Store: s, Prefix: "s/", Round: time.Second, Clock: clocktest.Real{}, Follower: noopFollower{},
+						Store: s, Prefix: "s/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: noopFollower{},
 					})
 					const seconds = 10
 					clock.Sleep(ctx, clocktest.Real{}, seconds*time.Second)
--- a/kv/doc.go
+++ b/kv/doc.go
@@ -7,7 +7,7 @@
 // limits the calls to a failing service.
 //
 // A Revision combines an era and a count of writes. The era rises when the service is restored from
-// a backup. Counts of different eras are not comparable, except by Writers: the first list of a new
+// a backup. Counts of different eras are not comparable, except by PeriodicWriters: the first list of a new
 // era is merged with the entries known before.
 //
 // The package owns no state of the service. A Fanout keeps a bounded log of the latest changes of
--- a/kv/example_test.go
+++ b/kv/example_test.go
@@ -41,7 +41,7 @@
 	store.Set("rows/hint", []byte("weight 1"))
 	ctx, end := context.WithCancel(context.Background())
 	kv.Follow(ctx, kv.FollowOptions{
-		Store: store, Prefix: "rows/", Round: time.Second, Clock: clocktest.Real{}, Follower: rowPrinter{store: store, end: end},
+		Store: store, Prefix: "rows/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: rowPrinter{store: store, end: end},
 	})
 	// Output:
 	// listed rows/hint: weight 1
--- a/kv/fanout.go
+++ b/kv/fanout.go
@@ -24,9 +24,9 @@
 	// Digest, if not nil, returns a digest of the part of an entry that other processes use. A
 	// change that leaves the digest the same is not forwarded.
 	Digest func(prefix string, e Entry) uint64
-	// Writers, if not nil, returns the periodic writers of a prefix, or nil if it has none. A list
+	// PeriodicWriters, if not nil, returns the periodic writers of a prefix, or nil if it has none. A list
 	// of a prefix without writers is used as it is after a restore of the service.
-	Writers func(prefix string) Writers
+	PeriodicWriters func(prefix string) PeriodicWriters
 	// OnSwitch, if not nil, is called when the watches of a prefix change between the service
 	// (direct) and forwarded data.
 	OnSwitch func(prefix string, direct bool)
@@ -113,23 +113,23 @@
 	return out
 }
 
-// Views returns the time at which each of the given prefixes was last known to be current.
-func (f *Fanout) Views(prefixes map[string]Revision) map[string]time.Time {
+// CurrentTimes returns the time at which each of the given prefixes was last known to be current.
+func (f *Fanout) CurrentTimes(prefixes map[string]Revision) map[string]time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	views := make(map[string]time.Time, len(prefixes))
+	times := make(map[string]time.Time, len(prefixes))
 	for prefix := range prefixes {
 		if l := f.logs[prefix]; l != nil {
-			views[prefix] = l.currentAt
+			times[prefix] = l.currentAt
 		}
 	}
-	return views
+	return times
 }
 
-// HasNews reports whether another process, with the given revisions, should be sent an update: a
+// HasUpdates reports whether another process, with the given revisions, should be sent an update: a
 // prefix has changed, or its view is newer by at least the given duration than in before. Each
 // prefix is checked by itself, since the watcher may know one of them to be current at all times.
-func (f *Fanout) HasNews(known map[string]Revision, newer time.Duration, before map[string]time.Time) bool {
+func (f *Fanout) HasUpdates(known map[string]Revision, newer time.Duration, before map[string]time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for prefix, after := range known {
@@ -145,7 +145,7 @@
 }
 
 // Changed returns a channel that is closed when a list, a watch or a forwarded batch updates a log
-// or confirms it as current, and by Recheck. MarkCurrent does not close it.
+// or confirms it as current, and by RecheckWatcher. MarkCurrent does not close it.
 func (f *Fanout) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,8 +176,8 @@
 	return list
 }
 
-// IsOld reports whether any of the batches is older than MaxAge.
-func (f *Fanout) IsOld(batches map[string]Batch) bool {
+// IsStale reports whether any of the batches is older than MaxAge.
+func (f *Fanout) IsStale(batches map[string]Batch) bool {
 	for _, b := range batches {
 		if b.AgeMs > f.opts.MaxAge.Milliseconds() {
 			return true
@@ -195,8 +195,8 @@
 	}
 }
 
-// Recheck makes waiting watches evaluate FanoutOptions.IsWatcher again.
-func (f *Fanout) Recheck() {
+// RecheckWatcher makes waiting watches evaluate FanoutOptions.IsWatcher again.
+func (f *Fanout) RecheckWatcher() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, l := range f.logs {
@@ -236,8 +236,8 @@
 // before.
 func (f *Fanout) resetFromService(prefix string, entries []Entry, at Revision, currentAt time.Time) []Entry {
 	f.mu.Lock()
-	if l := f.log(prefix); l.complete && l.to.Era() < at.Era() && f.opts.Writers != nil {
-		if w := f.opts.Writers(prefix); w != nil {
+	if l := f.log(prefix); l.complete && l.to.Era() < at.Era() && f.opts.PeriodicWriters != nil {
+		if w := f.opts.PeriodicWriters(prefix); w != nil {
 			entries = l.mergeRestored(entries, at, w, f.opts.Clock.Now())
 		}
 	}
--- a/kv/fanout_hand_on_test.go
+++ b/kv/fanout_hand_on_test.go
@@ -31,14 +31,14 @@
 	store.Set("a/2", []byte("2"))
 	var sourceSees, lateSees mirror
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: source.View(store, false), Prefix: "a/", Round: time.Second, Clock: clocktest.Real{}, Follower: &sourceSees,
+		Store: source.View(store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &sourceSees,
 	})
 	store.Remove("a/2")
 	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "1"}))
 	unreachable := &watchCounter{PrefixStore: store}
 	unreachable.closed.Store(true)
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: late.View(unreachable, false), Prefix: "a/", Round: time.Second, Clock: clocktest.Real{}, Follower: &lateSees,
+		Store: late.View(unreachable, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &lateSees,
 	})
 	stop := clocktest.Real{}.Subscribe(20*time.Millisecond, func(time.Time) { late.Apply(source.Since(late.Revisions()), time.Now()) })
 	defer stop()
@@ -92,21 +92,21 @@
 	list("a/")
 	list("b/")
 	known := f.Revisions()
-	before := f.Views(known)
-	assert.Assert(t, !f.HasNews(known, step, before))
-	assert.Assert(t, f.HasNews(map[string]kv.Revision{"a/": 0}, step, before), "one that knows nothing gets the whole prefix")
+	before := f.CurrentTimes(known)
+	assert.Assert(t, !f.HasUpdates(known, step, before))
+	assert.Assert(t, f.HasUpdates(map[string]kv.Revision{"a/": 0}, step, before), "one that knows nothing gets the whole prefix")
 	f.MarkCurrent("b/")
 	c.Advance(step / 2)
 	f.MarkCurrent("b/")
-	before = f.Views(known)
+	before = f.CurrentTimes(known)
 	c.Advance(step / 2)
 	list("a/")
-	assert.Assert(t, f.HasNews(known, step, before), "a newer view of one prefix counts whatever is known of the other")
+	assert.Assert(t, f.HasUpdates(known, step, before), "a newer view of one prefix counts whatever is known of the other")
 	store.Set("a/1", []byte("2"))
-	before = f.Views(f.Revisions())
+	before = f.CurrentTimes(f.Revisions())
 	_, _, err := view.WatchPrefix(t.Context(), "a/", known["a/"], time.Second)
 	assert.NilError(t, err)
-	assert.Assert(t, f.HasNews(known, step, before), "a change counts at once")
+	assert.Assert(t, f.HasUpdates(known, step, before), "a change counts at once")
 }
 
 // TestFanoutForwardsListAsChanges checks that after a second list of a prefix, as after a
@@ -176,7 +176,7 @@
 	assert.Equal(t, batch.To, kv.Revision(7))
 	assert.Equal(t, len(batch.Events), 2)
 	end := revisionsAfter(batch)
-	assert.Assert(t, !f.HasNews(end, time.Hour, f.Views(end)), "nothing is left to send")
+	assert.Assert(t, !f.HasUpdates(end, time.Hour, f.CurrentTimes(end)), "nothing is left to send")
 }
 
 // TestFanoutForwardsFromRevisionZero forwards changes from revision 0 to a process without data.
@@ -205,7 +205,7 @@
 	defer cancel()
 	var lateSees mirror
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: late.View(store, false), Prefix: "a/", Round: time.Second, Clock: clocktest.Real{}, Follower: &lateSees,
+		Store: late.View(store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &lateSees,
 	})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if _, asked := late.Revisions()["a/"]; !asked {
@@ -228,7 +228,7 @@
 	f := kv.NewFanout(kv.FanoutOptions{Clock: clocktest.Real{}, MaxAge: longMaxAge, IsWatcher: watches.Load})
 	var sees mirror
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: f.View(store, false), Prefix: "a/", Round: time.Hour, Clock: clocktest.Real{}, Follower: &sees,
+		Store: f.View(store, false), Prefix: "a/", WatchTimeout: time.Hour, Clock: clocktest.Real{}, Follower: &sees,
 	})
 	poll.WaitOn(t, sees.shows(map[string]string{"a/1": "1"}))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -238,7 +238,7 @@
 		return poll.Success()
 	})
 	watches.Store(true)
-	f.Recheck()
+	f.RecheckWatcher()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if n := store.Calls("watch"); n < 2 {
 			return poll.Continue("%d watches", n)
--- a/kv/fanout_test.go
+++ b/kv/fanout_test.go
@@ -75,11 +75,11 @@
 	})
 	p.store.Set("a/1", []byte("1"))
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: p.source.View(p.store, false), Prefix: "a/", Round: time.Second, Clock: clocktest.Real{}, Follower: p.sourceSees,
+		Store: p.source.View(p.store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: p.sourceSees,
 	})
 	p.direct = &watchCounter{PrefixStore: p.store}
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: p.other.View(p.direct, false), Prefix: "a/", Round: time.Second, Clock: clocktest.Real{}, Follower: p.otherSees,
+		Store: p.other.View(p.direct, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: p.otherSees,
 	})
 	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "1"}))
 	poll.WaitOn(t, p.sourceSees.shows(map[string]string{"a/1": "1"}))
@@ -226,12 +226,12 @@
 	store.Set("a/1", []byte("x1"))
 	var sourceSees, otherSees mirror
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: source.View(store, false), Prefix: "a/", Round: time.Second, Clock: clocktest.Real{}, Follower: &sourceSees,
+		Store: source.View(store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &sourceSees,
 	})
 	direct := &watchCounter{PrefixStore: store}
 	direct.closed.Store(true)
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: other.View(direct, false), Prefix: "a/", Round: time.Second, Clock: clocktest.Real{}, Follower: &otherSees,
+		Store: other.View(direct, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &otherSees,
 	})
 	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "x1"}))
 	poll.WaitOn(t, otherSees.shows(map[string]string{"a/1": "x1"}))
--- a/kv/follow.go
+++ b/kv/follow.go
@@ -24,10 +24,10 @@
 type FollowOptions struct {
 	Store  PrefixStore
 	Prefix string
-	// Round is the maximum duration of one watch call, so that a dead connection is noticed.
-	Round    time.Duration
-	Clock    clock.Service
-	Follower Follower
+	// WatchTimeout is the maximum duration of one watch call, so that a dead connection is noticed.
+	WatchTimeout time.Duration
+	Clock        clock.Service
+	Follower     Follower
 }
 
 // Pauses between failed calls. The pause doubles up to a maximum, with jitter of ±50 %.
@@ -65,7 +65,7 @@
 func (o FollowOptions) watchFrom(ctx context.Context, at Revision) (watched bool) {
 	pause := initialBackoff
 	for ctx.Err() == nil {
-		events, next, err := o.Store.WatchPrefix(ctx, o.Prefix, at, o.Round)
+		events, next, err := o.Store.WatchPrefix(ctx, o.Prefix, at, o.WatchTimeout)
 		if errors.Is(err, ErrCompacted) {
 			return watched
 		}
--- a/kv/follow_test.go
+++ b/kv/follow_test.go
@@ -130,7 +130,7 @@
 			f.store.Set("a/1", []byte("1"))
 			f.store.Set("a/2", []byte("2"))
 			go kv.Follow(ctx, kv.FollowOptions{
-				Store: f.store, Prefix: "a/", Round: time.Minute, Clock: clocktest.Real{}, Follower: f.m,
+				Store: f.store, Prefix: "a/", WatchTimeout: time.Minute, Clock: clocktest.Real{}, Follower: f.m,
 			})
 			poll.WaitOn(t, f.m.shows(map[string]string{"a/1": "1", "a/2": "2"}))
 			test.trouble(t, f)
@@ -146,7 +146,7 @@
 	store.Set("a/1", []byte("1"))
 	m := &mirror{}
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: store, Prefix: "a/", Round: time.Minute, Clock: clocktest.Real{}, Follower: m,
+		Store: store, Prefix: "a/", WatchTimeout: time.Minute, Clock: clocktest.Real{}, Follower: m,
 	})
 	poll.WaitOn(t, m.shows(map[string]string{"a/1": "1"}))
 	for range 50 {
--- a/kv/kvtest/store.go
+++ b/kv/kvtest/store.go
@@ -58,8 +58,8 @@
 	s.notify()
 }
 
-// Lose makes each call for which f returns true take effect and return kv.ErrUnknown.
-func (s *Store) Lose(f func(call string) bool) {
+// LoseResponses makes each call for which f returns true take effect and return kv.ErrUnknown.
+func (s *Store) LoseResponses(f func(call string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseResponse = f
@@ -75,16 +75,16 @@
 }
 
 // A Copy is a backup of a Store: its entries and its count of writes.
-type Copy struct {
+type Backup struct {
 	count   int64
 	entries map[string]entry
 }
 
-// Copy returns a backup of the store, without leases and the entries attached to them.
-func (s *Store) Copy() Copy {
+// Backup returns a backup of the store, without leases and the entries attached to them.
+func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := Copy{count: s.rev.Count(), entries: make(map[string]entry)}
+	c := Backup{count: s.rev.Count(), entries: make(map[string]entry)}
 	for key, e := range s.entries {
 		if e.lease == 0 {
 			c.entries[key] = e
@@ -95,7 +95,7 @@
 
 // Restore replaces the contents with a backup and starts the next era. Later writes and all leases
 // are lost, and counts of writes are used again.
-func (s *Store) Restore(c Copy) {
+func (s *Store) Restore(c Backup) {
 	s.mu.Lock()
 	s.era++
 	s.rev = kv.NewRevision(s.era, c.count)
@@ -114,7 +114,7 @@
 }
 
 // OnEra registers f to be called with each new era.
-func (s *Store) OnEra(f func(era int64)) {
+func (s *Store) OnEraChange(f func(era int64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onEra = append(s.onEra, f)
--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -28,7 +28,7 @@
 func (h *Holder) Campaign(ctx context.Context, s kv.PrefixStore) {
 	w := &watcher{holder: h, free: make(chan struct{}, 1)}
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: s, Prefix: h.Key(), Round: watchTimeout, Clock: h.clock, Follower: w,
+		Store: s, Prefix: h.Key(), WatchTimeout: watchTimeout, Clock: h.clock, Follower: w,
 	})
 	for ctx.Err() == nil {
 		if _, held := h.Held(); !held && !w.awaitFree(ctx) {
@@ -37,7 +37,7 @@
 		if w.delayAcquire(ctx); w.isHeldByOther() {
 			continue
 		}
-		if err := h.Step(ctx); err != nil {
+		if err := h.AcquireOrRenew(ctx); err != nil {
 			w.retryAfterPause(ctx)
 			continue
 		}
@@ -64,10 +64,10 @@
 
 // delayAcquire waits for Options.Delay unless the lease is held.
 func (w *watcher) delayAcquire(ctx context.Context) {
-	if _, held := w.holder.Held(); held || w.holder.opts.Delay == nil {
+	if _, held := w.holder.Held(); held || w.holder.opts.AcquireDelay == nil {
 		return
 	}
-	clock.Sleep(ctx, w.holder.clock, w.holder.opts.Delay())
+	clock.Sleep(ctx, w.holder.clock, w.holder.opts.AcquireDelay())
 }
 
 // isHeldByOther reports whether another process holds the lease, by the last known state of its
@@ -80,7 +80,7 @@
 // noteRecord records the entry of the lease's key. A record of this Holder that appears while it
 // does not hold the lease is from an earlier run of the process and expires with its TTL.
 func (w *watcher) noteRecord(e kv.Entry) {
-	w.holder.noteOther(e)
+	w.holder.noteRecord(e)
 	w.recordExists.Store(true)
 }
 
--- a/lease/campaign_test.go
+++ b/lease/campaign_test.go
@@ -44,7 +44,7 @@
 	assert.Assert(t, !a.HasSeenOther())
 	go b.Campaign(ctx, store)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if b.OtherHolder().Holder == "a" {
+		if b.LastRecord().Holder == "a" {
 			return poll.Success()
 		}
 		return poll.Continue("b has not seen a")
@@ -113,7 +113,7 @@
 	poll.WaitOn(t, holds(a, true))
 	go b.Campaign(ctx, store)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if b.OtherHolder().Holder == "a" {
+		if b.LastRecord().Holder == "a" {
 			return poll.Success()
 		}
 		return poll.Continue("b has not seen a")
@@ -145,13 +145,13 @@
 	return s.Store.Grant(ctx, ttl)
 }
 
-// TestCampaignDelay checks that processes with a Delay request no lease if another process
+// TestCampaignDelay checks that processes with a AcquireDelay request no lease if another process
 // has acquired it in that time, and acquire it otherwise.
 func TestCampaignDelay(t *testing.T) {
 	const delay = 500 * time.Millisecond
 	delayed := func(s kv.Store, name string) *lease.Holder {
 		return lease.New(s, clocktest.Real{}, lease.Options{
-			Name: "role", Holder: name, TTL: shortTTL, Delay: func() time.Duration { return delay },
+			Name: "role", Holder: name, TTL: shortTTL, AcquireDelay: func() time.Duration { return delay },
 		})
 	}
 	t.Run("taken by another", func(t *testing.T) {
@@ -167,7 +167,7 @@
 		poll.WaitOn(t, holds(first, true))
 		for _, h := range holders {
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
-				if h.OtherHolder().Holder != "first" {
+				if h.LastRecord().Holder != "first" {
 					return poll.Continue("the holder is not known")
 				}
 				return poll.Success()
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -20,14 +20,14 @@
 		return lease.New(store, c, lease.Options{Name: "placer", Holder: name, TTL: 3 * time.Second})
 	}
 	a, b := holder("a"), holder("b")
-	_ = a.Step(ctx)
-	_ = b.Step(ctx)
+	_ = a.AcquireOrRenew(ctx)
+	_ = b.AcquireOrRenew(ctx)
 	first, held := a.Held()
 	fmt.Println("a holds it:", held)
 	_, held = b.Held()
-	fmt.Println("b holds it:", held, "- it is", b.OtherHolder().Holder+"'s")
+	fmt.Println("b holds it:", held, "- it is", b.LastRecord().Holder+"'s")
 	_ = a.Release(ctx)
-	_ = b.Step(ctx)
+	_ = b.AcquireOrRenew(ctx)
 	second, held := b.Held()
 	fmt.Println("b holds it:", held, "- higher token:", second > first)
 	// Output:
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -46,9 +46,9 @@
 	Addr   string
 	// TTL is the time after which the service ends a lease that is not renewed.
 	TTL time.Duration
-	// Delay, if not nil, returns how long to wait before acquiring a free lease, so that many
+	// AcquireDelay, if not nil, returns how long to wait before acquiring a free lease, so that many
 	// processes do not contend at once.
-	Delay func() time.Duration
+	AcquireDelay func() time.Duration
 }
 
 // A Holder acquires and renews one lease for this process. It is safe for concurrent use.
@@ -57,11 +57,11 @@
 	clock clock.Service
 	opts  Options
 
-	mu      sync.Mutex
-	leaseID kv.LeaseID
-	token   Token
-	expiry  time.Time
-	other   Record
+	mu         sync.Mutex
+	leaseID    kv.LeaseID
+	token      Token
+	expiry     time.Time
+	lastRecord Record
 	// seenOther reports whether another holder's record was ever read.
 	seenOther bool
 }
@@ -84,12 +84,12 @@
 	return h.token, h.token != 0 && h.clock.Now().Before(h.expiry)
 }
 
-// OtherHolder returns the record last seen under the lease's key; it may be this Holder's own. It
+// LastRecord returns the record last seen under the lease's key; it may be this Holder's own. It
 // is zero if none was seen.
-func (h *Holder) OtherHolder() Record {
+func (h *Holder) LastRecord() Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.other
+	return h.lastRecord
 }
 
 // HasSeenOther reports whether the record of another holder was ever read.
@@ -99,11 +99,11 @@
 	return h.seenOther
 }
 
-// Step renews the lease if it is held and tries to acquire it otherwise. A lease held by another
+// AcquireOrRenew renews the lease if it is held and tries to acquire it otherwise. A lease held by another
 // process is not an error; Step does not wait for it.
 //
 // Call it about three times per TTL.
-func (h *Holder) Step(ctx context.Context) error {
+func (h *Holder) AcquireOrRenew(ctx context.Context) error {
 	if _, held := h.Held(); held {
 		return h.renew(ctx)
 	}
@@ -122,9 +122,9 @@
 	return h.store.Revoke(ctx, id)
 }
 
-// EndEra gives up a lease of an era before the given one without a call to the service, which no
+// ExpireBeforeEra gives up a lease of an era before the given one without a call to the service, which no
 // longer has that lease.
-func (h *Holder) EndEra(era int64) {
+func (h *Holder) ExpireBeforeEra(era int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.token != 0 && kv.Revision(h.token).Era() < era {
@@ -163,7 +163,7 @@
 	key := h.Key()
 	e, err := h.store.Get(ctx, key)
 	if err == nil {
-		h.noteOther(e)
+		h.noteRecord(e)
 		return nil
 	}
 	if !errors.Is(err, kv.ErrNotFound) {
@@ -194,15 +194,15 @@
 	return nil
 }
 
-// noteOther records the holder of a lease that is not free. A record that cannot be decoded is
+// noteRecord records the holder of a lease that is not free. A record that cannot be decoded is
 // ignored: only the holder's address remains unknown.
-func (h *Holder) noteOther(e kv.Entry) {
+func (h *Holder) noteRecord(e kv.Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var r Record
 	if json.Unmarshal(e.Value, &r) != nil {
 		return
 	}
-	h.other = r
+	h.lastRecord = r
 	h.seenOther = h.seenOther || r.Holder != h.opts.Holder
 }
--- a/ledger/example_test.go
+++ b/ledger/example_test.go
@@ -12,12 +12,12 @@
 func Example() {
 	now := time.Unix(1000, 0)
 	var l ledger.Ledger
-	l.Settle(ledger.Report{MemoryMiB: []int{100}}, now)
-	load := ledger.Intent{ID: "1", Op: ledger.OpLoad, Name: "draft", MemoryMiB: 60, Until: now.Add(time.Minute)}
+	l.ApplyReport(ledger.Report{MemoryMiB: []int{100}}, now)
+	load := ledger.Intent{ID: "1", Op: ledger.OpLoad, Name: "draft", MemoryMiB: 60, ExpiresAt: now.Add(time.Minute)}
 	fmt.Println(l.Reserve(load))
-	other := ledger.Intent{ID: "2", Op: ledger.OpLoad, Name: "hint", MemoryMiB: 60, Until: now.Add(time.Minute)}
+	other := ledger.Intent{ID: "2", Op: ledger.OpLoad, Name: "hint", MemoryMiB: 60, ExpiresAt: now.Add(time.Minute)}
 	fmt.Println(errors.Is(l.Reserve(other), ledger.ErrNoMemory))
-	l.Settle(ledger.Report{MemoryMiB: []int{100}, Finished: []string{"1"}}, now)
+	l.ApplyReport(ledger.Report{MemoryMiB: []int{100}, Finished: []string{"1"}}, now)
 	fmt.Println(l.Reserve(other))
 	// Output:
 	// <nil>
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -18,8 +18,8 @@
 	ErrNoMemory = errors.New("ledger: not enough free memory")
 	// ErrNoAccelerator means that the server has no such accelerator.
 	ErrNoAccelerator = errors.New("ledger: no such accelerator")
-	// ErrBusy means that another order for the same name may still take effect on the server.
-	ErrBusy = errors.New("ledger: another order for the name is outstanding")
+	// ErrOrderOutstanding means that another order for the same name may still take effect on the server.
+	ErrOrderOutstanding = errors.New("ledger: another order for the name is outstanding")
 )
 
 // An Op is the operation of an order.
@@ -43,8 +43,8 @@
 	// Accelerator is the index of the accelerator.
 	Accelerator int `json:"acc"`
 	MemoryMiB   int `json:"mib"`
-	// Until is the time after which the order can no longer reach the server.
-	Until time.Time `json:"until"`
+	// ExpiresAt is the time after which the order can no longer reach the server.
+	ExpiresAt time.Time `json:"until"`
 }
 
 // A Report is a backend server's report of its own state.
@@ -74,13 +74,13 @@
 }
 
 // Reserve adds the intent of an order. It must be called before the order is sent. The errors are
-// ErrNoAccelerator, ErrBusy and ErrNoMemory.
+// ErrNoAccelerator, ErrOrderOutstanding and ErrNoMemory.
 func (l *Ledger) Reserve(i Intent) error {
 	if i.Accelerator < 0 || i.Accelerator >= len(l.memory) {
 		return eris.Wrapf(ErrNoAccelerator, "accelerator %d of %d", i.Accelerator, len(l.memory))
 	}
-	if l.Busy(i.Name) {
-		return eris.Wrap(ErrBusy, i.Name)
+	if l.HasIntentFor(i.Name) {
+		return eris.Wrap(ErrOrderOutstanding, i.Name)
 	}
 	if free := l.memory[i.Accelerator] - l.Reserved(i.Accelerator); i.Op == OpLoad && i.MemoryMiB > free {
 		return eris.Wrapf(ErrNoMemory, "%s needs %d MiB, accelerator %d has %d MiB free", i.Name, i.MemoryMiB, i.Accelerator, free)
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// Busy reports whether an order for the name may still take effect.
-func (l *Ledger) Busy(name string) bool {
+// HasIntentFor reports whether an order for the name may still take effect.
+func (l *Ledger) HasIntentFor(name string) bool {
 	for _, i := range l.intents {
 		if i.Name == name {
 			return true
@@ -106,13 +106,13 @@
 // rejected.
 func (l *Ledger) Cancel(id string) { delete(l.intents, id) }
 
-// Settle applies a report received at the time now. It removes the intents of finished orders, and of
+// ApplyReport applies a report received at the time now. It removes the intents of finished orders, and of
 // expired ones unless the server is loading or unloading their name.
-func (l *Ledger) Settle(r Report, now time.Time) {
+func (l *Ledger) ApplyReport(r Report, now time.Time) {
 	l.memory = slices.Clone(r.MemoryMiB)
 	l.residents = slices.Clone(r.Residents)
 	for id, i := range l.intents {
-		if slices.Contains(r.Finished, id) || now.After(i.Until) && !l.isLoadingOrUnloading(i.Name) {
+		if slices.Contains(r.Finished, id) || now.After(i.ExpiresAt) && !l.isLoadingOrUnloading(i.Name) {
 			delete(l.intents, id)
 		}
 	}
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -13,7 +13,7 @@
 var start = time.Unix(1000, 0)
 
 func load(id, name string, mib int) ledger.Intent {
-	return ledger.Intent{ID: id, Op: ledger.OpLoad, Name: name, MemoryMiB: mib, Until: start.Add(time.Minute)}
+	return ledger.Intent{ID: id, Op: ledger.OpLoad, Name: name, MemoryMiB: mib, ExpiresAt: start.Add(time.Minute)}
 }
 
 func report(finished []string, residents ...fleet.Resident) ledger.Report {
@@ -51,18 +51,18 @@
 		},
 		"while that order still loads": {
 			before: []ledger.Intent{load("old", "b", 60)}, report: report(nil, resident("b", fleet.StateLoading, 60)),
-			at: start.Add(2 * time.Minute), intent: load("1", "b", 1), want: ledger.ErrBusy,
+			at: start.Add(2 * time.Minute), intent: load("1", "b", 1), want: ledger.ErrOrderOutstanding,
 		},
 		"same name outstanding": {
 			before: []ledger.Intent{load("old", "a", 10)}, report: report(nil), at: start,
-			intent: load("1", "a", 10), want: ledger.ErrBusy,
+			intent: load("1", "a", 10), want: ledger.ErrOrderOutstanding,
 		},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			var l ledger.Ledger
 			l.Restore(tc.before)
-			l.Settle(tc.report, tc.at)
+			l.ApplyReport(tc.report, tc.at)
 			assert.ErrorIs(t, l.Reserve(tc.intent), tc.want)
 		})
 	}
@@ -72,12 +72,12 @@
 // that it creates.
 func TestLoadCountsOnce(t *testing.T) {
 	var l ledger.Ledger
-	l.Settle(report(nil), start)
+	l.ApplyReport(report(nil), start)
 	assert.NilError(t, l.Reserve(load("1", "a", 60)))
 	assert.Equal(t, l.Reserved(0), 60)
-	l.Settle(report(nil, resident("a", fleet.StateLoading, 60)), start)
+	l.ApplyReport(report(nil, resident("a", fleet.StateLoading, 60)), start)
 	assert.Equal(t, l.Reserved(0), 60)
-	l.Settle(report([]string{"1"}, resident("a", fleet.StateReady, 60)), start)
+	l.ApplyReport(report([]string{"1"}, resident("a", fleet.StateReady, 60)), start)
 	assert.Equal(t, l.Reserved(0), 60)
 	assert.Equal(t, len(l.Intents()), 0)
 }
@@ -85,9 +85,9 @@
 // TestFailedLoadFreesMemory guards against memory that stays reserved after a load has failed.
 func TestFailedLoadFreesMemory(t *testing.T) {
 	var l ledger.Ledger
-	l.Settle(report(nil), start)
+	l.ApplyReport(report(nil), start)
 	assert.NilError(t, l.Reserve(load("1", "a", 60)))
-	l.Settle(report(nil, resident("a", fleet.StateLoading, 60)), start)
-	l.Settle(report([]string{"1"}), start)
+	l.ApplyReport(report(nil, resident("a", fleet.StateLoading, 60)), start)
+	l.ApplyReport(report([]string{"1"}), start)
 	assert.Equal(t, l.Reserved(0), 0)
 }
--- a/placement/moves.go
+++ b/placement/moves.go
@@ -86,7 +86,7 @@
 			s.load(x, r, reason)
 			continue
 		}
-		s.evictFor(r, "room for "+r.Name+": "+reason, s.opts.Hold)
+		s.evictFor(r, "room for "+r.Name+": "+reason, s.opts.EvictionDelay)
 	}
 }
 
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -36,9 +36,9 @@
 	// Headroom is the fraction of an accelerator's slots that the demand on one replica is planned to use,
 	// from 0 to 1.
 	Headroom float64
-	// Hold is how long a replica is kept after demand no longer justifies it, unless a name without a replica
+	// EvictionDelay is how long a replica is kept after demand no longer justifies it, unless a name without a replica
 	// needs the memory.
-	Hold time.Duration
+	EvictionDelay time.Duration
 	// MaxLoads is the maximum number of loads that run at the same time in the cell.
 	MaxLoads int
 	// MaxOrders is the maximum number of orders in one plan.
@@ -83,8 +83,8 @@
 	if o.Headroom <= 0 {
 		o.Headroom = defaultHeadroom
 	}
-	if o.Hold <= 0 {
-		o.Hold = defaultHold
+	if o.EvictionDelay <= 0 {
+		o.EvictionDelay = defaultHold
 	}
 	if o.MaxLoads <= 0 {
 		o.MaxLoads = defaultMaxLoads
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -85,7 +85,7 @@
 	leaving := server("old", 1, ready("a", 0, 60))
 	leaving.Leaving = true
 	gone := server("old", 1, ready("a", 0, 60))
-	gone.Gone = true
+	gone.Removed = true
 	tests := map[string]struct {
 		rows    []table.Row
 		servers []fleet.Server
@@ -158,7 +158,7 @@
 		server("s", 1, ready("a", 0, 60)), server("t", 1, ready("a", 0, 60)),
 		demand(server("u", 1, ready("b", 0, 60)), "b", 9),
 	}
-	p := placement.NewPlanner(placement.Options{Hold: time.Minute})
+	p := placement.NewPlanner(placement.Options{EvictionDelay: time.Minute})
 	in := input(rows, sizes, servers...)
 	assert.Equal(t, len(p.Plan(in)), 0)
 	in.Now = start.Add(59 * time.Second)
@@ -188,7 +188,7 @@
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawCell(t)
-		p := placement.NewPlanner(placement.Options{Hold: time.Second, MaxLoads: 100, MaxOrders: 100})
+		p := placement.NewPlanner(placement.Options{EvictionDelay: time.Second, MaxLoads: 100, MaxOrders: 100})
 		for round := range 30 {
 			in := c.input(start.Add(time.Duration(round) * 10 * time.Second))
 			had := c.replicaCounts()
--- a/placement/survey.go
+++ b/placement/survey.go
@@ -24,7 +24,7 @@
 func (c Cell) summary() cellSummary {
 	n := cellSummary{id: c.ID, replicas: make(map[string]int)}
 	for _, s := range c.Servers {
-		if s.Gone || s.Leaving {
+		if s.Removed || s.Leaving {
 			continue
 		}
 		for _, r := range s.Residents {
@@ -67,7 +67,7 @@
 				s.loads++
 			}
 		}
-		if srv.Gone || srv.Leaving {
+		if srv.Removed || srv.Leaving {
 			continue
 		}
 		s.addAccelerators(srv)
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -13,7 +13,7 @@
 // and a restarted peer receives all records. Processes exchange ages instead of times because their clocks
 // differ.
 //
-// The package owns the tables and the rules of quarantine. The caller reports crashes (Ended) and successful
+// The package owns the tables and the rules of quarantine. The caller reports crashes (RecordCrash) and successful
 // requests (Void), calls Until before each send, transports the messages and calls Expire regularly. A Table is
 // kept in memory only; a caller that needs its records after a restart has to store them.
 package quarantine
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -23,7 +23,7 @@
 // Answer merges the records of a message and returns the records that are new for the peer, of requests with at
 // least the given number of crashes. It returns nil if there are none.
 func (t *Table) Answer(m Message, minCrashes int) *Reply {
-	return exchange.Answer(changeLog{table: t, minCrashes: minCrashes}, m)
+	return exchange.HandleMessage(changeLog{table: t, minCrashes: minCrashes}, m)
 }
 
 // changeLog is the exchange.Log of a table for requests with at least a number of crashes.
--- a/quarantine/exchange_test.go
+++ b/quarantine/exchange_test.go
@@ -21,14 +21,14 @@
 func newNode(c *clocktest.Clock) *node {
 	var changes []quarantine.Change
 	table := newTable(c, &changes)
-	return &node{table: table, link: quarantine.NewLink(table, quarantine.AllEnds)}
+	return &node{table: table, link: quarantine.NewLink(table, quarantine.AllRecords)}
 }
 
 // exchange sends one message to a peer and, unless lost is set, applies the reply.
 func (n *node) exchange(name string, peer *node, lost bool) {
-	reply := peer.table.Answer(n.link.Message(name), quarantine.SharedEnds)
+	reply := peer.table.Answer(n.link.Message(name), quarantine.SharedMinCrashes)
 	if !lost {
-		n.link.Apply(reply)
+		n.link.ApplyReply(reply)
 	}
 }
 
@@ -44,7 +44,7 @@
 	c := clocktest.New(time.Unix(0, 0))
 	hub, nodes := newNode(c), []*node{newNode(c), newNode(c), newNode(c), newNode(c)}
 	for i, n := range nodes[:3] {
-		n.table.Ended(fmt.Sprint("s", i), key(1))
+		n.table.RecordCrash(fmt.Sprint("s", i), key(1))
 	}
 	for range 2 {
 		for _, n := range nodes {
@@ -61,7 +61,7 @@
 	c := clocktest.New(time.Unix(0, 0))
 	hub, n := newNode(c), newNode(c)
 	for _, server := range []string{"a", "b", "c"} {
-		n.table.Ended(server, key(1))
+		n.table.RecordCrash(server, key(1))
 	}
 	n.exchange("hub", hub, false)
 	hub = newNode(c)
@@ -77,12 +77,12 @@
 func TestNothingNew(t *testing.T) {
 	c := clocktest.New(time.Unix(0, 0))
 	hub, n := newNode(c), newNode(c)
-	n.table.Ended("a", key(1))
+	n.table.RecordCrash("a", key(1))
 	n.exchange("hub", hub, false)
 	n.exchange("hub", hub, false)
 	m := n.link.Message("hub")
 	assert.Equal(t, len(m.Records), 0)
-	assert.Assert(t, hub.table.Answer(m, quarantine.SharedEnds) == nil)
+	assert.Assert(t, hub.table.Answer(m, quarantine.SharedMinCrashes) == nil)
 }
 
 // TestManyRecords checks that more records than fit in one message all arrive.
@@ -91,15 +91,15 @@
 	c := clocktest.New(time.Unix(0, 0))
 	hub, n, other := newNode(c), newNode(c), newNode(c)
 	for i := range requests {
-		n.table.Ended("a", key(i))
-		n.table.Ended("b", key(i))
+		n.table.RecordCrash("a", key(i))
+		n.table.RecordCrash("b", key(i))
 	}
 	for range 6 {
 		n.exchange("hub", hub, false)
 		other.exchange("hub", hub, false)
 	}
 	for i, x := range []*node{hub, other} {
-		_, suspected := x.table.Len()
+		_, suspected := x.table.Counts()
 		assert.Equal(t, suspected, requests, "process %d", i)
 	}
 }
@@ -110,21 +110,21 @@
 	c := clocktest.New(time.Unix(0, 0))
 	a, b := newNode(c), newNode(c)
 	for _, server := range []string{"a", "b", "c"} {
-		a.table.Ended(server, key(1))
+		a.table.RecordCrash(server, key(1))
 	}
 	late := a.link.Message("b")
-	a.table.Void(key(1))
+	a.table.Clear(key(1))
 	a.exchange("b", b, false)
 	b.table.Merge(late.Records)
 	assert.Assert(t, !b.isQuarantined(key(1)))
 	old := newNode(c)
 	late.Records[0].AgeMs = (3 * hold).Milliseconds()
 	old.table.Merge(late.Records)
-	assert.Equal(t, old.table.Ends(key(1)), 0)
+	assert.Equal(t, old.table.Crashes(key(1)), 0)
 }
 
 // TestAnyOrder checks with random crashes, successful requests, lost replies and process restarts that a request with
-// DefaultEnds crashes that was never cleared is in quarantine at every process after two exchanges with the common
+// DefaultCrashThreshold crashes that was never cleared is in quarantine at every process after two exchanges with the common
 // peer, and that no process ever counts more crashes of a request than there were. A process exchanges its records
 // before it restarts.
 func TestAnyOrder(t *testing.T) {
@@ -164,10 +164,10 @@
 		switch r.IntN(8) {
 		case 0, 1:
 			server := fmt.Sprint("s", step)
-			nodes[i].table.Ended(server, key(k))
+			nodes[i].table.RecordCrash(server, key(k))
 			h.crashed[k][server] = true
 		case 2:
-			if k == 0 && nodes[i].table.Void(key(k)) {
+			if k == 0 && nodes[i].table.Clear(key(k)) {
 				h.cleared[k] = true
 			}
 		case 3:
@@ -187,7 +187,7 @@
 	exchange(hub, false)
 	for k, servers := range h.crashed {
 		for i, n := range nodes {
-			if !h.cleared[k] && len(servers) >= quarantine.DefaultEnds {
+			if !h.cleared[k] && len(servers) >= quarantine.DefaultCrashThreshold {
 				assert.Assert(t, n.isQuarantined(key(k)), "process %d does not hold request %d with %d ends", i, k, len(servers))
 			}
 		}
@@ -199,7 +199,7 @@
 	t.Helper()
 	for _, n := range nodes {
 		for k, servers := range h.crashed {
-			assert.Assert(t, n.table.Ends(key(k)) <= len(servers))
+			assert.Assert(t, n.table.Crashes(key(k)) <= len(servers))
 		}
 	}
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -8,8 +8,8 @@
 // A Record is the state of one request as processes exchange it.
 type Record struct {
 	Key Key `json:"k"`
-	// Round is the number of times that the request was cleared. Crashes of earlier rounds no longer count.
-	Round uint32 `json:"r,omitempty"`
+	// Generation is the number of times that the request was cleared. Crashes of earlier rounds no longer count.
+	Generation uint32 `json:"r,omitempty"`
 	// Servers are the IDs of the server instances that have crashed with the request in this round.
 	Servers []string `json:"s,omitempty"`
 	// AgeMs is the time since the last crash or since the request was cleared, in milliseconds.
@@ -58,11 +58,11 @@
 // merge merges a record whose last crash was at a time and reports whether the entry has changed. A later round
 // replaces the entry; crashes of the same round are added; an earlier round is ignored.
 func (e *entry) merge(r Record, at time.Time) (changed bool) {
-	if r.Round < e.round {
+	if r.Generation < e.round {
 		return false
 	}
-	if r.Round > e.round {
-		e.round, e.servers, e.lastEvent = r.Round, nil, at
+	if r.Generation > e.round {
+		e.round, e.servers, e.lastEvent = r.Generation, nil, at
 		changed = true
 	}
 	if at.Sub(e.lastEvent) > minTimeChange {
@@ -79,5 +79,5 @@
 
 // record returns the entry in the form that is sent to other processes.
 func (e *entry) record(k Key, now time.Time) Record {
-	return Record{Key: k, Round: e.round, Servers: slices.Clone(e.servers), AgeMs: max(now.Sub(e.lastEvent).Milliseconds(), 0)}
+	return Record{Key: k, Generation: e.round, Servers: slices.Clone(e.servers), AgeMs: max(now.Sub(e.lastEvent).Milliseconds(), 0)}
 }
--- a/quarantine/rules.go
+++ b/quarantine/rules.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// DefaultEnds is the default number of server instances that must crash with a request before it is quarantined. With
+// DefaultCrashThreshold is the default number of server instances that must crash with a request before it is quarantined. With
 // a lower number, harmless requests that are repeated while servers crash for other reasons would be refused; with a
 // higher number, each poison message would crash more servers.
-const DefaultEnds = 3
+const DefaultCrashThreshold = 3
 
-// DefaultHold is the default duration of a first quarantine.
-const DefaultHold = 10 * time.Minute
+// DefaultDuration is the default duration of a first quarantine.
+const DefaultDuration = 10 * time.Minute
 
 // maxCrashes is the maximum number of crashes that a record keeps. It also limits how often the quarantine time of a
-// request doubles: five times with DefaultEnds.
+// request doubles: five times with DefaultCrashThreshold.
 const maxCrashes = 8
 
 // Minimum numbers of crashes of a request for its record to be sent to a peer.
 const (
-	// AllEnds selects all records. It is for peers that combine the records of several processes: the leader,
+	// AllRecords selects all records. It is for peers that combine the records of several processes: the leader,
 	// a planner or another entry.
-	AllEnds = 0
-	// SharedEnds leaves out requests with a single crash, which no process acts on. Each crash of a server
+	AllRecords = 0
+	// SharedMinCrashes leaves out requests with a single crash, which no process acts on. Each crash of a server
 	// leaves as many of them as requests were running on it.
-	SharedEnds = 2
+	SharedMinCrashes = 2
 )
 
 // maxRecords is the maximum number of requests in a table. Requests with the fewest crashes, and among these the
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -15,31 +15,31 @@
 type Options struct {
 	Clock clock.Service
 	// Ends is the number of server instances that must crash with a request before it is quarantined.
-	Ends int
-	// Hold is the duration of the first quarantine of a request.
-	Hold time.Duration
+	CrashThreshold int
+	// Duration is the duration of the first quarantine of a request.
+	Duration time.Duration
 	// OnChange, if not nil, is called for each quarantine that begins or ends, without a lock held.
 	OnChange func(Change)
 }
 
-// A State is the kind of a Change.
-type State string
+// A ChangeKind is the kind of a Change.
+type ChangeKind string
 
 // The states.
 const (
 	// Began says that a quarantine has begun.
-	Began State = "began"
-	// Voided says that a quarantine has ended because the request was cleared; see Table.Void.
-	Voided State = "voided"
-	// Over says that a quarantine has ended because its time has passed or its record was evicted from a full
+	Began ChangeKind = "began"
+	// Cleared says that a quarantine has ended because the request was cleared; see Table.Void.
+	Cleared ChangeKind = "voided"
+	// Expired says that a quarantine has ended because its time has passed or its record was evicted from a full
 	// Table.
-	Over State = "over"
+	Expired ChangeKind = "over"
 )
 
 // A Change is the beginning or the end of a quarantine.
 type Change struct {
-	Key   Key
-	State State
+	Key  Key
+	Kind ChangeKind
 	// Servers are the IDs of the server instances that have crashed with the request. It is set for Began only.
 	Servers []string
 	// Until is the time at which the quarantine ends. It is set for Began only.
@@ -75,8 +75,8 @@
 	}
 }
 
-// Ended records that a server instance crashed while it ran requests.
-func (t *Table) Ended(server string, keys ...Key) {
+// RecordCrash records that a server instance crashed while it ran requests.
+func (t *Table) RecordCrash(server string, keys ...Key) {
 	t.change(func(now time.Time) {
 		for _, k := range keys {
 			e := t.entry(k)
@@ -87,9 +87,9 @@
 	})
 }
 
-// Void clears the crashes recorded for a request and reports whether there were any. It is called when the request
+// Clear clears the crashes recorded for a request and reports whether there were any. It is called when the request
 // has completed successfully or when an operator ends its quarantine.
-func (t *Table) Void(k Key) (known bool) {
+func (t *Table) Clear(k Key) (known bool) {
 	t.change(func(now time.Time) {
 		e := t.entries[k]
 		if known = e != nil && len(e.servers) > 0; known {
@@ -107,7 +107,7 @@
 		before = t.version
 		for _, r := range records {
 			at := now.Add(-time.Duration(r.AgeMs) * time.Millisecond)
-			if now.Sub(at) > retentionTime(t.opts.Hold, len(r.Servers), t.opts.Ends) {
+			if now.Sub(at) > retentionTime(t.opts.Duration, len(r.Servers), t.opts.CrashThreshold) {
 				continue
 			}
 			if e := t.entry(r.Key); e.merge(r, at) {
@@ -126,8 +126,8 @@
 	return t.until(k, t.opts.Clock.Now())
 }
 
-// Ends returns the number of server instances that have crashed with a request.
-func (t *Table) Ends(k Key) int {
+// Crashes returns the number of server instances that have crashed with a request.
+func (t *Table) Crashes(k Key) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[k]; e != nil {
@@ -159,15 +159,15 @@
 // Expire removes records that are too old and ends quarantines whose time has passed.
 func (t *Table) Expire() { t.change(t.expire) }
 
-// Len returns the number of requests in quarantine and the number of the other requests in the table.
-func (t *Table) Len() (held, suspected int) {
+// Counts returns the number of requests in quarantine and the number of the other requests in the table.
+func (t *Table) Counts() (held, suspected int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.quarantined), len(t.entries) - len(t.quarantined)
 }
 
-// Held returns the records of the requests in quarantine, in no particular order.
-func (t *Table) Held() []Record {
+// Quarantined returns the records of the requests in quarantine, in no particular order.
+func (t *Table) Quarantined() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.opts.Clock.Now()
@@ -183,8 +183,8 @@
 // An Item describes one request of a Table for operators.
 type Item struct {
 	Record
-	// HeldMs is the remaining time in quarantine, in milliseconds; 0 if the request is not in quarantine.
-	HeldMs int64 `json:"held_ms"`
+	// RemainingMs is the remaining time in quarantine, in milliseconds; 0 if the request is not in quarantine.
+	RemainingMs int64 `json:"held_ms"`
 }
 
 // List returns the requests with which servers have crashed, those with the most crashes first.
@@ -199,7 +199,7 @@
 		}
 		item := Item{Record: e.record(k, now)}
 		if until, ok := t.until(k, now); ok {
-			item.HeldMs = until.Sub(now).Milliseconds()
+			item.RemainingMs = until.Sub(now).Milliseconds()
 		}
 		list = append(list, item)
 	}
@@ -220,7 +220,7 @@
 	changes := t.transitions(now)
 	var watchers []*watcher
 	for _, c := range changes {
-		if c.State == Began {
+		if c.Kind == Began {
 			watchers = append(watchers, slices.Collect(maps.Keys(t.watchers[c.Key]))...)
 			delete(t.watchers, c.Key)
 		}
@@ -258,10 +258,10 @@
 // held.
 func (t *Table) until(k Key, now time.Time) (time.Time, bool) {
 	e := t.entries[k]
-	if e == nil || len(e.servers) < t.opts.Ends {
+	if e == nil || len(e.servers) < t.opts.CrashThreshold {
 		return time.Time{}, false
 	}
-	end := e.lastEvent.Add(quarantineTime(t.opts.Hold, len(e.servers), t.opts.Ends))
+	end := e.lastEvent.Add(quarantineTime(t.opts.Duration, len(e.servers), t.opts.CrashThreshold))
 	return end, now.Before(end)
 }
 
@@ -271,7 +271,7 @@
 	for _, k := range t.changed {
 		until, held := t.until(k, now)
 		if _, known := t.quarantined[k]; held && !known {
-			list = append(list, Change{Key: k, State: Began, Servers: slices.Clone(t.entries[k].servers), Until: until})
+			list = append(list, Change{Key: k, Kind: Began, Servers: slices.Clone(t.entries[k].servers), Until: until})
 			t.quarantined[k] = struct{}{}
 		}
 	}
@@ -280,9 +280,9 @@
 			continue
 		}
 		delete(t.quarantined, k)
-		c := Change{Key: k, State: Voided}
+		c := Change{Key: k, Kind: Cleared}
 		if e := t.entries[k]; e == nil || len(e.servers) > 0 {
-			c.State = Over
+			c.Kind = Expired
 		}
 		list = append(list, c)
 	}
@@ -292,7 +292,7 @@
 // expire removes the entries that are too old. t.mu must be held.
 func (t *Table) expire(now time.Time) {
 	for k, e := range t.entries {
-		if now.Sub(e.lastEvent) > retentionTime(t.opts.Hold, len(e.servers), t.opts.Ends) {
+		if now.Sub(e.lastEvent) > retentionTime(t.opts.Duration, len(e.servers), t.opts.CrashThreshold) {
 			delete(t.entries, k)
 		}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -23,7 +23,7 @@
 // newTable returns a table that appends its changes to a list.
 func newTable(c *clocktest.Clock, changes *[]quarantine.Change) *quarantine.Table {
 	return quarantine.New(quarantine.Options{
-		Clock: c, Ends: quarantine.DefaultEnds, Hold: hold,
+		Clock: c, CrashThreshold: quarantine.DefaultCrashThreshold, Duration: hold,
 		OnChange: func(c quarantine.Change) { *changes = append(*changes, c) },
 	})
 }
@@ -36,61 +36,61 @@
 	}{
 		"none": {do: func(*quarantine.Table, *clocktest.Clock) {}},
 		"two servers": {do: func(t *quarantine.Table, _ *clocktest.Clock) {
-			t.Ended("a", key(1))
-			t.Ended("b", key(1))
+			t.RecordCrash("a", key(1))
+			t.RecordCrash("b", key(1))
 		}, ends: 2},
 		"three servers": {do: func(t *quarantine.Table, _ *clocktest.Clock) {
-			t.Ended("a", key(1))
-			t.Ended("b", key(1))
-			t.Ended("c", key(1))
+			t.RecordCrash("a", key(1))
+			t.RecordCrash("b", key(1))
+			t.RecordCrash("c", key(1))
 		}, ends: 3, held: true},
 		"one server, seen three times": {do: func(t *quarantine.Table, _ *clocktest.Clock) {
 			for range 3 {
-				t.Ended("a", key(1))
+				t.RecordCrash("a", key(1))
 			}
 		}, ends: 1},
 		"under another request": {do: func(t *quarantine.Table, _ *clocktest.Clock) {
-			t.Ended("a", key(1), key(2))
-			t.Ended("b", key(1), key(2))
-			t.Ended("c", key(2))
+			t.RecordCrash("a", key(1), key(2))
+			t.RecordCrash("b", key(1), key(2))
+			t.RecordCrash("c", key(2))
 		}, ends: 2},
 		"a run that went well between": {do: func(t *quarantine.Table, _ *clocktest.Clock) {
-			t.Ended("a", key(1))
-			t.Ended("b", key(1))
-			t.Void(key(1))
-			t.Ended("c", key(1))
+			t.RecordCrash("a", key(1))
+			t.RecordCrash("b", key(1))
+			t.Clear(key(1))
+			t.RecordCrash("c", key(1))
 		}, ends: 1},
 		"a run that went well after": {do: func(t *quarantine.Table, _ *clocktest.Clock) {
-			t.Ended("a", key(1))
-			t.Ended("b", key(1))
-			t.Ended("c", key(1))
-			t.Void(key(1))
+			t.RecordCrash("a", key(1))
+			t.RecordCrash("b", key(1))
+			t.RecordCrash("c", key(1))
+			t.Clear(key(1))
 		}},
 		"the time is over": {do: func(t *quarantine.Table, c *clocktest.Clock) {
-			t.Ended("a", key(1))
-			t.Ended("b", key(1))
-			t.Ended("c", key(1))
+			t.RecordCrash("a", key(1))
+			t.RecordCrash("b", key(1))
+			t.RecordCrash("c", key(1))
 			c.Advance(hold)
 		}, ends: 3},
 		"one more end after that": {do: func(t *quarantine.Table, c *clocktest.Clock) {
-			t.Ended("a", key(1))
-			t.Ended("b", key(1))
-			t.Ended("c", key(1))
+			t.RecordCrash("a", key(1))
+			t.RecordCrash("b", key(1))
+			t.RecordCrash("c", key(1))
 			c.Advance(hold)
-			t.Ended("d", key(1))
+			t.RecordCrash("d", key(1))
 			c.Advance(2*hold - time.Second)
 		}, ends: 4, held: true},
 		"ends that are too old": {do: func(t *quarantine.Table, c *clocktest.Clock) {
-			t.Ended("a", key(1))
-			t.Ended("b", key(1))
+			t.RecordCrash("a", key(1))
+			t.RecordCrash("b", key(1))
 			c.Advance(hold + time.Second)
 			t.Expire()
-			t.Ended("c", key(1))
+			t.RecordCrash("c", key(1))
 		}, ends: 1},
 		"a quarantine long ago": {do: func(t *quarantine.Table, c *clocktest.Clock) {
-			t.Ended("a", key(1))
-			t.Ended("b", key(1))
-			t.Ended("c", key(1))
+			t.RecordCrash("a", key(1))
+			t.RecordCrash("b", key(1))
+			t.RecordCrash("c", key(1))
 			c.Advance(2*hold + time.Second)
 			t.Expire()
 		}},
@@ -103,7 +103,7 @@
 			test.do(table, c)
 			_, held := table.Until(key(1))
 			assert.Equal(t, held, test.held)
-			assert.Equal(t, table.Ends(key(1)), test.ends)
+			assert.Equal(t, table.Crashes(key(1)), test.ends)
 		})
 	}
 }
@@ -114,22 +114,22 @@
 	var changes []quarantine.Change
 	table := newTable(c, &changes)
 	for i := range 5 {
-		table.Ended(fmt.Sprint("s", i), key(1), key(2))
+		table.RecordCrash(fmt.Sprint("s", i), key(1), key(2))
 	}
 	assert.Equal(t, len(changes), 2, "one for each request")
-	assert.Equal(t, changes[0].State, quarantine.Began)
+	assert.Equal(t, changes[0].Kind, quarantine.Began)
 	assert.Equal(t, len(changes[0].Servers), 3)
-	held, suspected := table.Len()
+	held, suspected := table.Counts()
 	assert.Equal(t, held, 2)
 	assert.Equal(t, suspected, 0)
-	assert.Assert(t, table.Void(key(1)))
+	assert.Assert(t, table.Clear(key(1)))
 	assert.Equal(t, len(changes), 3)
-	assert.Equal(t, changes[2].State, quarantine.Voided)
-	assert.Assert(t, !table.Void(key(1)), "there are no ends left")
+	assert.Equal(t, changes[2].Kind, quarantine.Cleared)
+	assert.Assert(t, !table.Clear(key(1)), "there are no ends left")
 	c.Advance(4 * hold)
 	table.Expire()
 	assert.Equal(t, len(changes), 4)
-	assert.Equal(t, changes[3].State, quarantine.Over)
+	assert.Equal(t, changes[3].Kind, quarantine.Expired)
 	assert.Equal(t, changes[3].Key, key(2))
 }
 
@@ -143,7 +143,7 @@
 	stop()
 	table.Watch(key(2), func() { t.Error("watcher of another request was called") })
 	for i := range 5 {
-		table.Ended(fmt.Sprint("s", i), key(1))
+		table.RecordCrash(fmt.Sprint("s", i), key(1))
 	}
 	assert.Equal(t, woken, 1)
 	assert.Equal(t, stopped, 0)
@@ -155,12 +155,12 @@
 	var changes []quarantine.Change
 	table := newTable(c, &changes)
 	for _, server := range []string{"a", "b", "c"} {
-		table.Ended(server, key(0))
+		table.RecordCrash(server, key(0))
 	}
 	for i := 1; i < 20_000; i++ {
-		table.Ended("d", key(i))
+		table.RecordCrash("d", key(i))
 	}
-	held, suspected := table.Len()
+	held, suspected := table.Counts()
 	assert.Equal(t, held, 1)
 	assert.Assert(t, suspected <= 4096, "%d requests are kept", suspected)
 	assert.Equal(t, table.List()[0].Key, key(0))
@@ -172,9 +172,9 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	table := quarantine.New(quarantine.Options{Clock: c, Ends: quarantine.DefaultEnds, Hold: hold})
+	table := quarantine.New(quarantine.Options{Clock: c, CrashThreshold: quarantine.DefaultCrashThreshold, Duration: hold})
 	for i := range 4000 {
-		table.Ended("i-9135902773@1769756790813", key(i))
+		table.RecordCrash("i-9135902773@1769756790813", key(i))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -185,7 +185,7 @@
 	n := 0
 	for b.Loop() {
 		n++
-		table.Ended(fmt.Sprint("s", n), keys...)
+		table.RecordCrash(fmt.Sprint("s", n), keys...)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "MB")
 	runtime.KeepAlive(table)
--- a/quota/account.go
+++ b/quota/account.go
@@ -43,9 +43,9 @@
 }
 
 // prefetchAmount returns the amount to prefetch in addition to what a request needs: the expected demand within
-// StockTime, or 0 if that is less than one more request.
+// GrantTTL, or 0 if that is less than one more request.
 func (a *account) prefetchAmount(need float64) float64 {
-	expected := a.demand * StockTime.Seconds()
+	expected := a.demand * GrantTTL.Seconds()
 	if expected < 2*need {
 		return 0
 	}
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -10,13 +10,13 @@
 
 // Timing of ownership; see docs/design/0014.
 const (
-	// OwnerTime is how long a gateway has the shares of all listed gateways, counted from when it sent the
+	// OwnershipTTL is how long a gateway has the shares of all listed gateways, counted from when it sent the
 	// last request that a leader answered. It must be shorter than the two seconds after which the leader
 	// removes a gateway that does not report.
-	OwnerTime = 1800 * time.Millisecond
-	// AloneTime is how long after that a gateway continues without a leader. It is longer than the time to
+	OwnershipTTL = 1800 * time.Millisecond
+	// LeaderlessTTL is how long after that a gateway continues without a leader. It is longer than the time to
 	// replace a failed leader, and longer than the time for which an unconfirmed configuration may be used.
-	AloneTime = 8 * time.Second
+	LeaderlessTTL = 8 * time.Second
 	// delegationTime is how long a gateway's share stays with an owner that it has asked. A longer time would
 	// let two owners have the share at once for too long.
 	delegationTime = time.Second
@@ -43,11 +43,11 @@
 	return min(time.Duration(graceShare*excess/l.Rate*float64(time.Second)), maxGrace)
 }
 
-// An Absence is the leader's count of gateways that do not report to it but may be spending their shares.
-type Absence struct {
+// An AbsentGateways is the leader's count of gateways that do not report to it but may be spending their shares.
+type AbsentGateways struct {
 	// Lapsed is the number of gateways recently removed from the leader's list. Awaited is the number of
 	// listed gateways that were known before the leader's term and have not reported in it.
-	Lapsed  int `json:"lapsed,omitempty"`
+	Removed int `json:"lapsed,omitempty"`
 	Awaited int `json:"awaited,omitempty"`
 }
 
@@ -59,11 +59,11 @@
 	// owners caches the owner of each organisation.
 	owners map[string]string
 	// removed holds the gateways recently removed from the list and when they were. Each may go on spending
-	// its share for AloneTime.
+	// its share for LeaderlessTTL.
 	removed map[string]time.Time
-	// absence is the last Absence received from a leader. A gateway that has restarted does not know itself
+	// absence is the last AbsentGateways received from a leader. A gateway that has restarted does not know itself
 	// which gateways were removed.
-	absence Absence
+	absence AbsentGateways
 	// askedAt is when each listed gateway last requested a grant from this one.
 	askedAt map[string]time.Time
 	// confirmedUntil is the time until which this gateway has the shares of all listed gateways.
@@ -80,10 +80,10 @@
 }
 
 // recordLeaderReply records that a leader replied to a request sent at the given time.
-func (s *gatewaySet) recordLeaderReply(sentAt time.Time, a Absence) {
+func (s *gatewaySet) recordLeaderReply(sentAt time.Time, a AbsentGateways) {
 	s.absence = a
 	s.wasUnconfirmed = sentAt.After(s.confirmedUntil)
-	s.confirmedUntil = sentAt.Add(OwnerTime)
+	s.confirmedUntil = sentAt.Add(OwnershipTTL)
 }
 
 // setGateways replaces the list of gateways.
@@ -125,7 +125,7 @@
 // countRemoved returns the number of gateways recently removed from the list.
 func (s *gatewaySet) countRemoved(now time.Time) int {
 	for id, at := range s.removed {
-		if now.Sub(at) > AloneTime {
+		if now.Sub(at) > LeaderlessTTL {
 			delete(s.removed, id)
 		}
 	}
@@ -134,7 +134,7 @@
 
 // size returns the number of gateways that have a share: those listed and those recently removed.
 func (s *gatewaySet) size(now time.Time) int {
-	return len(s.gatewayIDs) + max(s.countRemoved(now), s.absence.Lapsed)
+	return len(s.gatewayIDs) + max(s.countRemoved(now), s.absence.Removed)
 }
 
 // recordRequest records that a gateway requested a grant from this one, if it is listed.
@@ -170,7 +170,7 @@
 	switch {
 	case now.Before(s.confirmedUntil.Add(t.grace(l))):
 		return listed
-	case now.Before(s.confirmedUntil.Add(AloneTime)):
+	case now.Before(s.confirmedUntil.Add(LeaderlessTTL)):
 		return min(listed, float64(s.countDelegators(now))/size)
 	}
 	return 0
@@ -179,7 +179,7 @@
 // ownShare returns the share of a rate that this gateway may spend while it cannot reach an owner, 0 to 1. It
 // is 0 for a gateway that is not listed, because the listed ones leave no share for it.
 func (s *gatewaySet) ownShare(now time.Time) float64 {
-	if !slices.Contains(s.gatewayIDs, s.self) || !now.Before(s.confirmedUntil.Add(AloneTime)) {
+	if !slices.Contains(s.gatewayIDs, s.self) || !now.Before(s.confirmedUntil.Add(LeaderlessTTL)) {
 		return 0
 	}
 	return 1 / float64(s.size(now))
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -27,7 +27,7 @@
 	// leaderlessTime is the time without a leader after the loss of one.
 	leaderlessTime = 3 * time.Second
 	// storedListTime is how long the store lists a gateway that the leader no longer lists.
-	storedListTime = quota.AloneTime + 2*time.Second
+	storedListTime = quota.LeaderlessTTL + 2*time.Second
 )
 
 // A gatewaySet is a set of simulated gateways, one of them the leader, connected without a network.
@@ -93,7 +93,7 @@
 	}
 	g.ids = nil
 	g.limiter = quota.New(quota.Options{
-		Self: g.id, Clock: s.clock, Asker: g, Tolerance: s.tolerance,
+		Self: g.id, Clock: s.clock, GrantClient: g, Tolerance: s.tolerance,
 		Limit: func(string) (quota.Limit, bool) { return s.limit, true },
 	})
 	if len(s.stored) > 0 {
@@ -152,7 +152,7 @@
 	s.storeList(ids)
 	for _, g := range s.gateways {
 		if s.reaches(g, s.leader) {
-			g.limiter.Heard(now, quota.Absence{Lapsed: s.leader.limiter.Lapsed(), Awaited: len(s.awaited)})
+			g.limiter.RecordLeaderReply(now, quota.AbsentGateways{Removed: s.leader.limiter.CountRemoved(), Awaited: len(s.awaited)})
 			g.applyList(ids)
 		}
 	}
@@ -197,7 +197,7 @@
 		return quota.Unknown
 	}
 	d := g.limiter.Take(context.Background(), testOrganisation, amount)
-	if d.Outcome == quota.Inside {
+	if d.Outcome == quota.WithinLimit {
 		s.spends = append(s.spends, spend{at: s.clock.Now(), amount: amount})
 	}
 	return d.Outcome
@@ -227,8 +227,8 @@
 	return 0
 }
 
-// AskGrant implements quota.Asker.
-func (g *testGateway) AskGrant(_ context.Context, gateway string, r quota.Request) (quota.Reply, error) {
+// RequestGrant implements quota.Asker.
+func (g *testGateway) RequestGrant(_ context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	for _, other := range g.set.gateways {
 		if other.id == gateway && g.set.reaches(g, other) {
 			return other.limiter.Grant(r), nil
--- a/quota/granter.go
+++ b/quota/granter.go
@@ -10,25 +10,25 @@
 	From string `json:"from"`
 	// Need is the amount that one request spends. Ahead is the additional amount to prefetch. Both are in the
 	// limit's unit.
-	Need  float64 `json:"need"`
-	Ahead float64 `json:"ahead,omitempty"`
+	Need     float64 `json:"need"`
+	Prefetch float64 `json:"ahead,omitempty"`
 }
 
 // isValid reports whether the amounts are valid. Requests can come from other senders than gateways; a
 // negative amount would add to the bucket.
-func (r Request) isValid() bool { return r.Need > 0 && r.Ahead >= 0 }
+func (r Request) isValid() bool { return r.Need > 0 && r.Prefetch >= 0 }
 
 // A Reply is an owner's reply to a Request.
 type Reply struct {
 	// IsOwner reports whether the replying gateway makes grants for the organisation. If not, all other
 	// fields are empty.
 	IsOwner bool `json:"owner,omitempty"`
-	// Granted is the amount that the requesting gateway may spend within StockTime of sending the request: 0,
-	// Need, or Need plus Ahead.
+	// Granted is the amount that the requesting gateway may spend within GrantTTL of sending the request: 0,
+	// Need, or Need plus Prefetch.
 	Granted float64 `json:"granted,omitempty"`
-	// IsUnsure reports whether the owner lacks the shares of some gateways. In that case a denial does not
+	// IsUnconfirmed reports whether the owner lacks the shares of some gateways. In that case a denial does not
 	// mean that the organisation is over its limit.
-	IsUnsure bool `json:"unsure,omitempty"`
+	IsUnconfirmed bool `json:"unsure,omitempty"`
 	// RetryAfterMs is the time in milliseconds after which Need may be available, if nothing was granted.
 	RetryAfterMs int64 `json:"retry_after,omitempty"`
 }
@@ -82,9 +82,9 @@
 		return Reply{IsOwner: true, RetryAfterMs: b.timeUntil(l, r.Need).Milliseconds() + 1}
 	}
 	granted := r.Need
-	if b.amount-r.Ahead >= prefetchReserve*l.Burst {
-		b.amount -= r.Ahead
-		granted += r.Ahead
+	if b.amount-r.Prefetch >= prefetchReserve*l.Burst {
+		b.amount -= r.Prefetch
+		granted += r.Prefetch
 	}
 	return Reply{IsOwner: true, Granted: granted}
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// StockTime is how long a grant may be spent, counted from when it was requested. Prefetched grants let
+	// GrantTTL is how long a grant may be spent, counted from when it was requested. Prefetched grants let
 	// an organisation exceed its limit in a window by at most half a second's worth of the rate, since a
-	// prefetch is no larger than the demand in StockTime.
-	StockTime = 500 * time.Millisecond
+	// prefetch is no larger than the demand in GrantTTL.
+	GrantTTL = 500 * time.Millisecond
 	// denialTime bounds the time in which an owner is not asked again after a denial. It limits the requests
 	// for grants that an organisation far over its limit causes.
 	denialTime = 50 * time.Millisecond
 )
 
-// ErrEnded is returned by an Asker if the process of the other gateway is known to have ended: nothing
+// ErrNotRunning is returned by an GrantClient if the process of the other gateway is known to have ended: nothing
 // listens at its address.
-var ErrEnded = errors.New("quota: gateway process is not running")
+var ErrNotRunning = errors.New("quota: gateway process is not running")
 
-// An Asker requests grants from other gateways.
-type Asker interface {
-	// AskGrant requests a grant from the gateway with the given ID. The error is or wraps ErrEnded if the
+// An GrantClient requests grants from other gateways.
+type GrantClient interface {
+	// RequestGrant requests a grant from the gateway with the given ID. The error is or wraps ErrNotRunning if the
 	// process is known to have ended.
-	AskGrant(ctx context.Context, gateway string, r Request) (Reply, error)
+	RequestGrant(ctx context.Context, gateway string, r Request) (Reply, error)
 }
 
 // Options configure a Limiter.
 type Options struct {
 	// Self is the ID of this gateway.
-	Self      string
-	Clock     clock.Service
-	Asker     Asker
-	Tolerance Tolerance
+	Self        string
+	Clock       clock.Service
+	GrantClient GrantClient
+	Tolerance   Tolerance
 	// Limit returns an organisation's limit; ok is false if it has none.
 	Limit func(organisation string) (l Limit, ok bool)
-	// OnOwnerSilent, if not nil, is called when an owner does not reply as the owner. It is not called again
+	// OnOwnerUnresponsive, if not nil, is called when an owner does not reply as the owner. It is not called again
 	// for the same organisation until an owner has.
-	OnOwnerSilent func(organisation, gateway string, err error)
+	OnOwnerUnresponsive func(organisation, gateway string, err error)
 }
 
 // An Outcome is the result of a limit check.
@@ -51,18 +51,18 @@
 const (
 	// Unknown means that the limit could not be checked.
 	Unknown Outcome = iota
-	// Inside means that the request is within the limit and counted as spent.
-	Inside
-	// Over means that the request exceeds the limit.
-	Over
+	// WithinLimit means that the request is within the limit and counted as spent.
+	WithinLimit
+	// OverLimit means that the request exceeds the limit.
+	OverLimit
 )
 
 // String returns the outcome's name in metrics.
 func (o Outcome) String() string {
 	switch o {
-	case Inside:
+	case WithinLimit:
 		return "inside"
-	case Over:
+	case OverLimit:
 		return "over"
 	}
 	return "unknown"
@@ -98,16 +98,16 @@
 	}
 }
 
-// Heard records that a leader replied to a request sent at the given time, and the Absence in its reply. Call
+// RecordLeaderReply records that a leader replied to a request sent at the given time, and the AbsentGateways in its reply. Call
 // it before SetGateways with the list of the same reply.
-func (l *Limiter) Heard(sentAt time.Time, a Absence) {
+func (l *Limiter) RecordLeaderReply(sentAt time.Time, a AbsentGateways) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gateways.recordLeaderReply(sentAt, a)
 }
 
-// Lapsed returns the number of gateways recently removed from the list. A leader sends it in its replies.
-func (l *Limiter) Lapsed() int {
+// CountRemoved returns the number of gateways recently removed from the list. A leader sends it in its replies.
+func (l *Limiter) CountRemoved() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.gateways.countRemoved(l.opts.Clock.Now())
@@ -126,9 +126,9 @@
 	l.granter.retain(func(organisation string) bool { return l.gateways.owner(organisation) == l.opts.Self }, now)
 }
 
-// NoteFormer records gateways that were known before this process started. Those that are not on the list may
+// AddFormerGateways records gateways that were known before this process started. Those that are not on the list may
 // still be spending their shares.
-func (l *Limiter) NoteFormer(ids []string) {
+func (l *Limiter) AddFormerGateways(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gateways.addFormer(ids, l.opts.Clock.Now())
@@ -147,7 +147,7 @@
 	share := l.gateways.share(limit, l.opts.Tolerance, now)
 	reply := l.granter.grant(r, limit, share, now)
 	l.gateways.recordRequest(r.From, now)
-	reply.IsUnsure = !l.gateways.isConfirmed(now)
+	reply.IsUnconfirmed = !l.gateways.isConfirmed(now)
 	return reply
 }
 
@@ -156,7 +156,7 @@
 func (l *Limiter) Take(ctx context.Context, organisation string, amount float64) Decision {
 	limit, ok := l.opts.Limit(organisation)
 	if !ok {
-		return Decision{Outcome: Inside}
+		return Decision{Outcome: WithinLimit}
 	}
 	d := l.decide(ctx, organisation, limit, amount)
 	l.mu.Lock()
@@ -173,7 +173,7 @@
 	}
 	reply, err := l.requestGrant(ctx, request)
 	if err != nil {
-		return l.takeOwnShare(organisation, limit, amount, errors.Is(err, ErrEnded))
+		return l.takeOwnShare(organisation, limit, amount, errors.Is(err, ErrNotRunning))
 	}
 	return l.applyReply(organisation, request, reply, sentAt)
 }
@@ -185,12 +185,12 @@
 	a := l.account(organisation)
 	a.recordDemand(amount, now)
 	if a.spend(amount, now) {
-		return Request{}, Decision{Outcome: Inside}, true
+		return Request{}, Decision{Outcome: WithinLimit}, true
 	}
 	if remaining := a.deniedUntil.Sub(now); remaining > 0 && amount >= a.deniedAmount {
-		return Request{}, Decision{Outcome: Over, RetryAfter: remaining}, true
+		return Request{}, Decision{Outcome: OverLimit, RetryAfter: remaining}, true
 	}
-	return Request{Key: organisation, From: l.opts.Self, Need: amount, Ahead: a.prefetchAmount(amount)}, Decision{}, false
+	return Request{Key: organisation, From: l.opts.Self, Need: amount, Prefetch: a.prefetchAmount(amount)}, Decision{}, false
 }
 
 // errNoOwner means that there is no known owner, or that the gateway asked is not the owner.
@@ -207,10 +207,10 @@
 		return Reply{}, errNoOwner
 	case l.opts.Self:
 		// A local grant needs no prefetch.
-		r.Ahead = 0
+		r.Prefetch = 0
 		return requireOwner(l.Grant(r), nil)
 	}
-	reply, err := requireOwner(l.opts.Asker.AskGrant(ctx, owner, r))
+	reply, err := requireOwner(l.opts.GrantClient.RequestGrant(ctx, owner, r))
 	if err != nil {
 		l.reportUnresponsive(r.Key, owner, err)
 	}
@@ -234,19 +234,19 @@
 	a.clearOwnShare()
 	a.delegatedAt = sentAt
 	if reply.Granted >= r.Need {
-		a.addCredit(reply.Granted-r.Need, sentAt.Add(StockTime))
-		return Decision{Outcome: Inside}
+		a.addCredit(reply.Granted-r.Need, sentAt.Add(GrantTTL))
+		return Decision{Outcome: WithinLimit}
 	}
-	if reply.IsUnsure {
+	if reply.IsUnconfirmed {
 		return Decision{Outcome: Unknown}
 	}
 	wait := time.Duration(reply.RetryAfterMs) * time.Millisecond
 	a.deniedUntil, a.deniedAmount = sentAt.Add(min(wait, denialTime)), r.Need
-	return Decision{Outcome: Over, RetryAfter: wait}
+	return Decision{Outcome: OverLimit, RetryAfter: wait}
 }
 
 // takeOwnShare spends from this gateway's own share if the owner cannot have it any more. An owner that has
-// lost its connections acts as owner until OwnerTime has passed; meanwhile the outcome is Unknown. The
+// lost its connections acts as owner until OwnershipTTL has passed; meanwhile the outcome is Unknown. The
 // outcome is never Over, because the owner could grant more than this share.
 func (l *Limiter) takeOwnShare(organisation string, limit Limit, amount float64, notRunning bool) Decision {
 	l.mu.Lock()
@@ -259,7 +259,7 @@
 	if !a.spendOwnShare(limit, l.gateways.ownShare(now), amount, l.delegatedUntil(a, now), now) {
 		return Decision{Outcome: Unknown}
 	}
-	return Decision{Outcome: Inside}
+	return Decision{Outcome: WithinLimit}
 }
 
 // delegatedUntil returns the time until which other gateways had this gateway's share of an organisation's
@@ -274,9 +274,9 @@
 	return l.gateways.confirmedUntil
 }
 
-// GiveBack returns an amount spent by a request that did not run. It may be spent by this gateway within
-// StockTime.
-func (l *Limiter) GiveBack(organisation string, amount float64) {
+// Refund returns an amount spent by a request that did not run. It may be spent by this gateway within
+// GrantTTL.
+func (l *Limiter) Refund(organisation string, amount float64) {
 	if _, ok := l.opts.Limit(organisation); !ok {
 		return
 	}
@@ -284,12 +284,12 @@
 	defer l.mu.Unlock()
 	a := l.account(organisation)
 	a.counts.Spent -= amount
-	a.addCredit(amount, l.opts.Clock.Now().Add(StockTime))
+	a.addCredit(amount, l.opts.Clock.Now().Add(GrantTTL))
 }
 
-// Keep removes the state of all organisations for which wanted returns false. Without it, a Limiter whose
+// Retain removes the state of all organisations for which wanted returns false. Without it, a Limiter whose
 // limits come and go would grow without bound.
-func (l *Limiter) Keep(wanted func(organisation string) bool) {
+func (l *Limiter) Retain(wanted func(organisation string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	unwanted := func(organisation string) bool { return !wanted(organisation) }
@@ -299,14 +299,14 @@
 	maps.DeleteFunc(l.gateways.owners, func(name, _ string) bool { return unwanted(name) })
 }
 
-// reportUnresponsive calls OnOwnerSilent, unless it has already been called since an owner last replied.
+// reportUnresponsive calls OnOwnerUnresponsive, unless it has already been called since an owner last replied.
 func (l *Limiter) reportUnresponsive(organisation, gateway string, err error) {
 	l.mu.Lock()
 	reported := l.unresponsive[organisation]
 	l.unresponsive[organisation] = true
 	l.mu.Unlock()
-	if !reported && l.opts.OnOwnerSilent != nil {
-		l.opts.OnOwnerSilent(organisation, gateway, err)
+	if !reported && l.opts.OnOwnerUnresponsive != nil {
+		l.opts.OnOwnerUnresponsive(organisation, gateway, err)
 	}
 }
 
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -41,7 +41,7 @@
 			pause := time.Duration(typicalCost / (0.75 * limit.Rate) * float64(time.Second))
 			for range 500 {
 				s.step(pause)
-				assert.Equal(t, s.request(r.IntN(24), typicalCost), quota.Inside)
+				assert.Equal(t, s.request(r.IntN(24), typicalCost), quota.WithinLimit)
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 	for range int(seconds * 6 * limit.Rate / typicalCost) {
 		s.step(pause)
 		switch s.request(r.IntN(24), typicalCost) {
-		case quota.Inside:
+		case quota.WithinLimit:
 			inside++
 		case quota.Unknown:
 			t.Fatal("outcome is Unknown although the owner is reachable")
@@ -80,7 +80,7 @@
 	for range 400 {
 		s.step(20 * time.Millisecond)
 		for i := range s.gateways {
-			for s.request(i, typicalCost) == quota.Inside {
+			for s.request(i, typicalCost) == quota.WithinLimit {
 			}
 		}
 		if r.IntN(20) == 0 {
@@ -113,7 +113,7 @@
 		perSecond := rapid.OneOf(rapid.Float64Range(0, 5), rapid.Float64Range(5, 200)).Draw(t, "rate")
 		s := newGatewaySetWithin(size, serverlimit.Quota(perSecond), serverlimit.Tolerance())
 		s.injectFaults(t, func() float64 { return 1 })
-		most, allowed := s.maxSpentIn(serverlimit.Window), 1.5*perSecond*serverlimit.Window.Seconds()+5
+		most, allowed := s.maxSpentIn(serverlimit.CountingWindow), 1.5*perSecond*serverlimit.CountingWindow.Seconds()+5
 		if most > allowed {
 			t.Fatalf("let through %v requests in a window, limit is %v", most, allowed)
 		}
@@ -149,7 +149,7 @@
 		amount := cost()
 		for j := range s.gateways {
 			for range 200 {
-				if s.request(j, amount) != quota.Inside {
+				if s.request(j, amount) != quota.WithinLimit {
 					break
 				}
 			}
@@ -188,7 +188,7 @@
 	tests := map[string]quota.Request{
 		"negative need":   {Key: testOrganisation, From: "g0", Need: -500},
 		"no need":         {Key: testOrganisation, From: "g0"},
-		"negative ahead":  {Key: testOrganisation, From: "g0", Need: 1, Ahead: -500},
+		"negative ahead":  {Key: testOrganisation, From: "g0", Need: 1, Prefetch: -500},
 		"no organisation": {From: "g0", Need: -1},
 	}
 	for name, r := range tests {
--- a/quota/status.go
+++ b/quota/status.go
@@ -14,10 +14,10 @@
 // record counts a decision.
 func (c *Counts) record(o Outcome, amount float64) {
 	switch o {
-	case Inside:
+	case WithinLimit:
 		c.Inside++
 		c.Spent += amount
-	case Over:
+	case OverLimit:
 		c.Over++
 	default:
 		c.Unknown++
--- a/relay/tree.go
+++ b/relay/tree.go
@@ -7,9 +7,9 @@
 	"rockcleat/rendezvous"
 )
 
-// Width is the maximum number of children of a process. A tree of depth 1, 2 and 3 holds up to 9,
+// Fanout is the maximum number of children of a process. A tree of depth 1, 2 and 3 holds up to 9,
 // 73 and 585 processes, the root included.
-const Width = 8
+const Fanout = 8
 
 // A Member is one process in a tree.
 type Member struct {
@@ -60,8 +60,8 @@
 		return Position{}, false
 	}
 	p := Position{Depth: 1}
-	for i >= Width {
-		i = i/Width - 1
+	for i >= Fanout {
+		i = i/Fanout - 1
 		p.Depth++
 		p.Parents = append(p.Parents, members[i].Addr)
 	}
--- a/relay/tree_test.go
+++ b/relay/tree_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestEveryMemberReachesTheRoot checks that each member's chain of parents ends at the root, that
-// the tree has the least possible depth, and that no process has more than Width children.
+// the tree has the least possible depth, and that no process has more than Fanout children.
 func TestEveryMemberReachesTheRoot(t *testing.T) {
 	tests := map[string]struct{ members, depth int }{
 		"two":              {members: 2, depth: 1},
@@ -51,7 +51,7 @@
 			}
 			assert.Equal(t, deepest, test.depth)
 			for addr, n := range children {
-				assert.Assert(t, n <= relay.Width, "%s has %d children", addr, n)
+				assert.Assert(t, n <= relay.Fanout, "%s has %d children", addr, n)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 			first++
 		}
 	}
-	assert.Equal(t, first, relay.Width)
+	assert.Equal(t, first, relay.Fanout)
 	_, ok := tree.Position("elsewhere", "")
 	assert.Assert(t, !ok)
 }
@@ -91,7 +91,7 @@
 				moved++
 			}
 		}
-		assert.Assert(t, moved <= 2*relay.Width+2, "%d of %d move", moved, len(list))
+		assert.Assert(t, moved <= 2*relay.Fanout+2, "%d of %d move", moved, len(list))
 	}
 }
 
--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -58,7 +58,7 @@
 	bestCost := 0
 	for i := range in.Engines {
 		e := &in.Engines[i]
-		if e.Leaving || e.InNeed || usedEngines[e.ID] || !holds(e, a.Model) {
+		if e.Leaving || e.Throttled || usedEngines[e.ID] || !holds(e, a.Model) {
 			continue
 		}
 		move := AdapterMove{Engine: e.ID, Adapter: a}
--- a/residency/evict.go
+++ b/residency/evict.go
@@ -92,13 +92,13 @@
 // The memory of all adapter slots stays reserved, or that of the loaded adapters if they take more.
 func (p *plan) memoryShortfall(e *EngineView, m table.ModelSpec) float64 {
 	spec := p.in.Spec
-	freeWithoutAdapters := Free(spec, withoutAdapters(e.Residents))
-	reserved := max(adapterReserveMB(spec), freeWithoutAdapters-Free(spec, e.Residents))
+	freeWithoutAdapters := FreeMB(spec, withoutAdapters(e.Residents))
+	reserved := max(adapterReserveMB(spec), freeWithoutAdapters-FreeMB(spec, e.Residents))
 	return m.WeightsMB + reserved - freeWithoutAdapters
 }
 
-// Free returns the memory of an engine that its residents leave free, in MB.
-func Free(spec *table.EngineSpec, residents []backend.Resident) float64 {
+// FreeMB returns the memory of an engine that its residents leave free, in MB.
+func FreeMB(spec *table.EngineSpec, residents []backend.Resident) float64 {
 	free := spec.WeightsMB
 	for _, r := range residents {
 		free -= residentMB(spec, r)
@@ -120,7 +120,7 @@
 func adapterReserveMB(spec *table.EngineSpec) float64 {
 	largest := 0.0
 	for _, m := range spec.Models {
-		if m.Adapters > 0 {
+		if m.AdapterCount > 0 {
 			largest = max(largest, m.AdapterMB)
 		}
 	}
--- a/residency/forecast.go
+++ b/residency/forecast.go
@@ -11,7 +11,7 @@
 // that demand moves along the list. A nil s has confidence 0.
 //
 // While no model has demand, the number of replicas of each model beyond its first is used as its demand.
-func Forecast(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView, s *Succession) map[string]Demand {
+func Forecast(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView, s *SequenceEstimator) map[string]Demand {
 	measured := measuredDemand(spec, demands, engines)
 	share := forecastShare * s.Confidence()
 	out := make(map[string]Demand, len(spec.Models))
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -19,8 +19,8 @@
 	Idle bool
 	// Leaving is true if the engine is about to shut down. Its replicas do not count.
 	Leaving bool
-	// InNeed is true while the engine accepts few requests. No adapter is loaded on it.
-	InNeed bool
+	// Throttled is true while the engine accepts few requests. No adapter is loaded on it.
+	Throttled bool
 	// CachedInMemory and CachedOnDisk are the names of the models whose weights the engine's machine
 	// has cached.
 	CachedInMemory, CachedOnDisk []string
@@ -34,9 +34,9 @@
 	TokensPerSecond float64
 	// Waiting is the number of requests that wait for the model.
 	Waiting int
-	// Asked is true if the model has been requested. Objective is the shortest objective for the time to
+	// Requested is true if the model has been requested. Objective is the shortest objective for the time to
 	// the first byte among its requests; 0 if one of them has none.
-	Asked     bool
+	Requested bool
 	Objective time.Duration
 }
 
@@ -46,8 +46,8 @@
 	Engines []EngineView
 	// Demands holds the demand of each model, by name.
 	Demands map[string]Demand
-	// Succession is the observed order in which the demand of models rises; nil if nothing was observed.
-	Succession *Succession
+	// SequenceEstimator is the observed order in which the demand of models rises; nil if nothing was observed.
+	Sequence *SequenceEstimator
 	// StoreLoadsAllowed is the number of loads that the weight store accepts now.
 	StoreLoadsAllowed int
 }
@@ -97,8 +97,8 @@
 // in.Engines for the engines that get a move.
 func Plan(in Input) []Move {
 	p := &plan{in: in, replicas: make(map[string]int)}
-	p.in.Demands = Forecast(in.Spec, in.Demands, in.Engines, in.Succession)
-	p.policies = loadPolicies(in.Spec, p.in.Demands, in.Succession.Confidence())
+	p.in.Demands = Forecast(in.Spec, in.Demands, in.Engines, in.Sequence)
+	p.policies = loadPolicies(in.Spec, p.in.Demands, in.Sequence.Confidence())
 	for i := range in.Engines {
 		e := &in.Engines[i]
 		if e.Leaving {
