--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -18,7 +18,7 @@
 	s := &table.EngineSpec{WeightsMB: 200_000, AdapterSlots: 4, LoadsPerSecond: 1}
 	for i, gb := range sizes {
 		s.Models = append(s.Models, table.ModelSpec{
-			Name: fmt.Sprint("m", i), WeightsMB: gb * 1000, Adapters: 8, AdapterMB: 100,
+			Name: fmt.Sprint("m", i), WeightsMB: gb * 1000, AdapterCount: 8, AdapterMB: 100,
 			StoreLoadTime: 8 * time.Second, DiskLoadTime: 2 * time.Second, MemoryLoadTime: time.Second,
 		})
 	}
@@ -173,7 +173,7 @@
 				r.Adapters = append(r.Adapters, fmt.Sprint("a", a))
 			}
 			with := append(slices.Clone(list[i].Residents), r)
-			if rapid.Bool().Draw(t, "held") && Free(s, with) >= 0 {
+			if rapid.Bool().Draw(t, "held") && FreeMB(s, with) >= 0 {
 				list[i].Residents = with
 			}
 			if rapid.Bool().Draw(t, "disk") {
@@ -206,15 +206,15 @@
 		left := slices.DeleteFunc(slices.Clone(e.Residents), func(r backend.Resident) bool {
 			return slices.Contains(m.Evictions, r.Model)
 		})
-		if free := Free(s, append(left, backend.Resident{Model: m.Model})); free < 0 {
+		if free := FreeMB(s, append(left, backend.Resident{Model: m.Model})); free < 0 {
 			t.Fatalf("engine %s exceeds its memory by %.0f MB", e.ID, -free)
 		}
 	}
 }
 
-// withThrottled sets InNeed on engine i and returns the list.
+// withThrottled sets Throttled on engine i and returns the list.
 func withThrottled(list []EngineView, i int) []EngineView {
-	list[i].InNeed = true
+	list[i].Throttled = true
 	return list
 }
 
--- a/residency/residence.go
+++ b/residency/residence.go
@@ -44,7 +44,7 @@
 	out := make(map[string]loadPolicy, len(spec.Models))
 	for _, m := range spec.Models {
 		d := demands[m.Name]
-		canWait := d.Asked && m.DiskLoadTime > 0 && d.Objective >= loadsWithinObjective*m.DiskLoadTime
+		canWait := d.Requested && m.DiskLoadTime > 0 && d.Objective >= loadsWithinObjective*m.DiskLoadTime
 		switch {
 		case d.TokensPerSecond >= alwaysLoadedShare*total:
 			out[m.Name] = alwaysLoaded
--- a/residency/residence_test.go
+++ b/residency/residence_test.go
@@ -12,21 +12,21 @@
 // TestLastReplica checks under which conditions the last replica of a model is evicted for a second replica of
 // another one.
 func TestLastReplica(t *testing.T) {
-	canWait := Demand{TokensPerSecond: 1, Asked: true, Objective: 5 * time.Second}
+	canWait := Demand{TokensPerSecond: 1, Requested: true, Objective: 5 * time.Second}
 	tests := map[string]struct {
 		demand     Demand
-		succession *Succession
+		succession *SequenceEstimator
 		cached     bool
 		recent     bool
 		goes       bool
 	}{
 		"requests that can wait for a load":    {demand: canWait, goes: true},
-		"a request that waits":                 {demand: Demand{TokensPerSecond: 1, Asked: true, Objective: 5 * time.Second, Waiting: 1}},
+		"a request that waits":                 {demand: Demand{TokensPerSecond: 1, Requested: true, Objective: 5 * time.Second, Waiting: 1}},
 		"loaded just now":                      {demand: canWait, recent: true},
-		"more demand than a twentieth":         {demand: Demand{TokensPerSecond: 60, Asked: true, Objective: 5 * time.Second}},
-		"too much demand":                      {demand: Demand{TokensPerSecond: 100, Asked: true, Objective: 5 * time.Second}},
-		"an objective shorter than two loads":  {demand: Demand{TokensPerSecond: 1, Asked: true, Objective: 3 * time.Second}},
-		"no objective":                         {demand: Demand{TokensPerSecond: 1, Asked: true}},
+		"more demand than a twentieth":         {demand: Demand{TokensPerSecond: 60, Requested: true, Objective: 5 * time.Second}},
+		"too much demand":                      {demand: Demand{TokensPerSecond: 100, Requested: true, Objective: 5 * time.Second}},
+		"an objective shorter than two loads":  {demand: Demand{TokensPerSecond: 1, Requested: true, Objective: 3 * time.Second}},
+		"no objective":                         {demand: Demand{TokensPerSecond: 1, Requested: true}},
 		"never asked for":                      {},
 		"never asked for, weights cached":      {cached: true},
 		"not next to rise, weights cached":     {succession: trainedSuccession(), cached: true, goes: true},
@@ -45,7 +45,7 @@
 				list[0].RecentlyLoaded = map[string]bool{"m0": true}
 			}
 			moves := Plan(Input{
-				Spec: spec(150, 150, 10), Engines: list, StoreLoadsAllowed: 1, Succession: test.succession,
+				Spec: spec(150, 150, 10), Engines: list, StoreLoadsAllowed: 1, Sequence: test.succession,
 				Demands: map[string]Demand{"m0": test.demand, "m1": {TokensPerSecond: 1000}},
 			})
 			evicted := false
@@ -66,7 +66,7 @@
 	}
 	moves := Plan(Input{
 		Spec: spec(150, 150), Engines: list, StoreLoadsAllowed: 1, Demands: map[string]Demand{
-			"m0": {Asked: true, Objective: 5 * time.Second, Waiting: 1}, "m1": {TokensPerSecond: 1000},
+			"m0": {Requested: true, Objective: 5 * time.Second, Waiting: 1}, "m1": {TokensPerSecond: 1000},
 		},
 	})
 	assert.DeepEqual(t, moves, []Move{{Engine: "e1", Model: "m0", Evictions: []string{"m1"}, Source: FromDisk}})
--- a/residency/succession.go
+++ b/residency/succession.go
@@ -15,12 +15,12 @@
 	riseDecay = 0.9
 )
 
-// A Succession estimates whether models become busy in the order of the operators' list. It counts how often a model
+// A SequenceEstimator estimates whether models become busy in the order of the operators' list. It counts how often a model
 // that becomes busy stands right behind a busy one, and compares that with the expectation for a random order. If
 // models become busy in another order, the confidence stays near 0.
 //
 // The zero value has no observations. It is not safe for concurrent use.
-type Succession struct {
+type SequenceEstimator struct {
 	busy map[string]bool
 	// rises counts the models that became busy, hits those among them that stood right behind a busy one, and
 	// expectedHits the hits expected by chance. All decay with riseDecay.
@@ -29,7 +29,7 @@
 
 // Observe records the demand at one time. While no model has demand, the replicas determine which models are
 // busy and no rise is counted, since models would appear to rise in the order in which they are loaded.
-func (s *Succession) Observe(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView) {
+func (s *SequenceEstimator) Observe(spec *table.EngineSpec, demands map[string]Demand, engines []EngineView) {
 	measured := measuredDemand(spec, demands, engines)
 	total := 0.0
 	for _, x := range measured {
@@ -63,7 +63,7 @@
 
 // countRises updates the counts with the models that have become busy. The first model of the list is left out,
 // since no model is before it.
-func (s *Succession) countRises(spec *table.EngineSpec, busy map[string]bool) {
+func (s *SequenceEstimator) countRises(spec *table.EngineSpec, busy map[string]bool) {
 	idle, following := 0, 0
 	var rising []bool
 	for i, m := range spec.Models {
@@ -100,8 +100,8 @@
 }
 
 // Confidence returns how consistently rises follow the list, from 0 (no more often than by chance) to 1
-// (always). It returns 0 for a nil Succession.
-func (s *Succession) Confidence() float64 {
+// (always). It returns 0 for a nil SequenceEstimator.
+func (s *SequenceEstimator) Confidence() float64 {
 	if s == nil || s.hits <= s.expectedHits {
 		return 0
 	}
--- a/residency/succession_test.go
+++ b/residency/succession_test.go
@@ -29,9 +29,9 @@
 	return list
 }
 
-// trainedSuccession returns a Succession that has observed demand move along the list.
-func trainedSuccession() *Succession {
-	var s Succession
+// trainedSuccession returns a SequenceEstimator that has observed demand move along the list.
+func trainedSuccession() *SequenceEstimator {
+	var s SequenceEstimator
 	for i := range 4 {
 		s.Observe(uniformSpec(26), demandAt(listOrder(26), 2*i), nil)
 	}
@@ -70,7 +70,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var s Succession
+			var s SequenceEstimator
 			for i := range test.shifts {
 				s.Observe(uniformSpec(26), demandAt(test.order, 2*i), nil)
 			}
@@ -82,7 +82,7 @@
 
 func TestForecast(t *testing.T) {
 	tests := map[string]struct {
-		succession *Succession
+		succession *SequenceEstimator
 		rise       []bool
 	}{
 		"no order known": {rise: []bool{false, true, false, false, false}},
@@ -108,7 +108,7 @@
 // TestObserveWithoutDemand checks that models that are loaded in the order of the list, without any demand, do
 // not raise the confidence.
 func TestObserveWithoutDemand(t *testing.T) {
-	var s Succession
+	var s SequenceEstimator
 	engines := make([]EngineView, 12)
 	for m := range 26 {
 		for i := range 3 {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -25,8 +25,8 @@
 	initialized bool
 }
 
-// First records a first attempt.
-func (b *Budget) First() {
+// RecordFirstAttempt records a first attempt.
+func (b *Budget) RecordFirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.initialize()
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -13,7 +13,7 @@
 	b := retry.Budget{Ratio: 0.1, Burst: 5}
 	retries := 0
 	for range 1000 {
-		b.First()
+		b.RecordFirstAttempt()
 		for b.Allow() {
 			retries++
 		}
--- a/retry/window.go
+++ b/retry/window.go
@@ -10,7 +10,7 @@
 const windowBuckets = 20
 
 // A Window limits the retries within any span of its length to Ratio times the first attempts in
-// that span plus a share of Fixed. It is safe for concurrent use.
+// that span plus a share of FixedRetries. It is safe for concurrent use.
 //
 // The zero value allows no retries.
 type Window struct {
@@ -18,8 +18,8 @@
 	Length time.Duration
 	// Ratio is the number of retries allowed per first attempt.
 	Ratio float64
-	// Fixed is the number of retries allowed in addition to Ratio, summed over all processes.
-	Fixed float64
+	// FixedRetries is the number of retries allowed in addition to Ratio, summed over all processes.
+	FixedRetries float64
 
 	mu      sync.Mutex
 	buckets [windowBuckets + 1]bucket
@@ -32,20 +32,20 @@
 	firstAttempts, retries int
 }
 
-// First records a first attempt.
-func (w *Window) First(now time.Time) {
+// RecordFirstAttempt records a first attempt.
+func (w *Window) RecordFirstAttempt(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bucketAt(now).firstAttempts++
 }
 
-// Allow reports whether a retry is allowed and records it if so. share is the fraction of Fixed
+// Allow reports whether a retry is allowed and records it if so. share is the fraction of FixedRetries
 // that belongs to this process, 0 to 1.
 func (w *Window) Allow(now time.Time, share float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	firstAttempts, retries := w.totals(now)
-	if float64(retries+1) > w.Ratio*float64(firstAttempts)+w.Fixed*share {
+	if float64(retries+1) > w.Ratio*float64(firstAttempts)+w.FixedRetries*share {
 		return false
 	}
 	w.bucketAt(now).retries++
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -12,7 +12,7 @@
 
 func TestWindowZeroValueAllowsNothing(t *testing.T) {
 	var w retry.Window
-	w.First(time.Unix(100, 0))
+	w.RecordFirstAttempt(time.Unix(100, 0))
 	assert.Assert(t, !w.Allow(time.Unix(100, 0), 1))
 }
 
@@ -23,7 +23,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
 		fixed := rapid.Float64Range(0, 20).Draw(t, "fixed")
-		w := retry.Window{Length: length, Ratio: ratio, Fixed: fixed}
+		w := retry.Window{Length: length, Ratio: ratio, FixedRetries: fixed}
 		now := time.Unix(1000, 0)
 		var firstAttempts, retries []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -34,7 +34,7 @@
 				}
 				continue
 			}
-			w.First(now)
+			w.RecordFirstAttempt(now)
 			firstAttempts = append(firstAttempts, now)
 		}
 		for _, end := range retries {
--- a/route/doc.go
+++ b/route/doc.go
@@ -6,7 +6,7 @@
 // 2001). The load of a server is the greater of the value in its last response and the number of
 // requests that this process has outstanding there.
 //
-// A Table holds these loads by server ID, for one process. Callers report the loads in responses
+// A LoadTable holds these loads by server ID, for one process. Callers report the loads in responses
 // and remove servers that no longer exist. Without recent reports, only the process's own requests
 // count. The package decides the order in which servers are tried; package fairqueue queues
 // requests at the server. For engines that have no such queue, package dispatch does both.
--- a/route/example_test.go
+++ b/route/example_test.go
@@ -9,9 +9,9 @@
 )
 
 // Requests with the same prefix go to the same server until that server fails.
-func ExampleTable_Order() {
+func ExampleLoadTable_Order() {
 	now := time.Unix(1000, 0)
-	var t route.Table
+	var t route.LoadTable
 	servers := []route.Candidate{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	prefix := rendezvous.Key("system prompt of the puzzle desk")
 	first := t.Order(servers, prefix, now)[0]
--- a/route/route.go
+++ b/route/route.go
@@ -26,7 +26,7 @@
 	Hall string
 }
 
-// A serverState is what a Table knows about one server.
+// A serverState is what a LoadTable knows about one server.
 type serverState struct {
 	// reported is the load in the server's last response, in requests, and reportedAt the time of
 	// that response.
@@ -39,9 +39,9 @@
 	leavingIncarnation string
 }
 
-// A Table holds the loads of the servers that a process has sent requests to. It is safe for
+// A LoadTable holds the loads of the servers that a process has sent requests to. It is safe for
 // concurrent use; its zero value is empty.
-type Table struct {
+type LoadTable struct {
 	// Hall is the data hall of the process. Its servers are tried before those of other halls.
 	Hall string
 
@@ -50,7 +50,7 @@
 }
 
 // state returns the state of a server, creating it if needed. t.mu must be held.
-func (t *Table) state(id string) *serverState {
+func (t *LoadTable) state(id string) *serverState {
 	if t.servers == nil {
 		t.servers = make(map[string]*serverState)
 	}
@@ -63,7 +63,7 @@
 }
 
 // Begin counts a request as outstanding at a server. The caller must call end exactly once.
-func (t *Table) Begin(id string) (end func()) {
+func (t *LoadTable) Begin(id string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.state(id)
@@ -75,8 +75,8 @@
 	}
 }
 
-// Report records the load that a server put in a response, in requests.
-func (t *Table) Report(id string, load int, now time.Time) {
+// ReportLoad records the load that a server put in a response, in requests.
+func (t *LoadTable) ReportLoad(id string, load int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.state(id)
@@ -84,29 +84,29 @@
 }
 
 // Avoid orders a server after all others for avoidDuration.
-func (t *Table) Avoid(id string, now time.Time) {
+func (t *LoadTable) Avoid(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(id).avoidUntil = now.Add(avoidDuration)
 }
 
-// Leave records that an incarnation of a server reported that it is draining.
-func (t *Table) Leave(id, incarnation string) {
+// MarkLeaving records that an incarnation of a server reported that it is draining.
+func (t *LoadTable) MarkLeaving(id, incarnation string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(id).leavingIncarnation = incarnation
 }
 
-// Leaving reports whether Leave was last called for this incarnation of the server.
-func (t *Table) Leaving(id, incarnation string) bool {
+// IsLeaving reports whether MarkLeaving was last called for this incarnation of the server.
+func (t *LoadTable) IsLeaving(id, incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.servers[id]
 	return ok && s.leavingIncarnation != "" && s.leavingIncarnation == incarnation
 }
 
-// Forget removes the servers that are not in live and have no outstanding requests.
-func (t *Table) Forget(live map[string]bool) {
+// RetainOnly removes the servers that are not in live and have no outstanding requests.
+func (t *LoadTable) RetainOnly(live map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, s := range t.servers {
@@ -118,7 +118,7 @@
 
 // effectiveLoad returns the load of a server that the choice uses: the greater of the outstanding
 // requests and a recent report. t.mu must be held.
-func (t *Table) effectiveLoad(id string, now time.Time) float64 {
+func (t *LoadTable) effectiveLoad(id string, now time.Time) float64 {
 	s, ok := t.servers[id]
 	if !ok {
 		return 0
@@ -131,14 +131,14 @@
 }
 
 // isAvoided reports whether a server is ordered last now. t.mu must be held.
-func (t *Table) isAvoided(id string, now time.Time) bool {
+func (t *LoadTable) isAvoided(id string, now time.Time) bool {
 	s, ok := t.servers[id]
 	return ok && now.Before(s.avoidUntil)
 }
 
 // Order returns the candidates in the order in which to try them. prefix is the hash of the
 // prompt's prefix; 0 means none.
-func (t *Table) Order(candidates []Candidate, prefix uint64, now time.Time) []Candidate {
+func (t *LoadTable) Order(candidates []Candidate, prefix uint64, now time.Time) []Candidate {
 	order := slices.Clone(candidates)
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	t.mu.Lock()
@@ -154,7 +154,7 @@
 
 // rank returns the sort key that orders avoided servers last and, within each group, servers of the
 // process's own hall first.
-func (t *Table) rank(c Candidate, now time.Time) int {
+func (t *LoadTable) rank(c Candidate, now time.Time) int {
 	rank := 0
 	if t.isAvoided(c.ID, now) {
 		rank += 2
@@ -166,7 +166,7 @@
 }
 
 // countUsable returns the number of leading candidates in order that are not avoided.
-func (t *Table) countUsable(order []Candidate, now time.Time) int {
+func (t *LoadTable) countUsable(order []Candidate, now time.Time) int {
 	i := slices.IndexFunc(order, func(c Candidate) bool { return t.isAvoided(c.ID, now) })
 	if i < 0 {
 		return len(order)
@@ -176,7 +176,7 @@
 
 // pickFirst returns the index of the server to try first: the one preferred for the prefix unless
 // its load is over the bound, otherwise the less loaded of two picked at random.
-func (t *Table) pickFirst(order []Candidate, prefix uint64, now time.Time) int {
+func (t *LoadTable) pickFirst(order []Candidate, prefix uint64, now time.Time) int {
 	if len(order) < 2 {
 		return 0
 	}
@@ -194,7 +194,7 @@
 
 // loadBound returns the highest load at which a preferred server is still chosen: loadBoundFactor
 // times the mean, plus one request.
-func (t *Table) loadBound(order []Candidate, now time.Time) float64 {
+func (t *LoadTable) loadBound(order []Candidate, now time.Time) float64 {
 	sum := 0.0
 	for _, c := range order {
 		sum += t.effectiveLoad(c.ID, now)
@@ -204,7 +204,7 @@
 
 // preferredIndex returns the index of the candidate with the highest rendezvous weight for the
 // prefix.
-func (t *Table) preferredIndex(order []Candidate, prefix uint64) int {
+func (t *LoadTable) preferredIndex(order []Candidate, prefix uint64) int {
 	best, bestWeight := 0, uint64(0)
 	for i, c := range order {
 		if weight := rendezvous.Weight(c.ID, prefix); weight >= bestWeight {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -22,7 +22,7 @@
 }
 
 // countFirst returns how often each server came first in n calls of Order.
-func countFirst(t *route.Table, cands []route.Candidate, prefix uint64, n int) map[string]int {
+func countFirst(t *route.LoadTable, cands []route.Candidate, prefix uint64, n int) map[string]int {
 	got := make(map[string]int)
 	for range n {
 		got[t.Order(cands, prefix, now)[0].ID]++
@@ -32,16 +32,16 @@
 
 func TestOrder(t *testing.T) {
 	tests := map[string]struct {
-		setup func(*route.Table)
+		setup func(*route.LoadTable)
 		never string
 	}{
-		"loaded server":      {func(r *route.Table) { r.Report("s0", 50, now) }, ""},
-		"avoided server":     {func(r *route.Table) { r.Avoid("s0", now) }, "s0"},
-		"outstanding counts": {func(r *route.Table) { begin(r, "s0", 50) }, ""},
+		"loaded server":      {func(r *route.LoadTable) { r.ReportLoad("s0", 50, now) }, ""},
+		"avoided server":     {func(r *route.LoadTable) { r.Avoid("s0", now) }, "s0"},
+		"outstanding counts": {func(r *route.LoadTable) { begin(r, "s0", 50) }, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &route.Table{Hall: "h"}
+			r := &route.LoadTable{Hall: "h"}
 			tc.setup(r)
 			got := countFirst(r, candidates(4), 0, 400)
 			// Picks are made with replacement, so a loaded server comes first only if it is picked
@@ -53,7 +53,7 @@
 	}
 }
 
-func begin(r *route.Table, id string, n int) {
+func begin(r *route.LoadTable, id string, n int) {
 	for range n {
 		r.Begin(id)
 	}
@@ -61,7 +61,7 @@
 
 // TestPrefix checks that a prefix keeps its server until the load of that server exceeds the bound.
 func TestPrefix(t *testing.T) {
-	r := &route.Table{}
+	r := &route.LoadTable{}
 	got := countFirst(r, candidates(4), 7, 100)
 	assert.Equal(t, len(got), 1)
 	var preferred string
@@ -74,16 +74,16 @@
 }
 
 func TestOwnHallFirst(t *testing.T) {
-	r := &route.Table{Hall: "b"}
+	r := &route.LoadTable{Hall: "b"}
 	cands := append(candidates(3), route.Candidate{ID: "near", Hall: "b"})
 	assert.Equal(t, r.Order(cands, 0, now)[len(cands)-1].Hall, "h")
 }
 
 func TestLeaving(t *testing.T) {
-	r := &route.Table{}
-	r.Leave("s0", "first")
-	assert.Assert(t, r.Leaving("s0", "first"))
-	assert.Assert(t, !r.Leaving("s0", "second"), "the server was started anew")
+	r := &route.LoadTable{}
+	r.MarkLeaving("s0", "first")
+	assert.Assert(t, r.IsLeaving("s0", "first"))
+	assert.Assert(t, !r.IsLeaving("s0", "second"), "the server was started anew")
 }
 
 func TestRendezvousSpreads(t *testing.T) {
--- a/serverlimit/exchange.go
+++ b/serverlimit/exchange.go
@@ -52,7 +52,7 @@
 
 // Answer merges the records of a message and returns the records that are new for the peer, or nil if there are
 // none.
-func (t *Table) Answer(m Message) *Reply { return exchange.Answer(exchange.Log[Record](t), m) }
+func (t *Table) Answer(m Message) *Reply { return exchange.HandleMessage(exchange.Log[Record](t), m) }
 
 // maxMessageRecords is the maximum number of records in a message. The others follow in the next messages.
 const maxMessageRecords = 256
@@ -103,7 +103,7 @@
 	e := t.entries[r.Server]
 	switch {
 	case e == nil || r.update().isNewerThan(e.update):
-		t.set(r.Server, r.update(), reportedAt, now, Told)
+		t.set(r.Server, r.update(), reportedAt, now, OriginPeer)
 	case r.update() == e.update && reportedAt.After(e.reportedAt):
 		e.reportedAt = reportedAt
 	}
--- a/serverlimit/exchange_test.go
+++ b/serverlimit/exchange_test.go
@@ -36,7 +36,7 @@
 func (g *group) exchange(i int, lost bool) {
 	reply := g.processes[0].Answer(g.links[i].Message("first"))
 	if !lost {
-		g.links[i].Apply(reply)
+		g.links[i].ApplyReply(reply)
 	}
 }
 
@@ -62,7 +62,7 @@
 func TestUpdateReachesAll(t *testing.T) {
 	g := newGroup(5)
 	for _, step := range []struct {
-		reading serverlimit.Reading
+		reading serverlimit.HeaderLimit
 		want    float64
 	}{{two, 2}, {five, 5}, {none, -1}, {two, 2}} {
 		g.clock.Advance(time.Second)
@@ -149,7 +149,7 @@
 func TestAnyOrderOfExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(4)
-		readings := []serverlimit.Reading{none, two, five}
+		readings := []serverlimit.HeaderLimit{none, two, five}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			g.clock.Advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(1, 3).Draw(t, "process")
@@ -173,7 +173,7 @@
 			}
 		}
 		want := last.PerSecond
-		if last.Kind == serverlimit.None {
+		if last.Kind == serverlimit.NoLimit {
 			want = -1
 		}
 		for i, p := range g.processes {
--- a/serverlimit/reading.go
+++ b/serverlimit/reading.go
@@ -6,22 +6,22 @@
 )
 
 // A Kind says whether a response states a limit.
-type Kind int
+type HeaderKind int
 
 // The kinds of limit headers.
 const (
-	// None means that the response states no limit, so the server has none.
-	None Kind = iota
-	// Named means that the response states a limit.
-	Named
-	// Unreadable means that the header is invalid. The response says nothing about the limit.
-	Unreadable
+	// NoLimit means that the response states no limit, so the server has none.
+	NoLimit HeaderKind = iota
+	// Limited means that the response states a limit.
+	Limited
+	// Invalid means that the header is invalid. The response says nothing about the limit.
+	Invalid
 )
 
-// A Reading is the parsed limit header of one response.
-type Reading struct {
-	Kind Kind
-	// PerSecond is the limit if Kind is Named, in requests per second.
+// A HeaderLimit is the parsed limit header of one response.
+type HeaderLimit struct {
+	Kind HeaderKind
+	// PerSecond is the limit if Kind is Limited, in requests per second.
 	PerSecond float64
 }
 
@@ -32,27 +32,27 @@
 	maxPerSecond = 1e6
 )
 
-// Read parses the values of the limit header of a response. Valid are a single decimal number without sign or
+// ParseHeader parses the values of the limit header of a response. Valid are a single decimal number without sign or
 // exponent, or no value. A repeated header is invalid, since the values may contradict each other.
-func Read(values []string) Reading {
+func ParseHeader(values []string) HeaderLimit {
 	switch len(values) {
 	case 0:
-		return Reading{Kind: None}
+		return HeaderLimit{Kind: NoLimit}
 	case 1:
 		return parse(strings.Trim(values[0], " \t"))
 	}
-	return Reading{Kind: Unreadable}
+	return HeaderLimit{Kind: Invalid}
 }
 
-func parse(text string) Reading {
+func parse(text string) HeaderLimit {
 	if !isDecimal(text) {
-		return Reading{Kind: Unreadable}
+		return HeaderLimit{Kind: Invalid}
 	}
 	rate, err := strconv.ParseFloat(text, 64)
 	if err != nil || rate > maxPerSecond {
-		return Reading{Kind: Unreadable}
+		return HeaderLimit{Kind: Invalid}
 	}
-	return Reading{Kind: Named, PerSecond: rate}
+	return HeaderLimit{Kind: Limited, PerSecond: rate}
 }
 
 // isDecimal reports whether the text consists of digits with at most one decimal point, which is not first.
--- a/serverlimit/reading_test.go
+++ b/serverlimit/reading_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestRead(t *testing.T) {
-	named := func(rate float64) serverlimit.Reading {
-		return serverlimit.Reading{Kind: serverlimit.Named, PerSecond: rate}
+	named := func(rate float64) serverlimit.HeaderLimit {
+		return serverlimit.HeaderLimit{Kind: serverlimit.Limited, PerSecond: rate}
 	}
-	unreadable := serverlimit.Reading{Kind: serverlimit.Unreadable}
+	unreadable := serverlimit.HeaderLimit{Kind: serverlimit.Invalid}
 	tests := map[string]struct {
 		values []string
-		want   serverlimit.Reading
+		want   serverlimit.HeaderLimit
 	}{
-		"no header":        {want: serverlimit.Reading{Kind: serverlimit.None}},
+		"no header":        {want: serverlimit.HeaderLimit{Kind: serverlimit.NoLimit}},
 		"decimal":          {values: []string{"1.8"}, want: named(1.8)},
 		"whole":            {values: []string{"12"}, want: named(12)},
 		"zero":             {values: []string{"0"}, want: named(0)},
@@ -46,7 +46,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, serverlimit.Read(test.values), test.want)
+			assert.Equal(t, serverlimit.ParseHeader(test.values), test.want)
 		})
 	}
 }
@@ -57,13 +57,13 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, value string) {
-		r := serverlimit.Read([]string{value})
+		r := serverlimit.ParseHeader([]string{value})
 		switch r.Kind {
-		case serverlimit.Named:
+		case serverlimit.Limited:
 			if math.IsNaN(r.PerSecond) || r.PerSecond < 0 || r.PerSecond > 1e6 {
 				t.Fatalf("Read(%q) returned rate %v", value, r.PerSecond)
 			}
-		case serverlimit.None:
+		case serverlimit.NoLimit:
 			t.Fatalf("Read(%q) returned no limit", value)
 		}
 	})
--- a/serverlimit/rules.go
+++ b/serverlimit/rules.go
@@ -23,10 +23,10 @@
 	requestDuration = 4 * time.Second
 )
 
-// IsInNeed reports whether a server has had a limit for at least minThrottledTime and the present limit is too low to
+// IsThrottled reports whether a server has had a limit for at least minThrottledTime and the present limit is too low to
 // keep a number of slots busy.
-func IsInNeed(s Status, slots int) bool {
-	return s.Since >= minThrottledTime && s.PerSecond*requestDuration.Seconds() < float64(slots)
+func IsThrottled(s Status, slots int) bool {
+	return s.LimitedFor >= minThrottledTime && s.PerSecond*requestDuration.Seconds() < float64(slots)
 }
 
 // Quota returns the limit on what all processes together send to a server that stated a rate.
@@ -35,9 +35,9 @@
 	return quota.Limit{Rate: rate, Burst: 1 + rate*burstTime.Seconds()}
 }
 
-// Window is the length of the time window in which the requests that a server receives are counted against its limit.
-const Window = 4 * time.Second
+// CountingWindow is the length of the time window in which the requests that a server receives are counted against its limit.
+const CountingWindow = 4 * time.Second
 
-// Tolerance returns by how much the Quota of a server may be exceeded. With it, a server receives in any Window at most
+// Tolerance returns by how much the Quota of a server may be exceeded. With it, a server receives in any CountingWindow at most
 // one and a half times its limit and five requests.
-func Tolerance() quota.Tolerance { return quota.Tolerance{Window: Window, Over: 0.4, Slack: 2} }
+func Tolerance() quota.Tolerance { return quota.Tolerance{Window: CountingWindow, Over: 0.4, Slack: 2} }
--- a/serverlimit/table.go
+++ b/serverlimit/table.go
@@ -28,19 +28,19 @@
 	OnChange func(Change)
 }
 
-// A State is the kind of a Change.
-type State string
+// A ChangeKind is the kind of a Change.
+type ChangeKind string
 
 // The states.
 const (
 	// Began says that the server has stated a limit and had none.
-	Began State = "began"
+	Began ChangeKind = "began"
 	// Changed says that the server has stated a different limit.
-	Changed State = "changed"
+	Changed ChangeKind = "changed"
 	// Ended says that the server has sent a response without a limit.
-	Ended State = "ended"
-	// Unheard says that the limit has expired, since no response has stated it for limitTTL.
-	Unheard State = "unheard"
+	Ended ChangeKind = "ended"
+	// Expired says that the limit has expired, since no response has stated it for limitTTL.
+	Expired ChangeKind = "unheard"
 )
 
 // An Origin is the source of an update.
@@ -48,17 +48,17 @@
 
 // The origins.
 const (
-	// Own is this process: a response that it received, or the expiry of a limit.
-	Own Origin = "own"
-	// Told is another process.
-	Told Origin = "told"
+	// OriginLocal is this process: a response that it received, or the expiry of a limit.
+	OriginLocal Origin = "own"
+	// OriginPeer is another process.
+	OriginPeer Origin = "told"
 )
 
 // A Change is the beginning, change or end of a server's limit.
 type Change struct {
 	// Server is the ID of the server instance.
 	Server string
-	State  State
+	Kind   ChangeKind
 	Origin Origin
 	// PerSecond is the new limit, or the last one if the limit has ended, in requests per second.
 	PerSecond float64
@@ -72,9 +72,9 @@
 	Server string
 	// PerSecond is the limit, in requests per second.
 	PerSecond float64
-	// Since is how long this Table has held a limit of the server without interruption, Age the time since a
+	// LimitedFor is how long this Table has held a limit of the server without interruption, Age the time since a
 	// response stated it.
-	Since, Age time.Duration
+	LimitedFor, Age time.Duration
 }
 
 // A Table holds the limits of servers. It is safe for concurrent use.
@@ -109,7 +109,7 @@
 
 // status returns the Status of an entry with a limit.
 func (e *entry) status(server string, now time.Time) Status {
-	return Status{Server: server, PerSecond: e.perSecond, Since: now.Sub(e.limitedSince), Age: now.Sub(e.reportedAt)}
+	return Status{Server: server, PerSecond: e.perSecond, LimitedFor: now.Sub(e.limitedSince), Age: now.Sub(e.reportedAt)}
 }
 
 // New returns an empty Table.
@@ -118,14 +118,14 @@
 }
 
 // Observe processes the parsed limit header of a response of a server. sent is the time when the request was sent.
-func (t *Table) Observe(server string, r Reading, sent time.Time) {
-	if r.Kind == Unreadable || r.Kind == None && !t.Any() {
+func (t *Table) Observe(server string, r HeaderLimit, sent time.Time) {
+	if r.Kind == Invalid || r.Kind == NoLimit && !t.Any() {
 		// An invalid header is ignored. Most responses state no limit while no server has one, and need no lock.
 		return
 	}
 	t.change(func(now time.Time) {
 		e := t.entries[server]
-		if r.Kind == None {
+		if r.Kind == NoLimit {
 			t.observeNoLimit(server, e, sent, now)
 			return
 		}
@@ -138,7 +138,7 @@
 	if e == nil || !e.limited || sent.Before(e.receivedAt) {
 		return
 	}
-	t.set(server, update{sequence: e.sequence + 1}, now, now, Own)
+	t.set(server, update{sequence: e.sequence + 1}, now, now, OriginLocal)
 }
 
 // observeLimit sets a limit, unless the response may be older than the update that removed or lowered it. t.mu must
@@ -146,7 +146,7 @@
 func (t *Table) observeLimit(server string, e *entry, perSecond float64, sent, now time.Time) {
 	next := update{limited: true, perSecond: perSecond, sequence: 1}
 	if e == nil {
-		t.set(server, next, now, now, Own)
+		t.set(server, next, now, now, OriginLocal)
 		return
 	}
 	next.sequence = e.sequence + 1
@@ -158,7 +158,7 @@
 		e.receivedAt, e.reportedAt = now, now
 		return
 	}
-	t.set(server, next, now, now, Own)
+	t.set(server, next, now, now, OriginLocal)
 }
 
 // Any reports whether any server has a limit. It takes no lock.
@@ -216,7 +216,7 @@
 		maps.DeleteFunc(t.entries, func(_ string, e *entry) bool { return !e.limited && now.Sub(e.receivedAt) > limitTTL })
 		for server, e := range t.entries {
 			if e.limited && now.Sub(e.reportedAt) > limitTTL {
-				t.addChange(Change{Server: server, State: Unheard, Origin: Own, PerSecond: e.perSecond, Age: now.Sub(e.reportedAt)})
+				t.addChange(Change{Server: server, Kind: Expired, Origin: OriginLocal, PerSecond: e.perSecond, Age: now.Sub(e.reportedAt)})
 				t.store(server, e, update{sequence: e.sequence + 1}, now, now)
 			}
 		}
@@ -236,7 +236,7 @@
 		if state == Ended {
 			rate = e.perSecond
 		}
-		t.addChange(Change{Server: server, State: state, Origin: origin, PerSecond: rate, Age: now.Sub(reportedAt)})
+		t.addChange(Change{Server: server, Kind: state, Origin: origin, PerSecond: rate, Age: now.Sub(reportedAt)})
 	}
 	t.store(server, e, u, reportedAt, now)
 }
--- a/serverlimit/table_test.go
+++ b/serverlimit/table_test.go
@@ -12,9 +12,9 @@
 
 // Limit headers used by the tests.
 var (
-	none = serverlimit.Reading{Kind: serverlimit.None}
-	two  = serverlimit.Reading{Kind: serverlimit.Named, PerSecond: 2}
-	five = serverlimit.Reading{Kind: serverlimit.Named, PerSecond: 5}
+	none = serverlimit.HeaderLimit{Kind: serverlimit.NoLimit}
+	two  = serverlimit.HeaderLimit{Kind: serverlimit.Limited, PerSecond: 2}
+	five = serverlimit.HeaderLimit{Kind: serverlimit.Limited, PerSecond: 5}
 )
 
 const testServer = "s1"
@@ -53,11 +53,11 @@
 	afterMs int
 	// tookMs is the time since the request was sent.
 	tookMs  int
-	reading serverlimit.Reading
+	reading serverlimit.HeaderLimit
 }
 
 func TestOrderOfAnswers(t *testing.T) {
-	unreadable := serverlimit.Reading{Kind: serverlimit.Unreadable}
+	unreadable := serverlimit.HeaderLimit{Kind: serverlimit.Invalid}
 	tests := map[string]struct {
 		steps []responseStep
 		want  float64
@@ -74,7 +74,7 @@
 		"brought back by what was sent after":   {steps: []responseStep{{0, 10, two}, {20, 10, none}, {50, 10, two}}, want: 2},
 		"neither set nor ended by what is none": {steps: []responseStep{{0, 10, two}, {20, 10, unreadable}}, want: 2},
 		"unreadable alone":                      {steps: []responseStep{{0, 10, unreadable}}, want: -1},
-		"zero":                                  {steps: []responseStep{{0, 10, serverlimit.Reading{Kind: serverlimit.Named}}}, want: 0},
+		"zero":                                  {steps: []responseStep{{0, 10, serverlimit.HeaderLimit{Kind: serverlimit.Limited}}}, want: 0},
 		"not ended by an answer sent before it was named again": {
 			steps: []responseStep{{0, 10, two}, {1000, 10, two}, {10, 20, none}}, want: 2,
 		},
@@ -103,19 +103,19 @@
 	p.clock.Advance(11 * time.Second)
 	p.Expire()
 	assert.Equal(t, p.limit(), -1.0)
-	assert.Equal(t, p.changes[len(p.changes)-1].State, serverlimit.Unheard)
+	assert.Equal(t, p.changes[len(p.changes)-1].Kind, serverlimit.Expired)
 }
 
 // TestChangesAreReported checks that each change of a limit is reported once.
 func TestChangesAreReported(t *testing.T) {
 	p := newProcess()
-	for _, r := range []serverlimit.Reading{two, two, five, none, none} {
+	for _, r := range []serverlimit.HeaderLimit{two, two, five, none, none} {
 		p.clock.Advance(time.Second)
 		p.Observe(testServer, r, p.ago(10))
 	}
-	var states []serverlimit.State
+	var states []serverlimit.ChangeKind
 	for _, c := range p.changes {
-		states = append(states, c.State)
+		states = append(states, c.Kind)
 	}
-	assert.DeepEqual(t, states, []serverlimit.State{serverlimit.Began, serverlimit.Changed, serverlimit.Ended})
+	assert.DeepEqual(t, states, []serverlimit.ChangeKind{serverlimit.Began, serverlimit.Changed, serverlimit.Ended})
 }
--- a/serverlimit/word.go
+++ b/serverlimit/word.go
@@ -23,7 +23,7 @@
 }
 
 // transition returns how the next update changes the limit; changed is false if the limit remains the same.
-func (u update) transition(next update) (s State, changed bool) {
+func (u update) transition(next update) (s ChangeKind, changed bool) {
 	switch {
 	case next.limited && !u.limited:
 		return Began, true
--- a/table/check.go
+++ b/table/check.go
@@ -68,10 +68,10 @@
 	c.require(slices.Contains(Kinds, r.Kind), "kind", r.Kind, "model, adapter or service")
 	c.require(slices.Contains(Tiers, r.Tier), "tier", r.Tier, "premium, standard or economy")
 	c.require(r.Weight >= 1 && r.Weight <= maxWeight, "weight", r.Weight, "a whole number from 1 to 1000")
-	c.require(r.Share >= 1 && r.Share <= maxShare, "share", r.Share, "a whole percentage from 1 to 100")
-	c.require(r.Concurrency >= 0 && r.Concurrency <= maxConcurrency, "concurrency", r.Concurrency,
+	c.require(r.MaxSlotShare >= 1 && r.MaxSlotShare <= maxShare, "share", r.MaxSlotShare, "a whole percentage from 1 to 100")
+	c.require(r.MaxConcurrency >= 0 && r.MaxConcurrency <= maxConcurrency, "concurrency", r.MaxConcurrency,
 		"a whole number from 0 (no limit) to 100000")
-	c.require(r.QueueTime >= 0 && r.QueueTime <= maxQueueTime, "queue_time", r.QueueTime,
+	c.require(r.MaxQueueTime >= 0 && r.MaxQueueTime <= maxQueueTime, "queue_time", r.MaxQueueTime,
 		"a duration from 0s to 10m, such as 1500ms or 30s")
 	c.require(!strings.ContainsAny(r.Organisation, "\r\n,\""), "customer", r.Organisation, "one line without comma or quote")
 }
--- a/table/column.go
+++ b/table/column.go
@@ -38,9 +38,9 @@
 	textColumn("customer", func(r *Row) *string { return &r.Organisation }),
 	textColumn("tier", func(r *Row) *string { return (*string)(&r.Tier) }),
 	numberColumn("weight", "", defaultWeight, func(r *Row) *int { return &r.Weight }),
-	numberColumn("share", "%", defaultShare, func(r *Row) *int { return &r.Share }),
-	numberColumn("concurrency", "", 0, func(r *Row) *int { return &r.Concurrency }),
-	{name: "queue_time", get: func(r Row) string { return r.QueueTime.String() }, set: (*Row).setQueueTime},
+	numberColumn("share", "%", defaultShare, func(r *Row) *int { return &r.MaxSlotShare }),
+	numberColumn("concurrency", "", 0, func(r *Row) *int { return &r.MaxConcurrency }),
+	{name: "queue_time", get: func(r Row) string { return r.MaxQueueTime.String() }, set: (*Row).setQueueTime},
 	textColumn("path", func(r *Row) *string { return &r.Path }),
 }
 
@@ -90,14 +90,14 @@
 // setQueueTime parses the queue time. An empty value sets the default.
 func (r *Row) setQueueTime(value string) (string, bool) {
 	if value == "" {
-		r.QueueTime = defaultQueueTime
+		r.MaxQueueTime = defaultQueueTime
 		return "", true
 	}
 	d, err := time.ParseDuration(value)
 	if err != nil {
 		return "a duration such as 1500ms or 30s", false
 	}
-	r.QueueTime = d
+	r.MaxQueueTime = d
 	return "", true
 }
 
@@ -106,7 +106,7 @@
 func NewRow(name string) Row {
 	return Row{
 		Name: name, Kind: KindModel, Tier: TierStandard,
-		Weight: defaultWeight, Share: defaultShare, QueueTime: defaultQueueTime,
+		Weight: defaultWeight, MaxSlotShare: defaultShare, MaxQueueTime: defaultQueueTime,
 	}
 }
 
--- a/table/csv_test.go
+++ b/table/csv_test.go
@@ -39,7 +39,7 @@
 	rows, err := table.ReadCSV(strings.NewReader("name,share,weight\nm,50%,\n"))
 	assert.NilError(t, err)
 	want := table.NewRow("m")
-	want.Share = 50
+	want.MaxSlotShare = 50
 	assert.DeepEqual(t, rows, []table.Row{want})
 }
 
--- a/table/diff.go
+++ b/table/diff.go
@@ -15,14 +15,14 @@
 		if ok && previous.equalExceptVersion(r) {
 			continue
 		}
-		changes = append(changes, Change{Name: r.Name, Seen: previous.Version, Row: &r})
+		changes = append(changes, Change{Name: r.Name, ExpectedVersion: previous.Version, Row: &r})
 	}
 	if !replace {
 		return changes
 	}
 	for _, r := range old {
 		if !inNext[r.Name] {
-			changes = append(changes, Change{Name: r.Name, Seen: r.Version})
+			changes = append(changes, Change{Name: r.Name, ExpectedVersion: r.Version})
 		}
 	}
 	return changes
--- a/table/log.go
+++ b/table/log.go
@@ -192,8 +192,8 @@
 func checkRowVersions(t *Table, e Edit) error {
 	for _, c := range e.Changes {
 		current, _ := t.Row(c.Name)
-		if current.Version != c.Seen {
-			return eris.Wrapf(ErrRowConflict, "row %q is at version %d, the edit saw %d", c.Name, current.Version, c.Seen)
+		if current.Version != c.ExpectedVersion {
+			return eris.Wrapf(ErrRowConflict, "row %q is at version %d, the edit saw %d", c.Name, current.Version, c.ExpectedVersion)
 		}
 	}
 	return nil
--- a/table/log_test.go
+++ b/table/log_test.go
@@ -35,7 +35,7 @@
 		"row changed since":       {rowChange("a", 3, 1), table.ErrRowConflict},
 		"other row":               {rowChange("b", 2, 1), nil},
 		"row thought absent":      {rowChange("b", 9, 0), table.ErrRowConflict},
-		"removal of changed row":  {table.Change{Name: "a", Seen: 1}, table.ErrRowConflict},
+		"removal of changed row":  {table.Change{Name: "a", ExpectedVersion: 1}, table.ErrRowConflict},
 		"table that fails checks": {rowChange("a b", 1, 0), table.ErrInvalid},
 	}
 	for _, name := range []string{
@@ -64,7 +64,7 @@
 			s, store := standintest.KV(t)
 			l := table.NewLog(store, clocktest.Real{}, nil)
 			mustSave(t, l, "first", rowChange("a", 1, 0))
-			s.SetFaults(standin.Faults{LoseAnswers: lost})
+			s.SetFaults(standin.Faults{LoseResponses: lost})
 			tab := mustSave(t, l, "second", rowChange("a", 2, 1))
 			assert.Equal(t, tab.Version(), uint64(2))
 			assert.Equal(t, mustSave(t, l, "second", rowChange("a", 2, 1)).Version(), uint64(2))
--- a/table/organisation.go
+++ b/table/organisation.go
@@ -13,9 +13,9 @@
 	UnitTokens LimitUnit = "tokens"
 )
 
-// A Limit is the rate limit of an organisation across all gateways. In any period of s seconds its
+// A RateLimit is the rate limit of an organisation across all gateways. In any period of s seconds its
 // requests may cost at most s*PerSecond + Burst units.
-type Limit struct {
+type RateLimit struct {
 	Unit LimitUnit
 	// PerSecond is the rate in units per second. 0 means no limit.
 	PerSecond float64
@@ -26,11 +26,11 @@
 }
 
 // IsLimited reports whether the rate is limited.
-func (l Limit) IsLimited() bool { return l.PerSecond > 0 }
+func (l RateLimit) IsLimited() bool { return l.PerSecond > 0 }
 
 // Cost returns the cost of a request in units of the limit. The argument tokens is the number that the
 // request states, 0 if it states none.
-func (l Limit) Cost(tokens int) float64 {
+func (l RateLimit) Cost(tokens int) float64 {
 	switch {
 	case l.Unit != UnitTokens:
 		return 1
@@ -44,8 +44,8 @@
 type Organisation struct {
 	Name string
 	// Priority overrides the priority of the route if it is not nil.
-	Priority *int
-	Limit    Limit
+	Priority  *int
+	RateLimit RateLimit
 }
 
 // WithOrganisations returns a copy of the routing with the given organisations and API keys. If the list
@@ -60,11 +60,11 @@
 	return &result
 }
 
-// NeedsKeys reports whether requests need an API key, which is so if there are organisations.
-func (r *Routing) NeedsKeys() bool { return len(r.organisations) > 0 }
+// RequiresKeys reports whether requests need an API key, which is so if there are organisations.
+func (r *Routing) RequiresKeys() bool { return len(r.organisations) > 0 }
 
-// KeyHolder returns the organisation that an API key belongs to.
-func (r *Routing) KeyHolder(k apikey.Digest) (Organisation, bool) {
+// OrganisationByKey returns the organisation that an API key belongs to.
+func (r *Routing) OrganisationByKey(k apikey.Digest) (Organisation, bool) {
 	if r.keys == nil {
 		return Organisation{}, false
 	}
--- a/table/replica.go
+++ b/table/replica.go
@@ -20,8 +20,8 @@
 	return &Table{}
 }
 
-// Offer replaces the current table with t if t is newer, and reports whether it did.
-func (r *Replica) Offer(t *Table) bool {
+// StoreIfNewer replaces the current table with t if t is newer, and reports whether it did.
+func (r *Replica) StoreIfNewer(t *Table) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.Version() <= r.Current().Version() {
--- a/table/routing.go
+++ b/table/routing.go
@@ -15,15 +15,15 @@
 const (
 	// RetryNever is the policy of requests that must run at most once.
 	RetryNever RetryPolicy = "never"
-	// RetryWhole is the policy of idempotent requests, which may be run again from the start.
-	RetryWhole RetryPolicy = "whole"
+	// RetryIdempotent is the policy of idempotent requests, which may be run again from the start.
+	RetryIdempotent RetryPolicy = "whole"
 	// RetryResume is the policy of streams that another server can resume after the last
 	// event sent.
 	RetryResume RetryPolicy = "resume"
 )
 
-// A Share is a service that receives a weighted part of a route's requests.
-type Share struct {
+// A WeightedService is a service that receives a weighted part of a route's requests.
+type WeightedService struct {
 	Service string
 	// Weight is relative to the other weights of the route.
 	Weight int
@@ -34,9 +34,9 @@
 	Name   string
 	Host   string
 	Prefix string
-	// Shares lists the services of the route, usually one.
-	Shares []Share
-	Retry  RetryPolicy
+	// Services lists the services of the route, usually one.
+	Services []WeightedService
+	Retry    RetryPolicy
 	// Stream reports whether responses are streams of server-sent events.
 	Stream bool
 	// Timeout is the maximum time to handle a request.
@@ -46,12 +46,12 @@
 	FirstByteObjective time.Duration
 	// EventGapObjective is the service-level objective for the time between two events.
 	EventGapObjective time.Duration
-	// Attempts is the maximum number of backend servers that may run a request.
-	Attempts int
+	// MaxAttempts is the maximum number of backend servers that may run a request.
+	MaxAttempts int
 	// Priority ranks the route's requests. 0 is the most urgent.
 	Priority int
-	// Open reports whether requests need no API key.
-	Open bool
+	// Public reports whether requests need no API key.
+	Public bool
 }
 
 // A ModelSpec describes a model that an engine can load.
@@ -62,8 +62,8 @@
 	// StoreLoadTime, MemoryLoadTime and DiskLoadTime are the times to load the model from
 	// the weight store, from the memory of the engine's machine and from its disk.
 	StoreLoadTime, MemoryLoadTime, DiskLoadTime time.Duration
-	// Adapters is the number of the model's adapters, which are named a1, a2 and so on.
-	Adapters int
+	// AdapterCount is the number of the model's adapters, which are named a1, a2 and so on.
+	AdapterCount int
 	// AdapterMB is the memory that each adapter occupies on an engine.
 	AdapterMB float64
 }
@@ -221,26 +221,26 @@
 	return routes.match(path)
 }
 
-// Pick selects one of the route's services in proportion to their weights, given a uniformly
+// PickService selects one of the route's services in proportion to their weights, given a uniformly
 // distributed random number. It returns "" if the route has no services. If no weight is positive, it
 // returns the first service.
-func (r Route) Pick(random uint64) string {
+func (r Route) PickService(random uint64) string {
 	total := 0
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		total += max(s.Weight, 0)
 	}
 	if total == 0 {
-		if len(r.Shares) == 0 {
+		if len(r.Services) == 0 {
 			return ""
 		}
-		return r.Shares[0].Service
+		return r.Services[0].Service
 	}
 	remaining := int(random % uint64(total))
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		remaining -= max(s.Weight, 0)
 		if remaining < 0 {
 			return s.Service
 		}
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
--- a/table/row.go
+++ b/table/row.go
@@ -66,11 +66,11 @@
 	Weight int `json:"weight"`
 	// Share is the maximum percentage of a backend server's slots that the row may
 	// occupy. 100 means no limit.
-	Share int `json:"share"`
-	// Concurrency is the maximum number of running requests. 0 means no limit.
-	Concurrency int `json:"concurrency,omitempty"`
-	// QueueTime is the maximum time that a request may be queued.
-	QueueTime time.Duration `json:"queue_time"`
+	MaxSlotShare int `json:"share"`
+	// MaxConcurrency is the maximum number of running requests. 0 means no limit.
+	MaxConcurrency int `json:"concurrency,omitempty"`
+	// MaxQueueTime is the maximum time that a request may be queued.
+	MaxQueueTime time.Duration `json:"queue_time"`
 	// Path is the path prefix of the requests that a plain service handles.
 	Path string `json:"path,omitempty"`
 	// Version is the table version that last changed the row. It is set by Table.Apply.
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -23,10 +23,10 @@
 
 // A snapshot is a complete table as stored in the key-value service, in gzipped JSON.
 type snapshot struct {
-	Version  uint64    `json:"version"`
-	Floor    uint64    `json:"floor"`
-	Rows     []Row     `json:"rows"`
-	Removals []Removal `json:"removals"`
+	Version        uint64      `json:"version"`
+	TombstoneFloor uint64      `json:"floor"`
+	Rows           []Row       `json:"rows"`
+	Tombstones     []Tombstone `json:"removals"`
 }
 
 // snapshotKey returns the key of a snapshot. It includes the ID of the edit because two
@@ -37,7 +37,7 @@
 
 // writeSnapshot stores a snapshot of t for the edit with the given ID.
 func (l *Log) writeSnapshot(ctx context.Context, t *Table, id string) error {
-	s := snapshot{Version: t.version, Floor: t.floor, Rows: t.Rows(), Removals: t.removals}
+	s := snapshot{Version: t.version, TombstoneFloor: t.tombstoneFloor, Rows: t.Rows(), Tombstones: t.tombstones}
 	var buf bytes.Buffer
 	z := gzip.NewWriter(&buf)
 	if err := json.NewEncoder(z).Encode(s); err != nil {
@@ -88,7 +88,7 @@
 	if err := json.NewDecoder(io.LimitReader(z, maxSnapshotBytes)).Decode(&s); err != nil {
 		return nil, eris.Wrap(err, "table: decode snapshot")
 	}
-	t := &Table{version: s.Version, floor: s.Floor, rows: make(map[string]Row), removals: s.Removals}
+	t := &Table{version: s.Version, tombstoneFloor: s.TombstoneFloor, rows: make(map[string]Row), tombstones: s.Tombstones}
 	for _, r := range s.Rows {
 		t.rows[r.Name] = r
 	}
--- a/table/table.go
+++ b/table/table.go
@@ -6,12 +6,12 @@
 	"sync"
 )
 
-// maxRemovals is the maximum number of removals that a table retains for deltas: twice the
+// maxTombstones is the maximum number of removals that a table retains for deltas: twice the
 // number of rows that the system is designed for (docs/CAPACITY.md).
-const maxRemovals = 1024
+const maxTombstones = 1024
 
-// A Removal is the tombstone of a removed row.
-type Removal struct {
+// A Tombstone is the tombstone of a removed row.
+type Tombstone struct {
 	Name string `json:"name"`
 	// Version is the table version that removed the row.
 	Version uint64 `json:"version"`
@@ -21,10 +21,10 @@
 // concurrent use. Its zero value is the empty table of version 0.
 type Table struct {
 	version uint64
-	// floor is the version after which removals is complete.
-	floor    uint64
-	rows     map[string]Row
-	removals []Removal
+	// tombstoneFloor is the version after which removals is complete.
+	tombstoneFloor uint64
+	rows           map[string]Row
+	tombstones     []Tombstone
 	// sorted holds the rows ordered by name. It is valid after sort has run.
 	sort   sync.Once
 	sorted []Row
@@ -51,8 +51,8 @@
 // A Change sets or removes one row.
 type Change struct {
 	Name string `json:"name"`
-	// Seen is the row version that the change expects, 0 if the row must not exist.
-	Seen uint64 `json:"seen"`
+	// ExpectedVersion is the row version that the change expects, 0 if the row must not exist.
+	ExpectedVersion uint64 `json:"seen"`
 	// Row is the new row, nil to remove the row.
 	Row *Row `json:"row,omitempty"`
 }
@@ -74,10 +74,10 @@
 // that the edit sets to its present settings keeps its version.
 func (t *Table) Apply(e Edit, version uint64) *Table {
 	next := &Table{
-		version:  version,
-		floor:    t.floor,
-		rows:     maps.Clone(t.rows),
-		removals: slices.Clone(t.removals),
+		version:        version,
+		tombstoneFloor: t.tombstoneFloor,
+		rows:           maps.Clone(t.rows),
+		tombstones:     slices.Clone(t.tombstones),
 	}
 	if next.rows == nil {
 		next.rows = make(map[string]Row)
@@ -102,40 +102,40 @@
 		return
 	}
 	delete(t.rows, name)
-	t.removals = append(t.removals, Removal{Name: name, Version: version})
-	if extra := len(t.removals) - maxRemovals; extra > 0 {
-		t.floor = t.removals[extra-1].Version
-		t.removals = slices.Clone(t.removals[extra:])
+	t.tombstones = append(t.tombstones, Tombstone{Name: name, Version: version})
+	if extra := len(t.tombstones) - maxTombstones; extra > 0 {
+		t.tombstoneFloor = t.tombstones[extra-1].Version
+		t.tombstones = slices.Clone(t.tombstones[extra:])
 	}
 }
 
 // A Delta holds the rows that changed between two versions.
 type Delta struct {
-	// To is the table version that the delta leads to.
-	To uint64 `json:"to"`
+	// Version is the table version that the delta leads to.
+	Version uint64 `json:"to"`
 	// Full reports whether Rows is the complete table rather than a difference.
 	Full bool `json:"full,omitempty"`
-	// Floor is the version after which the sender's list of removals is complete.
-	Floor   uint64    `json:"floor,omitempty"`
-	Rows    []Row     `json:"rows,omitempty"`
-	Removed []Removal `json:"removed,omitempty"`
+	// TombstoneFloor is the version after which the sender's list of removals is complete.
+	TombstoneFloor uint64      `json:"floor,omitempty"`
+	Rows           []Row       `json:"rows,omitempty"`
+	Tombstones     []Tombstone `json:"removed,omitempty"`
 }
 
-// Since returns the delta from the given version to this table, or nil if the version is
+// DeltaSince returns the delta from the given version to this table, or nil if the version is
 // not older than the table's.
-func (t *Table) Since(version uint64) *Delta {
+func (t *Table) DeltaSince(version uint64) *Delta {
 	if version >= t.version {
 		return nil
 	}
-	d := &Delta{To: t.version, Full: version == 0 || version < t.floor, Floor: t.floor}
+	d := &Delta{Version: t.version, Full: version == 0 || version < t.tombstoneFloor, TombstoneFloor: t.tombstoneFloor}
 	for _, r := range t.Rows() {
 		if d.Full || r.Version > version {
 			d.Rows = append(d.Rows, r)
 		}
 	}
-	for _, r := range t.removals {
+	for _, r := range t.tombstones {
 		if d.Full || r.Version > version {
-			d.Removed = append(d.Removed, r)
+			d.Tombstones = append(d.Tombstones, r)
 		}
 	}
 	return d
@@ -144,20 +144,20 @@
 // Merge returns the table with the delta applied, or t itself if the delta is nil or not
 // newer than t.
 //
-// The delta must have been created by Since for the version of t or a lower one.
+// The delta must have been created by DeltaSince for the version of t or a lower one.
 func (t *Table) Merge(d *Delta) *Table {
-	if d == nil || d.To <= t.version {
+	if d == nil || d.Version <= t.version {
 		return t
 	}
-	next := &Table{version: d.To, floor: d.Floor, rows: make(map[string]Row)}
+	next := &Table{version: d.Version, tombstoneFloor: d.TombstoneFloor, rows: make(map[string]Row)}
 	if !d.Full {
 		maps.Copy(next.rows, t.rows)
-		next.removals = slices.Clone(t.removals)
+		next.tombstones = slices.Clone(t.tombstones)
 	}
-	for _, r := range d.Removed {
+	for _, r := range d.Tombstones {
 		if r.Version > t.version || d.Full {
 			delete(next.rows, r.Name)
-			next.removals = append(next.removals, r)
+			next.tombstones = append(next.tombstones, r)
 		}
 	}
 	for _, r := range d.Rows {
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -18,7 +18,7 @@
 }
 
 func rowChange(name string, weight int, seen uint64) table.Change {
-	return table.Change{Name: name, Seen: seen, Row: validRow(name, weight)}
+	return table.Change{Name: name, ExpectedVersion: seen, Row: validRow(name, weight)}
 }
 
 func TestCheck(t *testing.T) {
@@ -37,9 +37,9 @@
 		"unknown kind":         {row: change(func(r *table.Row) { r.Kind = "x" }), column: "kind"},
 		"unknown tier":         {row: change(func(r *table.Row) { r.Tier = "gold" }), column: "tier"},
 		"weight 0":             {row: change(func(r *table.Row) { r.Weight = 0 }), column: "weight"},
-		"share 101":            {row: change(func(r *table.Row) { r.Share = 101 }), column: "share"},
-		"concurrency below 0":  {row: change(func(r *table.Row) { r.Concurrency = -1 }), column: "concurrency"},
-		"queue time too long":  {row: change(func(r *table.Row) { r.QueueTime = time.Hour }), column: "queue_time"},
+		"share 101":            {row: change(func(r *table.Row) { r.MaxSlotShare = 101 }), column: "share"},
+		"concurrency below 0":  {row: change(func(r *table.Row) { r.MaxConcurrency = -1 }), column: "concurrency"},
+		"queue time too long":  {row: change(func(r *table.Row) { r.MaxQueueTime = time.Hour }), column: "queue_time"},
 		"model with base":      {row: change(func(r *table.Row) { r.Base = "b" }), column: "base"},
 		"adapter without base": {row: change(func(r *table.Row) { r.Kind, r.Base = table.KindAdapter, "none" }), column: "base"},
 		"model with path":      {row: change(func(r *table.Row) { r.Path = "/x" }), column: "path"},
@@ -83,7 +83,7 @@
 		for range 20 {
 			source := versions[rapid.IntRange(0, n).Draw(t, "source")]
 			before := r.Current().Version()
-			r.Merge(source.Since(before))
+			r.Merge(source.DeltaSince(before))
 			assert.Equal(t, r.Current().Version(), max(before, source.Version()))
 			assert.DeepEqual(t, r.Current().Rows(), versions[r.Current().Version()].Rows())
 		}
@@ -95,13 +95,13 @@
 	one := zero.Apply(table.Edit{Changes: []table.Change{rowChange("m", 1, 0)}}, 1)
 	two := one.Apply(table.Edit{Changes: []table.Change{rowChange("m", 2, 1)}}, 2)
 	var r table.Replica
-	assert.Assert(t, r.Offer(two))
-	assert.Assert(t, !r.Offer(one))
-	assert.Assert(t, !r.Merge(one.Since(0)))
+	assert.Assert(t, r.StoreIfNewer(two))
+	assert.Assert(t, !r.StoreIfNewer(one))
+	assert.Assert(t, !r.Merge(one.DeltaSince(0)))
 	assert.Equal(t, r.Current().Version(), uint64(2))
 }
 
-func TestDeltaIsFullBeyondRetainedRemovals(t *testing.T) {
+func TestDeltaIsFullBeyondRetainedTombstones(t *testing.T) {
 	tab := (&table.Table{}).Apply(table.Edit{Changes: []table.Change{rowChange("keep", 1, 0), rowChange("early", 1, 0)}}, 1)
 	early := tab
 	tab = tab.Apply(table.Edit{Changes: []table.Change{{Name: "early"}}}, 2)
@@ -109,7 +109,7 @@
 		tab = tab.Apply(table.Edit{Changes: []table.Change{rowChange("x", 1, 0)}}, v)
 		tab = tab.Apply(table.Edit{Changes: []table.Change{{Name: "x"}}}, v+1)
 	}
-	d := tab.Since(early.Version())
+	d := tab.DeltaSince(early.Version())
 	assert.Assert(t, d.Full)
 	assert.DeepEqual(t, early.Merge(d).Rows(), tab.Rows())
 }
--- a/tools/lab/main.go
+++ b/tools/lab/main.go
@@ -55,7 +55,7 @@
 const entryPort = 8080
 
 func runSystem(ctx context.Context, bin, dir string) error {
-	o := lab.Small(bin, dir)
+	o := lab.SmallOptions(bin, dir)
 	o.EntryPort = entryPort
 	s, err := lab.Start(ctx, o)
 	if err != nil {
--- a/tools/lab/smoke.go
+++ b/tools/lab/smoke.go
@@ -36,7 +36,7 @@
 	ctx, cancel := context.WithTimeout(ctx, smokeTimeout)
 	defer cancel()
 	started := time.Now()
-	s, err := lab.Start(ctx, lab.Small(bin, dir))
+	s, err := lab.Start(ctx, lab.SmallOptions(bin, dir))
 	if err != nil {
 		return eris.Wrapf(err, "logs in %s", dir)
 	}
@@ -61,14 +61,14 @@
 }
 
 // chat sends a streamed chat request and checks that the response is complete and belongs to the request.
-func (t *smokeTest) chat(ctx context.Context, addr, model, prompt string, tokens int) (lab.Answer, error) {
+func (t *smokeTest) chat(ctx context.Context, addr, model, prompt string, tokens int) (lab.Response, error) {
 	body := lab.ChatBody(model, prompt, tokens, true)
 	a := t.caller.Send(ctx, lab.Request{Addr: addr, Body: body})
 	req, err := openai.ParseRequest(body)
 	if err != nil {
 		return a, err
 	}
-	if !a.Whole || a.Outcome != wire.OutcomeAnswered || a.Text != standin.Text(req, tokens) {
+	if !a.Complete || a.Outcome != wire.OutcomeAnswered || a.Text != standin.ResponseText(req, tokens) {
 		return a, eris.Errorf("smoke: %s: incomplete or wrong response: status %d, outcome %q, %d of %d tokens, error %v",
 			model, a.Status, a.Outcome, a.Tokens, tokens, a.Err)
 	}
@@ -96,7 +96,7 @@
 	if first.Outcome != wire.OutcomeAnswered || !second.Replayed || first.Body != second.Body {
 		return eris.Errorf("smoke: service call: first %+v, second %+v", first, second)
 	}
-	var e standin.EffectsAnswer
+	var e standin.EffectsResponse
 	i := slices.IndexFunc(t.Backends, func(b *lab.Backend) bool { return b.Service })
 	if err := lab.Fetch(ctx, t.Backends[i].URL+"/effects", &e); err != nil {
 		return err
@@ -117,11 +117,11 @@
 	row := table.NewRow("hint")
 	row.Weight, row.Organisation = 7, "guild"
 	started := time.Now()
-	version, err := t.Save(ctx, []table.Change{{Name: row.Name, Seen: st.TableVersion, Row: &row}})
+	version, err := t.SaveChanges(ctx, []table.Change{{Name: row.Name, ExpectedVersion: st.TableVersion, Row: &row}})
 	if err != nil {
 		return err
 	}
-	if err := t.AwaitVersion(ctx, version); err != nil {
+	if err := t.AwaitTableVersion(ctx, version); err != nil {
 		return err
 	}
 	t.note("edit in force everywhere in %s", time.Since(started).Round(time.Millisecond))
@@ -138,9 +138,9 @@
 	}()
 	inProgress := func() bool {
 		st, err := t.Status(ctx, n, false)
-		return err == nil && st.Waiting > 0
+		return err == nil && st.InProgress > 0
 	}
-	if err := lab.Until(ctx, "the stream runs", inProgress); err != nil {
+	if err := lab.WaitUntil(ctx, "the stream runs", inProgress); err != nil {
 		return err
 	}
 	if err := t.SetVM(ctx, n, inventory.RoleEntry, inventory.VMLeaving); err != nil {
@@ -173,7 +173,7 @@
 		}
 	}
 	t.Stop()
-	if left := t.Left(); len(left) > 0 {
+	if left := t.RunningProcesses(); len(left) > 0 {
 		return eris.Errorf("smoke: processes still running: %v", left)
 	}
 	t.note("no process left")
