--- a/internal/proofs/proxy_test.go
+++ b/internal/proofs/proxy_test.go
@@ -13,18 +13,18 @@
 	"rockcleat/internal/lab"
 )
 
-// A faultProxy stands between others and one address.
+// A faultProxy is a TCP proxy that injects network faults.
 type faultProxy struct {
 	*toxiproxy.Proxy
 }
 
-// Directions of a toxic: what the callee sends, and what the caller sends.
+// Directions of a toxic: data sent by the server and data sent by the client.
 const (
-	fromCallee = "downstream"
-	fromCaller = "upstream"
+	fromServer = "downstream"
+	fromClient = "upstream"
 )
 
-func (tr *trial) proxy(upstream string) *faultProxy {
+func (tr *trial) startProxy(upstream string) *faultProxy {
 	tr.t.Helper()
 	addr, err := lab.FreeAddr()
 	tr.must(err)
@@ -35,28 +35,28 @@
 	return &faultProxy{Proxy: p}
 }
 
-// add adds a toxic with attributes in JSON.
-func (p *faultProxy) add(tr *trial, kind, direction, attributes string) {
+// addToxic adds a toxic; attributes are the members of a JSON object.
+func (p *faultProxy) addToxic(tr *trial, kind, direction, attributes string) {
 	text := fmt.Sprintf(`{"name":%q,"type":%q,"stream":%q,"attributes":{%s}}`, kind+direction, kind, direction, attributes)
 	_, err := p.Toxics.AddToxicJson(strings.NewReader(text))
 	assert.Check(tr.t, err)
 }
 
-// heal removes every toxic.
-func (p *faultProxy) heal() { p.Toxics.ResetToxics(context.Background()) }
+// removeToxics removes all toxics.
+func (p *faultProxy) removeToxics() { p.Toxics.ResetToxics(context.Background()) }
 
-// proxied puts proxies before a backend's agent, one for requests and one for
-// control, and tells the platform's list of them.
-func (tr *trial) proxied(b *lab.Backend) (requests, control *faultProxy) {
-	requests, control = tr.proxy(b.Agent.Addr), tr.proxy(b.Agent.Control)
+// proxyAgent starts proxies for the request and control addresses of a backend's agent, puts their
+// addresses into the platform's list and waits until every entry lists the proxy for requests.
+func (tr *trial) proxyAgent(b *lab.Backend) (requests, control *faultProxy) {
+	requests, control = tr.startProxy(b.Agent.Addr), tr.startProxy(b.Agent.Control)
 	tr.must(tr.PutVM(tr.ctx, inventory.VM{
 		ID: b.Agent.ID, Role: inventory.RoleBackend, Hall: b.Agent.Hall, Addr: requests.Listen, Control: control.Listen,
 		State: inventory.VMLive,
 	}))
-	tr.until("requests go through the proxy of "+b.Agent.ID, func() bool {
+	tr.waitUntil("requests go through the proxy of "+b.Agent.ID, func() bool {
 		for i := range tr.Entries {
-			st, err := tr.Status(tr.ctx, tr.liveEntry(i), false)
-			if err != nil || !knows(st, b.Agent.ID, requests.Listen) {
+			st, err := tr.Status(tr.ctx, tr.runningEntry(i), false)
+			if err != nil || !listsServer(st, b.Agent.ID, requests.Listen) {
 				return false
 			}
 		}
--- a/internal/standin/answers.go
+++ b/internal/standin/answers.go
@@ -2,8 +2,8 @@
 
 import "rockcleat/internal/openai"
 
-// chunk returns one chunk of a streamed answer; finish is its finish reason, if any.
-func chunk(r openai.Request, text, finish string) openai.Completion {
+// newChunk returns one chunk of a streamed response. An empty finish leaves the finish reason out.
+func newChunk(r openai.Request, text, finish string) openai.Completion {
 	c := openai.Choice{}
 	if finish != "" {
 		c.FinishReason = &finish
@@ -18,8 +18,8 @@
 	return openai.Completion{ID: "cmpl", Object: object, Model: r.Model, Choices: []openai.Choice{c}}
 }
 
-// whole returns an answer that is not streamed.
-func whole(r openai.Request, text string, tokens int) openai.Completion {
+// newCompletion returns a complete, non-streaming response.
+func newCompletion(r openai.Request, text string, tokens int) openai.Completion {
 	finish := "length"
 	c := openai.Choice{FinishReason: &finish}
 	object := "chat.completion"
--- a/internal/standin/vms.go
+++ b/internal/standin/vms.go
@@ -11,46 +11,45 @@
 	"rockcleat/internal/inventory"
 )
 
-// vmRecord is a VM with when and in which version it changed.
-type vmRecord struct {
+// vmChange is the state of a VM as of a version of the list.
+type vmChange struct {
 	vm      inventory.VM
 	version uint64
 	at      time.Time
 }
 
-// VMList stands in for the platform's lagging list of VMList.
+// VMList is a fake of the platform's list of VMList, which shows changes after a lag.
 type VMList struct {
-	faultBox
+	faultInjector
 	echo *echo.Echo
 	lag  time.Duration
 
 	mu      sync.Mutex
 	version uint64
-	log     []vmRecord
+	changes []vmChange
 }
 
-// NewVMList returns an empty list that shows each change after the lag.
+// NewVMList returns an empty list that shows each change after lag.
 func NewVMList(lag time.Duration) *VMList {
 	s := &VMList{echo: newEcho(), lag: lag}
 	s.register(s.echo)
-	s.echo.GET("/v1/vms", s.list)
-	s.echo.POST("/v1/vms", s.change)
+	s.echo.GET("/v1/vms", s.handleList)
+	s.echo.POST("/v1/vms", s.handleChange)
 	return s
 }
 
-// ServeHTTP makes VMList an http.Handler.
+// ServeHTTP implements http.Handler.
 func (s *VMList) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.echo.ServeHTTP(w, r) }
 
-// Set adds a VM to the list or changes it.
+// Set adds a VM to the list or replaces the one with its ID.
 func (s *VMList) Set(vm inventory.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.log = append(s.log, vmRecord{vm: vm, version: s.version, at: time.Now()})
+	s.changes = append(s.changes, vmChange{vm: vm, version: s.version, at: time.Now()})
 }
 
-// change sets VMList.
-func (s *VMList) change(c echo.Context) error {
+func (s *VMList) handleChange(c echo.Context) error {
 	var l inventory.VMList
 	if err := c.Bind(&l); err != nil {
 		return err
@@ -61,15 +60,16 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// list answers with the last visible state of each VM that changed since.
-func (s *VMList) list(c echo.Context) error {
+// handleList responds with the latest visible state of each VM that changed after the version
+// since.
+func (s *VMList) handleList(c echo.Context) error {
 	since, _ := strconv.ParseUint(c.QueryParam("since"), 10, 64)
 	visible := time.Now().Add(-s.lag)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := inventory.VMList{Version: since}
 	last := make(map[string]inventory.VM)
-	for _, r := range s.log {
+	for _, r := range s.changes {
 		if r.version <= since || r.at.After(visible) {
 			continue
 		}
