--- a/table/column.go
+++ b/table/column.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// columnName is the only mandatory column.
+// columnName is the name of the only mandatory column.
 const columnName = "name"
 
 // Default values of empty cells.
--- a/table/organisation.go
+++ b/table/organisation.go
@@ -49,7 +49,7 @@
 }
 
 // WithOrganisations returns a copy of the routing with the given organisations and API keys. If the list
-// is not empty, requests then need a key unless their route is open.
+// is not empty, requests then need a key unless their route is public.
 func (r *Routing) WithOrganisations(list []Organisation, keys *apikey.Directory) *Routing {
 	result := *r
 	result.keys = keys
@@ -60,7 +60,8 @@
 	return &result
 }
 
-// RequiresKeys reports whether requests need an API key, which is so if there are organisations.
+// RequiresKeys reports whether requests on routes that are not public need an API key, which they do if
+// there are organisations.
 func (r *Routing) RequiresKeys() bool { return len(r.organisations) > 0 }
 
 // OrganisationByKey returns the organisation that an API key belongs to.
--- a/table/routing.go
+++ b/table/routing.go
@@ -46,7 +46,7 @@
 	FirstByteObjective time.Duration
 	// EventGapObjective is the service-level objective for the time between two events.
 	EventGapObjective time.Duration
-	// MaxAttempts is the maximum number of backend servers that may run a request.
+	// MaxAttempts is the maximum number of sends of a request, not counting those that certainly did not run.
 	MaxAttempts int
 	// Priority ranks the route's requests. 0 is the most urgent.
 	Priority int
--- a/table/row.go
+++ b/table/row.go
@@ -61,10 +61,10 @@
 	// and metric label are named customer.
 	Organisation string `json:"customer,omitempty"`
 	Tier         Tier   `json:"tier"`
-	// Weight is the row's weight among rows of the same tier. Under load a row gets tokens
+	// Weight is the row's weight among rows of the same tier. Under load a row's requests get tokens
 	// in proportion to its weight.
 	Weight int `json:"weight"`
-	// Share is the maximum percentage of a backend server's slots that the row may
+	// MaxSlotShare is the maximum percentage of a backend server's slots that the row may
 	// occupy. 100 means no limit.
 	MaxSlotShare int `json:"share"`
 	// MaxConcurrency is the maximum number of running requests. 0 means no limit.
--- a/table/table.go
+++ b/table/table.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// maxTombstones is the maximum number of removals that a table retains for deltas: twice the
+// maxTombstones is the maximum number of tombstones that a table retains for deltas: twice the
 // number of rows that the system is designed for (docs/CAPACITY.md).
 const maxTombstones = 1024
 
-// A Tombstone is the tombstone of a removed row.
+// A Tombstone records the removal of a row.
 type Tombstone struct {
 	Name string `json:"name"`
 	// Version is the table version that removed the row.
@@ -21,13 +21,13 @@
 // concurrent use. Its zero value is the empty table of version 0.
 type Table struct {
 	version uint64
-	// tombstoneFloor is the version after which removals is complete.
+	// tombstoneFloor is the version after which tombstones is complete.
 	tombstoneFloor uint64
 	rows           map[string]Row
 	tombstones     []Tombstone
-	// sorted holds the rows ordered by name. It is valid after sort has run.
-	sort   sync.Once
-	sorted []Row
+	// sorted holds the rows ordered by name. It is set by sortOnce.
+	sortOnce sync.Once
+	sorted   []Row
 }
 
 // Version returns the table's version, 0 for the empty table.
@@ -44,7 +44,7 @@
 
 // Rows returns a copy of all rows, ordered by name.
 func (t *Table) Rows() []Row {
-	t.sort.Do(func() { t.sorted = slices.SortedFunc(maps.Values(t.rows), compareNames) })
+	t.sortOnce.Do(func() { t.sorted = slices.SortedFunc(maps.Values(t.rows), compareNames) })
 	return slices.Clone(t.sorted)
 }
 
@@ -115,7 +115,7 @@
 	Version uint64 `json:"to"`
 	// Full reports whether Rows is the complete table rather than a difference.
 	Full bool `json:"full,omitempty"`
-	// TombstoneFloor is the version after which the sender's list of removals is complete.
+	// TombstoneFloor is the version after which the sender's list of tombstones is complete.
 	TombstoneFloor uint64      `json:"floor,omitempty"`
 	Rows           []Row       `json:"rows,omitempty"`
 	Tombstones     []Tombstone `json:"removed,omitempty"`
