--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -142,7 +142,7 @@
 	_, store := standintest.KV(t)
 	o := newOwner(t, store, "a").run(t)
 	var mu sync.Mutex
-	wins := make(map[string]int)
+	successes := make(map[string]int)
 	var wg sync.WaitGroup
 	for attempt := range 8 {
 		wg.Add(1)
@@ -153,15 +153,15 @@
 				_, claimed, err := o.Claim(context.Background(), key, 1, fmt.Sprint(attempt))
 				if err == nil && claimed {
 					mu.Lock()
-					wins[key]++
+					successes[key]++
 					mu.Unlock()
 				}
 			}
 		}()
 	}
 	wg.Wait()
-	assert.Equal(t, len(wins), 20)
-	for key, n := range wins {
+	assert.Equal(t, len(successes), 20)
+	for key, n := range successes {
 		assert.Equal(t, n, 1, key)
 	}
 }
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -9,8 +9,8 @@
 //
 // A Shard owns the keys below claim/SHARD/ in the service while its process holds the shard's
 // lease. It relies on the service's compare-and-swap and leases, on package clock and on the
-// caller for the shard's lease (Options.Held). While the service is unavailable no claim is
+// caller for the shard's lease (Options.HoldsLease). While the service is unavailable no claim is
 // recorded, so no such request is sent. A write whose outcome stays unknown closes the shard.
 // A lease of the service limits the lifetime of records to between one and two times
-// Options.Retention. Record.At is in Unix seconds.
+// Options.Retention. Record.ClaimedAt is in Unix seconds.
 package claim
--- a/claim/record.go
+++ b/claim/record.go
@@ -21,13 +21,13 @@
 const (
 	// StateClaimed means that the request may have been sent.
 	StateClaimed State = "claimed"
-	// StateDone means that the request was answered.
+	// StateDone means that the request has received a response.
 	StateDone State = "done"
 	// StateReleased means that the request has not run. The key may be claimed again.
 	StateReleased State = "free"
 )
 
-// An Response is the stored response to a request.
+// A Response is the stored response to a request.
 type Response struct {
 	// Status is the HTTP status code.
 	Status      int    `json:"status"`
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -17,7 +17,8 @@
 type Options struct {
 	// Index is the number of the shard, counted from 0.
 	Index int
-	// Owner identifies this run of the process. Slots written by different owners differ in it.
+	// Owner identifies this run of the process. It distinguishes the shard's own batches from those of
+	// other owners.
 	Owner string
 	// Retention is the minimum time for which records are kept.
 	Retention time.Duration
@@ -28,7 +29,7 @@
 }
 
 // A Shard holds the records of one shard in a process that may own it. It is safe for concurrent use,
-// except that Step must not be called concurrently with itself.
+// except that Flush must not be called concurrently with itself.
 type Shard struct {
 	store kv.Store
 	clock clock.Service
@@ -61,7 +62,7 @@
 // Wake returns a channel that receives a value when records are waiting to be written.
 func (s *Shard) Wake() <-chan struct{} { return s.wake }
 
-// FlushDelay returns the time until Step may write again, 0 if it may write now.
+// FlushDelay returns the time until Flush may write again, 0 if it may write now.
 func (s *Shard) FlushDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,11 +169,11 @@
 }
 
 // Finish queues a record of the response to a claimed request. It does not wait for the write.
-func (s *Shard) Finish(key, attempt string, a Response) {
-	if len(a.Body) > MaxBody {
-		a.Body, a.Complete = nil, false
+func (s *Shard) Finish(key, attempt string, response Response) {
+	if len(response.Body) > MaxBody {
+		response.Body, response.Complete = nil, false
 	}
-	s.update(key, attempt, StateDone, &a)
+	s.update(key, attempt, StateDone, &response)
 }
 
 // Release queues a record that the attempt certainly did not run, which frees the key. It does not
@@ -182,14 +183,14 @@
 }
 
 // update changes the record of a key if the attempt holds its claim.
-func (s *Shard) update(key, attempt string, state State, a *Response) {
+func (s *Shard) update(key, attempt string, state State, response *Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	record, ok := s.records[key]
 	if !ok || !s.open || record.Attempt != attempt || record.State != StateClaimed {
 		return
 	}
-	record.State, record.Response = state, a
+	record.State, record.Response = state, response
 	s.enqueue(record)
 }
 
