--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -7,7 +7,7 @@
 // version are newer, as in Scuttlebutt reconciliation (van Renesse et al., LADIS 2008).
 //
 // A View is one process's copy of the records. It relies on planners to write the records and
-// on its callers to exchange digests and deltas. Without deltas it keeps its records and does
-// not know their age. Memory is in MiB, demand in levels (placement.LevelOf). Package backend
+// on its callers to exchange digests and deltas. Without deltas it keeps its records, however
+// old they are. Memory is in MiB, demand in levels (placement.LevelOf). Package backend
 // holds the servers of deployments that use package platform.
 package fleet
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -278,7 +278,7 @@
 	return v.byName[name]
 }
 
-// Servers returns all servers that are not gone, ordered by ID.
+// Servers returns all servers that have not been removed, ordered by ID.
 func (v *View) Servers() []Server {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -305,8 +305,7 @@
 	return slices.Collect(maps.Values(c.demand))
 }
 
-// Cell returns the records of one cell, including those of servers that are gone, in unspecified
-// order, and the version of the cell.
+// Cell returns the records of one cell, including those of removed servers, in unspecified order, and the version of the cell.
 func (v *View) Cell(id string) ([]Server, CellVersion) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
