--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -56,8 +56,8 @@
 	Sizes map[string]placement.Size `json:"sizes"`
 }
 
-// progressTimeout is the maximum time until the platform responds, and the maximum time without
-// further data of the response.
+// progressTimeout is the maximum time to wait for a response to begin and, after that, for more of its
+// data.
 const progressTimeout = 3 * time.Second
 
 // maxResponseBytes is the maximum size of a response, in bytes.
@@ -92,8 +92,8 @@
 
 // get decodes the JSON document at a URL into out.
 func (c *Client) get(ctx context.Context, url string, out any) error {
-	ctx, watch := transfer.StartWatchdog(ctx, progressTimeout, progressTimeout)
-	defer watch.Stop()
+	ctx, watchdog := transfer.StartWatchdog(ctx, progressTimeout, progressTimeout)
+	defer watchdog.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return eris.Wrap(err, "inventory: create request")
@@ -107,7 +107,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return eris.Errorf("inventory: request failed with HTTP status %d", resp.StatusCode)
 	}
-	data, err := watch.ReadAll(ctx, resp.Body, maxResponseBytes)
+	data, err := watchdog.ReadAll(ctx, resp.Body, maxResponseBytes)
 	if err != nil {
 		return eris.Wrap(err, "inventory: read response")
 	}
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -110,7 +110,7 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// ResponseMessage is a generated chat message or a part of one.
+// A ResponseMessage is a generated chat message or a part of one.
 type ResponseMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
--- a/internal/transfer/watch_test.go
+++ b/internal/transfer/watch_test.go
@@ -35,7 +35,7 @@
 	return copy(p[:1], "x"), nil
 }
 
-// repeat returns a slice of n times d.
+// repeat returns a slice that contains d n times.
 func repeat(d time.Duration, n int) []time.Duration {
 	list := make([]time.Duration, n)
 	for i := range list {
@@ -65,9 +65,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
-				ctx, watch := transfer.StartWatchdog(t.Context(), begin, stall)
-				defer watch.Stop()
-				data, err := watch.ReadAll(ctx, &pacedBody{ctx: ctx, pauses: test.pauses}, 1<<20)
+				ctx, watchdog := transfer.StartWatchdog(t.Context(), begin, stall)
+				defer watchdog.Stop()
+				data, err := watchdog.ReadAll(ctx, &pacedBody{ctx: ctx, pauses: test.pauses}, 1<<20)
 				assert.Equal(t, time.Since(start), test.took)
 				assert.Equal(t, len(data), test.read)
 				assert.Equal(t, err == nil, test.done, "%v", err)
@@ -84,8 +84,8 @@
 func TestCallIsCanceledWithoutResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		ctx, watch := transfer.StartWatchdog(t.Context(), time.Second, time.Minute)
-		defer watch.Stop()
+		ctx, watchdog := transfer.StartWatchdog(t.Context(), time.Second, time.Minute)
+		defer watchdog.Stop()
 		<-ctx.Done()
 		assert.Equal(t, time.Since(start), time.Second)
 		assert.Assert(t, errors.Is(transfer.Cause(ctx, ctx.Err()), context.DeadlineExceeded))
