--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestStartWithRestoredStore checks that a gateway that starts while a restored store shows an older version takes the
+// TestStartWithRestoredStore checks that a gateway that starts while a restored store contains an older version takes the
 // newer one from another gateway, or waits for the operators to rewrite it.
 func TestStartWithRestoredStore(t *testing.T) {
 	tests := map[string]struct {
@@ -59,7 +59,7 @@
 		within  time.Duration
 	}{
 		"beside others":               {version: 3, within: settleTime},
-		"alone":                       {alone: true, version: 1, within: settleTimeout + settleTime},
+		"alone":                       {alone: true, version: 1, within: catchUpTimeout + settleTime},
 		"alone, the store is settled": {alone: true, settled: true, version: 1, within: settleTime},
 	}
 	for name, test := range tests {
--- a/internal/configsync/harness_test.go
+++ b/internal/configsync/harness_test.go
@@ -23,8 +23,8 @@
 
 // Times of the test fleets.
 const (
-	reportEvery = 100 * time.Millisecond
-	maxAge      = time.Second
+	reportInterval = 100 * time.Millisecond
+	maxAge         = time.Second
 	// settleTime is long enough for all steps that involve no timeout.
 	settleTime = 500 * time.Millisecond
 )
@@ -42,7 +42,7 @@
 	fleet  *fleet
 	// version is the one in force.
 	version atomic.Uint64
-	// patches and fullTransfers count fetches answered with and without a base.
+	// patches and fullTransfers count the responses to fetches with and without a base.
 	patches, fullTransfers atomic.Int64
 	// received counts the patch bytes passed to OnTransfer.
 	received atomic.Int64
@@ -102,11 +102,12 @@
 	synctest.Wait()
 }
 
-// reports exchanges news every reportEvery: each member asks the leader or, without one, the next member.
+// reports sends the members' reports every reportInterval, each to the leader or, without one, to the next
+// member.
 func (f *fleet) reports() {
 	for f.t.Context().Err() == nil {
 		f.reportOnce()
-		clock.Sleep(f.t.Context(), clocktest.Real{}, reportEvery)
+		clock.Sleep(f.t.Context(), clocktest.Real{}, reportInterval)
 	}
 }
 
@@ -115,18 +116,18 @@
 	members := slices.Clone(f.members)
 	f.mu.Unlock()
 	for i, m := range members {
-		asked := f.leader.Load()
-		if asked == noLeader {
-			asked = int64((i + 1) % len(members))
+		target := f.leader.Load()
+		if target == noLeader {
+			target = int64((i + 1) % len(members))
 		}
-		if asked != int64(i) {
-			members[asked].answer(m)
+		if target != int64(i) {
+			members[target].handleReport(m)
 		}
 	}
 }
 
-// answer processes the report of another member and sends it m's news.
-func (m *member) answer(other *member) {
+// handleReport processes the report of another member and responds with m's announcement.
+func (m *member) handleReport(other *member) {
 	m.syncer.HandleVersion(other.syncer.Announcement().Version, other.addr)
 	other.syncer.HandleAnnouncement(m.syncer.Announcement(), m.addr, time.Now())
 }
@@ -170,9 +171,9 @@
 	i, err := strconv.Atoi(addr)
 	assert.NilError(m.t, err)
 	m.fleet.mu.Lock()
-	holder := m.fleet.members[i]
+	peer := m.fleet.members[i]
 	m.fleet.mu.Unlock()
-	t, err := holder.syncer.Transfer(r)
+	t, err := peer.syncer.Transfer(r)
 	if t.Base != 0 {
 		m.patches.Add(1)
 	} else {
--- a/internal/configsync/history.go
+++ b/internal/configsync/history.go
@@ -81,8 +81,9 @@
 	return nil
 }
 
-// transfer returns what a gateway that sends r needs. Each patch is made once and cached, because
-// making one is expensive in CPU time.
+// transfer returns the response to r: a patch against the requesting gateway's version, or the full
+// configuration if that version is not kept. Each patch is made once and cached, because making one
+// takes much CPU time.
 func (h *history) transfer(r Request) (Transfer, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/configsync/news.go
+++ b/internal/configsync/news.go
@@ -6,7 +6,7 @@
 	"rockcleat/kv"
 )
 
-// Announcement describes the configuration that one gateway holds, for other gateways.
+// An Announcement describes the configuration that one gateway holds, for other gateways.
 type Announcement struct {
 	// Version is the version held, 0 if none.
 	Version uint64 `json:"version,omitempty"`
@@ -35,17 +35,17 @@
 	revision  kv.Revision
 }
 
-// merge applies information from another gateway or the store and reports whether it names a newer
-// version than was known. currentAt and revision advance even with information on an older version,
-// because what holds for that one holds for a newer one too.
-func (n *knownVersion) merge(other knownVersion) (newer bool) {
-	if other.currentAt.After(n.currentAt) {
-		n.currentAt = other.currentAt
+// merge applies what another gateway or the store has reported, and reports whether it names a newer
+// version than was known. currentAt and revision advance even if other has an older version, because a
+// newer version contains everything that an older one does.
+func (k *knownVersion) merge(other knownVersion) (newer bool) {
+	if other.currentAt.After(k.currentAt) {
+		k.currentAt = other.currentAt
 	}
-	n.revision = max(n.revision, other.revision)
-	newer = other.version > n.version
-	if newer || other.version == n.version && other.source != "" {
-		n.version, n.source = other.version, other.source
+	k.revision = max(k.revision, other.revision)
+	newer = other.version > k.version
+	if newer || other.version == k.version && other.source != "" {
+		k.version, k.source = other.version, other.source
 	}
 	return newer
 }
--- a/internal/configsync/read.go
+++ b/internal/configsync/read.go
@@ -16,11 +16,12 @@
 // errInterrupted is the cancellation cause of a store read when a peer holds a newer version.
 var errInterrupted = eris.New("configsync: read interrupted: a gateway holds a newer version")
 
-// retryDelay is the mean delay after a store call that failed, jittered by ±50 %. News ends it early.
+// retryDelay is the mean delay after a failed store call, with jitter of ±50 %. The delay ends early when the
+// next step may differ.
 const retryDelay = 300 * time.Millisecond
 
-// watchesPerMaxAge is the number of watches that the watcher starts within MaxAge, so that others learn
-// how recent its view is before the view counts as too old.
+// watchesPerMaxAge is the number of watches that the watcher makes within MaxAge, so that its announcements
+// reach the other gateways before the previous ones are too old.
 const watchesPerMaxAge = 3
 
 // read watches the store for the next configuration, or lists it if no revision to watch from is known.
@@ -39,7 +40,7 @@
 		s.opts.Health.Reachable()
 		s.setFetchFailed(false)
 	case ctx.Err() != nil, errors.Is(context.Cause(readCtx), errInterrupted):
-	case errors.Is(err, errUnsettled):
+	case errors.Is(err, errNotCaughtUp):
 		s.backOff(ctx)
 	case errors.Is(err, kv.ErrCompacted):
 		s.noteCompacted(after)
@@ -61,9 +62,9 @@
 	s.fetchFailed = failed
 }
 
-// interruptible returns a context for a store read, which is cancelled when another gateway turns out to
-// hold a newer version, since a patch is much smaller than a read. After a fetch that failed, reads are
-// not interrupted.
+// interruptible returns a context for a store read, which is canceled when another gateway turns out to
+// hold a newer version, since a patch is much smaller than a read. After a failed fetch, reads are not
+// interrupted.
 func (s *Syncer) interruptible(ctx context.Context) (context.Context, func()) {
 	readCtx, cancel := context.WithCancelCause(ctx)
 	s.mu.Lock()
@@ -107,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.checkSettled(ctx, at.Era()); err != nil {
+	if err := s.checkCaughtUp(ctx, at.Era()); err != nil {
 		return err
 	}
 	storeVersion := uint64(0)
@@ -129,36 +130,37 @@
 	s.compactedRevision = min(s.compactedRevision, at-1)
 }
 
-// settleTimeout is how long a gateway without a configuration waits, after the store was restored from
-// a backup, for the operators to rewrite what the backup lacks.
-const settleTimeout = 3 * time.Second
+// catchUpTimeout is how long a gateway without a configuration waits, after the store was restored from a
+// backup, for the operators to repeat the writes that the backup lacks.
+const catchUpTimeout = 3 * time.Second
 
-// errUnsettled is returned while a store restored from a backup may lack later writes.
-var errUnsettled = eris.New("configsync: store restored from a backup may lack later writes")
+// errNotCaughtUp is returned while a store restored from a backup may lack later writes.
+var errNotCaughtUp = eris.New("configsync: store restored from a backup may lack later writes")
 
-// checkSettled returns errUnsettled if this gateway holds no configuration and the restored store may
-// show an older version than was in force, which would make revoked keys valid again. The caller waits
-// for news from another gateway, for the operators to rewrite the configuration, or for settleTimeout.
-func (s *Syncer) checkSettled(ctx context.Context, era int64) error {
+// checkCaughtUp returns errNotCaughtUp if this gateway holds no configuration and the restored store may
+// contain an older version than was in force, which would make revoked keys valid again. The caller then
+// backs off and retries, until another gateway announces a version, the store has caught up or
+// catchUpTimeout has passed.
+func (s *Syncer) checkCaughtUp(ctx context.Context, era int64) error {
 	if era == 0 || s.history.newest() > 0 || s.opts.IsCaughtUp == nil {
 		return nil
 	}
-	settled, err := s.opts.IsCaughtUp(ctx, era)
+	caughtUp, err := s.opts.IsCaughtUp(ctx, era)
 	if err != nil {
 		return err
 	}
 	now := s.opts.Clock.Now()
-	if s.settlingSince.IsZero() {
-		s.settlingSince = now
+	if s.catchUpSince.IsZero() {
+		s.catchUpSince = now
 	}
-	if !settled && now.Sub(s.settlingSince) < settleTimeout {
-		return errUnsettled
+	if !caughtUp && now.Sub(s.catchUpSince) < catchUpTimeout {
+		return errNotCaughtUp
 	}
 	return nil
 }
 
-// noteStoreVersion records the version that the store shows, 0 if none. In an era after the first it may be older
-// than the version held, which stays in force.
+// noteStoreVersion records the version that the store contains, 0 if none. In an era after the first it may be
+// older than the version held, which stays in force.
 func (s *Syncer) noteStoreVersion(version uint64, era int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,11 +179,11 @@
 	if err != nil {
 		return err
 	}
-	current := kv.WatchedUntil(began, wait, len(events) > 0, s.opts.Clock.Now())
+	currentAt := kv.WatchedUntil(began, wait, len(events) > 0, s.opts.Clock.Now())
 	for _, e := range lastWrite(events) {
 		s.noteStoreVersion(s.applyEntry(e.Entry), at.Era())
 	}
-	s.noteRead(at, current)
+	s.noteRead(at, currentAt)
 	return nil
 }
 
@@ -210,22 +212,22 @@
 	return version
 }
 
-// noteRead records that the version held was the newest at the time current, and up to the revision at.
-// While the store shows an older version, only readRevision advances.
-func (s *Syncer) noteRead(at kv.Revision, current time.Time) {
+// noteRead records that the version held was the newest at the time currentAt, and up to the revision at.
+// While the store contains an older version, only readRevision advances.
+func (s *Syncer) noteRead(at kv.Revision, currentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readRevision = at
 	if s.storeOutdated {
 		return
 	}
-	s.merge(knownVersion{version: s.history.newest(), currentAt: current, revision: at})
+	s.merge(knownVersion{version: s.history.newest(), currentAt: currentAt, revision: at})
 }
 
 // backOffAfterCompaction waits before the store is listed after a compaction, which ends the watches of all
-// gateways at the same moment. The watcher lists first, and its news spares the other gateways a full
-// read. The watcher itself waits only if compactions follow each other within retryDelay, so that no
-// response of the store makes it call in a tight loop.
+// gateways at the same moment. The watcher lists first, and its announcement saves the other gateways a
+// full read. The watcher itself waits only if compactions follow each other within retryDelay, so that
+// no response of the store makes it call in a tight loop.
 func (s *Syncer) backOffAfterCompaction(ctx context.Context) {
 	now := s.opts.Clock.Now()
 	again := now.Sub(s.lastCompaction) < retryDelay
@@ -235,7 +237,7 @@
 	}
 }
 
-// backOff waits after a failed call until the delay has passed or something changed.
+// backOff waits after a failed call until the delay has passed or the next step may differ.
 func (s *Syncer) backOff(ctx context.Context) {
 	s.mu.Lock()
 	changed := s.changed
--- a/internal/configsync/syncer.go
+++ b/internal/configsync/syncer.go
@@ -11,7 +11,7 @@
 	"rockcleat/kv"
 )
 
-// A Applier puts configurations in force.
+// An Applier puts configurations in force.
 type Applier interface {
 	// Apply puts a configuration in force if it is newer than the current one, and returns its
 	// version. An error means that it cannot be decoded.
@@ -50,20 +50,20 @@
 	Log     *zap.Logger
 	// IsWatcher reports whether this gateway watches the store on behalf of the others.
 	IsWatcher func() bool
-	// MaxAge returns how old the news may be before this gateway watches the store itself, and
-	// the bound of one such watch.
+	// MaxAge returns how long ago the newest known version may have been confirmed before this gateway
+	// watches the store itself. It is also the maximum duration of one watch.
 	MaxAge func() time.Duration
 	// IsCaughtUp, if not nil, reports whether the store, restored from a backup in the given era,
 	// again contains everything that was written before. An error means that this is unknown.
 	IsCaughtUp func(ctx context.Context, era int64) (bool, error)
-	// StartWait, if not nil, returns how long a starting gateway waits for news from others
-	// before it reads the store.
+	// StartWait, if not nil, returns how long a starting gateway waits for announcements before it
+	// reads the store.
 	StartWait func() time.Duration
 	// OnTransfer, if not nil, is called after each attempt to receive a configuration, with its
 	// size in bytes as sent, or the error.
 	OnTransfer func(from Origin, bytes int, err error)
 	// OnModeChange, if not nil, is called when this gateway begins to watch the store itself
-	// (direct), and when it returns to relying on news.
+	// (direct), and when it returns to relying on announcements.
 	OnModeChange func(key string, direct bool)
 }
 
@@ -72,8 +72,8 @@
 type Syncer struct {
 	opts    Options
 	history history
-	// readFromStart is when a gateway that has received no news reads the store.
-	readFromStart time.Time
+	// firstReadAt is when a gateway that has received no announcement reads the store.
+	firstReadAt time.Time
 
 	mu    sync.Mutex
 	known knownVersion
@@ -82,11 +82,12 @@
 	// readRevision is the revision up to which this gateway has read the store itself.
 	readRevision kv.Revision
 	// compactedRevision is a revision that the store can no longer be watched from, because it has compacted
-	// the history after it. Other gateways may keep naming that revision until they notice; watching
-	// from it again would fail each time.
+	// the history after it. Other gateways may keep announcing that revision until they notice;
+	// watching from it again would fail each time.
 	compactedRevision kv.Revision
-	// storeOutdated reports whether the store, restored from a backup, shows an older version than the
-	// one held. It may lack still newer ones, so a read does not confirm that the held one is newest.
+	// storeOutdated reports whether the store, restored from a backup, contains an older version than
+	// the one held. It may also lack versions newer than the held one, so a read does not confirm that the
+	// held one is the newest.
 	storeOutdated bool
 	// fetchFailed reports whether fetching the newest version from its source failed. If so, the
 	// store is read next.
@@ -97,23 +98,23 @@
 	interrupt context.CancelFunc
 
 	// The fields below belong to Run. direct reports whether the last step other than a fetch read
-	// the store; lastCompaction is when a compaction was last noticed; settlingSince is when this gateway
-	// began to wait for a restored store to settle.
+	// the store; lastCompaction is when a compaction was last noticed; catchUpSince is when this gateway
+	// began to wait for a restored store to catch up.
 	direct         bool
 	lastCompaction time.Time
-	settlingSince  time.Time
+	catchUpSince   time.Time
 }
 
 // New returns a Syncer that holds no configuration.
 func New(o Options) *Syncer {
-	s := &Syncer{opts: o, changed: make(chan struct{}), readFromStart: o.Clock.Now()}
+	s := &Syncer{opts: o, changed: make(chan struct{}), firstReadAt: o.Clock.Now()}
 	if o.StartWait != nil {
-		s.readFromStart = s.readFromStart.Add(o.StartWait())
+		s.firstReadAt = s.firstReadAt.Add(o.StartWait())
 	}
 	return s
 }
 
-// Announcement returns what this gateway reports to others.
+// Announcement returns this gateway's announcement for other gateways.
 func (s *Syncer) Announcement() Announcement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,15 +125,16 @@
 	return Announcement{Version: held, Revision: s.known.revision, AgeMs: ageMs(s.opts.Clock.Now(), s.known.currentAt)}
 }
 
-// HandleAnnouncement processes the news in the response of the gateway at addr to a request sent at the time asked.
-func (s *Syncer) HandleAnnouncement(n Announcement, addr string, asked time.Time) {
-	if n.Version == 0 {
+// HandleAnnouncement processes the announcement in the response of the gateway at addr to a request sent at the
+// time sentAt.
+func (s *Syncer) HandleAnnouncement(announcement Announcement, addr string, sentAt time.Time) {
+	if announcement.Version == 0 {
 		return
 	}
-	age := time.Duration(n.AgeMs) * time.Millisecond
+	age := time.Duration(announcement.AgeMs) * time.Millisecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.merge(knownVersion{version: n.Version, source: addr, currentAt: asked.Add(-age), revision: n.Revision})
+	s.merge(knownVersion{version: announcement.Version, source: addr, currentAt: sentAt.Add(-age), revision: announcement.Revision})
 }
 
 // HandleVersion records that the gateway at addr holds a version, which need not be the newest.
@@ -146,14 +148,14 @@
 
 // merge updates what is known of the newest version, cancels a store read in progress if a newer
 // version can be fetched, and wakes Run if its next step may differ. s.mu must be held.
-func (s *Syncer) merge(n knownVersion) {
+func (s *Syncer) merge(update knownVersion) {
 	wasStale := s.untilStale() <= 0
-	newer := s.known.merge(n)
+	newer := s.known.merge(update)
 	if newer {
 		s.fetchFailed = false
 	}
-	s.noteHeldCurrent(n)
-	if newer && n.source != "" && s.interrupt != nil {
+	s.noteHeldCurrent(update)
+	if newer && update.source != "" && s.interrupt != nil {
 		s.interrupt()
 	}
 	if newer || wasStale && s.untilStale() > 0 {
@@ -161,16 +163,16 @@
 	}
 }
 
-// noteHeldCurrent advances heldCurrentAt by n, which has been merged. Information on a version
+// noteHeldCurrent advances heldCurrentAt after update has been merged into known. An update on a version
 // newer than the held one does not confirm the held one. s.mu must be held.
-func (s *Syncer) noteHeldCurrent(n knownVersion) {
+func (s *Syncer) noteHeldCurrent(update knownVersion) {
 	held := s.history.newest()
 	switch {
 	case held == 0:
 	case held >= s.known.version:
 		s.heldCurrentAt = later(s.heldCurrentAt, s.known.currentAt)
-	case held >= n.version:
-		s.heldCurrentAt = later(s.heldCurrentAt, n.currentAt)
+	case held >= update.version:
+		s.heldCurrentAt = later(s.heldCurrentAt, update.currentAt)
 	}
 }
 
@@ -190,8 +192,8 @@
 	return s.heldCurrentAt
 }
 
-// untilStale returns the time until the news is too old; it is not positive if it already is.
-// s.mu must be held.
+// untilStale returns the time until the newest known version was last confirmed MaxAge ago. It is not
+// positive if that time has passed. s.mu must be held.
 func (s *Syncer) untilStale() time.Duration {
 	return s.opts.MaxAge() - s.opts.Clock.Now().Sub(s.known.currentAt)
 }
@@ -231,7 +233,7 @@
 type stepKind int
 
 const (
-	// stepWait waits for news.
+	// stepWait waits until the store has to be read or the next step may differ.
 	stepWait stepKind = iota
 	// stepFetch fetches a newer version from another gateway.
 	stepFetch
@@ -249,8 +251,8 @@
 }
 
 // next chooses the next step. A newer version is fetched from its source. The store is read by the
-// watcher, after a failed fetch, and when the news is too old. Otherwise Run waits until the news
-// becomes too old or something changes.
+// watcher, after a failed fetch, and when the newest known version was last confirmed more than MaxAge
+// ago. Otherwise Run waits until then or until the next step may differ.
 func (s *Syncer) next() step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,7 +260,7 @@
 	if missing && s.known.source != "" && !s.fetchFailed {
 		return step{kind: stepFetch, source: s.known.source}
 	}
-	if left := s.readFromStart.Sub(s.opts.Clock.Now()); left > 0 && s.known.version == 0 && !s.opts.IsWatcher() {
+	if left := s.firstReadAt.Sub(s.opts.Clock.Now()); left > 0 && s.known.version == 0 && !s.opts.IsWatcher() {
 		return step{kind: stepWait, wait: left, changed: s.changed}
 	}
 	remaining := s.untilStale()
@@ -268,7 +270,8 @@
 	return step{kind: stepWait, wait: remaining, changed: s.changed}
 }
 
-// reportMode calls OnModeChange when this gateway changes between reading the store and relying on news.
+// reportMode calls OnModeChange when this gateway changes between reading the store and relying on
+// announcements.
 func (s *Syncer) reportMode(k stepKind) {
 	if k == stepFetch {
 		return
--- a/internal/configsync/syncer_test.go
+++ b/internal/configsync/syncer_test.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestStoreWatchedWhenNewsIsOld checks that a gateway watches the store itself while the leader's news is too old, and
-// not otherwise.
+// TestStoreWatchedWhenNewsIsOld checks that a gateway watches the store itself while the leader's announcements are
+// too old, and not otherwise.
 func TestStoreWatchedWhenNewsIsOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
@@ -190,9 +190,9 @@
 		f.members[0].noPeers.Store(true)
 		f.members[0].noStore.Store(true)
 		leader.HandleVersion(7, "1")
-		news := leader.Announcement()
-		assert.Equal(t, news.Version, uint64(1))
-		assert.Equal(t, int64(news.Revision), int64(0))
-		assert.Equal(t, news.AgeMs, unknownAge.Milliseconds())
+		announcement := leader.Announcement()
+		assert.Equal(t, announcement.Version, uint64(1))
+		assert.Equal(t, int64(announcement.Revision), int64(0))
+		assert.Equal(t, announcement.AgeMs, unknownAge.Milliseconds())
 	})
 }
