--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -58,7 +58,7 @@
 type Settings interface {
 	// setDefaults sets the values of the keys that a file may omit.
 	setDefaults()
-	// check adds invalid values to the checker.
+	// check adds a problem to c for each invalid value.
 	check(c *checker)
 }
 
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -11,11 +11,11 @@
 	Fixed float64 `yaml:"fixed"`
 }
 
-// Quota contains the settings of the tolerance for organisations' limits: how far an organisation may exceed its
-// limit in any Window.
+// Quota contains the settings for how far an organisation may exceed its limit in any Window.
 type Quota struct {
 	Window Duration `yaml:"window"`
-	// OverRatio is relative to what the limit allows in the window; Slack is a further amount in the limit's unit.
+	// OverRatio is the permitted excess relative to what the limit allows in the window. Slack is a further
+	// permitted amount, in the limit's unit.
 	OverRatio float64 `yaml:"over"`
 	Slack     float64 `yaml:"slack"`
 }
@@ -34,13 +34,13 @@
 	// Store is the address of the platform's store.
 	Store string `yaml:"store"`
 	Log   Log    `yaml:"log"`
-	// FirstStart states that the whole system starts for the first time.
+	// FirstStart is set when the whole system starts for the first time.
 	FirstStart bool `yaml:"first_start"`
 	// Grace is the time from the signal to stop until the process is killed.
 	Grace Duration `yaml:"grace"`
 	// LeaseTTL is the time to live of the leader's lease, after which another gateway may lead.
 	LeaseTTL Duration `yaml:"lease_ttl"`
-	// WatchTimeout bounds one watch of the store, so that a dead connection is noticed.
+	// WatchTimeout bounds one watch of the store, so that a broken connection is detected.
 	WatchTimeout Duration `yaml:"watch_time"`
 	// StoreTimeout bounds any other call to the store, EngineTimeout a call to an engine.
 	StoreTimeout  Duration `yaml:"store_timeout"`
@@ -68,13 +68,13 @@
 	defaultGrace = 8 * time.Second
 	// defaultGatewayLeaseTTL is three renewal intervals (lease.renewalsPerTTL).
 	defaultGatewayLeaseTTL = 3 * time.Second
-	// defaultWatchTime is the longest that a dead watch goes unnoticed.
-	defaultWatchTime = 2 * time.Second
+	// defaultWatchTimeout is the maximum time for which a broken watch remains undetected.
+	defaultWatchTimeout = 2 * time.Second
 	// defaultStoreTimeout is less than the lease's renewal interval.
 	defaultStoreTimeout  = 900 * time.Millisecond
 	defaultEngineTimeout = 700 * time.Millisecond
-	defaultIdleTime      = 1500 * time.Millisecond
-	defaultBodyTime      = 5 * time.Second
+	defaultIdleTimeout   = 1500 * time.Millisecond
+	defaultBodyTimeout   = 5 * time.Second
 	defaultGateways      = 6
 	// By default, one retry per ten requests and ten more are allowed in a window.
 	defaultRetryWindow = 10 * time.Second
@@ -85,9 +85,9 @@
 func (g *Gateway) setDefaults() {
 	*g = Gateway{
 		Log:   Log{Level: "info", Format: "json"},
-		Grace: Duration(defaultGrace), LeaseTTL: Duration(defaultGatewayLeaseTTL), WatchTimeout: Duration(defaultWatchTime),
+		Grace: Duration(defaultGrace), LeaseTTL: Duration(defaultGatewayLeaseTTL), WatchTimeout: Duration(defaultWatchTimeout),
 		StoreTimeout: Duration(defaultStoreTimeout), EngineTimeout: Duration(defaultEngineTimeout),
-		IdleTimeout: Duration(defaultIdleTime), BodyTimeout: Duration(defaultBodyTime), Gateways: defaultGateways,
+		IdleTimeout: Duration(defaultIdleTimeout), BodyTimeout: Duration(defaultBodyTimeout), Gateways: defaultGateways,
 		Retry: Retry{Window: Duration(defaultRetryWindow), Ratio: defaultRetryRatio, Fixed: defaultRetryFixed},
 	}
 	g.Quarantine.setDefaults()
--- a/internal/config/quarantine.go
+++ b/internal/config/quarantine.go
@@ -6,22 +6,23 @@
 	"rockcleat/quarantine"
 )
 
-// Quarantine contains the settings of the quarantine of requests under which backend servers have ended.
+// Quarantine contains the settings of the quarantine of requests with which backend servers have crashed.
 type Quarantine struct {
-	// Threshold is the number of servers that have to end under copies of a request before it is refused.
+	// Threshold is the number of server instances that must crash with a request before it is refused.
 	Threshold int `yaml:"ends"`
-	// Hold is how long the request is refused at first. It doubles with each further server that ends.
+	// Hold is how long the request is refused at first. It doubles with each further crash.
 	Hold Duration `yaml:"hold"`
 }
 
 // Bounds of the quarantine settings.
 const (
-	// minQuarantineEnds is above 1, because one server's end affects every request that it was running.
-	minQuarantineEnds = 2
-	// maxQuarantineEnds is the number of ends that a record stores.
-	maxQuarantineEnds = 8
-	minQuarantineHold = time.Second
-	maxQuarantineHold = 24 * time.Hour
+	// minCrashThreshold is above 1, because all requests that a server was running are suspected when it
+	// crashes.
+	minCrashThreshold = 2
+	// maxCrashThreshold is the number of crashes that a record stores.
+	maxCrashThreshold     = 8
+	minQuarantineDuration = time.Second
+	maxQuarantineDuration = 24 * time.Hour
 )
 
 func (q *Quarantine) setDefaults() {
@@ -29,6 +30,6 @@
 }
 
 func (q *Quarantine) check(c *checker) {
-	c.require(q.Threshold >= minQuarantineEnds && q.Threshold <= maxQuarantineEnds, "quarantine.ends", "must be from 2 to 8")
-	c.requireBetween(q.Hold, minQuarantineHold, maxQuarantineHold, "quarantine.hold")
+	c.require(q.Threshold >= minCrashThreshold && q.Threshold <= maxCrashThreshold, "quarantine.ends", "must be from 2 to 8")
+	c.requireBetween(q.Hold, minQuarantineDuration, maxQuarantineDuration, "quarantine.hold")
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -165,8 +165,8 @@
 	a.Backend = Backend{Kind: BackendEngine, OrderLifetime: Duration(30 * time.Second), Slots: 16}
 }
 
-// minSecret is the minimum length of a secret, in bytes.
-const minSecret = 16
+// minSecretLength is the minimum length of a secret, in bytes.
+const minSecretLength = 16
 
 func (p *Process) check(c *checker) {
 	c.require(p.ID != "", "id", "is required: the VM's name in the platform's list")
@@ -174,7 +174,7 @@
 	c.require(isAddr(p.Listen), "listen", "must be IP:port, such as 10.0.0.5:8080")
 	c.require(isAddr(p.ControlListen), "control_listen", "must be IP:port, such as 10.0.0.5:8081")
 	c.require(p.Listen != p.ControlListen || p.Listen == "", "control_listen", "must differ from listen")
-	c.require(len(p.Secret) >= minSecret, "secret", "must have at least 16 characters")
+	c.require(len(p.Secret) >= minSecretLength, "secret", "must have at least 16 characters")
 	c.require(isURL(p.KV), "kv", "must be a URL, such as http://10.0.0.2:7000")
 	levels := []string{"debug", "info", "warn", "error"}
 	c.require(slices.Contains(levels, p.Log.Level), "log.level", "must be debug, info, warn or error")
