--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -27,8 +27,8 @@
 	log.Info("quarantine ended", zap.Stringer("digest", c.Key), zap.String("reason", string(c.Kind)))
 }
 
-// RegisterQuarantine registers the handlers by which operators list the requests under which servers have
-// ended, and lift a quarantine.
+// RegisterQuarantine registers the handlers by which operators list the requests with which servers have
+// crashed, and lift a quarantine.
 func RegisterQuarantine(r Router, t *quarantine.Table) {
 	r.GET(wire.PathQuarantine, func(c echo.Context) error {
 		return c.JSON(http.StatusOK, wire.QuarantineList{Items: t.List()})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -66,7 +66,7 @@
 
 // Shutdown stops accepting connections and waits for the requests in progress until ctx is done.
 func (l *Listener) Shutdown(ctx context.Context) error {
-	return eris.Wrap(l.http.Shutdown(ctx), "server: shutdown")
+	return eris.Wrap(l.http.Shutdown(ctx), "server: shut down")
 }
 
 // Close closes the listener and all connections.
@@ -80,11 +80,11 @@
 				return next(c)
 			}
 			m.Unauthorized(c.Path())
-			f := wire.ErrorResponse{
+			response := wire.ErrorResponse{
 				Status: http.StatusUnauthorized, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
 				Code: "unauthorized", Message: "the shared secret is missing or wrong",
 			}
-			return f.Write(c)
+			return response.Write(c)
 		}
 	}
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -50,7 +50,7 @@
 func (c *Client) Get(ctx context.Context, addr, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
-		return eris.Wrap(err, "wire: make request")
+		return eris.Wrap(err, "wire: create request")
 	}
 	return c.do(req, out, readBody)
 }
@@ -67,14 +67,14 @@
 // PostWithStallTimeout is Post with a bound on stalls instead of the total duration: neither the response's start
 // nor the wait for more of its body may take longer than maxStall.
 func (c *Client) PostWithStallTimeout(ctx context.Context, maxStall time.Duration, addr, path string, in, out any) error {
-	ctx, watch := transfer.StartWatchdog(ctx, maxStall, maxStall)
-	defer watch.Stop()
+	ctx, watchdog := transfer.StartWatchdog(ctx, maxStall, maxStall)
+	defer watchdog.Stop()
 	req, err := newPost(ctx, addr, path, in)
 	if err != nil {
 		return err
 	}
 	return c.do(req, out, func(body io.Reader) ([]byte, error) {
-		return watch.ReadAll(ctx, body, maxMessageSize)
+		return watchdog.ReadAll(ctx, body, maxMessageSize)
 	})
 }
 
@@ -82,11 +82,11 @@
 func newPost(ctx context.Context, addr, path string, in any) (*http.Request, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return nil, eris.Wrap(err, "wire: encode")
+		return nil, eris.Wrap(err, "wire: encode request")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, eris.Wrap(err, "wire: make request")
+		return nil, eris.Wrap(err, "wire: create request")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	return req, nil
@@ -111,7 +111,7 @@
 	defer resp.Body.Close()
 	data, err := read(resp.Body)
 	if err != nil {
-		return eris.Wrap(err, "wire: read answer")
+		return eris.Wrap(err, "wire: read response")
 	}
 	if resp.StatusCode != http.StatusOK {
 		return &StatusError{Status: resp.StatusCode, Body: data}
@@ -119,7 +119,7 @@
 	if out == nil {
 		return nil
 	}
-	return eris.Wrap(json.Unmarshal(data, out), "wire: decode answer")
+	return eris.Wrap(json.Unmarshal(data, out), "wire: decode response")
 }
 
 // wrapSendError wraps the error of a call, with ErrNotSent if nothing was sent.
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -26,7 +26,7 @@
 	TypeServer         = "server_error"
 )
 
-// A ErrorResponse is an error response of an entry or agent itself, rather than of the backend server, in the
+// An ErrorResponse is an error response of an entry or agent itself, rather than of the backend server, in the
 // form of the OpenAI API. Gateways send plain text in the form of the users' platform instead
 // (package gateway).
 type ErrorResponse struct {
@@ -40,17 +40,17 @@
 }
 
 // Body returns the error object.
-func (f ErrorResponse) Body() ErrorBody {
-	return ErrorBody{Error: ErrorDetail{Message: f.Message, Type: f.Type, Code: f.Code, Param: f.Param}}
+func (r ErrorResponse) Body() ErrorBody {
+	return ErrorBody{Error: ErrorDetail{Message: r.Message, Type: r.Type, Code: r.Code, Param: r.Param}}
 }
 
 // Write sends the response.
-func (f ErrorResponse) Write(c echo.Context) error {
+func (r ErrorResponse) Write(c echo.Context) error {
 	h := c.Response().Header()
-	h.Set(HeaderOutcome, string(f.Outcome))
-	h.Set(HeaderReason, f.Code)
-	if f.RetryAfter > 0 {
-		SetRetryAfter(h, f.RetryAfter)
+	h.Set(HeaderOutcome, string(r.Outcome))
+	h.Set(HeaderReason, r.Code)
+	if r.RetryAfter > 0 {
+		SetRetryAfter(h, r.RetryAfter)
 	}
-	return c.JSON(f.Status, f.Body())
+	return c.JSON(r.Status, r.Body())
 }
--- a/internal/wire/headers.go
+++ b/internal/wire/headers.go
@@ -20,13 +20,14 @@
 	HeaderReason = "Rockcleat-Reason"
 	// HeaderRow is the name of a request's table row, between entry and agent.
 	HeaderRow = "Rockcleat-Row"
-	// HeaderDigest is equal for all copies of a request (package quarantine), between entry and agent.
+	// HeaderDigest is a digest of a request's content, which is equal for repeated requests (package
+	// quarantine), between entry and agent.
 	HeaderDigest = "Rockcleat-Digest"
 	// HeaderTokens is the expected cost of a request in tokens.
 	HeaderTokens = "Rockcleat-Tokens"
 	// HeaderLoad is an agent's load on each response: requests per slot, in percent.
 	HeaderLoad = "Rockcleat-Load"
-	// HeaderLeaving is the incarnation of an agent that accepts no new work.
+	// HeaderLeaving is the incarnation of an agent that is leaving and accepts no new requests.
 	HeaderLeaving = "Rockcleat-Leaving"
 	// HeaderTableVersion is the sender's table version.
 	HeaderTableVersion = "Rockcleat-Table"
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -31,7 +31,7 @@
 	Max int    `json:"max"`
 }
 
-// A ExchangeTrigger asks a planner to exchange messages with a backend server's agent without waiting for the
+// An ExchangeTrigger asks a planner to exchange messages with a backend server's agent without waiting for the
 // next regular exchange, because of an urgent change there.
 type ExchangeTrigger struct {
 	Server string `json:"server"`
@@ -54,14 +54,14 @@
 	// Leaving reports whether version List of the platform's list of VMs marks the server as leaving.
 	Leaving bool   `json:"leaving,omitempty"`
 	List    uint64 `json:"list,omitempty"`
-	// Lapsed reports that the planner's lease has expired. The message then contains no orders, and
-	// the agent keeps its grants.
+	// Lapsed reports whether the planner's lease has expired. If it has, the message contains no orders,
+	// and the agent keeps its grants.
 	Lapsed bool `json:"lapsed,omitempty"`
 	// Pauses is the number of the agent's pauses known to the planner.
 	Pauses int                `json:"pauses,omitempty"`
 	Orders []placement.Order  `json:"orders,omitempty"`
 	Grants []ConcurrencyGrant `json:"grants,omitempty"`
-	// Quarantine lists requests under which backend servers have ended.
+	// Quarantine lists requests with which backend servers have crashed.
 	Quarantine quarantine.Message `json:"quarantine,omitzero"`
 }
 
@@ -78,7 +78,7 @@
 	// Server is the agent's record; nil if the planner already has it.
 	Server *fleet.Server      `json:"server,omitempty"`
 	Grants []ConcurrencyGrant `json:"grants,omitempty"`
-	// Quarantine lists requests under which the server has ended and that are new to the planner.
+	// Quarantine lists requests with which the server has crashed and that are new to the planner.
 	Quarantine *quarantine.Reply `json:"quarantine,omitempty"`
 }
 
@@ -89,7 +89,7 @@
 	Cells fleet.Digest `json:"cells,omitempty"`
 	// TableOnly excludes the servers' records from the response.
 	TableOnly bool `json:"table_only,omitempty"`
-	// Quarantine lists requests under which backend servers have ended.
+	// Quarantine lists requests with which backend servers have crashed.
 	Quarantine quarantine.Message `json:"quarantine,omitzero"`
 }
 
@@ -99,7 +99,7 @@
 	Cells []fleet.CellDelta `json:"cells,omitempty"`
 	// TableVersion is the responding process's table version.
 	TableVersion uint64 `json:"version"`
-	// Quarantine lists requests under which servers have ended and that are new to the sender of the
+	// Quarantine lists requests with which servers have crashed and that are new to the sender of the
 	// SyncRequest.
 	Quarantine *quarantine.Reply `json:"quarantine,omitempty"`
 }
@@ -109,7 +109,7 @@
 	Key         string `json:"key"`
 	Fingerprint uint64 `json:"fp"`
 	Attempt     string `json:"attempt"`
-	// NotRun states that the attempt did not run; it is used only with PathClaimFinish.
+	// NotRun is set if the attempt did not run; it is used only with PathClaimFinish.
 	NotRun bool            `json:"free,omitempty"`
 	Answer *claim.Response `json:"answer,omitempty"`
 }
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -8,7 +8,7 @@
 	Deadline string
 	// Signature is set by backend servers on complete responses.
 	Signature string
-	// Expect identifies the instance (process run) of the backend server that a request is meant for.
+	// Expect identifies the server instance that a request is meant for.
 	Expect string
 	// ServerLimit is set by overloaded backend servers on responses: the number of requests per second that
 	// they accept from all senders together.
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -47,7 +47,7 @@
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
-				// Without the option a dead peer is only noticed later.
+				// The error is ignored: without the option, an unresponsive peer is only detected later.
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 			})
 		},
