--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -36,12 +36,13 @@
 	// configTransfers and configBytes count the transfers of configurations and their bytes.
 	configTransfers metric.Int64Counter
 	configBytes     metric.Int64Counter
-	serverEnds      metric.Int64Counter
+	serverCrashes   metric.Int64Counter
 	// serverLimits counts the limits that servers announced, changed and ended.
 	serverLimits metric.Int64Counter
 	// permits counts the requests for permits at servers with limits.
 	permits metric.Int64Counter
-	// charges counts requests by organisation and outcome of its limit; spent sums the cost of those inside it.
+	// charges counts requests by organisation and outcome of the check against its limit; spent sums the cost
+	// of those within it.
 	charges metric.Int64Counter
 	spent   metric.Float64Counter
 
@@ -58,7 +59,7 @@
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprom.New(otelprom.WithRegisterer(registry), otelprom.WithoutScopeInfo(), otelprom.WithoutTargetInfo())
 	if err != nil {
-		return nil, eris.Wrap(err, "telemetry: prometheus exporter")
+		return nil, eris.Wrap(err, "telemetry: create Prometheus exporter")
 	}
 	m := &GatewayMetrics{
 		handler:     promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}),
@@ -73,7 +74,7 @@
 	m.admissions = b.counter("rockcleat.gateway.places", "Places at engines asked of other gateways, by result.")
 	m.configTransfers = b.counter("rockcleat.gateway.config_transfers", "Transfers of the configuration, by origin and result.")
 	m.configBytes = b.counter("rockcleat.gateway.config_bytes", "Bytes of configurations received, as they were sent, by origin.")
-	m.serverEnds = b.counter("rockcleat.gateway.server_ends", "Backend servers that ended under requests, by service.")
+	m.serverCrashes = b.counter("rockcleat.gateway.server_ends", "Backend servers that ended under requests, by service.")
 	m.serverLimits = b.counter("rockcleat.gateway.server_limits", "Limits that backend servers named for themselves, by what became of them.")
 	m.permits = b.counter("rockcleat.gateway.permits", "Permits asked for sends to backend servers that named limits, by result.")
 	m.charges = b.counter("rockcleat.gateway.limits", "Requests of organisations with a limit, by what it said.")
@@ -116,12 +117,12 @@
 }
 
 // Admissions counts the responses of other gateways to requests for admission at their engines: granted,
-// denied, or none (silent).
-func (m *GatewayMetrics) Admissions(granted, denied, silent int) {
+// denied, or none (unresponsive; the metric calls them silent).
+func (m *GatewayMetrics) Admissions(granted, denied, unresponsive int) {
 	ctx := context.Background()
 	m.admissions.Add(ctx, int64(granted), m.attributeSet("result", "granted", "", ""))
 	m.admissions.Add(ctx, int64(denied), m.attributeSet("result", "denied", "", ""))
-	m.admissions.Add(ctx, int64(silent), m.attributeSet("result", "silent", "", ""))
+	m.admissions.Add(ctx, int64(unresponsive), m.attributeSet("result", "silent", "", ""))
 }
 
 // ConfigTransfer counts a transfer of the configuration from the store or another gateway, and its size
@@ -136,22 +137,22 @@
 	m.configBytes.Add(ctx, int64(bytes), m.attributeSet("from", from, "", ""))
 }
 
-// ServerEnded counts a backend server of a service that ended while it ran requests.
+// ServerCrashed counts a backend server of a service that crashed while it ran requests.
 func (m *GatewayMetrics) ServerCrashed(service string) {
-	m.serverEnds.Add(context.Background(), 1, m.attributeSet("service", service, "", ""))
+	m.serverCrashes.Add(context.Background(), 1, m.attributeSet("service", service, "", ""))
 }
 
-// ServerLimit counts a limit that a backend server announced, changed or ended, by state.
+// ServerLimitChanged counts a limit that a backend server announced, changed or ended, by state.
 func (m *GatewayMetrics) ServerLimitChanged(state string) {
 	m.serverLimits.Add(context.Background(), 1, m.attributeSet("state", state, "", ""))
 }
 
-// Permit counts a request for a permit at a backend server with a limit, by outcome.
+// PermitRequested counts a request for a permit at a backend server with a limit, by outcome.
 func (m *GatewayMetrics) PermitRequested(outcome string) {
 	m.permits.Add(context.Background(), 1, m.attributeSet("outcome", outcome, "", ""))
 }
 
-// Charged counts a request that was charged to an organisation's limit, by outcome. Requests inside the
+// QuotaCharged counts a request that was charged to an organisation's limit, by outcome. Requests within the
 // limit also add their cost, in the limit's unit.
 func (m *GatewayMetrics) QuotaCharged(organisation, outcome string, cost float64) {
 	ctx := context.Background()
--- a/internal/telemetry/sink.go
+++ b/internal/telemetry/sink.go
@@ -142,7 +142,7 @@
 func NewSinkLogger(l config.Log, s *Sink, role, id string) (*zap.Logger, error) {
 	level, err := zapcore.ParseLevel(l.Level)
 	if err != nil {
-		return nil, eris.Wrap(err, "telemetry: log level")
+		return nil, eris.Wrap(err, "telemetry: parse log level")
 	}
 	c := zap.NewProductionEncoderConfig()
 	c.EncodeTime = zapcore.EpochMillisTimeEncoder
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -26,13 +26,13 @@
 	}
 	level, err := zap.ParseAtomicLevel(l.Level)
 	if err != nil {
-		return nil, eris.Wrap(err, "telemetry: log level")
+		return nil, eris.Wrap(err, "telemetry: parse log level")
 	}
 	c.Level = level
 	c.DisableCaller = true
 	log, err := c.Build()
 	if err != nil {
-		return nil, eris.Wrap(err, "telemetry: build log")
+		return nil, eris.Wrap(err, "telemetry: build logger")
 	}
 	return log.With(zap.String("role", role), zap.String("vm", id)), nil
 }
@@ -65,7 +65,7 @@
 	registry.MustRegister(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	exporter, err := otelprom.New(otelprom.WithRegisterer(registry), otelprom.WithoutScopeInfo())
 	if err != nil {
-		return nil, eris.Wrap(err, "telemetry: prometheus exporter")
+		return nil, eris.Wrap(err, "telemetry: create Prometheus exporter")
 	}
 	m := &Metrics{
 		handler:  promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
@@ -111,7 +111,7 @@
 // recordError records err unless an earlier one was recorded.
 func (b *instrumentBuilder) recordError(err error) {
 	if b.err == nil && err != nil {
-		b.err = eris.Wrap(err, "telemetry: make instrument")
+		b.err = eris.Wrap(err, "telemetry: create instrument")
 	}
 }
 
