--- a/internal/configsync/fetch.go
+++ b/internal/configsync/fetch.go
@@ -16,8 +16,8 @@
 // errBadPatch is returned when a patch cannot be applied to the version held here.
 var errBadPatch = eris.New("configsync: patch cannot be applied to the held version")
 
-// fetch fetches the newest version from the gateway at addr, as a patch first. If the patch does not
-// apply, it fetches the full configuration. After a failure the store is read next.
+// fetch fetches the newest version from the gateway at addr, first as a patch. If the patch cannot be
+// applied, it fetches the full configuration. After a failure the store is read next.
 func (s *Syncer) fetch(ctx context.Context, addr string) {
 	have := s.history.newest()
 	err := s.fetchWithBase(ctx, addr, have)
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -51,7 +51,7 @@
 	// TableVersion is the planner's table version; an agent with a newer table ignores the orders.
 	TableVersion uint64       `json:"version"`
 	Table        *table.Delta `json:"table,omitempty"`
-	// Leaving reports whether version List of the platform's list of VMs marks the server as leaving.
+	// Leaving reports whether the platform's list of VMs, in its version List, marks the server as leaving.
 	Leaving bool   `json:"leaving,omitempty"`
 	List    uint64 `json:"list,omitempty"`
 	// Lapsed reports whether the planner's lease has expired. If it has, the message contains no orders,
