--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -45,9 +45,9 @@
 	// ownerSuspension is how long an owner that did not answer is not asked. A gateway that has
 	// stopped is removed from the list of gateways within two seconds.
 	ownerSuspension = 700 * time.Millisecond
-	// grantTTL is how long a grant counts towards the load of an engine. After that the granted
+	// admissionTTL is how long a grant counts towards the load of an engine. After that the granted
 	// request is included in the loads that the other gateways report.
-	grantTTL = 400 * time.Millisecond
+	admissionTTL = 400 * time.Millisecond
 	// minAdmissionRetry is the minimum delay before admission is requested again.
 	minAdmissionRetry = 5 * time.Millisecond
 	// fullEngineRetry is the delay for an engine without a free slot or memory. Capacity is freed
@@ -56,9 +56,9 @@
 )
 
 // A grant is an admission given to another gateway's request.
-type grant struct {
-	grantedAt  time.Time
-	needTokens int
+type admission struct {
+	admittedAt     time.Time
+	requiredTokens int
 }
 
 // Admit decides, as the owner of an engine, whether another gateway may send a request to it.
@@ -85,31 +85,31 @@
 		reply.RetryAfterMs = int(d.admissionDelay(s, c, limits, now).Milliseconds())
 		return reply
 	}
-	d.recordGrant(req, s, c, now)
+	d.recordAdmission(req, s, c, now)
 	reply.Admitted = true
 	return reply
 }
 
-// recordGrant records an admission. d.mu must be held.
-func (d *Dispatcher) recordGrant(r *Request, s *backend.Server, c Candidate, now time.Time) {
+// recordAdmission records an admission. d.mu must be held.
+func (d *Dispatcher) recordAdmission(r *Request, s *backend.Server, c Candidate, now time.Time) {
 	l := d.loadOf(s.ID)
-	l.grants = append(l.grants, grant{grantedAt: now, needTokens: c.RequiredTokens})
+	l.admissions = append(l.admissions, admission{admittedAt: now, requiredTokens: c.RequiredTokens})
 	l.prefill.add(c.PrefillTime.Duration(), now)
 	l.prefixes.touch(r.targetKey(), r.Prefix)
 }
 
-// grantedLoad returns the load of the requests granted within grantTTL and drops older grants.
-func (l *serverLoad) grantedLoad(now time.Time) Load {
-	recent := l.grants[:0]
-	for _, g := range l.grants {
-		if now.Sub(g.grantedAt) < grantTTL {
+// admittedLoad returns the load of the requests granted within admissionTTL and drops older grants.
+func (l *serverLoad) admittedLoad(now time.Time) Load {
+	recent := l.admissions[:0]
+	for _, g := range l.admissions {
+		if now.Sub(g.admittedAt) < admissionTTL {
 			recent = append(recent, g)
 		}
 	}
-	l.grants = recent
+	l.admissions = recent
 	sum := Load{Running: len(recent)}
 	for _, g := range recent {
-		sum.UsedTokens += g.needTokens
+		sum.UsedTokens += g.requiredTokens
 	}
 	return sum
 }
@@ -141,7 +141,7 @@
 	if res.owner == "" || d.requestAdmission(ctx, res) {
 		return true
 	}
-	d.returnPermit(res)
+	d.releasePermit(res)
 	return false
 }
 
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -32,9 +32,9 @@
 func (g *gatewayGroup) Admit(_ context.Context, owner string, r dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
 	g.mu.Lock()
 	g.requests++
-	d, silent := g.dispatchers[owner], g.unresponsive[owner]
+	d, unresponsive := g.dispatchers[owner], g.unresponsive[owner]
 	g.mu.Unlock()
-	if silent {
+	if unresponsive {
 		return dispatch.AdmissionReply{}, errors.New("gateway did not answer")
 	}
 	return d.Admit(r), nil
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestSilentOwnerIsSuspended checks that requests are still sent when the only engine's owner does
+// TestUnresponsiveOwnerIsSuspended checks that requests are still sent when the only engine's owner does
 // not answer, and that the owner is not asked for each of them.
-func TestSilentOwnerIsSuspended(t *testing.T) {
+func TestUnresponsiveOwnerIsSuspended(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGatewayGroup(c, 2, engine("a"))
 	g.unresponsive["g0"], g.unresponsive["g1"] = true, true
@@ -153,16 +153,16 @@
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGatewayGroup(c, 1, engine("a"))
 	d := g.dispatchers["g0"]
-	ask := dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 100, MaxOutputTokens: 100}
+	req := dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 100, MaxOutputTokens: 100}
 	for range 8 {
-		assert.Assert(t, d.Admit(ask).Admitted)
+		assert.Assert(t, d.Admit(req).Admitted)
 	}
-	full := d.Admit(ask)
+	full := d.Admit(req)
 	assert.Assert(t, full.Owned && !full.Admitted && full.RetryAfterMs > 0, "%+v", full)
 	assert.Equal(t, full.Load.Running, 8)
 	assert.Equal(t, full.Load.UsedTokens, 8*200)
 	c.Advance(time.Second)
-	assert.Assert(t, d.Admit(ask).Admitted)
+	assert.Assert(t, d.Admit(req).Admitted)
 }
 
 func TestAdmissionAtAnotherGatewaysEngine(t *testing.T) {
@@ -183,13 +183,13 @@
 func TestOwnerKnowsCachedPrefixes(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := newGatewayGroup(c, 1, engine("a")).dispatchers["g0"]
-	ask := dispatch.AdmissionRequest{
+	req := dispatch.AdmissionRequest{
 		Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: gapForPrefill(60), Prefix: []dispatch.PrefixBlock{{ID: "p", Tokens: 950}},
 	}
-	assert.Assert(t, d.Admit(ask).Admitted)
-	assert.Assert(t, d.Admit(ask).Admitted, "the prefix is cached, so that both fit")
-	ask.Prefix = nil
-	assert.Assert(t, !d.Admit(ask).Admitted)
+	assert.Assert(t, d.Admit(req).Admitted)
+	assert.Assert(t, d.Admit(req).Admitted, "the prefix is cached, so that both fit")
+	req.Prefix = nil
+	assert.Assert(t, !d.Admit(req).Admitted)
 }
 
 // TestDeniedPromptIsNotCached checks that a prompt that was not admitted, and therefore not sent,
@@ -228,6 +228,6 @@
 	leaving := engine("a")
 	leaving.Leaving = true
 	d := newGatewayGroup(c, 1, leaving).dispatchers["g0"]
-	answer := d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model})
-	assert.Assert(t, answer.Owned && !answer.Admitted && answer.RetryAfterMs > 0, "%+v", answer)
+	reply := d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model})
+	assert.Assert(t, reply.Owned && !reply.Admitted && reply.RetryAfterMs > 0, "%+v", reply)
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -232,9 +232,9 @@
 	c.UsedTokens = l.UsedTokens + others.UsedTokens
 	c.PrefillAhead = Milliseconds(l.PrefillMs + others.PrefillMs)
 	if c.Owned && d.opts.Owners != nil {
-		granted := l.grantedLoad(now)
-		c.Running += granted.Running
-		c.UsedTokens += granted.UsedTokens
+		admitted := l.admittedLoad(now)
+		c.Running += admitted.Running
+		c.UsedTokens += admitted.UsedTokens
 		c.PrefillAhead = max(InMilliseconds(l.prefill.end(now).Sub(now)), Milliseconds(l.PrefillMs))
 	}
 }
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -48,8 +48,8 @@
 	lastResponse time.Time
 	// awaitingFirstByte lists the reservations whose first byte is outstanding, oldest first.
 	awaitingFirstByte []*Reservation
-	// grants are the recent admissions of other gateways' requests.
-	grants []grant
+	// admissions are the recent admissions of other gateways' requests.
+	admissions []admission
 	// prefill holds the expected prefill times of an owned engine.
 	prefill prefillQueue
 	// admissionDeniedUntil is the time until which the engine's owner is not asked again after it
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -71,9 +71,9 @@
 	backlogService = time.Second
 	backlogSendBy  = 280 * time.Millisecond
 	backlogWait    = 1600 * time.Millisecond
-	// leastInTime is the minimum number of requests served in time. It is missed if late requests
+	// minInTime is the minimum number of requests served in time. It is missed if late requests
 	// may use all slots.
-	leastInTime = 280
+	minInTime = 280
 )
 
 // TestBacklogDoesNotDelayNewRequests checks that engines work off a backlog without making new
@@ -84,7 +84,7 @@
 		g := newGatewayGroup(c, 3)
 		served := runBacklog(c, g)
 		t.Logf("in time %d, late %d", served.inTime, served.late)
-		assert.Assert(t, served.inTime >= leastInTime, "in time %d, late %d", served.inTime, served.late)
+		assert.Assert(t, served.inTime >= minInTime, "in time %d, late %d", served.inTime, served.late)
 	})
 }
 
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// returnPermit returns the permit of an attempt that is not made.
-func (d *Dispatcher) returnPermit(res *Reservation) {
+// releasePermit returns the permit of an attempt that is not made.
+func (d *Dispatcher) releasePermit(res *Reservation) {
 	if res.hasPermit {
 		d.opts.Permits.Release(res.server.ID)
 	}
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -23,7 +23,7 @@
 	// results holds the next results of Take by server; 0 grants a permit.
 	results  map[string][]time.Duration
 	taken    map[string]int
-	returned int
+	released int
 }
 
 func (p *testPermits) Any() bool { return len(p.limits) > 0 }
@@ -48,7 +48,7 @@
 	return true, 0
 }
 
-func (p *testPermits) Release(string) { p.returned++ }
+func (p *testPermits) Release(string) { p.released++ }
 
 // grantResults returns n results of Take that grant a permit.
 func grantResults(n int) []time.Duration { return make([]time.Duration, n) }
@@ -201,7 +201,7 @@
 	_, err := d.Acquire(t.Context(), r)
 	assert.Assert(t, err != nil)
 	assert.Equal(t, permits.taken["a"], 1)
-	assert.Equal(t, permits.returned, 1)
+	assert.Equal(t, permits.released, 1)
 }
 
 // TestWaitForAnAdapter checks requests for an adapter whose only engine grants no permits: they
--- a/fairqueue/fairqueue_test.go
+++ b/fairqueue/fairqueue_test.go
@@ -34,11 +34,11 @@
 
 func (r *request) isGranted() bool { return r.granted }
 
-func newRequest(row string, weight, running int, queueTime time.Duration) *request {
+func newRequest(row string, weight, maxRunning int, queueTime time.Duration) *request {
 	r := &request{}
 	r.Ticket = &fairqueue.Ticket{
 		Row: row, Tokens: 10,
-		Limit:   fairqueue.Limit{Weight: weight, MaxRunning: running, QueueTime: queueTime},
+		Limit:   fairqueue.Limit{Weight: weight, MaxRunning: maxRunning, QueueTime: queueTime},
 		Granted: func(fairqueue.Grant) { r.granted = true },
 		Refused: func(x fairqueue.Refusal) { r.refusal = &x },
 	}
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -34,20 +34,20 @@
 //
 // The zero value has no observations.
 type Estimator struct {
-	value float64
-	at    time.Time
+	value     float64
+	updatedAt time.Time
 }
 
 // Observe records the number of slots that are busy or requested now.
 func (e *Estimator) Observe(slots float64, halfLife time.Duration, now time.Time) {
 	e.value = max(slots, e.Value(halfLife, now))
-	e.at = now
+	e.updatedAt = now
 }
 
 // Value returns the estimated demand at the time now, in busy slots.
 func (e *Estimator) Value(halfLife time.Duration, now time.Time) float64 {
-	if e.at.IsZero() {
+	if e.updatedAt.IsZero() {
 		return 0
 	}
-	return e.value * math.Exp2(-now.Sub(e.at).Seconds()/halfLife.Seconds())
+	return e.value * math.Exp2(-now.Sub(e.updatedAt).Seconds()/halfLife.Seconds())
 }
--- a/placement/fit.go
+++ b/placement/fit.go
@@ -63,11 +63,11 @@
 				Allowed: "a name that the weight store holds"})
 			continue
 		}
-		owner := r.Name
+		model := r.Name
 		if r.Kind == table.KindAdapter {
-			owner = r.Base
+			model = r.Base
 		}
-		mib[owner] += size.TotalMiB()
+		mib[model] += size.TotalMiB()
 	}
 	var groups []group
 	for name, m := range mib {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -47,10 +47,10 @@
 
 // Defaults of Options.
 const (
-	defaultHeadroom  = 0.7
-	defaultHold      = 60 * time.Second
-	defaultMaxLoads  = 4
-	defaultMaxOrders = 8
+	defaultHeadroom      = 0.7
+	defaultEvictionDelay = 60 * time.Second
+	defaultMaxLoads      = 4
+	defaultMaxOrders     = 8
 )
 
 // An Input is the input of Plan.
@@ -84,7 +84,7 @@
 		o.Headroom = defaultHeadroom
 	}
 	if o.EvictionDelay <= 0 {
-		o.EvictionDelay = defaultHold
+		o.EvictionDelay = defaultEvictionDelay
 	}
 	if o.MaxLoads <= 0 {
 		o.MaxLoads = defaultMaxLoads
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -49,7 +49,7 @@
 	}
 	var changed []Key
 	for k, e := range t.entries {
-		if e.version > after && (len(e.servers) >= c.minCrashes || e.round > 0) {
+		if e.version > after && (len(e.servers) >= c.minCrashes || e.generation > 0) {
 			changed = append(changed, k)
 		}
 	}
--- a/quarantine/exchange_test.go
+++ b/quarantine/exchange_test.go
@@ -34,8 +34,8 @@
 
 // isQuarantined reports whether the request is in quarantine at the node.
 func (n *node) isQuarantined(k quarantine.Key) bool {
-	_, held := n.table.Until(k)
-	return held
+	_, quarantined := n.table.Until(k)
+	return quarantined
 }
 
 // TestCrashesAtSeveralProcesses checks that crashes seen by three different processes lead to a quarantine in all
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -23,7 +23,7 @@
 
 // An entry is the state of one request in a table.
 type entry struct {
-	round uint32
+	generation uint32
 	// servers is sorted.
 	servers []string
 	// lastEvent is the time of the last crash, or the time when the request was cleared.
@@ -50,7 +50,7 @@
 
 // clear clears the crashes and begins the next round.
 func (e *entry) clear(now time.Time) {
-	e.round++
+	e.generation++
 	e.servers = nil
 	e.lastEvent = now
 }
@@ -58,11 +58,11 @@
 // merge merges a record whose last crash was at a time and reports whether the entry has changed. A later round
 // replaces the entry; crashes of the same round are added; an earlier round is ignored.
 func (e *entry) merge(r Record, at time.Time) (changed bool) {
-	if r.Generation < e.round {
+	if r.Generation < e.generation {
 		return false
 	}
-	if r.Generation > e.round {
-		e.round, e.servers, e.lastEvent = r.Generation, nil, at
+	if r.Generation > e.generation {
+		e.generation, e.servers, e.lastEvent = r.Generation, nil, at
 		changed = true
 	}
 	if at.Sub(e.lastEvent) > minTimeChange {
@@ -79,5 +79,5 @@
 
 // record returns the entry in the form that is sent to other processes.
 func (e *entry) record(k Key, now time.Time) Record {
-	return Record{Key: k, Generation: e.round, Servers: slices.Clone(e.servers), AgeMs: max(now.Sub(e.lastEvent).Milliseconds(), 0)}
+	return Record{Key: k, Generation: e.generation, Servers: slices.Clone(e.servers), AgeMs: max(now.Sub(e.lastEvent).Milliseconds(), 0)}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -160,7 +160,7 @@
 func (t *Table) Expire() { t.change(t.expire) }
 
 // Counts returns the number of requests in quarantine and the number of the other requests in the table.
-func (t *Table) Counts() (held, suspected int) {
+func (t *Table) Counts() (quarantined, suspected int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.quarantined), len(t.entries) - len(t.quarantined)
@@ -269,14 +269,14 @@
 func (t *Table) transitions(now time.Time) []Change {
 	var list []Change
 	for _, k := range t.changed {
-		until, held := t.until(k, now)
-		if _, known := t.quarantined[k]; held && !known {
+		until, quarantined := t.until(k, now)
+		if _, known := t.quarantined[k]; quarantined && !known {
 			list = append(list, Change{Key: k, Kind: Began, Servers: slices.Clone(t.entries[k].servers), Until: until})
 			t.quarantined[k] = struct{}{}
 		}
 	}
 	for k := range t.quarantined {
-		if _, held := t.until(k, now); held {
+		if _, quarantined := t.until(k, now); quarantined {
 			continue
 		}
 		delete(t.quarantined, k)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -28,7 +28,7 @@
 	})
 }
 
-func TestEnds(t *testing.T) {
+func TestCrashes(t *testing.T) {
 	tests := map[string]struct {
 		do   func(t *quarantine.Table, c *clocktest.Clock)
 		held bool
--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -136,9 +136,9 @@
 		s := spec(sizes...)
 		list := drawEngines(t, s)
 		weights := rapid.SliceOfN(rapid.Float64Range(0, 100), len(sizes), len(sizes)).Draw(t, "weights")
-		stores := rapid.IntRange(0, 4).Draw(t, "stores")
+		storeLoads := rapid.IntRange(0, 4).Draw(t, "stores")
 		before := replicaCounts(list)
-		moves := Plan(Input{Spec: s, Engines: slices.Clone(list), Demands: demands(weights...), StoreLoadsAllowed: stores})
+		moves := Plan(Input{Spec: s, Engines: slices.Clone(list), Demands: demands(weights...), StoreLoadsAllowed: storeLoads})
 		seen := make(map[string]bool)
 		for _, m := range moves {
 			if seen[m.Engine] {
@@ -146,7 +146,7 @@
 			}
 			seen[m.Engine] = true
 			if m.Source == FromStore {
-				stores--
+				storeLoads--
 			}
 			for _, v := range m.Evictions {
 				before[v]--
@@ -157,7 +157,7 @@
 			before[m.Model]++
 			checkFits(t, s, list, m)
 		}
-		if stores < 0 {
+		if storeLoads < 0 {
 			t.Fatal("more loads from the weight store than allowed")
 		}
 	})
--- a/residency/residence_test.go
+++ b/residency/residence_test.go
@@ -29,8 +29,8 @@
 		"no objective":                         {demand: Demand{TokensPerSecond: 1, Requested: true}},
 		"never asked for":                      {},
 		"never asked for, weights cached":      {cached: true},
-		"not next to rise, weights cached":     {succession: trainedSuccession(), cached: true, goes: true},
-		"not next to rise, weights not cached": {succession: trainedSuccession()},
+		"not next to rise, weights cached":     {succession: trainedSequence(), cached: true, goes: true},
+		"not next to rise, weights not cached": {succession: trainedSequence()},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/residency/succession_test.go
+++ b/residency/succession_test.go
@@ -29,8 +29,8 @@
 	return list
 }
 
-// trainedSuccession returns a SequenceEstimator that has observed demand move along the list.
-func trainedSuccession() *SequenceEstimator {
+// trainedSequence returns a SequenceEstimator that has observed demand move along the list.
+func trainedSequence() *SequenceEstimator {
 	var s SequenceEstimator
 	for i := range 4 {
 		s.Observe(uniformSpec(26), demandAt(listOrder(26), 2*i), nil)
@@ -86,7 +86,7 @@
 		rise       []bool
 	}{
 		"no order known": {rise: []bool{false, true, false, false, false}},
-		"a known order":  {succession: trainedSuccession(), rise: []bool{false, true, true, true, false}},
+		"a known order":  {succession: trainedSequence(), rise: []bool{false, true, true, true, false}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -101,7 +101,7 @@
 // TestForecastWithoutDemand checks that a forecast is based on replicas while no model has demand.
 func TestForecastWithoutDemand(t *testing.T) {
 	held := engines([]string{"m0"}, []string{"m0"}, []string{"m0", "m1"})
-	got := Forecast(uniformSpec(4), nil, held, trainedSuccession())
+	got := Forecast(uniformSpec(4), nil, held, trainedSequence())
 	assert.Assert(t, got["m0"].TokensPerSecond > got["m1"].TokensPerSecond && got["m1"].TokensPerSecond > 0, "%v", got)
 }
 
--- a/serverlimit/reading_test.go
+++ b/serverlimit/reading_test.go
@@ -11,38 +11,38 @@
 )
 
 func TestRead(t *testing.T) {
-	named := func(rate float64) serverlimit.HeaderLimit {
+	limited := func(rate float64) serverlimit.HeaderLimit {
 		return serverlimit.HeaderLimit{Kind: serverlimit.Limited, PerSecond: rate}
 	}
-	unreadable := serverlimit.HeaderLimit{Kind: serverlimit.Invalid}
+	invalid := serverlimit.HeaderLimit{Kind: serverlimit.Invalid}
 	tests := map[string]struct {
 		values []string
 		want   serverlimit.HeaderLimit
 	}{
 		"no header":        {want: serverlimit.HeaderLimit{Kind: serverlimit.NoLimit}},
-		"decimal":          {values: []string{"1.8"}, want: named(1.8)},
-		"whole":            {values: []string{"12"}, want: named(12)},
-		"zero":             {values: []string{"0"}, want: named(0)},
-		"zero point zero":  {values: []string{"0.0"}, want: named(0)},
-		"blanks around":    {values: []string{" 1.8\t"}, want: named(1.8)},
-		"point at the end": {values: []string{"3."}, want: named(3)},
-		"blank":            {values: []string{""}, want: unreadable},
-		"only blanks":      {values: []string{"  "}, want: unreadable},
-		"doubled":          {values: []string{"1.8", "1.8"}, want: unreadable},
-		"a list":           {values: []string{"1.8, 2.1"}, want: unreadable},
-		"negative":         {values: []string{"-1"}, want: unreadable},
-		"plus":             {values: []string{"+1"}, want: unreadable},
-		"not a number":     {values: []string{"NaN"}, want: unreadable},
-		"infinite":         {values: []string{"Inf"}, want: unreadable},
-		"exponent":         {values: []string{"1e3"}, want: unreadable},
-		"hexadecimal":      {values: []string{"0x1p3"}, want: unreadable},
-		"underscore":       {values: []string{"1_000"}, want: unreadable},
-		"point only":       {values: []string{"."}, want: unreadable},
-		"point first":      {values: []string{".5"}, want: unreadable},
-		"two points":       {values: []string{"1.2.3"}, want: unreadable},
-		"huge":             {values: []string{"99999999999"}, want: unreadable},
-		"long":             {values: []string{strings.Repeat("0", 40)}, want: unreadable},
-		"unit":             {values: []string{"2/s"}, want: unreadable},
+		"decimal":          {values: []string{"1.8"}, want: limited(1.8)},
+		"whole":            {values: []string{"12"}, want: limited(12)},
+		"zero":             {values: []string{"0"}, want: limited(0)},
+		"zero point zero":  {values: []string{"0.0"}, want: limited(0)},
+		"blanks around":    {values: []string{" 1.8\t"}, want: limited(1.8)},
+		"point at the end": {values: []string{"3."}, want: limited(3)},
+		"blank":            {values: []string{""}, want: invalid},
+		"only blanks":      {values: []string{"  "}, want: invalid},
+		"doubled":          {values: []string{"1.8", "1.8"}, want: invalid},
+		"a list":           {values: []string{"1.8, 2.1"}, want: invalid},
+		"negative":         {values: []string{"-1"}, want: invalid},
+		"plus":             {values: []string{"+1"}, want: invalid},
+		"not a number":     {values: []string{"NaN"}, want: invalid},
+		"infinite":         {values: []string{"Inf"}, want: invalid},
+		"exponent":         {values: []string{"1e3"}, want: invalid},
+		"hexadecimal":      {values: []string{"0x1p3"}, want: invalid},
+		"underscore":       {values: []string{"1_000"}, want: invalid},
+		"point only":       {values: []string{"."}, want: invalid},
+		"point first":      {values: []string{".5"}, want: invalid},
+		"two points":       {values: []string{"1.2.3"}, want: invalid},
+		"huge":             {values: []string{"99999999999"}, want: invalid},
+		"long":             {values: []string{strings.Repeat("0", 40)}, want: invalid},
+		"unit":             {values: []string{"2/s"}, want: invalid},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/serverlimit/rules_test.go
+++ b/serverlimit/rules_test.go
@@ -9,7 +9,7 @@
 	"rockcleat/serverlimit"
 )
 
-func TestIsInNeed(t *testing.T) {
+func TestIsThrottled(t *testing.T) {
 	tests := map[string]struct {
 		status serverlimit.Status
 		want   bool
--- a/serverlimit/table.go
+++ b/serverlimit/table.go
@@ -231,12 +231,12 @@
 		e = &entry{}
 		t.entries[server] = e
 	}
-	if state, changed := e.transition(u); changed {
+	if kind, changed := e.transition(u); changed {
 		rate := u.perSecond
-		if state == Ended {
+		if kind == Ended {
 			rate = e.perSecond
 		}
-		t.addChange(Change{Server: server, Kind: state, Origin: origin, PerSecond: rate, Age: now.Sub(reportedAt)})
+		t.addChange(Change{Server: server, Kind: kind, Origin: origin, PerSecond: rate, Age: now.Sub(reportedAt)})
 	}
 	t.store(server, e, u, reportedAt, now)
 }
--- a/serverlimit/table_test.go
+++ b/serverlimit/table_test.go
@@ -52,12 +52,12 @@
 	// afterMs is the time since the previous response.
 	afterMs int
 	// tookMs is the time since the request was sent.
-	tookMs  int
-	reading serverlimit.HeaderLimit
+	tookMs int
+	header serverlimit.HeaderLimit
 }
 
 func TestOrderOfAnswers(t *testing.T) {
-	unreadable := serverlimit.HeaderLimit{Kind: serverlimit.Invalid}
+	invalid := serverlimit.HeaderLimit{Kind: serverlimit.Invalid}
 	tests := map[string]struct {
 		steps []responseStep
 		want  float64
@@ -72,8 +72,8 @@
 		"lowered at once":                       {steps: []responseStep{{0, 10, five}, {20, 30, two}}, want: 2},
 		"not brought back by a late answer":     {steps: []responseStep{{0, 10, two}, {20, 10, none}, {5, 100, two}}, want: -1},
 		"brought back by what was sent after":   {steps: []responseStep{{0, 10, two}, {20, 10, none}, {50, 10, two}}, want: 2},
-		"neither set nor ended by what is none": {steps: []responseStep{{0, 10, two}, {20, 10, unreadable}}, want: 2},
-		"unreadable alone":                      {steps: []responseStep{{0, 10, unreadable}}, want: -1},
+		"neither set nor ended by what is none": {steps: []responseStep{{0, 10, two}, {20, 10, invalid}}, want: 2},
+		"unreadable alone":                      {steps: []responseStep{{0, 10, invalid}}, want: -1},
 		"zero":                                  {steps: []responseStep{{0, 10, serverlimit.HeaderLimit{Kind: serverlimit.Limited}}}, want: 0},
 		"not ended by an answer sent before it was named again": {
 			steps: []responseStep{{0, 10, two}, {1000, 10, two}, {10, 20, none}}, want: 2,
@@ -84,7 +84,7 @@
 			p := newProcess()
 			for _, s := range test.steps {
 				p.clock.Advance(time.Duration(s.afterMs) * time.Millisecond)
-				p.Observe(testServer, s.reading, p.ago(s.tookMs))
+				p.Observe(testServer, s.header, p.ago(s.tookMs))
 			}
 			assert.Equal(t, p.limit(), test.want)
 		})
