--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -42,11 +42,11 @@
 }
 
 const (
-	// ownerSuspension is how long an owner that did not answer is not asked. A gateway that has
+	// ownerSuspension is how long an owner that did not respond is not asked. A gateway that has
 	// stopped is removed from the list of gateways within two seconds.
 	ownerSuspension = 700 * time.Millisecond
-	// admissionTTL is how long a grant counts towards the load of an engine. After that the granted
-	// request is included in the loads that the other gateways report.
+	// admissionTTL is how long an admission counts towards the load of an engine. After that the
+	// admitted request is included in the loads that the other gateways report.
 	admissionTTL = 400 * time.Millisecond
 	// minAdmissionRetry is the minimum delay before admission is requested again.
 	minAdmissionRetry = 5 * time.Millisecond
@@ -55,7 +55,7 @@
 	fullEngineRetry = 50 * time.Millisecond
 )
 
-// A grant is an admission given to another gateway's request.
+// An admission records that another gateway's request was admitted to an engine.
 type admission struct {
 	admittedAt     time.Time
 	requiredTokens int
@@ -98,7 +98,8 @@
 	l.prefixes.touch(r.targetKey(), r.Prefix)
 }
 
-// admittedLoad returns the load of the requests granted within admissionTTL and drops older grants.
+// admittedLoad returns the load of the requests admitted within admissionTTL and drops older
+// admissions.
 func (l *serverLoad) admittedLoad(now time.Time) Load {
 	recent := l.admissions[:0]
 	for _, g := range l.admissions {
@@ -179,7 +180,7 @@
 	return false
 }
 
-// suspendOwner suspends an owner that did not answer and reports it once per suspension. d.mu must
+// suspendOwner suspends an owner that did not respond and reports it once per suspension. d.mu must
 // be held.
 func (d *Dispatcher) suspendOwner(owner string, now time.Time, err error) {
 	if d.owners.suspend(owner, now) && d.opts.OnOwnerUnresponsive != nil {
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -21,7 +21,7 @@
 type gatewayGroup struct {
 	mu          sync.Mutex
 	dispatchers map[string]*dispatch.Dispatcher
-	// unresponsive contains the gateways that do not answer.
+	// unresponsive contains the gateways that do not respond.
 	unresponsive map[string]bool
 	requests     int
 	// reportedOwners lists the owners passed to OnOwnerUnresponsive.
@@ -35,7 +35,7 @@
 	d, unresponsive := g.dispatchers[owner], g.unresponsive[owner]
 	g.mu.Unlock()
 	if unresponsive {
-		return dispatch.AdmissionReply{}, errors.New("gateway did not answer")
+		return dispatch.AdmissionReply{}, errors.New("gateway did not respond")
 	}
 	return d.Admit(r), nil
 }
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestUnresponsiveOwnerIsSuspended checks that requests are still sent when the only engine's owner does
-// not answer, and that the owner is not asked for each of them.
+// TestUnresponsiveOwnerIsSuspended checks that requests are still sent when the only engine's owner
+// does not respond, and that the owner is not asked for each of them.
 func TestUnresponsiveOwnerIsSuspended(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGatewayGroup(c, 2, engine("a"))
@@ -147,7 +147,7 @@
 	assert.Equal(t, g.requestCount(), 2, "asked again after a while")
 }
 
-// TestGrantCountsUntilItIsReported checks that a grant occupies slots and memory of the engine
+// TestGrantCountsUntilItIsReported checks that an admission occupies slots and memory of the engine
 // until the gateways' reports include the request.
 func TestGrantCountsUntilItIsReported(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
@@ -221,8 +221,8 @@
 	assert.Assert(t, req.AdmissionsDenied > 0)
 }
 
-// TestNoAdmissionAtALeavingEngine checks that the owner of a draining engine admits nothing there,
-// even if the other gateways do not know yet that the engine is draining.
+// TestNoAdmissionAtALeavingEngine checks that the owner of a leaving engine admits nothing there,
+// even if the other gateways do not know yet that the engine is leaving.
 func TestNoAdmissionAtALeavingEngine(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	leaving := engine("a")
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -35,8 +35,8 @@
 	Owners Owners
 	// Permits, if not nil, grants permits for servers with a rate limit.
 	Permits Permits
-	// OnOwnerUnresponsive, if not nil, is called when an owner has not answered and is suspended: it is
-	// not asked for a while. It is called with the Dispatcher locked and must not block.
+	// OnOwnerUnresponsive, if not nil, is called when an owner has not responded and is suspended,
+	// so that it is not asked for a while. It is called with the Dispatcher locked and must not block.
 	OnOwnerUnresponsive func(owner string, err error)
 	// OnModelMissing, if not nil, is called when a request starts to wait for a model or adapter
 	// that no server holds. It is called with the Dispatcher locked and must not block.
@@ -87,8 +87,8 @@
 	d.serveWaiting()
 }
 
-// SetRemoteLoads replaces the loads of all other processes, by server ID. busiestOnly means that the map
-// holds only the busiest servers.
+// SetRemoteLoads replaces the loads of all other processes, by server ID. busiestOnly means that
+// the map holds only the busiest servers.
 func (d *Dispatcher) SetRemoteLoads(remote map[string]Load, busiestOnly bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -132,8 +132,8 @@
 	return Choose(list, d.limitsFor(r, now)) >= 0
 }
 
-// CountServersHolding returns the number of servers that hold the request's model and adapter and are not
-// draining, whether or not they have capacity.
+// CountServersHolding returns the number of servers that hold the request's model and adapter and
+// are not leaving, whether or not they have capacity.
 func (d *Dispatcher) CountServersHolding(r *Request) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -179,7 +179,7 @@
 	return l
 }
 
-// candidates returns the servers that hold what the request needs and may be asked now, with the
+// candidates returns the servers that hold what the request needs and may be chosen now, with the
 // candidate for each. d.mu must be held.
 func (d *Dispatcher) candidates(r *Request, now time.Time) (servers []*backend.Server, list []Candidate) {
 	cacheTokens := d.opts.CacheTokens(r.Service)
@@ -224,7 +224,7 @@
 }
 
 // setLoads sets the load of a candidate: the requests of this process, those that other processes
-// reported and, for an owned engine, the recent grants. An owned engine's prefill queue is more
+// reported and, for an owned engine, the recent admissions. An owned engine's prefill queue is more
 // accurate than the reports, so it replaces them.
 func (d *Dispatcher) setLoads(c *Candidate, l *serverLoad, id string, now time.Time) {
 	others := d.remote[id].expectedAt(now)
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -2,7 +2,7 @@
 // request, orders the requests that have to wait, and refuses those that cannot be served in time.
 //
 // Each engine has one owner among the gateways, which admits the requests of all gateways to it. If
-// the owner does not answer, a gateway decides from the loads that it knows. A Dispatcher combines
+// the owner does not respond, a gateway decides from the loads that it knows. A Dispatcher combines
 // server selection (Candidate, Choose), admission to the engines that this gateway owns (Admit,
 // AdmissionRequest), permits for servers with a rate limit (Permits), the queue of waiting
 // requests, load shedding by priority, a model of each engine's prefill work (PrefillSpeeds), an
--- a/dispatch/failing_server_test.go
+++ b/dispatch/failing_server_test.go
@@ -51,9 +51,9 @@
 	assert.Assert(t, seen[bad.Server().ID], "a server that failed long ago is tried again")
 }
 
-// TestMisdirectedRequest checks that an engine that refused a model it does not hold is not asked
-// for it for a while but still receives requests for other models, and that a request waits if
-// there is no other engine.
+// TestMisdirectedRequest checks that an engine that refused a model it does not hold gets no
+// requests for it for a while but still receives requests for other models, and that a request
+// waits if there is no other engine.
 func TestMisdirectedRequest(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	e := engine("e1")
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -57,12 +57,12 @@
 	admissionDeniedUntil time.Time
 	permits              permitState
 	// notResidentUntil holds, for each model or adapter that the engine refused because it does not
-	// hold it, the time until which the engine is not asked for it again.
+	// hold it, the time until which no request for it is sent to the engine.
 	notResidentUntil map[string]time.Time
 }
 
-// notResidentTTL is how long an engine is not asked for a model or adapter that it does not hold.
-// It covers the time until updated residency reaches this gateway; each misdirected attempt uses
+// notResidentTTL is how long an engine gets no requests for a model or adapter that it does not
+// hold. It covers the time until updated residency reaches this gateway; each misdirected send uses
 // the retry budget.
 const notResidentTTL = time.Second
 
@@ -75,7 +75,8 @@
 	l.notResidentUntil[target] = now.Add(notResidentTTL)
 }
 
-// eligibleFrom returns the earliest time at which the server may be asked for a model or adapter.
+// eligibleFrom returns the earliest time at which the server may be chosen for a model or
+// adapter.
 func (l *serverLoad) eligibleFrom(target string) time.Time {
 	if until := l.notResidentUntil[target]; until.After(l.admissionDeniedUntil) {
 		return until
--- a/dispatch/owners.go
+++ b/dispatch/owners.go
@@ -23,7 +23,7 @@
 	gateways []Gateway
 	// byServer caches the owner by server ID.
 	byServer map[string]string
-	// suspendedUntil holds, for each owner that did not answer, the time until which it is not
+	// suspendedUntil holds, for each owner that did not respond, the time until which it is not
 	// asked.
 	suspendedUntil map[string]time.Time
 }
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -55,8 +55,8 @@
 // hasRateLimits reports whether any server has a rate limit now.
 func (d *Dispatcher) hasRateLimits() bool { return d.opts.Permits != nil && d.opts.Permits.Any() }
 
-// RateLimitChanged must be called when a server's rate limit is set, changed or removed. It discards
-// earlier denials and serves waiting requests.
+// RateLimitChanged must be called when a server's rate limit is set, changed or removed. It
+// discards earlier denials and serves waiting requests.
 func (d *Dispatcher) RateLimitChanged(server string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,8 +66,8 @@
 	d.serveWaiting()
 }
 
-// isPermitBlocked reports whether no permit must be requested for r at a server now. If a denial is
-// the reason, it schedules serveWaiting for when the denial ends. For requests that can wait, only
+// isPermitBlocked reports whether a permit for r must not be requested at a server now. If a denial
+// is the reason, it schedules serveWaiting for when the denial ends. For requests that can wait, only
 // one permit is requested at a time, since others would be denied as well. d.mu must be held.
 func (d *Dispatcher) isPermitBlocked(r *Request, server string, now time.Time) bool {
 	p := d.loadOf(server).permits
@@ -114,7 +114,7 @@
 	}
 }
 
-// releasePermit returns the permit of an attempt that is not made.
+// releasePermit releases the permit of a send that is not made.
 func (d *Dispatcher) releasePermit(res *Reservation) {
 	if res.hasPermit {
 		d.opts.Permits.Release(res.server.ID)
@@ -122,9 +122,9 @@
 }
 
 // estimatePermitWait estimates how long a request has to wait if every server that could take it
-// has a rate limit and none may be asked for a permit now. ok is false if a server may be asked
-// now, if no server could take the request, or if an engine without a rate limit could load the
-// adapter that the request needs.
+// has a rate limit and no permit may be requested for any of them now. ok is false if one of these
+// servers has no rate limit or a permit may be requested for it now, if no server could take the
+// request, or if an engine without a rate limit could load the adapter that the request needs.
 //
 // ahead is the number of requests for the same model or service that are ahead in the wait queue.
 // Consecutive denials show that requests of other gateways wait as well; each gateway is then
@@ -204,7 +204,7 @@
 	return r.Adapter != "" && !s.Leaving && !r.isExcluded(s.ID) && s.Holds(r.Model, "")
 }
 
-// isEligible reports whether a server holds what the request needs, is not draining and is not
+// isEligible reports whether a server holds what the request needs, is not leaving and is not
 // excluded.
 func (d *Dispatcher) isEligible(r *Request, s *backend.Server) bool {
 	return !s.Leaving && !r.isExcluded(s.ID) && (r.Model == "" || s.Holds(r.Model, r.Adapter))
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -32,12 +32,13 @@
 	// MayHaveRun means that a server may have processed the request already. Such a request is
 	// never late and never shed.
 	MayHaveRun bool
-	// AdmissionsRequested is the number of admissions requested from other gateways, AdmissionsGranted and
-	// AdmissionsDenied the numbers granted and denied; the others were not answered.
+	// AdmissionsRequested is the number of admissions requested from other gateways,
+	// AdmissionsGranted and AdmissionsDenied the numbers granted and denied; the others got no
+	// usable reply.
 	AdmissionsRequested, AdmissionsGranted, AdmissionsDenied int
-	// PermitsDenied is the number of permits denied by servers with a rate limit.
+	// PermitsDenied is the number of permits denied for servers with a rate limit.
 	PermitsDenied int
-	// admittedLate means that the request is late according to the gateway that asked for
+	// admittedLate means that the request is late according to the gateway that requested
 	// admission; its SendBy is not known here.
 	admittedLate bool
 	// sequence is the request's position in the order of arrival, from 1; 0 if it has never waited.
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -7,7 +7,7 @@
 	"rockcleat/backend"
 )
 
-// A Reservation is the capacity of one server reserved for one attempt at a request.
+// A Reservation is the capacity of one server reserved for one send of a request.
 type Reservation struct {
 	d      *Dispatcher
 	req    *Request
@@ -99,13 +99,13 @@
 	r.load.awaitingFirstByte = slices.DeleteFunc(r.load.awaitingFirstByte, func(x *Reservation) bool { return x == r })
 }
 
-// A SendResult is the outcome of an attempt.
+// A SendResult is the outcome of a send.
 type SendResult int
 
 const (
 	// Succeeded means that the response was complete.
 	Succeeded SendResult = iota
-	// Failed means that the attempt failed in a way that counts against the server, such as an
+	// Failed means that the send failed in a way that counts against the server, such as an
 	// error response or a broken connection.
 	Failed
 	// Refused means that the server refused the request; it does not affect the server's failure
@@ -114,7 +114,7 @@
 	// Misdirected means that the server does not hold the model or is a different server than
 	// expected.
 	Misdirected
-	// Canceled means that the client or the gateway canceled the attempt.
+	// Canceled means that the client or the gateway canceled the send.
 	Canceled
 )
 
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -23,7 +23,7 @@
 // Its zero value is empty.
 type waitQueue struct {
 	list []*waiter
-	// lastSequence is the last sequence number given out. A request keeps its number when it waits
+	// lastSequence is the last sequence number assigned. A request keeps its number when it waits
 	// again.
 	lastSequence uint64
 }
--- a/fairqueue/fairqueue.go
+++ b/fairqueue/fairqueue.go
@@ -16,7 +16,7 @@
 	ReasonQueueTime Reason = "queue_time"
 	// ReasonQueueFull means that the server has the maximum number of waiting requests.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonLeaving means that the server is draining and accepts no new requests.
+	// ReasonLeaving means that the server is leaving and accepts no new requests.
 	ReasonLeaving Reason = "leaving"
 	// ReasonNotResident means that the server no longer holds the model or adapter.
 	ReasonNotResident Reason = "not_resident"
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -4,7 +4,7 @@
 // A Planner computes the next orders for one cell from the records of all cells. Names without a replica come
 // first, then additional replicas for demand. To free memory for either, it evicts replicas that demand no longer
 // justifies, but never the last ready replica of a name in the table. A replica is added as soon as demand rises.
-// After demand has fallen it is kept for Options.Hold, unless a name without a replica needs the memory, so that
+// After demand has fallen it is kept for Options.EvictionDelay, unless a name without a replica needs the memory, so that
 // replicas are not loaded and unloaded repeatedly.
 //
 // The only state that a Planner owns is the time since which each name has had more replicas than its target;
--- a/placement/moves.go
+++ b/placement/moves.go
@@ -56,7 +56,7 @@
 }
 
 // placeMissing plans the first replica of each name that has none in the cell and a target above 0. If no accelerator
-// has room, it evicts or relocates other replicas.
+// has enough free memory, it evicts or relocates other replicas.
 func (s *plan) placeMissing() {
 	rows := s.byUrgency(func(r table.Row) bool { return s.replicas[r.Name] == 0 && s.targets[r.Name] > 0 })
 	for _, r := range rows {
@@ -176,9 +176,9 @@
 	return nil, false
 }
 
-// evictable reports whether a replica of the name may be evicted. The last ready replica never is, even if another
-// one is being loaded. With a minSurplusTime of 0, for the first replica of another name, any other replica may be
-// evicted. Otherwise the name must have had more replicas than its target for at least minSurplusTime.
+// evictable reports whether a replica of the name may be evicted. The last ready replica must not be, even if another
+// one is being loaded. A minSurplusTime of 0, used for the first replica of another name, allows any other replica to
+// be evicted. Otherwise the name must have had more replicas than its target for at least minSurplusTime.
 func (s *plan) evictable(name string, minSurplusTime time.Duration) bool {
 	if s.ready[name] <= 1 {
 		return false
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -36,8 +36,8 @@
 	// Headroom is the fraction of an accelerator's slots that the demand on one replica is planned to use,
 	// from 0 to 1.
 	Headroom float64
-	// EvictionDelay is how long a replica is kept after demand no longer justifies it, unless a name without a replica
-	// needs the memory.
+	// EvictionDelay is how long a replica is kept after demand no longer justifies it, unless a name without a
+	// replica needs the memory.
 	EvictionDelay time.Duration
 	// MaxLoads is the maximum number of loads that run at the same time in the cell.
 	MaxLoads int
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestHold checks that a surplus replica is evicted for demand only after Options.Hold.
+// TestHold checks that a surplus replica is evicted for demand only after Options.EvictionDelay.
 func TestHold(t *testing.T) {
 	sizes := map[string]placement.Size{"a": size(60), "b": size(60)}
 	rows := []table.Row{model("a"), model("b")}
--- a/placement/relocate.go
+++ b/placement/relocate.go
@@ -14,7 +14,7 @@
 	to  *accelerator
 }
 
-// relocate prepares room for a row when the free memory is fragmented over several accelerators. It chooses the
+// relocate prepares evictions for a row when the free memory is fragmented over several accelerators. It chooses the
 // accelerator with the least memory to relocate and plans loads of its replicas on other accelerators. When they are
 // ready, the replicas on the chosen accelerator are no longer the last, and a later plan evicts them (evictFor).
 func (s *plan) relocate(r table.Row, reason string) {
--- a/placement/survey.go
+++ b/placement/survey.go
@@ -20,7 +20,7 @@
 	largestFreeMiB int
 }
 
-// summary returns the summary of the cell, without servers that are gone or leaving.
+// summary returns the summary of the cell, without servers that are removed or leaving.
 func (c Cell) summary() cellSummary {
 	n := cellSummary{id: c.ID, replicas: make(map[string]int)}
 	for _, s := range c.Servers {
@@ -58,7 +58,7 @@
 }
 
 // readOwnCell counts the loads in progress in the planner's own cell and adds the accelerators of its servers, except
-// those that are gone or leaving.
+// those that are removed or leaving.
 func (s *plan) readOwnCell(c Cell) {
 	for i := range c.Servers {
 		srv := &c.Servers[i]
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -4,8 +4,8 @@
 //
 // A Table records which server instances have crashed while they ran which requests. A request is identified by
 // its Key, a hash of its content, so that repeated requests have the same Key. A request is in quarantine once
-// Options.Ends server instances have crashed with it. No process sends it then until a time has passed that
-// doubles with each further crash. All requests that run on a server when it crashes are suspected, although
+// Options.CrashThreshold server instances have crashed with it. No process then sends it until a time has passed
+// that doubles with each further crash. All requests that run on a server when it crashes are suspected, although
 // usually only one of them is the cause; a request that completes successfully is cleared.
 //
 // Each process has its own Table and exchanges changes with other processes by Messages, with one Link for each
@@ -14,6 +14,6 @@
 // differ.
 //
 // The package owns the tables and the rules of quarantine. The caller reports crashes (RecordCrash) and successful
-// requests (Void), calls Until before each send, transports the messages and calls Expire regularly. A Table is
+// requests (Clear), calls Until before each send, transports the messages and calls Expire regularly. A Table is
 // kept in memory only; a caller that needs its records after a restart has to store them.
 package quarantine
--- a/quarantine/exchange_test.go
+++ b/quarantine/exchange_test.go
@@ -124,8 +124,8 @@
 }
 
 // TestAnyOrder checks with random crashes, successful requests, lost replies and process restarts that a request with
-// DefaultCrashThreshold crashes that was never cleared is in quarantine at every process after two exchanges with the common
-// peer, and that no process ever counts more crashes of a request than there were. A process exchanges its records
+// DefaultCrashThreshold crashes that was never cleared is in quarantine at every process after two exchanges with the
+// common peer, and that no process ever counts more crashes of a request than there were. A process exchanges its records
 // before it restarts.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -8,9 +8,10 @@
 // A Record is the state of one request as processes exchange it.
 type Record struct {
 	Key Key `json:"k"`
-	// Generation is the number of times that the request was cleared. Crashes of earlier rounds no longer count.
+	// Generation is the number of times that the request was cleared. Crashes of earlier
+	// generations no longer count.
 	Generation uint32 `json:"r,omitempty"`
-	// Servers are the IDs of the server instances that have crashed with the request in this round.
+	// Servers are the IDs of the server instances that have crashed with the request in this generation.
 	Servers []string `json:"s,omitempty"`
 	// AgeMs is the time since the last crash or since the request was cleared, in milliseconds.
 	AgeMs int64 `json:"a"`
@@ -48,15 +49,15 @@
 	return true
 }
 
-// clear clears the crashes and begins the next round.
+// clear clears the crashes and begins the next generation.
 func (e *entry) clear(now time.Time) {
 	e.generation++
 	e.servers = nil
 	e.lastEvent = now
 }
 
-// merge merges a record whose last crash was at a time and reports whether the entry has changed. A later round
-// replaces the entry; crashes of the same round are added; an earlier round is ignored.
+// merge merges a record whose last crash was at a time and reports whether the entry has changed. A later
+// generation replaces the entry; crashes of the same generation are added; an earlier generation is ignored.
 func (e *entry) merge(r Record, at time.Time) (changed bool) {
 	if r.Generation < e.generation {
 		return false
--- a/quarantine/rules.go
+++ b/quarantine/rules.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// DefaultCrashThreshold is the default number of server instances that must crash with a request before it is quarantined. With
-// a lower number, harmless requests that are repeated while servers crash for other reasons would be refused; with a
-// higher number, each poison message would crash more servers.
+// DefaultCrashThreshold is the default number of server instances that must crash with a request before it is
+// quarantined. With a lower number, harmless requests that are repeated while servers crash for other reasons would
+// be refused; with a higher number, each poison message would crash more servers.
 const DefaultCrashThreshold = 3
 
 // DefaultDuration is the default duration of a first quarantine.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -14,7 +14,7 @@
 // Options configure a Table.
 type Options struct {
 	Clock clock.Service
-	// Ends is the number of server instances that must crash with a request before it is quarantined.
+	// CrashThreshold is the number of server instances that must crash with a request before it is quarantined.
 	CrashThreshold int
 	// Duration is the duration of the first quarantine of a request.
 	Duration time.Duration
@@ -25,11 +25,11 @@
 // A ChangeKind is the kind of a Change.
 type ChangeKind string
 
-// The states.
+// The kinds of changes.
 const (
 	// Began says that a quarantine has begun.
 	Began ChangeKind = "began"
-	// Cleared says that a quarantine has ended because the request was cleared; see Table.Void.
+	// Cleared says that a quarantine has ended because the request was cleared; see Table.Clear.
 	Cleared ChangeKind = "voided"
 	// Expired says that a quarantine has ended because its time has passed or its record was evicted from a full
 	// Table.
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -9,5 +9,5 @@
 //
 // The package keeps no state and depends on no other package of this project except rendezvous. It
 // neither transfers updates nor tracks which members are alive: a process whose parent does not
-// answer tries the next address in Position.Parents.
+// respond tries the next address in Position.Parents.
 package relay
--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -51,7 +51,7 @@
 }
 
 // cheapestMove returns the move to the least busy engine that holds the adapter's model. Engines with a free slot
-// are preferred. An engine is as busy as its number of requests plus its number of adapters.
+// are preferred. How busy an engine is, is measured by its number of requests plus its number of adapters.
 func (in *AdapterInput) cheapestMove(a backend.Adapter, usedEngines map[string]bool) (AdapterMove, bool) {
 	var best AdapterMove
 	found := false
--- a/residency/evict.go
+++ b/residency/evict.go
@@ -34,8 +34,8 @@
 
 // evictable reports whether a replica of model may be evicted from an engine to load the model named other.
 //
-// The last replica may be evicted if the model is no longer configured, or if all of the following hold: other
-// already has a replica, justifiesLastReplica and lastReplicaEvictable. One of several replicas may be evicted if
+// The last replica may be evicted if the model is no longer configured, or if other already has a replica and both
+// justifiesLastReplica and lastReplicaEvictable report true. One of several replicas may be evicted if
 // other has none; otherwise only if the model has more replicas than its target and the replica was not loaded
 // recently.
 func (p *plan) evictable(e *EngineView, model, other string) bool {
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -46,7 +46,7 @@
 	Engines []EngineView
 	// Demands holds the demand of each model, by name.
 	Demands map[string]Demand
-	// SequenceEstimator is the observed order in which the demand of models rises; nil if nothing was observed.
+	// Sequence estimates how consistently demand moves along the operators' list; nil if nothing was observed.
 	Sequence *SequenceEstimator
 	// StoreLoadsAllowed is the number of loads that the weight store accepts now.
 	StoreLoadsAllowed int
--- a/residency/residence.go
+++ b/residency/residence.go
@@ -19,7 +19,7 @@
 // demand would take most of the engines' memory.
 const (
 	// loadsWithinObjective is the number of load times from disk that must fit into the objective of a model's
-	// requests: one for the unload that makes room and one for the load.
+	// requests: one for the unload that frees the memory and one for the load.
 	loadsWithinObjective = 2
 	// lastReplicaDemandRatio is the ratio that must be exceeded between the demand per replica of the model to load
 	// and the demand of the model whose last replica is evicted. It is high because requests that wait for the
--- a/residency/succession.go
+++ b/residency/succession.go
@@ -15,14 +15,14 @@
 	riseDecay = 0.9
 )
 
-// A SequenceEstimator estimates whether models become busy in the order of the operators' list. It counts how often a model
-// that becomes busy stands right behind a busy one, and compares that with the expectation for a random order. If
-// models become busy in another order, the confidence stays near 0.
+// A SequenceEstimator estimates whether models become busy in the order of the operators' list. It counts how often a
+// model that becomes busy follows closely behind a busy one, and compares that with the expectation for a random
+// order. If models become busy in another order, the confidence stays near 0.
 //
 // The zero value has no observations. It is not safe for concurrent use.
 type SequenceEstimator struct {
 	busy map[string]bool
-	// rises counts the models that became busy, hits those among them that stood right behind a busy one, and
+	// rises counts the models that became busy, hits those among them that followed a busy one (followsBusy), and
 	// expectedHits the hits expected by chance. All decay with riseDecay.
 	rises, hits, expectedHits float64
 }
--- a/residency/succession_test.go
+++ b/residency/succession_test.go
@@ -38,8 +38,8 @@
 	return &s
 }
 
-// demandAt returns high demand for four consecutive models of an order, from a place on, and low demand for the
-// others.
+// demandAt returns high demand for four consecutive models of an order, beginning at index place, and low demand for
+// the others.
 func demandAt(order []int, place int) map[string]Demand {
 	out := make(map[string]Demand)
 	for _, m := range order {
--- a/route/route.go
+++ b/route/route.go
@@ -35,7 +35,8 @@
 	// outstanding is the number of requests that this process has sent there and not finished.
 	outstanding int
 	avoidUntil  time.Time
-	// leavingIncarnation is the incarnation that reported that it is draining; empty if none did.
+	// leavingIncarnation identifies the server instance that announced that it is leaving; empty if
+	// none has.
 	leavingIncarnation string
 }
 
@@ -90,14 +91,15 @@
 	t.state(id).avoidUntil = now.Add(avoidDuration)
 }
 
-// MarkLeaving records that an incarnation of a server reported that it is draining.
+// MarkLeaving records that a server instance, identified by its incarnation, announced that it is
+// leaving.
 func (t *LoadTable) MarkLeaving(id, incarnation string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(id).leavingIncarnation = incarnation
 }
 
-// IsLeaving reports whether MarkLeaving was last called for this incarnation of the server.
+// IsLeaving reports whether MarkLeaving was last called for this instance of the server.
 func (t *LoadTable) IsLeaving(id, incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/serverlimit/doc.go
+++ b/serverlimit/doc.go
@@ -1,5 +1,6 @@
-// Package serverlimit tracks the rate limits that backend servers announce. An overloaded server states in its
-// responses how many requests per second it accepts from all processes together, for as long as the limit applies.
+// Package serverlimit tracks the rate limits that backend servers announce. An overloaded server announces
+// in its responses how many requests per second it accepts from all processes together, for as long as the limit
+// applies.
 //
 // A Table holds the latest known limit of each server instance. It learns limits from the responses that its own
 // process receives (Observe) and from other processes (Merge), since a response reaches only one process but its
--- a/serverlimit/exchange_test.go
+++ b/serverlimit/exchange_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestUpdateReachesAll checks that a limit begins, changes and ends at all processes if one of them receives the
-// responses that say so.
+// TestUpdateReachesAll checks that a limit begins, changes and ends at all processes although only one of them
+// receives responses of the server.
 func TestUpdateReachesAll(t *testing.T) {
 	g := newGroup(5)
 	for _, step := range []struct {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestConflictingUpdates checks that a limit that one process sees removed and another one still sees stated applies
-// until the response to a later request removes it.
+// TestConflictingUpdates checks that a limit that one process has removed, while another one received a response that
+// still announces it, applies until the response to a later request removes it.
 func TestConflictingUpdates(t *testing.T) {
 	g := newGroup(3)
 	a, b := g.processes[1], g.processes[2]
@@ -90,7 +90,8 @@
 	g.checkAll(t, -1)
 }
 
-// TestRepeatedLimitApplies checks that a limit applies at all processes for as long as one process sees it stated.
+// TestRepeatedLimitApplies checks that a limit applies at all processes for as long as one process
+// receives responses that announce it.
 func TestRepeatedLimitApplies(t *testing.T) {
 	g := newGroup(3)
 	for range 60 {
@@ -145,7 +146,7 @@
 }
 
 // TestAnyOrderOfExchanges checks with random responses, exchanges, lost replies and delays that all processes agree on
-// the limit once the server states only that one and all have exchanged.
+// the limit once the server announces only that one and all have exchanged.
 func TestAnyOrderOfExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(4)
--- a/serverlimit/reading.go
+++ b/serverlimit/reading.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// A Kind says whether a response states a limit.
+// A HeaderKind says whether a response announces a limit.
 type HeaderKind int
 
 // The kinds of limit headers.
 const (
-	// NoLimit means that the response states no limit, so the server has none.
+	// NoLimit means that the response announces no limit, so the server has none.
 	NoLimit HeaderKind = iota
-	// Limited means that the response states a limit.
+	// Limited means that the response announces a limit.
 	Limited
 	// Invalid means that the header is invalid. The response says nothing about the limit.
 	Invalid
--- a/serverlimit/reading_test.go
+++ b/serverlimit/reading_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// FuzzRead checks that Read returns only finite rates in the valid range, and never None for a present header.
+// FuzzRead checks that ParseHeader returns only finite rates in the valid range, and never NoLimit for a present
+// header.
 func FuzzRead(f *testing.F) {
 	for _, seed := range []string{"1.8", "-0", "1e400", "nan", "0x10", "١", "9999999999999999999999", "1."} {
 		f.Add(seed)
@@ -61,10 +62,10 @@
 		switch r.Kind {
 		case serverlimit.Limited:
 			if math.IsNaN(r.PerSecond) || r.PerSecond < 0 || r.PerSecond > 1e6 {
-				t.Fatalf("Read(%q) returned rate %v", value, r.PerSecond)
+				t.Fatalf("ParseHeader(%q) returned rate %v", value, r.PerSecond)
 			}
 		case serverlimit.NoLimit:
-			t.Fatalf("Read(%q) returned no limit", value)
+			t.Fatalf("ParseHeader(%q) returned no limit", value)
 		}
 	})
 }
--- a/serverlimit/rules.go
+++ b/serverlimit/rules.go
@@ -23,21 +23,22 @@
 	requestDuration = 4 * time.Second
 )
 
-// IsThrottled reports whether a server has had a limit for at least minThrottledTime and the present limit is too low to
-// keep a number of slots busy.
+// IsThrottled reports whether a server has had a limit for at least minThrottledTime and the present limit is too low
+// to keep the given number of slots busy.
 func IsThrottled(s Status, slots int) bool {
 	return s.LimitedFor >= minThrottledTime && s.PerSecond*requestDuration.Seconds() < float64(slots)
 }
 
-// Quota returns the limit on what all processes together send to a server that stated a rate.
+// Quota returns the limit on what all processes together send to a server that announced a rate.
 func Quota(perSecond float64) quota.Limit {
 	rate := max(perSecond, probeRate)
 	return quota.Limit{Rate: rate, Burst: 1 + rate*burstTime.Seconds()}
 }
 
-// CountingWindow is the length of the time window in which the requests that a server receives are counted against its limit.
+// CountingWindow is the length of the time window in which the requests that a server receives are counted against
+// its limit.
 const CountingWindow = 4 * time.Second
 
-// Tolerance returns by how much the Quota of a server may be exceeded. With it, a server receives in any CountingWindow at most
-// one and a half times its limit and five requests.
+// Tolerance returns by how much the Quota of a server may be exceeded. With it, a server receives in any
+// CountingWindow at most one and a half times its limit and five requests.
 func Tolerance() quota.Tolerance { return quota.Tolerance{Window: CountingWindow, Over: 0.4, Slack: 2} }
--- a/serverlimit/table.go
+++ b/serverlimit/table.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// limitTTL is how long a limit applies after the last response that states it. A server with a limit still
-	// gets requests (probeRate), so without responses for that long there is no demand for the server.
+	// limitTTL is how long a limit applies after the last response that announces it. A server with a limit still
+	// receives requests at probeRate, so if there are no responses for that long, there is no demand for it.
 	limitTTL = 30 * time.Second
-	// refreshInterval is the time after which a limit that a server states again without a change is sent to
-	// peers again. It is well below limitTTL, so that the limit does not expire at peers, and long enough to
+	// refreshInterval is the time after which an unchanged limit that a server announces again is sent to peers
+	// again. It is well below limitTTL, so that the limit does not expire at peers, and long enough to
 	// bound the number of messages when many servers have a limit.
 	refreshInterval = 5 * time.Second
 )
@@ -31,15 +31,15 @@
 // A ChangeKind is the kind of a Change.
 type ChangeKind string
 
-// The states.
+// The kinds of changes.
 const (
-	// Began says that the server has stated a limit and had none.
+	// Began says that the server has announced a limit and had none.
 	Began ChangeKind = "began"
-	// Changed says that the server has stated a different limit.
+	// Changed says that the server has announced a different limit.
 	Changed ChangeKind = "changed"
 	// Ended says that the server has sent a response without a limit.
 	Ended ChangeKind = "ended"
-	// Expired says that the limit has expired, since no response has stated it for limitTTL.
+	// Expired says that the limit has expired, since no response has announced it for limitTTL.
 	Expired ChangeKind = "unheard"
 )
 
@@ -73,7 +73,7 @@
 	// PerSecond is the limit, in requests per second.
 	PerSecond float64
 	// LimitedFor is how long this Table has held a limit of the server without interruption, Age the time since a
-	// response stated it.
+	// response last announced it.
 	LimitedFor, Age time.Duration
 }
 
@@ -120,7 +120,7 @@
 // Observe processes the parsed limit header of a response of a server. sent is the time when the request was sent.
 func (t *Table) Observe(server string, r HeaderLimit, sent time.Time) {
 	if r.Kind == Invalid || r.Kind == NoLimit && !t.Any() {
-		// An invalid header is ignored. Most responses state no limit while no server has one, and need no lock.
+		// An invalid header is ignored. While no server has a limit, a response that announces none needs no lock.
 		return
 	}
 	t.change(func(now time.Time) {
@@ -210,7 +210,8 @@
 	return list
 }
 
-// Expire ends the limits that no response has stated for limitTTL, and forgets removals that are older than that.
+// Expire ends the limits that no response has announced for limitTTL, and deletes the entries of removals that are
+// older than that.
 func (t *Table) Expire() {
 	t.change(func(now time.Time) {
 		maps.DeleteFunc(t.entries, func(_ string, e *entry) bool { return !e.limited && now.Sub(e.receivedAt) > limitTTL })
--- a/serverlimit/table_test.go
+++ b/serverlimit/table_test.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestLimitExpires checks that a limit expires after limitTTL without a response that states it, and not before.
+// TestLimitExpires checks that a limit expires after limitTTL without a response that announces it, and not
+// before.
 func TestLimitExpires(t *testing.T) {
 	p := newProcess()
 	p.Observe(testServer, two, p.ago(10))
--- a/serverlimit/word.go
+++ b/serverlimit/word.go
@@ -9,9 +9,9 @@
 	perSecond float64
 }
 
-// isNewerThan reports whether u replaces other. Of two updates with the same sequence, made by different processes, the
-// one with the lower limit replaces the other, and one with a limit replaces one without. The next response of the
-// server corrects the result if necessary.
+// isNewerThan reports whether u replaces other. Of two updates with the same sequence, made by different processes,
+// the one with the lower limit replaces the other, and one with a limit replaces one without. The next response of
+// the server corrects the result if necessary.
 func (u update) isNewerThan(other update) bool {
 	if u.sequence != other.sequence {
 		return u.sequence > other.sequence
