--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -22,8 +22,8 @@
 	mu          sync.Mutex
 	dispatchers map[string]*dispatch.Dispatcher
 	// unresponsive contains the gateways that do not respond.
-	unresponsive map[string]bool
-	requests     int
+	unresponsive      map[string]bool
+	admissionRequests int
 	// reportedOwners lists the owners passed to OnOwnerUnresponsive.
 	reportedOwners []string
 }
@@ -31,7 +31,7 @@
 // Admit implements dispatch.Owners.
 func (g *gatewayGroup) Admit(_ context.Context, owner string, r dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
 	g.mu.Lock()
-	g.requests++
+	g.admissionRequests++
 	d, unresponsive := g.dispatchers[owner], g.unresponsive[owner]
 	g.mu.Unlock()
 	if unresponsive {
@@ -40,10 +40,10 @@
 	return d.Admit(r), nil
 }
 
-func (g *gatewayGroup) requestCount() int {
+func (g *gatewayGroup) admissionRequestCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.requests
+	return g.admissionRequests
 }
 
 // newGatewayGroup returns a group of n dispatchers with the same servers.
@@ -137,14 +137,14 @@
 			res.Done(dispatch.Succeeded)
 		}
 	}
-	assert.Equal(t, g.requestCount(), 1)
+	assert.Equal(t, g.admissionRequestCount(), 1)
 	assert.Equal(t, len(g.reportedOwners), 1)
 	c.Advance(time.Second)
 	for _, d := range g.dispatchers {
 		_, err := d.Acquire(context.Background(), longPromptRequest(c))
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, g.requestCount(), 2, "asked again after a while")
+	assert.Equal(t, g.admissionRequestCount(), 2, "asked again after a while")
 }
 
 // TestGrantCountsUntilItIsReported checks that an admission occupies slots and memory of the engine
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -275,7 +275,7 @@
 	for i := range 8 {
 		servers = append(servers, engine(fmt.Sprint("s", i)))
 	}
-	firsts := make(map[string]int)
+	choices := make(map[string]int)
 	for _, g := range gateways {
 		d := dispatch.New(dispatch.Options{
 			ID: g.ID, Hall: g.Hall, Clock: c, Utilization: 1, CacheTokens: func(string) int { return cacheTokens },
@@ -284,9 +284,9 @@
 		d.SetGateways(gateways)
 		res, err := d.Acquire(canceledContext(), request(c))
 		assert.NilError(t, err)
-		firsts[res.Server().ID]++
+		choices[res.Server().ID]++
 	}
-	assert.Assert(t, firsts["s0"] < 3, "all gateways chose the same engine first: %v", firsts)
+	assert.Assert(t, choices["s0"] < 3, "all gateways chose the same engine first: %v", choices)
 }
 
 func TestCachedPrefixes(t *testing.T) {
--- a/residency/plan_test.go
+++ b/residency/plan_test.go
@@ -39,12 +39,12 @@
 }
 
 // demands returns the demand of the models m0 and so on, in tokens per second.
-func demands(weights ...float64) map[string]Demand {
-	w := make(map[string]Demand)
-	for i, weight := range weights {
-		w[fmt.Sprint("m", i)] = Demand{TokensPerSecond: weight}
+func demands(rates ...float64) map[string]Demand {
+	byModel := make(map[string]Demand)
+	for i, rate := range rates {
+		byModel[fmt.Sprint("m", i)] = Demand{TokensPerSecond: rate}
 	}
-	return w
+	return byModel
 }
 
 func TestPlan(t *testing.T) {
@@ -135,10 +135,10 @@
 		sizes := rapid.SliceOfN(rapid.Float64Range(30, 120), 1, 10).Draw(t, "sizes")
 		s := spec(sizes...)
 		list := drawEngines(t, s)
-		weights := rapid.SliceOfN(rapid.Float64Range(0, 100), len(sizes), len(sizes)).Draw(t, "weights")
+		rates := rapid.SliceOfN(rapid.Float64Range(0, 100), len(sizes), len(sizes)).Draw(t, "weights")
 		storeLoads := rapid.IntRange(0, 4).Draw(t, "stores")
 		before := replicaCounts(list)
-		moves := Plan(Input{Spec: s, Engines: slices.Clone(list), Demands: demands(weights...), StoreLoadsAllowed: storeLoads})
+		moves := Plan(Input{Spec: s, Engines: slices.Clone(list), Demands: demands(rates...), StoreLoadsAllowed: storeLoads})
 		seen := make(map[string]bool)
 		for _, m := range moves {
 			if seen[m.Engine] {
@@ -294,16 +294,16 @@
 
 // BenchmarkPlan plans for 300 engines and 160 models whose replicas do not match the demand.
 func BenchmarkPlan(b *testing.B) {
-	var sizes, weights []float64
+	var sizes, rates []float64
 	for i := range 160 {
 		sizes = append(sizes, 42+float64(i%30))
-		weights = append(weights, 1000/float64((i+40)%160+1))
+		rates = append(rates, 1000/float64((i+40)%160+1))
 	}
 	held := make([][]string, 300)
 	for i := range held {
 		held[i] = []string{fmt.Sprint("m", i%160), fmt.Sprint("m", (i*7+3)%160), fmt.Sprint("m", (i*3+1)%40)}
 	}
-	in := Input{Spec: spec(sizes...), Engines: engines(held...), Demands: demands(weights...), StoreLoadsAllowed: 2}
+	in := Input{Spec: spec(sizes...), Engines: engines(held...), Demands: demands(rates...), StoreLoadsAllowed: 2}
 	for b.Loop() {
 		Plan(in)
 	}
--- a/residency/replicas_test.go
+++ b/residency/replicas_test.go
@@ -71,26 +71,26 @@
 
 func TestReplicaTargetsAsDefined(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var sizes, weights []float64
+		var sizes, rates []float64
 		for range rapid.IntRange(1, 12).Draw(t, "models") {
 			sizes = append(sizes, float64(rapid.IntRange(40, 80).Draw(t, "size")))
-			weights = append(weights, float64(rapid.IntRange(0, 50).Draw(t, "weight")))
+			rates = append(rates, float64(rapid.IntRange(0, 50).Draw(t, "weight")))
 		}
 		engines := rapid.IntRange(1, 20).Draw(t, "engines")
-		s, w := spec(sizes...), demands(weights...)
-		assert.DeepEqual(t, replicaTargets(s, w, nil, engines), referenceTargets(s, w, engines))
+		s, demand := spec(sizes...), demands(rates...)
+		assert.DeepEqual(t, replicaTargets(s, demand, nil, engines), referenceTargets(s, demand, engines))
 	})
 }
 
 // BenchmarkReplicaTargets divides the memory of 300 engines among 160 models.
 func BenchmarkReplicaTargets(b *testing.B) {
-	var sizes, weights []float64
+	var sizes, rates []float64
 	for i := range 160 {
 		sizes = append(sizes, 42+float64(i%30))
-		weights = append(weights, 1000/float64(i+1))
+		rates = append(rates, 1000/float64(i+1))
 	}
-	s, w := spec(sizes...), demands(weights...)
+	s, demand := spec(sizes...), demands(rates...)
 	for b.Loop() {
-		replicaTargets(s, w, nil, 300)
+		replicaTargets(s, demand, nil, 300)
 	}
 }
--- a/residency/succession.go
+++ b/residency/succession.go
@@ -7,7 +7,8 @@
 	// A model becomes busy at a fraction busyShare of the total demand and stays busy down to idleShare.
 	busyShare = 0.04
 	idleShare = 0.02
-	// sequenceWindow is the number of places behind a busy model where the next model is expected to rise.
+	// sequenceWindow is the number of list positions after a busy model in which the next model to become busy is
+	// expected.
 	sequenceWindow = 2
 	// priorRises is the weight of the prior assumption that demand does not follow the list, in rises.
 	priorRises = 0.5
