--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -21,9 +21,9 @@
 type gatewayGroup struct {
 	mu          sync.Mutex
 	dispatchers map[string]*dispatch.Dispatcher
-	// unresponsive contains the gateways that do not answer.
-	unresponsive map[string]bool
-	requests     int
+	// unresponsive contains the gateways that do not respond.
+	unresponsive      map[string]bool
+	admissionRequests int
 	// reportedOwners lists the owners passed to OnOwnerUnresponsive.
 	reportedOwners []string
 }
@@ -31,19 +31,19 @@
 // Admit implements dispatch.Owners.
 func (g *gatewayGroup) Admit(_ context.Context, owner string, r dispatch.AdmissionRequest) (dispatch.AdmissionReply, error) {
 	g.mu.Lock()
-	g.requests++
-	d, silent := g.dispatchers[owner], g.unresponsive[owner]
+	g.admissionRequests++
+	d, unresponsive := g.dispatchers[owner], g.unresponsive[owner]
 	g.mu.Unlock()
-	if silent {
-		return dispatch.AdmissionReply{}, errors.New("gateway did not answer")
+	if unresponsive {
+		return dispatch.AdmissionReply{}, errors.New("gateway did not respond")
 	}
 	return d.Admit(r), nil
 }
 
-func (g *gatewayGroup) requestCount() int {
+func (g *gatewayGroup) admissionRequestCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.requests
+	return g.admissionRequests
 }
 
 // newGatewayGroup returns a group of n dispatchers with the same servers.
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestSilentOwnerIsSuspended checks that requests are still sent when the only engine's owner does
-// not answer, and that the owner is not asked for each of them.
-func TestSilentOwnerIsSuspended(t *testing.T) {
+// TestUnresponsiveOwnerIsSuspended checks that requests are still sent when the only engine's owner
+// does not respond, and that the owner is not asked for each of them.
+func TestUnresponsiveOwnerIsSuspended(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGatewayGroup(c, 2, engine("a"))
 	g.unresponsive["g0"], g.unresponsive["g1"] = true, true
@@ -137,32 +137,32 @@
 			res.Done(dispatch.Succeeded)
 		}
 	}
-	assert.Equal(t, g.requestCount(), 1)
+	assert.Equal(t, g.admissionRequestCount(), 1)
 	assert.Equal(t, len(g.reportedOwners), 1)
 	c.Advance(time.Second)
 	for _, d := range g.dispatchers {
 		_, err := d.Acquire(context.Background(), longPromptRequest(c))
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, g.requestCount(), 2, "asked again after a while")
+	assert.Equal(t, g.admissionRequestCount(), 2, "asked again after a while")
 }
 
-// TestGrantCountsUntilItIsReported checks that a grant occupies slots and memory of the engine
+// TestGrantCountsUntilItIsReported checks that an admission occupies slots and memory of the engine
 // until the gateways' reports include the request.
 func TestGrantCountsUntilItIsReported(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	g := newGatewayGroup(c, 1, engine("a"))
 	d := g.dispatchers["g0"]
-	ask := dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 100, MaxOutputTokens: 100}
+	req := dispatch.AdmissionRequest{Server: "a", Model: model, PromptTokens: 100, MaxOutputTokens: 100}
 	for range 8 {
-		assert.Assert(t, d.Admit(ask).Admitted)
+		assert.Assert(t, d.Admit(req).Admitted)
 	}
-	full := d.Admit(ask)
+	full := d.Admit(req)
 	assert.Assert(t, full.Owned && !full.Admitted && full.RetryAfterMs > 0, "%+v", full)
 	assert.Equal(t, full.Load.Running, 8)
 	assert.Equal(t, full.Load.UsedTokens, 8*200)
 	c.Advance(time.Second)
-	assert.Assert(t, d.Admit(ask).Admitted)
+	assert.Assert(t, d.Admit(req).Admitted)
 }
 
 func TestAdmissionAtAnotherGatewaysEngine(t *testing.T) {
@@ -183,13 +183,13 @@
 func TestOwnerKnowsCachedPrefixes(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	d := newGatewayGroup(c, 1, engine("a")).dispatchers["g0"]
-	ask := dispatch.AdmissionRequest{
+	req := dispatch.AdmissionRequest{
 		Server: "a", Model: model, PromptTokens: 1000, MaxOutputTokens: 10, Gap: gapForPrefill(60), Prefix: []dispatch.PrefixBlock{{ID: "p", Tokens: 950}},
 	}
-	assert.Assert(t, d.Admit(ask).Admitted)
-	assert.Assert(t, d.Admit(ask).Admitted, "the prefix is cached, so that both fit")
-	ask.Prefix = nil
-	assert.Assert(t, !d.Admit(ask).Admitted)
+	assert.Assert(t, d.Admit(req).Admitted)
+	assert.Assert(t, d.Admit(req).Admitted, "the prefix is cached, so that both fit")
+	req.Prefix = nil
+	assert.Assert(t, !d.Admit(req).Admitted)
 }
 
 // TestDeniedPromptIsNotCached checks that a prompt that was not admitted, and therefore not sent,
@@ -221,13 +221,13 @@
 	assert.Assert(t, req.AdmissionsDenied > 0)
 }
 
-// TestNoAdmissionAtALeavingEngine checks that the owner of a draining engine admits nothing there,
-// even if the other gateways do not know yet that the engine is draining.
+// TestNoAdmissionAtALeavingEngine checks that the owner of a leaving engine admits nothing there,
+// even if the other gateways do not know yet that the engine is leaving.
 func TestNoAdmissionAtALeavingEngine(t *testing.T) {
 	c := clocktest.New(time.Unix(1000, 0))
 	leaving := engine("a")
 	leaving.Leaving = true
 	d := newGatewayGroup(c, 1, leaving).dispatchers["g0"]
-	answer := d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model})
-	assert.Assert(t, answer.Owned && !answer.Admitted && answer.RetryAfterMs > 0, "%+v", answer)
+	reply := d.Admit(dispatch.AdmissionRequest{Server: "a", Model: model})
+	assert.Assert(t, reply.Owned && !reply.Admitted && reply.RetryAfterMs > 0, "%+v", reply)
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -36,8 +36,8 @@
 	// Headroom is the fraction of an accelerator's slots that the demand on one replica is planned to use,
 	// from 0 to 1.
 	Headroom float64
-	// EvictionDelay is how long a replica is kept after demand no longer justifies it, unless a name without a replica
-	// needs the memory.
+	// EvictionDelay is how long a replica is kept after demand no longer justifies it, unless a name without a
+	// replica needs the memory.
 	EvictionDelay time.Duration
 	// MaxLoads is the maximum number of loads that run at the same time in the cell.
 	MaxLoads int
@@ -47,10 +47,10 @@
 
 // Defaults of Options.
 const (
-	defaultHeadroom  = 0.7
-	defaultHold      = 60 * time.Second
-	defaultMaxLoads  = 4
-	defaultMaxOrders = 8
+	defaultHeadroom      = 0.7
+	defaultEvictionDelay = 60 * time.Second
+	defaultMaxLoads      = 4
+	defaultMaxOrders     = 8
 )
 
 // An Input is the input of Plan.
@@ -84,7 +84,7 @@
 		o.Headroom = defaultHeadroom
 	}
 	if o.EvictionDelay <= 0 {
-		o.EvictionDelay = defaultHold
+		o.EvictionDelay = defaultEvictionDelay
 	}
 	if o.MaxLoads <= 0 {
 		o.MaxLoads = defaultMaxLoads
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -14,7 +14,7 @@
 // Options configure a Table.
 type Options struct {
 	Clock clock.Service
-	// Ends is the number of server instances that must crash with a request before it is quarantined.
+	// CrashThreshold is the number of server instances that must crash with a request before it is quarantined.
 	CrashThreshold int
 	// Duration is the duration of the first quarantine of a request.
 	Duration time.Duration
@@ -25,11 +25,11 @@
 // A ChangeKind is the kind of a Change.
 type ChangeKind string
 
-// The states.
+// The kinds of changes.
 const (
 	// Began says that a quarantine has begun.
 	Began ChangeKind = "began"
-	// Cleared says that a quarantine has ended because the request was cleared; see Table.Void.
+	// Cleared says that a quarantine has ended because the request was cleared; see Table.Clear.
 	Cleared ChangeKind = "voided"
 	// Expired says that a quarantine has ended because its time has passed or its record was evicted from a full
 	// Table.
@@ -160,7 +160,7 @@
 func (t *Table) Expire() { t.change(t.expire) }
 
 // Counts returns the number of requests in quarantine and the number of the other requests in the table.
-func (t *Table) Counts() (held, suspected int) {
+func (t *Table) Counts() (quarantined, suspected int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.quarantined), len(t.entries) - len(t.quarantined)
@@ -269,14 +269,14 @@
 func (t *Table) transitions(now time.Time) []Change {
 	var list []Change
 	for _, k := range t.changed {
-		until, held := t.until(k, now)
-		if _, known := t.quarantined[k]; held && !known {
+		until, quarantined := t.until(k, now)
+		if _, known := t.quarantined[k]; quarantined && !known {
 			list = append(list, Change{Key: k, Kind: Began, Servers: slices.Clone(t.entries[k].servers), Until: until})
 			t.quarantined[k] = struct{}{}
 		}
 	}
 	for k := range t.quarantined {
-		if _, held := t.until(k, now); held {
+		if _, quarantined := t.until(k, now); quarantined {
 			continue
 		}
 		delete(t.quarantined, k)
--- a/residency/succession.go
+++ b/residency/succession.go
@@ -7,7 +7,8 @@
 	// A model becomes busy at a fraction busyShare of the total demand and stays busy down to idleShare.
 	busyShare = 0.04
 	idleShare = 0.02
-	// sequenceWindow is the number of places behind a busy model where the next model is expected to rise.
+	// sequenceWindow is the number of list positions after a busy model in which the next model to become busy is
+	// expected.
 	sequenceWindow = 2
 	// priorRises is the weight of the prior assumption that demand does not follow the list, in rises.
 	priorRises = 0.5
@@ -15,14 +16,14 @@
 	riseDecay = 0.9
 )
 
-// A SequenceEstimator estimates whether models become busy in the order of the operators' list. It counts how often a model
-// that becomes busy stands right behind a busy one, and compares that with the expectation for a random order. If
-// models become busy in another order, the confidence stays near 0.
+// A SequenceEstimator estimates whether models become busy in the order of the operators' list. It counts how often a
+// model that becomes busy follows closely behind a busy one, and compares that with the expectation for a random
+// order. If models become busy in another order, the confidence stays near 0.
 //
 // The zero value has no observations. It is not safe for concurrent use.
 type SequenceEstimator struct {
 	busy map[string]bool
-	// rises counts the models that became busy, hits those among them that stood right behind a busy one, and
+	// rises counts the models that became busy, hits those among them that followed a busy one (followsBusy), and
 	// expectedHits the hits expected by chance. All decay with riseDecay.
 	rises, hits, expectedHits float64
 }
