--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -71,13 +71,13 @@
 	body, err := p.readBody(c)
 	switch {
 	case errors.Is(err, errBodyTooLarge):
-		f := badRequest("body_too_long", "", "the body is longer than this system takes")
-		f.Status = http.StatusRequestEntityTooLarge
-		return nil, f
+		errResp := badRequest("body_too_long", "", "the body is longer than this system takes")
+		errResp.Status = http.StatusRequestEntityTooLarge
+		return nil, errResp
 	case err != nil:
-		f := badRequest("body_unreadable", "", "the body did not arrive whole in time")
-		f.Status = http.StatusRequestTimeout
-		return nil, f
+		errResp := badRequest("body_unreadable", "", "the body did not arrive whole in time")
+		errResp.Status = http.StatusRequestTimeout
+		return nil, errResp
 	}
 	x.body = body
 	return x, nil
--- a/internal/entry/claim_calls.go
+++ b/internal/entry/claim_calls.go
@@ -37,9 +37,9 @@
 	if c.shards[i].IsOpen() {
 		return c.claimLocal(ctx, i, r)
 	}
-	var a wire.ClaimResponse
-	err := c.callOwner(ctx, i, wire.PathClaim, r, &a)
-	return a, err
+	var resp wire.ClaimResponse
+	err := c.callOwner(ctx, i, wire.PathClaim, r, &resp)
+	return resp, err
 }
 
 // claimLocal claims a key of shard i, which this entry owns.
@@ -125,14 +125,14 @@
 // serveClaim handles a claim forwarded by another entry.
 func (c *claims) serveClaim(ec echo.Context) error {
 	return c.serveOwned(ec, func(i int, r wire.ClaimRequest) error {
-		a, err := c.claimLocal(ec.Request().Context(), i, r)
+		resp, err := c.claimLocal(ec.Request().Context(), i, r)
 		switch {
 		case errors.Is(err, claim.ErrNotOwner):
 			return ec.NoContent(http.StatusMisdirectedRequest)
 		case err != nil:
 			return ec.String(http.StatusServiceUnavailable, err.Error())
 		}
-		return ec.JSON(http.StatusOK, a)
+		return ec.JSON(http.StatusOK, resp)
 	})
 }
 
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -33,12 +33,12 @@
 
 // record returns the response to store, without a body if it exceeds claim.MaxBody.
 func (r *responseRecord) record() *claim.Response {
-	answer := r.response
-	answer.Complete = r.bodyLength <= claim.MaxBody
-	if !answer.Complete {
-		answer.Body = nil
+	stored := r.response
+	stored.Complete = r.bodyLength <= claim.MaxBody
+	if !stored.Complete {
+		stored.Body = nil
 	}
-	return &answer
+	return &stored
 }
 
 // runClaimed claims the request's key and forwards the request if the key is free. Otherwise it
@@ -46,7 +46,7 @@
 func (p *proxy) runClaimed(c echo.Context, x *call) error {
 	fingerprint := rendezvous.Key(c.Request().Method + "\x00" + c.Request().URL.RequestURI() + "\x00" + string(x.body))
 	r := wire.ClaimRequest{Key: x.key, Fingerprint: fingerprint, Attempt: uuid.NewString()}
-	a, err := p.claims.claim(c.Request().Context(), r)
+	resp, err := p.claims.claim(c.Request().Context(), r)
 	if err != nil {
 		p.log.Warn("claim failed; request not run", zap.String("request", x.id), zap.Error(err))
 		p.claims.finish(wire.ClaimRequest{Key: x.key, Attempt: r.Attempt, NotRun: true})
@@ -57,8 +57,8 @@
 			Message: "the record that keeps this request from running twice could not be made; it was not run",
 		}.Write(c)
 	}
-	if !a.Fresh {
-		return p.replay(c, x, a.Record, fingerprint)
+	if !resp.Fresh {
+		return p.replay(c, x, resp.Record, fingerprint)
 	}
 	x.response = &responseRecord{}
 	done := r
@@ -79,9 +79,9 @@
 // replay responds to a request whose key already has a record.
 func (p *proxy) replay(c echo.Context, x *call, r claim.Record, fingerprint uint64) error {
 	if r.Fingerprint != fingerprint {
-		f := badRequest("key_reused", wire.HeaderIdempotencyKey, "the Idempotency-Key was used for another request")
-		f.Status = http.StatusUnprocessableEntity
-		return f.Write(c)
+		errResp := badRequest("key_reused", wire.HeaderIdempotencyKey, "the Idempotency-Key was used for another request")
+		errResp.Status = http.StatusUnprocessableEntity
+		return errResp.Write(c)
 	}
 	if r.State == claim.StateDone && r.Response != nil && r.Response.Complete {
 		h := c.Response().Header()
@@ -90,14 +90,14 @@
 		p.metrics.Request(x.class(), "replayed")
 		return c.Blob(r.Response.Status, r.Response.ContentType, r.Response.Body)
 	}
-	f := wire.ErrorResponse{
+	errResp := wire.ErrorResponse{
 		Status: http.StatusConflict, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer, Code: "in_progress",
 		Message:    "a request with this key was sent and has no recorded answer; it will not be sent again",
 		RetryAfter: defaultRetryAfter,
 	}
 	if r.State == claim.StateDone {
-		f.Outcome, f.Code, f.RetryAfter = wire.OutcomeAnswered, "already_answered", 0
-		f.Message = "the request with this key was answered; the answer was too long to be kept"
+		errResp.Outcome, errResp.Code, errResp.RetryAfter = wire.OutcomeAnswered, "already_answered", 0
+		errResp.Message = "the request with this key was answered; the answer was too long to be kept"
 	}
-	return f.Write(c)
+	return errResp.Write(c)
 }
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -82,17 +82,17 @@
 // start starts the lease renewal and one goroutine per shard, so that a slow write delays no other
 // shard.
 func (c *claims) start() {
-	every := c.settings.LeaseTTL.Std() / leaseRenewalsPerTTL
-	c.unsubscribe = append(c.unsubscribe, c.clock.Subscribe(every, func(time.Time) { c.stepLeases() }))
+	interval := c.settings.LeaseTTL.Std() / leaseRenewalsPerTTL
+	c.unsubscribe = append(c.unsubscribe, c.clock.Subscribe(interval, func(time.Time) { c.stepLeases() }))
 	for i := range c.shards {
-		go c.run(i)
+		go c.runShard(i)
 	}
 	go c.stepLeases()
 }
 
 // run writes the records of shard i whenever some are pending, within the shard's share of the
 // write rate.
-func (c *claims) run(i int) {
+func (c *claims) runShard(i int) {
 	for {
 		select {
 		case <-c.shards[i].Wake():
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -70,25 +70,25 @@
 	s := o.Settings
 	e := &Entry{settings: s, clock: o.Clock, log: o.Log, metrics: o.Metrics, traffic: o.Traffic}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
-	peers := wire.NewClient(s.Secret, wire.NewTransport(e.traffic))
+	client := wire.NewClient(s.Secret, wire.NewTransport(e.traffic))
 	e.members = newMembers(s.ID, o.Platform, o.Log)
 	e.quarantine = quarantine.New(quarantine.Options{
 		Clock: o.Clock, CrashThreshold: s.Quarantine.Threshold, Duration: s.Quarantine.Hold.Std(), OnChange: e.quarantineChanged,
 	})
 	e.planner = planner.New(planner.Options{
 		ID: s.ID, Addr: s.ControlListen, Settings: s.Planner, Store: o.Store, Clock: o.Clock, Members: e.members,
-		Catalogue: o.Platform, Agents: peers, View: &e.view, Replica: &e.replica, Recorder: &e.decisions,
+		Catalogue: o.Platform, Agents: client, View: &e.view, Replica: &e.replica, Recorder: &e.decisions,
 		Quarantine: e.quarantine, Log: o.Log,
 	})
 	tableLog := table.NewLog(o.Store, o.Clock, tableCheck(&e.view, e.planner))
 	e.sync = &syncer{
 		ctx: e.ctx, id: s.ID, replica: &e.replica, view: &e.view, tableLog: tableLog, members: e.members,
-		planner: e.planner, quarantine: e.quarantine, peers: peers, clock: o.Clock, log: o.Log,
+		planner: e.planner, quarantine: e.quarantine, peers: client, clock: o.Clock, log: o.Log,
 		links: make(map[string]*quarantine.Link),
 	}
 	e.claims = newClaims(claimsOptions{
 		ctx: e.ctx, id: s.ID, addr: s.ControlListen, settings: s.Claims, store: o.Store, clock: o.Clock,
-		log: o.Log, peers: peers, members: e.members,
+		log: o.Log, peers: client, members: e.members,
 	})
 	e.proxy = &proxy{
 		limits: s.Limits, secret: s.Secret, controlAddr: e.ControlAddr, ready: e.ready, leaving: e.leaving.Load,
@@ -99,7 +99,7 @@
 	e.proxy.routes.Hall = s.Hall
 	e.operators = &operatorAPI{
 		id: s.ID, replica: &e.replica, view: &e.view, tableLog: tableLog, planner: e.planner, members: e.members,
-		decisions: &e.decisions, peers: peers, inFlight: e.proxy.inFlight.Load, traffic: o.Traffic, log: o.Log,
+		decisions: &e.decisions, client: client, inFlight: e.proxy.inFlight.Load, traffic: o.Traffic, log: o.Log,
 	}
 	return e
 }
@@ -131,7 +131,7 @@
 	server.RegisterHealth(r, e.ready, e.metrics)
 	authorized := r.Group("", server.RequireSecret(e.settings.Secret, e.metrics))
 	authorized.POST(wire.PathSync, e.sync.handleSync)
-	authorized.POST(wire.PathExchangeTrigger, e.handleNudge)
+	authorized.POST(wire.PathExchangeTrigger, e.handleExchangeTrigger)
 	authorized.POST(wire.PathClaim, e.claims.serveClaim)
 	authorized.POST(wire.PathClaimFinish, e.claims.serveFinish)
 	server.RegisterQuarantine(authorized, e.quarantine)
@@ -139,19 +139,19 @@
 	return r
 }
 
-// handleNudge handles an agent's request for an immediate exchange with its planner.
-func (e *Entry) handleNudge(c echo.Context) error {
-	var n wire.ExchangeTrigger
-	if err := c.Bind(&n); err != nil {
+// handleExchangeTrigger handles an agent's request for an immediate exchange with its planner.
+func (e *Entry) handleExchangeTrigger(c echo.Context) error {
+	var trigger wire.ExchangeTrigger
+	if err := c.Bind(&trigger); err != nil {
 		return err
 	}
-	e.planner.RequestExchange(n.Server)
+	e.planner.RequestExchange(trigger.Server)
 	return c.NoContent(http.StatusOK)
 }
 
 // subscribe calls f at the given interval until the entry stops.
-func (e *Entry) subscribe(every time.Duration, f func(time.Time)) {
-	e.unsubscribe = append(e.unsubscribe, e.clock.Subscribe(every, f))
+func (e *Entry) subscribe(interval time.Duration, f func(time.Time)) {
+	e.unsubscribe = append(e.unsubscribe, e.clock.Subscribe(interval, f))
 }
 
 // Addr returns the address of the listener for clients.
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -63,8 +63,8 @@
 		if !ok {
 			break
 		}
-		if f, quarantined := fw.quarantined(); quarantined {
-			fw.refusal = &f
+		if errResp, quarantined := fw.quarantined(); quarantined {
+			fw.refusal = &errResp
 			break
 		}
 		if try > 0 && !p.budget.Allow() {
@@ -121,25 +121,25 @@
 	servers := slices.DeleteFunc(slices.Clone(fw.proxy.view.ServersFor(fw.call.row.Name)), func(s fleet.Server) bool {
 		return fw.tried[s.ID] == s.Incarnation
 	})
-	staying := slices.DeleteFunc(slices.Clone(servers), fw.leaving)
+	staying := slices.DeleteFunc(slices.Clone(servers), fw.isLeaving)
 	if len(staying) > 0 {
 		servers = staying
 	}
 	if len(servers) == 0 {
 		return fleet.Server{}, false
 	}
-	cands := make([]route.Candidate, len(servers))
+	candidates := make([]route.Candidate, len(servers))
 	for i, s := range servers {
-		cands[i] = route.Candidate{ID: s.ID, Hall: s.Hall}
+		candidates[i] = route.Candidate{ID: s.ID, Hall: s.Hall}
 	}
-	best := fw.proxy.routes.Order(cands, fw.call.prefix, fw.proxy.clock.Now())[0]
+	best := fw.proxy.routes.Order(candidates, fw.call.prefix, fw.proxy.clock.Now())[0]
 	i := slices.IndexFunc(servers, func(s fleet.Server) bool { return s.ID == best.ID })
 	return servers[i], true
 }
 
-// leaving reports whether a server is leaving according to its responses, its record or the
+// isLeaving reports whether a server is leaving according to its responses, its record or the
 // platform's list of VMs.
-func (fw *forwarder) leaving(s fleet.Server) bool {
+func (fw *forwarder) isLeaving(s fleet.Server) bool {
 	return s.Leaving || fw.proxy.members.isLeaving(s.ID) || fw.proxy.routes.IsLeaving(s.ID, s.Incarnation)
 }
 
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -28,8 +28,8 @@
 	maxStatusQueries = 32
 )
 
-// stateSilent is the reported state of a VM that does not respond.
-const stateSilent = "silent"
+// stateUnresponsive is the reported state of a VM that does not respond.
+const stateUnresponsive = "silent"
 
 // operatorAPI serves the API for operators: it reads, checks and saves the table and reports the
 // state known to this entry.
@@ -41,7 +41,7 @@
 	planner   *planner.Planner
 	members   *members
 	decisions *decisions
-	peers     *wire.Client
+	client    *wire.Client
 	// inFlight returns the number of client requests in progress.
 	inFlight func() int64
 	traffic  *wire.TrafficCounter
@@ -88,18 +88,18 @@
 
 // respondSaveError responds that an edit was refused or that its outcome is unknown.
 func (o *operatorAPI) respondSaveError(c echo.Context, err error) error {
-	a := wire.SaveResponse{Message: err.Error()}
+	resp := wire.SaveResponse{Message: err.Error()}
 	var invalid *table.InvalidError
 	switch {
 	case errors.As(err, &invalid):
-		a.Errors = invalid.Errors
-		return c.JSON(http.StatusUnprocessableEntity, a)
+		resp.Errors = invalid.Errors
+		return c.JSON(http.StatusUnprocessableEntity, resp)
 	case errors.Is(err, table.ErrRowConflict):
-		return c.JSON(http.StatusConflict, a)
+		return c.JSON(http.StatusConflict, resp)
 	case errors.Is(err, table.ErrSaveUnknown):
-		return c.JSON(http.StatusBadGateway, a)
+		return c.JSON(http.StatusBadGateway, resp)
 	}
-	return c.JSON(http.StatusServiceUnavailable, a)
+	return c.JSON(http.StatusServiceUnavailable, resp)
 }
 
 // checkTable validates an edit without saving it. It responds with the version of the table in
@@ -109,12 +109,12 @@
 	if err := c.Bind(&r); err != nil {
 		return err
 	}
-	now := o.replica.Current()
-	next := now.Apply(r.Edit, now.Version()+1)
+	current := o.replica.Current()
+	next := current.Apply(r.Edit, current.Version()+1)
 	if errs := o.tableLog.Check(next); len(errs) > 0 {
 		return c.JSON(http.StatusUnprocessableEntity, wire.SaveResponse{Errors: errs})
 	}
-	return c.JSON(http.StatusOK, wire.SaveResponse{Version: now.Version()})
+	return c.JSON(http.StatusOK, wire.SaveResponse{Version: current.Version()})
 }
 
 // tableCheck returns a validator that rejects tables whose models do not all fit on the known
@@ -146,49 +146,49 @@
 // showDecisions responds with the latest decisions, or with those about the row given by the
 // parameter name.
 func (o *operatorAPI) showDecisions(c echo.Context) error {
-	a := wire.DecisionsResponse{Entry: o.id, Decisions: o.decisions.latest(c.QueryParam("name"))}
-	return c.JSON(http.StatusOK, a)
+	resp := wire.DecisionsResponse{Entry: o.id, Decisions: o.decisions.latest(c.QueryParam("name"))}
+	return c.JSON(http.StatusOK, resp)
 }
 
 // status responds with this entry's state. The parameter brief omits the servers and VMs. The
 // parameter versions adds the table version that each VM reports.
 func (o *operatorAPI) status(c echo.Context) error {
-	a := wire.StatusResponse{
+	resp := wire.StatusResponse{
 		Entry: o.id, TableVersion: o.replica.Current().Version(), Cells: o.planner.HeldCells(),
 		InProgress: int(o.inFlight()), ControlBytes: o.traffic.WireBytes(),
 	}
 	if c.QueryParam("brief") != "" {
-		return c.JSON(http.StatusOK, a)
+		return c.JSON(http.StatusOK, resp)
 	}
-	a.Servers = o.view.Servers()
+	resp.Servers = o.view.Servers()
 	vms := o.members.all()
 	for _, vm := range vms {
-		a.VMs = append(a.VMs, wire.VMStatus{
+		resp.VMs = append(resp.VMs, wire.VMStatus{
 			ID: vm.ID, Role: string(vm.Role), Hall: vm.Hall, Addr: vm.Addr, State: string(vm.State),
 		})
 	}
 	if c.QueryParam("versions") != "" {
-		o.queryVersions(c.Request().Context(), a.VMs, vms)
+		o.queryVersions(c.Request().Context(), resp.VMs, vms)
 	}
-	return c.JSON(http.StatusOK, a)
+	return c.JSON(http.StatusOK, resp)
 }
 
 // queryVersions queries every VM for its table version. The version of a VM that does not respond
 // stays 0.
 func (o *operatorAPI) queryVersions(ctx context.Context, out []wire.VMStatus, vms []inventory.VM) {
-	slots := make(chan struct{}, maxStatusQueries)
+	semaphore := make(chan struct{}, maxStatusQueries)
 	var wg sync.WaitGroup
 	for i, vm := range vms {
 		wg.Add(1)
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		go func() {
 			defer wg.Done()
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 			defer cancel()
 			var v wire.VersionResponse
-			if err := o.peers.Get(ctx, vm.Control, wire.PathStatus, &v); err != nil {
-				out[i].State = stateSilent
+			if err := o.client.Get(ctx, vm.Control, wire.PathStatus, &v); err != nil {
+				out[i].State = stateUnresponsive
 				return
 			}
 			out[i].TableVersion = v.TableVersion
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -11,14 +11,14 @@
 
 // recordRefusal records an agent's refusal unless an earlier one has a shorter Retry-After.
 func (fw *forwarder) recordRefusal(resp *http.Response) {
-	f := &wire.ErrorResponse{
+	errResp := &wire.ErrorResponse{
 		Status: resp.StatusCode, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
 		Code: resp.Header.Get(wire.HeaderReason), RetryAfter: wire.RetryAfter(resp.Header),
 	}
-	f.Message = "the request was not run: " + f.Code
+	errResp.Message = "the request was not run: " + errResp.Code
 	fw.refusedByLeaving = fw.refusedByLeaving || resp.Header.Get(wire.HeaderLeaving) != ""
-	if fw.refusal == nil || f.RetryAfter < fw.refusal.RetryAfter {
-		fw.refusal = f
+	if fw.refusal == nil || errResp.RetryAfter < fw.refusal.RetryAfter {
+		fw.refusal = errResp
 	}
 }
 
@@ -26,7 +26,7 @@
 // is over.
 func (fw *forwarder) attemptFailed(s fleet.Server, err error) bool {
 	if fw.echoContext.Request().Context().Err() != nil {
-		return fw.clientGone()
+		return fw.clientDisconnected()
 	}
 	fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
 	if wire.IsNotSent(err) {
@@ -60,7 +60,7 @@
 }
 
 // respond sends a failure to the client. A write error is ignored: the client has disconnected.
-func (fw *forwarder) respond(f wire.ErrorResponse) { _ = f.Write(fw.echoContext) }
+func (fw *forwarder) respond(errResp wire.ErrorResponse) { _ = errResp.Write(fw.echoContext) }
 
 // unknownOutcome returns the failure of a request that may have run and is not sent again.
 func (fw *forwarder) unknownOutcome() wire.ErrorResponse {
@@ -70,8 +70,8 @@
 	}
 }
 
-// clientGone ends a call whose client has disconnected. It returns true: the call is over.
-func (fw *forwarder) clientGone() bool {
+// clientDisconnected ends a call whose client has disconnected. It returns true: the call is over.
+func (fw *forwarder) clientDisconnected() bool {
 	fw.recordOutcome(wire.OutcomeUnknown)
 	return true
 }
@@ -79,7 +79,7 @@
 // giveUp ends a call for which no server or no retry is left.
 func (fw *forwarder) giveUp() {
 	if fw.echoContext.Request().Context().Err() != nil {
-		fw.clientGone()
+		fw.clientDisconnected()
 		return
 	}
 	if fw.headerSent {
--- a/internal/entry/proxy.go
+++ b/internal/entry/proxy.go
@@ -63,7 +63,7 @@
 }
 
 // limitInFlight rejects requests above the limit of requests in progress.
-func (p *proxy) limitInFlight(f echo.HandlerFunc) echo.HandlerFunc {
+func (p *proxy) limitInFlight(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		n := p.inFlight.Add(1)
 		defer p.inFlight.Add(-1)
@@ -76,7 +76,7 @@
 				Code: "entry_full", Message: "this entry holds as many requests as it may", RetryAfter: defaultRetryAfter,
 			}.Write(c)
 		}
-		return f(c)
+		return next(c)
 	}
 }
 
@@ -95,9 +95,9 @@
 
 // serveModel handles a completion request.
 func (p *proxy) serveModel(c echo.Context) error {
-	x, f := p.newCall(c)
-	if f != nil {
-		return f.Write(c)
+	x, errResp := p.newCall(c)
+	if errResp != nil {
+		return errResp.Write(c)
 	}
 	req, err := openai.ParseRequest(x.body)
 	if err != nil {
@@ -105,33 +105,33 @@
 	}
 	row, ok := p.replica.Current().Row(req.Model)
 	if !ok || row.Kind == table.KindService {
-		f := badRequest("model_not_found", "model", "the model "+req.Model+" does not exist")
-		f.Status = http.StatusNotFound
-		return f.Write(c)
+		errResp := badRequest("model_not_found", "model", "the model "+req.Model+" does not exist")
+		errResp.Status = http.StatusNotFound
+		return errResp.Write(c)
 	}
 	x.row, x.stream, x.tokens = row, req.Stream, req.EstimateTokens()
 	prompt := req.Prompt()
 	x.prefix = rendezvous.Key(row.Name + "\x00" + prompt[:min(len(prompt), routingPrefixLength)])
 	x.repeatable = true
-	return p.run(c, x)
+	return p.serveCall(c, x)
 }
 
 // serveService handles a request to a plain service.
 func (p *proxy) serveService(c echo.Context) error {
 	row, ok := serviceFor(p.replica.Current(), c.Request().URL.Path)
 	if !ok {
-		f := badRequest("not_found", "", "no service answers this path")
-		f.Status = http.StatusNotFound
-		return f.Write(c)
+		errResp := badRequest("not_found", "", "no service answers this path")
+		errResp.Status = http.StatusNotFound
+		return errResp.Write(c)
 	}
-	x, f := p.newCall(c)
-	if f != nil {
-		return f.Write(c)
+	x, errResp := p.newCall(c)
+	if errResp != nil {
+		return errResp.Write(c)
 	}
 	x.row, x.tokens = row, 1
 	method := c.Request().Method
 	x.repeatable = method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
-	return p.run(c, x)
+	return p.serveCall(c, x)
 }
 
 // serviceFor returns the service row with the longest path that is a prefix of the request's path,
@@ -147,8 +147,8 @@
 	return best, best.Path != ""
 }
 
-// run serves a call, with a claim if it has an Idempotency-Key.
-func (p *proxy) run(c echo.Context, x *call) error {
+// serveCall serves a call, with a claim if it has an Idempotency-Key.
+func (p *proxy) serveCall(c echo.Context, x *call) error {
 	if x.key != "" {
 		x.key = x.row.Name + "\x00" + x.key
 		x.repeatable = false
--- a/internal/entry/stream_copy.go
+++ b/internal/entry/stream_copy.go
@@ -140,7 +140,7 @@
 // over.
 func (fw *forwarder) streamInterrupted(s fleet.Server, err error) bool {
 	if fw.echoContext.Request().Context().Err() != nil {
-		return fw.clientGone()
+		return fw.clientDisconnected()
 	}
 	if !fw.call.repeatable && fw.headerSent {
 		fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
@@ -154,9 +154,9 @@
 // [DONE].
 func (fw *forwarder) abortStream() {
 	fw.recordOutcome(wire.OutcomeUnknown)
-	f := fw.unknownOutcome()
-	f.Message = "the stream was cut; what came before is not the whole answer"
-	data, err := json.Marshal(f.Body())
+	errResp := fw.unknownOutcome()
+	errResp.Message = "the stream was cut; what came before is not the whole answer"
+	data, err := json.Marshal(errResp.Body())
 	if err == nil {
 		fw.write([]byte("data: " + string(data) + "\n\n"))
 	}
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -91,15 +91,15 @@
 		return
 	}
 	peer := peers[rand.IntN(len(peers))]
-	var a wire.SyncResponse
+	var resp wire.SyncResponse
 	link := s.link(peer.ID)
-	err := s.peers.PostWithStallTimeout(s.ctx, syncTimeout, peer.Control, wire.PathSync, s.request(link.Message(peer.ID)), &a)
+	err := s.peers.PostWithStallTimeout(s.ctx, syncTimeout, peer.Control, wire.PathSync, s.request(link.Message(peer.ID)), &resp)
 	if err != nil {
 		s.log.Debug("sync with another entry failed", zap.String("peer", peer.ID), zap.Error(err))
 		return
 	}
-	link.ApplyReply(a.Quarantine)
-	s.apply(a)
+	link.ApplyReply(resp.Quarantine)
+	s.apply(resp)
 }
 
 // link returns the quarantine exchange with another entry.
@@ -120,11 +120,11 @@
 }
 
 // apply merges another entry's response.
-func (s *syncer) apply(a wire.SyncResponse) {
-	if s.replica.Merge(a.Table) {
+func (s *syncer) apply(resp wire.SyncResponse) {
+	if s.replica.Merge(resp.Table) {
 		s.log.Info("table in force", zap.Uint64("version", s.replica.Current().Version()), zap.String("from", "entry"))
 	}
-	s.view.Merge(a.Cells)
+	s.view.Merge(resp.Cells)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastSync = s.clock.Now()
@@ -137,12 +137,12 @@
 		return err
 	}
 	t := s.replica.Current()
-	a := wire.SyncResponse{Table: t.DeltaSince(r.Table), TableVersion: t.Version()}
+	resp := wire.SyncResponse{Table: t.DeltaSince(r.Table), TableVersion: t.Version()}
 	if !r.TableOnly {
-		a.Cells = s.view.DeltasSince(r.Cells)
-		a.Quarantine = s.quarantine.Answer(r.Quarantine, quarantine.AllRecords)
+		resp.Cells = s.view.DeltasSince(r.Cells)
+		resp.Quarantine = s.quarantine.Answer(r.Quarantine, quarantine.AllRecords)
 	}
-	return c.JSON(http.StatusOK, a)
+	return c.JSON(http.StatusOK, resp)
 }
 
 // watchTable follows the table in the platform's key-value service while shouldWatch reports that
@@ -190,12 +190,12 @@
 	s.mu.Lock()
 	s.tableRevision = rev
 	s.mu.Unlock()
-	s.offer(t)
+	s.storeIfNewer(t)
 	return nil
 }
 
-// offer puts a table in force if it is newer than the current one.
-func (s *syncer) offer(t *table.Table) {
+// storeIfNewer puts a table in force if it is newer than the current one.
+func (s *syncer) storeIfNewer(t *table.Table) {
 	if s.replica.StoreIfNewer(t) {
 		s.log.Info("table in force", zap.Uint64("version", t.Version()), zap.String("from", "kv"))
 	}
--- a/internal/planner/cell.go
+++ b/internal/planner/cell.go
@@ -37,7 +37,7 @@
 )
 
 // A peer is the state that the planner keeps of one agent.
-type peer struct {
+type agentState struct {
 	id string
 	vm inventory.VM
 	// record and demand are those that the agent last reported, and recordVersion is the version of
@@ -80,7 +80,7 @@
 	superseded atomic.Bool
 
 	mu      sync.Mutex
-	peers   map[string]*peer
+	agents  map[string]*agentState
 	pending []pendingOrder
 	grants  *grantTracker
 	// version is the cell's version, plannedVersion the version at the last plan.
@@ -92,7 +92,7 @@
 // planner's records under its own epoch, so that requests are routed without interruption.
 func newCellPlanner(p *Planner, id string, h *lease.Holder, token lease.Token) *cellPlanner {
 	c := &cellPlanner{
-		Planner: p, id: id, holder: h, token: token, peers: make(map[string]*peer), grants: newGrantTracker(), version: 1,
+		Planner: p, id: id, holder: h, token: token, agents: make(map[string]*agentState), grants: newGrantTracker(), version: 1,
 	}
 	n := max(len(p.cells), 1)
 	c.placement = placement.NewPlanner(placement.Options{
@@ -119,14 +119,14 @@
 	_, held := c.holder.Held()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.syncPeers(now, servers, vms)
+	c.syncAgents(now, servers, vms)
 	if held && now.Sub(c.lastPlan) >= c.planInterval() {
 		c.makePlan(now)
 		c.lastPlan, c.plannedVersion = now, c.version
 	}
-	for _, p := range c.peers {
-		if !p.inFlight && now.Sub(p.lastSent) >= c.exchangeInterval(p) {
-			c.send(p, held, now)
+	for _, a := range c.agents {
+		if !a.inFlight && now.Sub(a.lastSent) >= c.exchangeInterval(a) {
+			c.send(a, held, now)
 		}
 	}
 }
@@ -143,77 +143,77 @@
 func (c *cellPlanner) requestExchange(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p, ok := c.peers[server]; ok {
-		p.urgent = true
+	if a, ok := c.agents[server]; ok {
+		a.urgent = true
 	}
 }
 
 // exchangeInterval returns the time between two exchanges with the agent. c.mu must be held.
-func (c *cellPlanner) exchangeInterval(p *peer) time.Duration {
+func (c *cellPlanner) exchangeInterval(a *agentState) time.Duration {
 	switch {
-	case p.urgent:
+	case a.urgent:
 		return 0
-	case !p.hasReported || p.tableVersion < c.Replica.Current().Version() || c.busy(p):
+	case !a.hasReported || a.tableVersion < c.Replica.Current().Version() || c.isBusy(a):
 		return min(busyExchangeInterval, c.Settings.ExchangeInterval.Std())
 	}
 	return c.Settings.ExchangeInterval.Std()
 }
 
-// busy reports whether the agent is loading or unloading or has a pending order. c.mu must be held.
-func (c *cellPlanner) busy(p *peer) bool {
-	changing := slices.ContainsFunc(p.record.Residents, func(r fleet.Resident) bool { return r.State != fleet.StateReady })
-	return changing || slices.ContainsFunc(c.pending, func(o pendingOrder) bool { return o.order.Server == p.id })
+// isBusy reports whether the agent is loading or unloading or has a pending order. c.mu must be held.
+func (c *cellPlanner) isBusy(a *agentState) bool {
+	changing := slices.ContainsFunc(a.record.Residents, func(r fleet.Resident) bool { return r.State != fleet.StateReady })
+	return changing || slices.ContainsFunc(c.pending, func(o pendingOrder) bool { return o.order.Server == a.id })
 }
 
-// syncPeers adds the peers of servers that have joined the cell, updates those of present servers
+// syncAgents adds the peers of servers that have joined the cell, updates those of present servers
 // and removes those of servers that have left. c.mu must be held.
-func (c *cellPlanner) syncPeers(now time.Time, servers []string, vms map[string]inventory.VM) {
+func (c *cellPlanner) syncAgents(now time.Time, servers []string, vms map[string]inventory.VM) {
 	for _, id := range servers {
 		vm, listed := vms[id]
 		if !listed {
 			continue
 		}
-		p, ok := c.peers[id]
+		a, ok := c.agents[id]
 		if !ok {
-			p = &peer{id: id, joinedAt: now, quarantine: quarantine.NewLink(c.Quarantine, quarantine.SharedMinCrashes)}
-			c.peers[id] = p
+			a = &agentState{id: id, joinedAt: now, quarantine: quarantine.NewLink(c.Quarantine, quarantine.SharedMinCrashes)}
+			c.agents[id] = a
 		}
-		p.urgent = p.urgent || vm.State != p.vm.State && p.vm.ID != ""
-		p.vm = vm
-		if p.hasReported && p.record.Addr != vm.Addr {
-			p.record.Addr = vm.Addr
-			c.publish(p.record)
+		a.urgent = a.urgent || vm.State != a.vm.State && a.vm.ID != ""
+		a.vm = vm
+		if a.hasReported && a.record.Addr != vm.Addr {
+			a.record.Addr = vm.Addr
+			c.publish(a.record)
 		}
-		c.markGone(p, now)
+		c.markGone(a, now)
 	}
-	for id, p := range c.peers {
+	for id, a := range c.agents {
 		if _, listed := vms[id]; !listed || !slices.Contains(servers, id) {
 			c.grants.remove(id)
-			delete(c.peers, id)
-			c.publishGone(p)
+			delete(c.agents, id)
+			c.publishGone(a)
 		}
 	}
 }
 
 // markGone publishes that a server is gone if it has not responded within the limit. c.mu must be
 // held.
-func (c *cellPlanner) markGone(p *peer, now time.Time) {
-	last := p.lastSuccess
+func (c *cellPlanner) markGone(a *agentState, now time.Time) {
+	last := a.lastSuccess
 	if last.IsZero() {
-		last = p.joinedAt
+		last = a.joinedAt
 	}
 	limit := goneIntervals*c.Settings.ExchangeInterval.Std() + goneGrace
-	if now.Sub(last) > limit && !p.record.Removed {
-		c.Log.Warn("backend server does not respond", zap.String("server", p.id), zap.String("cell", c.id))
-		c.publishGone(p)
+	if now.Sub(last) > limit && !a.record.Removed {
+		c.Log.Warn("backend server does not respond", zap.String("server", a.id), zap.String("cell", c.id))
+		c.publishGone(a)
 	}
 }
 
 // publishGone publishes that a server is gone. c.mu must be held.
-func (c *cellPlanner) publishGone(p *peer) {
-	p.record.ID = p.id
-	p.record.Removed = true
-	c.publish(p.record)
+func (c *cellPlanner) publishGone(a *agentState) {
+	a.record.ID = a.id
+	a.record.Removed = true
+	c.publish(a.record)
 }
 
 // publish publishes a record under the cell's next version. c.mu must be held.
@@ -229,7 +229,7 @@
 // allGrantsReported reports whether every agent of the cell has reported its grants. c.mu must be
 // held.
 func (c *cellPlanner) allGrantsReported() bool {
-	for id := range c.peers {
+	for id := range c.agents {
 		if !c.grants.hasReported(id) {
 			return false
 		}
@@ -240,8 +240,8 @@
 // allReportedOrGone reports whether every server has responded or counts as gone. c.mu must be
 // held.
 func (c *cellPlanner) allReportedOrGone() bool {
-	for _, p := range c.peers {
-		if !p.hasReported && !p.record.Removed {
+	for _, a := range c.agents {
+		if !a.hasReported && !a.record.Removed {
 			return false
 		}
 	}
--- a/internal/planner/exchange.go
+++ b/internal/planner/exchange.go
@@ -16,44 +16,44 @@
 
 // send starts an exchange with an agent. The message contains orders and grants only if the lease
 // is held. c.mu must be held.
-func (c *cellPlanner) send(p *peer, held bool, now time.Time) {
+func (c *cellPlanner) send(a *agentState, held bool, now time.Time) {
 	t := c.Replica.Current()
 	msg := wire.Exchange{
-		From: c.Addr, Cell: c.id, Token: int64(c.token), Incarnation: p.record.Incarnation, Seen: p.recordVersion,
-		TableVersion: t.Version(), Leaving: p.vm.State == inventory.VMLeaving,
-		List: c.Members.Version(), Lapsed: !held, Pauses: p.pauses, Quarantine: p.quarantine.Message(p.id),
+		From: c.Addr, Cell: c.id, Token: int64(c.token), Incarnation: a.record.Incarnation, Seen: a.recordVersion,
+		TableVersion: t.Version(), Leaving: a.vm.State == inventory.VMLeaving,
+		List: c.Members.Version(), Lapsed: !held, Pauses: a.pauses, Quarantine: a.quarantine.Message(a.id),
 	}
-	if p.hasReported {
-		msg.Table = t.DeltaSince(p.tableVersion)
+	if a.hasReported {
+		msg.Table = t.DeltaSince(a.tableVersion)
 	}
 	if held {
-		msg.Orders, p.orders = p.orders, nil
+		msg.Orders, a.orders = a.orders, nil
 	}
-	if held && c.grants.hasReported(p.id) {
-		msg.Grants = c.grants.next(p.id, t.Rows(), c.servers(), cellShare(c.id, c.cellIDs()), c.allGrantsReported())
-		c.grants.recordSend(p.id, msg.Grants)
+	if held && c.grants.hasReported(a.id) {
+		msg.Grants = c.grants.next(a.id, t.Rows(), c.servers(), cellShare(c.id, c.cellIDs()), c.allGrantsReported())
+		c.grants.recordSend(a.id, msg.Grants)
 	}
-	p.urgent, p.inFlight, p.lastSent = false, true, now
-	go c.exchange(p, msg)
+	a.urgent, a.inFlight, a.lastSent = false, true, now
+	go c.exchange(a, msg)
 }
 
 // servers returns the records of the peers that have reported. c.mu must be held.
 func (c *cellPlanner) servers() []fleet.Server {
 	var all []fleet.Server
-	for _, p := range c.peers {
-		if p.hasReported {
-			all = append(all, p.record)
+	for _, a := range c.agents {
+		if a.hasReported {
+			all = append(all, a.record)
 		}
 	}
 	return all
 }
 
 // exchange sends one message and applies the response.
-func (c *cellPlanner) exchange(p *peer, msg wire.Exchange) {
+func (c *cellPlanner) exchange(p *agentState, msg wire.Exchange) {
 	ctx, cancel := context.WithTimeout(c.ctx, callTimeout)
 	defer cancel()
-	var a wire.ExchangeResponse
-	err := c.Agents.Post(ctx, p.vm.Control, wire.PathExchange, msg, &a)
+	var resp wire.ExchangeResponse
+	err := c.Agents.Post(ctx, p.vm.Control, wire.PathExchange, msg, &resp)
 	now := c.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,23 +62,23 @@
 		c.Log.Debug("exchange with agent failed", zap.String("server", p.id), zap.Error(err))
 		return
 	}
-	if a.Token > int64(c.token) {
+	if resp.Token > int64(c.token) {
 		c.superseded.Store(true)
-		c.Log.Warn("cell planner superseded by a newer one", zap.String("server", p.id), zap.Int64("token", a.Token))
+		c.Log.Warn("cell planner superseded by a newer one", zap.String("server", p.id), zap.Int64("token", resp.Token))
 		return
 	}
-	c.apply(p, a, now)
+	c.apply(p, resp, now)
 }
 
 // apply applies an agent's response. c.mu must be held.
-func (c *cellPlanner) apply(p *peer, a wire.ExchangeResponse, now time.Time) {
-	p.quarantine.ApplyReply(a.Quarantine)
+func (c *cellPlanner) apply(p *agentState, resp wire.ExchangeResponse, now time.Time) {
+	p.quarantine.ApplyReply(resp.Quarantine)
 	first := !p.hasReported
-	p.urgent = p.urgent || p.pauses != a.Pauses
-	p.pauses = a.Pauses
-	p.lastSuccess, p.hasReported, p.tableVersion = now, true, a.TableVersion
-	c.grants.report(p.id, a.Grants)
-	if a.Server == nil {
+	p.urgent = p.urgent || p.pauses != resp.Pauses
+	p.pauses = resp.Pauses
+	p.lastSuccess, p.hasReported, p.tableVersion = now, true, resp.TableVersion
+	c.grants.report(p.id, resp.Grants)
+	if resp.Server == nil {
 		if p.record.Removed {
 			p.record.Removed = false
 			c.publish(p.record)
@@ -87,9 +87,9 @@
 	}
 	// The first message contains no table, and an agent ignores orders addressed to a previous
 	// incarnation. The next message follows at once in both cases.
-	p.urgent = p.urgent || first || a.Incarnation != p.record.Incarnation
-	p.recordVersion = a.RecordSeen
-	next := *a.Server
+	p.urgent = p.urgent || first || resp.Incarnation != p.record.Incarnation
+	p.recordVersion = resp.RecordSeen
+	next := *resp.Server
 	p.demand, next.Demand = next.Demand, nil
 	// The address in the platform's list of VMs overrides the reported one.
 	next.Addr = p.vm.Addr
@@ -97,19 +97,19 @@
 		p.record = next
 		c.publish(p.record)
 	}
-	c.removeVisible(p)
+	c.removeVisibleOrders(p)
 }
 
-// removeVisible removes the pending orders whose effect is visible in the server's record. c.mu
+// removeVisibleOrders removes the pending orders whose effect is visible in the server's record. c.mu
 // must be held.
-func (c *cellPlanner) removeVisible(p *peer) {
+func (c *cellPlanner) removeVisibleOrders(a *agentState) {
 	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool {
-		return o.order.Server == p.id && isVisible(p.record, o.order)
+		return o.order.Server == a.id && isEffectVisible(a.record, o.order)
 	})
 }
 
-// isVisible reports whether the effect of an order is visible in a server's record.
-func isVisible(s fleet.Server, o placement.Order) bool {
+// isEffectVisible reports whether the effect of an order is visible in a server's record.
+func isEffectVisible(s fleet.Server, o placement.Order) bool {
 	i := slices.IndexFunc(s.Residents, func(r fleet.Resident) bool {
 		return r.Name == o.Name && r.Accelerator == o.Accelerator
 	})
--- a/internal/planner/grants.go
+++ b/internal/planner/grants.go
@@ -22,11 +22,11 @@
 
 // report replaces an agent's grants by those that it has reported.
 func (t *grantTracker) report(agent string, grants []wire.ConcurrencyGrant) {
-	has := make(map[string]int)
+	held := make(map[string]int)
 	for _, g := range grants {
-		has[g.Row] = g.Max
+		held[g.Row] = g.Max
 	}
-	t.maxHeld[agent] = has
+	t.maxHeld[agent] = held
 }
 
 // recordSend records grants before they are sent. Since the message may be lost, the larger of the
@@ -49,9 +49,9 @@
 // heldByOthers returns the sum of the grants of a row that all other agents may hold.
 func (t *grantTracker) heldByOthers(agent, row string) int {
 	sum := 0
-	for id, has := range t.maxHeld {
+	for id, held := range t.maxHeld {
 		if id != agent {
-			sum += has[row]
+			sum += held[row]
 		}
 	}
 	return sum
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -38,7 +38,7 @@
 		if o.Op == ledger.OpLoad && !c.loadLimiter.AllowN(now, 1) {
 			break
 		}
-		c.issue(o, now)
+		c.issueOrder(o, now)
 	}
 }
 
@@ -59,11 +59,11 @@
 // held.
 func (c *cellPlanner) publishDemand() map[string]float64 {
 	total := make(map[string]float64)
-	for _, p := range c.peers {
-		if p.record.Removed {
+	for _, a := range c.agents {
+		if a.record.Removed {
 			continue
 		}
-		for name, slots := range slotsByRow(p.demand) {
+		for name, slots := range slotsByRow(a.demand) {
 			total[name] += slots
 		}
 	}
@@ -100,15 +100,15 @@
 	})
 }
 
-// issue queues an order for the server's next exchange, records it as a decision and adds it to the
+// issueOrder queues an order for the server's next exchange, records it as a decision and adds it to the
 // pending orders. c.mu must be held.
-func (c *cellPlanner) issue(o placement.Order, now time.Time) {
-	p, ok := c.peers[o.Server]
+func (c *cellPlanner) issueOrder(o placement.Order, now time.Time) {
+	a, ok := c.agents[o.Server]
 	if !ok {
 		return
 	}
-	p.orders = append(p.orders, o)
-	p.urgent = true
+	a.orders = append(a.orders, o)
+	a.urgent = true
 	c.pending = append(c.pending, pendingOrder{order: o, at: now})
 	c.Recorder.Record(wire.Decision{
 		Time: now.UnixMilli(), Kind: string(o.Op), Name: o.Name, Server: o.Server, Reason: o.Reason,
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -118,10 +118,10 @@
 	p.wg.Add(2)
 	go p.watchCells()
 	go p.readSizes()
-	every := p.Settings.LeaseTTL.Std() / leaseRenewalsPerTTL
+	interval := p.Settings.LeaseTTL.Std() / leaseRenewalsPerTTL
 	p.unsubscribe = append(p.unsubscribe,
-		p.Clock.Subscribe(every, func(time.Time) { p.stepLeases() }),
-		p.Clock.Subscribe(min(every, time.Second), func(time.Time) { p.stepCells() }),
+		p.Clock.Subscribe(interval, func(time.Time) { p.stepLeases() }),
+		p.Clock.Subscribe(min(interval, time.Second), func(time.Time) { p.stepCells() }),
 		p.Clock.Subscribe(p.tickInterval(), p.stepPlans),
 	)
 	p.stepLeases()
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -23,7 +23,7 @@
 		row := table.NewRow("m")
 		row.MaxConcurrency = limit
 		ids := []string{"a", "b", "c"}
-		has := make(map[string]int)
+		granted := make(map[string]int)
 		running := make(map[string]int)
 		tracker := newGrantTracker()
 		for range 60 {
@@ -31,24 +31,24 @@
 				tracker = newGrantTracker()
 			}
 			id := rapid.SampledFrom(ids).Draw(t, "agent")
-			running[id] = rapid.IntRange(0, has[id]).Draw(t, "running")
+			running[id] = rapid.IntRange(0, granted[id]).Draw(t, "running")
 			if tracker.hasReported(id) {
 				complete := tracker.hasReported("a") && tracker.hasReported("b") && tracker.hasReported("c")
 				g := tracker.next(id, []table.Row{row}, servers(t, ids), cellShare("c", []string{"c"}), complete)
 				tracker.recordSend(id, g)
 				if rapid.Bool().Draw(t, "arrives") {
-					has[id] = 0
+					granted[id] = 0
 					for _, x := range g {
-						has[id] = x.Max
+						granted[id] = x.Max
 					}
 				}
 			}
 			if rapid.Bool().Draw(t, "answer arrives") {
-				tracker.report(id, []wire.ConcurrencyGrant{{Row: "m", Max: max(has[id], running[id])}})
+				tracker.report(id, []wire.ConcurrencyGrant{{Row: "m", Max: max(granted[id], running[id])}})
 			}
 			sum := 0
 			for _, id := range ids {
-				sum += max(has[id], running[id])
+				sum += max(granted[id], running[id])
 			}
 			assert.Assert(t, sum <= limit, "the agents may run %d at once", sum)
 		}
