--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -80,9 +80,9 @@
 	// Guarded by mu.
 	incarnation string
 	// backend sends requests to the backend server, peers sends messages to entries.
-	backend *http.Client
-	peers   *wire.Client
-	replica table.Replica
+	backend     *http.Client
+	entryClient *wire.Client
+	replica     table.Replica
 	// traffic counts the bytes of control traffic, proxied those of requests.
 	traffic  *wire.TrafficCounter
 	proxied  wire.TrafficCounter
@@ -123,7 +123,7 @@
 		server:      newServerState(),
 	}
 	a.backend = &http.Client{Transport: wire.NewTransport(&a.proxied)}
-	a.peers = wire.NewClient(o.Settings.Secret, wire.NewTransport(o.Traffic))
+	a.entryClient = wire.NewClient(o.Settings.Secret, wire.NewTransport(o.Traffic))
 	a.work = newWorkload(a.server.slots, o.Settings.MaxQueued)
 	a.quarantine = quarantine.New(quarantine.Options{
 		Clock: o.Clock, CrashThreshold: quarantine.DefaultCrashThreshold, Duration: quarantine.DefaultDuration,
@@ -169,8 +169,8 @@
 }
 
 // subscribe calls f at the given interval until the agent stops.
-func (a *Agent) subscribe(every time.Duration, f func(time.Time)) {
-	a.unsubscribe = append(a.unsubscribe, a.clock.Subscribe(every, f))
+func (a *Agent) subscribe(interval time.Duration, f func(time.Time)) {
+	a.unsubscribe = append(a.unsubscribe, a.clock.Subscribe(interval, f))
 }
 
 // Addr returns the address of the listener for requests.
--- a/internal/agent/catchup.go
+++ b/internal/agent/catchup.go
@@ -76,13 +76,13 @@
 // fetchTable fetches a newer table from the entry at addr and clears fetchingTable.
 func (a *Agent) fetchTable(addr string) {
 	defer a.fetchingTable.Store(false)
-	var answer wire.SyncResponse
+	var resp wire.SyncResponse
 	r := wire.SyncRequest{From: a.settings.ID, Table: a.replica.Current().Version(), TableOnly: true}
-	if err := a.peers.PostWithStallTimeout(context.Background(), fetchTableTimeout, addr, wire.PathSync, r, &answer); err != nil {
+	if err := a.entryClient.PostWithStallTimeout(context.Background(), fetchTableTimeout, addr, wire.PathSync, r, &resp); err != nil {
 		a.log.Debug("fetching the table from an entry failed", zap.Error(err))
 		return
 	}
-	if a.replica.Merge(answer.Table) {
+	if a.replica.Merge(resp.Table) {
 		a.log.Info("table in force", zap.Uint64("version", a.replica.Current().Version()), zap.String("from", "entry"))
 	}
 }
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	if !a.accept(msg) {
-		return c.JSON(http.StatusOK, a.exchangeAnswer(msg))
+		return c.JSON(http.StatusOK, a.exchangeResponse(msg))
 	}
 	a.applyList(msg)
 	if !msg.Lapsed && a.isForThisIncarnation(msg) && msg.TableVersion >= a.replica.Current().Version() {
@@ -50,7 +50,7 @@
 		// Orders are executed in the background, because they wait for the key-value service.
 		go a.executeOrders(msg.Orders)
 	}
-	return c.JSON(http.StatusOK, a.exchangeAnswer(msg))
+	return c.JSON(http.StatusOK, a.exchangeResponse(msg))
 }
 
 // accept merges the table and reports whether the sender is the current planner, that is, no newer
@@ -75,21 +75,21 @@
 	return msg.Incarnation == a.incarnation
 }
 
-// exchangeAnswer returns the response to a planner. It contains the server's record if the planner
+// exchangeResponse returns the response to a planner. It contains the server's record if the planner
 // does not have its current version.
-func (a *Agent) exchangeAnswer(msg wire.Exchange) wire.ExchangeResponse {
+func (a *Agent) exchangeResponse(msg wire.Exchange) wire.ExchangeResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.serverRecord(a.clock.Now())
-	answer := wire.ExchangeResponse{
+	resp := wire.ExchangeResponse{
 		Incarnation: a.incarnation, Token: a.planner.token, TableVersion: a.replica.Current().Version(), RecordSeen: a.server.version,
 		Pauses: a.planner.pauses, Quarantine: a.quarantine.Answer(msg.Quarantine, quarantine.AllRecords),
 	}
 	if msg.Incarnation != a.incarnation || msg.Seen != a.server.version {
-		answer.Server = &s
+		resp.Server = &s
 	}
-	answer.Grants = a.work.grantsInUse()
-	return answer
+	resp.Grants = a.work.grantsInUse()
+	return resp
 }
 
 // Status is the agent's state as reported to operators.
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -15,10 +15,10 @@
 type membership struct {
 	leaving bool
 	// stopping reports whether the agent is leaving because it stops or was superseded.
-	// listedVersion is the latest version of the platform's list of VMs that lists the agent as
+	// leavingListVersion is the latest version of the platform's list of VMs that lists the agent as
 	// leaving.
-	stopping      bool
-	listedVersion uint64
+	stopping           bool
+	leavingListVersion uint64
 	// closeAt is the time from which a leaving agent refuses new requests.
 	closeAt time.Time
 }
@@ -30,15 +30,15 @@
 // reports whether the agent is no longer leaving. That is so if a later version does not list it as
 // leaving, unless it is stopping: the earlier version then referred to a previous VM of the same
 // name.
-func (m *membership) applyList(leaving bool, list uint64) (stays bool) {
+func (m *membership) applyList(leaving bool, listVersion uint64) (canceled bool) {
 	if leaving {
-		m.listedVersion = max(m.listedVersion, list)
+		m.leavingListVersion = max(m.leavingListVersion, listVersion)
 		return false
 	}
-	if m.stopping || !m.leaving || m.listedVersion == 0 || list <= m.listedVersion {
+	if m.stopping || !m.leaving || m.leavingListVersion == 0 || listVersion <= m.leavingListVersion {
 		return false
 	}
-	m.leaving, m.listedVersion = false, 0
+	m.leaving, m.leavingListVersion = false, 0
 	return true
 }
 
@@ -76,7 +76,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), requestExchangeTimeout)
 		defer cancel()
-		err := a.peers.Post(ctx, addr, wire.PathExchangeTrigger, wire.ExchangeTrigger{Server: a.settings.ID}, nil)
+		err := a.entryClient.Post(ctx, addr, wire.PathExchangeTrigger, wire.ExchangeTrigger{Server: a.settings.ID}, nil)
 		if err != nil {
 			a.log.Debug("requesting an exchange with the planner failed", zap.Error(err))
 		}
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -97,7 +97,7 @@
 // drainForUnload stops new requests to the copy that an order unloads and reports whether none is
 // running on it. Otherwise it keeps the order, which stepUnloads executes later. a.mu must be held.
 func (a *Agent) drainForUnload(o placement.Order) bool {
-	id := copyID{name: o.Name, accelerator: o.Accelerator}
+	id := replicaID{name: o.Name, accelerator: o.Accelerator}
 	if a.server.slots.drain(id) {
 		delete(a.server.unloads, id)
 		return true
@@ -135,7 +135,7 @@
 	for _, i := range intents {
 		a.server.ledger.Cancel(i.ID)
 		if i.Op == ledger.OpUnload {
-			a.server.slots.resume(copyID{name: i.Name, accelerator: i.Accelerator})
+			a.server.slots.resume(replicaID{name: i.Name, accelerator: i.Accelerator})
 		}
 	}
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -90,14 +90,14 @@
 var errBodyTooLarge = errors.New("agent: body too long")
 
 func (a *Agent) respondBodyError(c echo.Context, err error) error {
-	f := wire.ErrorResponse{
+	errResp := wire.ErrorResponse{
 		Status: http.StatusBadRequest, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
 		Code: "body_unreadable", Message: err.Error(),
 	}
 	if errors.Is(err, errBodyTooLarge) {
-		f.Status, f.Code = http.StatusRequestEntityTooLarge, "body_too_long"
+		errResp.Status, errResp.Code = http.StatusRequestEntityTooLarge, "body_too_long"
 	}
-	return f.Write(c)
+	return errResp.Write(c)
 }
 
 // waitForSlot queues the request until it is granted a slot or refused. It returns neither a ticket
@@ -186,11 +186,11 @@
 	if r.Reason == fairqueue.ReasonQueueTime || r.Reason == reasonConcurrency {
 		status = http.StatusTooManyRequests
 	}
-	f := wire.ErrorResponse{
+	errResp := wire.ErrorResponse{
 		Status: status, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded, Code: string(r.Reason),
 		Message: "the request was not run: " + string(r.Reason), RetryAfter: max(r.RetryAfter, time.Millisecond),
 	}
-	return f.Write(c)
+	return errResp.Write(c)
 }
 
 // setStateHeaders sets the headers that report the agent's load and table version and whether it is
@@ -279,15 +279,15 @@
 		return nil
 	}
 	a.setStateHeaders(c.Response().Header())
-	f := wire.ErrorResponse{
+	errResp := wire.ErrorResponse{
 		Status: http.StatusBadGateway, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer,
 		Code: "backend_lost", Message: "the backend server gave no answer; the request may have run",
 	}
 	if wire.IsNotSent(err) {
-		f.Status, f.Outcome, f.Code = http.StatusServiceUnavailable, wire.OutcomeNotRun, "backend_unreachable"
-		f.Message, f.RetryAfter = "the backend server could not be reached; the request was not run", defaultRetryAfter
+		errResp.Status, errResp.Outcome, errResp.Code = http.StatusServiceUnavailable, wire.OutcomeNotRun, "backend_unreachable"
+		errResp.Message, errResp.RetryAfter = "the backend server could not be reached; the request was not run", defaultRetryAfter
 	}
-	return f.Write(c)
+	return errResp.Write(c)
 }
 
 // hopByHopHeaders are the hop-by-hop headers, which are not forwarded.
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -16,7 +16,7 @@
 	ledger ledger.Ledger
 	slots  *slotTable
 	// unloads are the orders that wait for their copies to drain.
-	unloads map[copyID]placement.Order
+	unloads map[replicaID]placement.Order
 	// statusFailures is the number of consecutive failed status calls.
 	statusFailures int
 	// tookOverAt is the time at which the agent acquired its fencing token. statusCurrent reports
@@ -32,7 +32,7 @@
 }
 
 func newServerState() serverState {
-	return serverState{slots: newSlotTable(), unloads: make(map[copyID]placement.Order)}
+	return serverState{slots: newSlotTable(), unloads: make(map[replicaID]placement.Order)}
 }
 
 // stepStatus reads the engine's status and applies it.
@@ -48,7 +48,7 @@
 	a.server.statusFailures = 0
 	a.server.ledger.ApplyReport(ledger.Report{MemoryMiB: status.MemoryMiB, Residents: status.Residents, Finished: status.Finished}, now)
 	a.server.slots.setResidents(status.Residents, len(status.MemoryMiB), status.Slots)
-	a.resumeCopies()
+	a.resumeReplicas()
 	a.server.engineResponds = true
 	a.server.statusCurrent = requestedAt.After(a.server.tookOverAt)
 }
@@ -72,11 +72,11 @@
 	a.server.slots.setResidents(nil, 0, a.server.slots.slotsPerAccelerator)
 }
 
-// resumeCopies makes copies accept requests again whose unload order has ended without unloading
+// resumeReplicas makes copies accept requests again whose unload order has ended without unloading
 // them. a.mu must be held.
-func (a *Agent) resumeCopies() {
+func (a *Agent) resumeReplicas() {
 	for id := range a.server.slots.draining {
-		if _, waits := a.server.unloads[id]; !waits && !a.server.ledger.HasIntentFor(id.name) {
+		if _, waiting := a.server.unloads[id]; !waiting && !a.server.ledger.HasIntentFor(id.name) {
 			a.server.slots.resume(id)
 		}
 	}
--- a/internal/agent/server_end.go
+++ b/internal/agent/server_end.go
@@ -32,9 +32,9 @@
 	log     *zap.Logger
 
 	mu sync.Mutex
-	// run is the index of the current or last run. ended reports whether that run is over.
-	run   int
-	ended bool
+	// instance is the index of the current or last run. ended reports whether that run is over.
+	instance int
+	crashed  bool
 }
 
 // hostPort returns the host and port of a base URL, or "" if the URL is invalid.
@@ -50,9 +50,9 @@
 func (d *crashDetector) recordRunning() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.ended {
-		d.run++
-		d.ended = false
+	if d.crashed {
+		d.instance++
+		d.crashed = false
 	}
 }
 
@@ -63,7 +63,7 @@
 	a.requestExchange()
 }
 
-// connectionLost handles the loss of the connection to the backend server during a request, unless
+// probeServer handles the loss of the connection to the backend server during a request, unless
 // the client has disconnected.
 func (a *Agent) connectionLost(req *http.Request) {
 	digest := req.Header.Get(wire.HeaderDigest)
@@ -73,13 +73,13 @@
 		return
 	}
 	if req.Context().Err() == nil {
-		go a.crashes.connectionLost(k)
+		go a.crashes.probeServer(k)
 	}
 }
 
-// connectionLost probes the server after the connection of a request was lost. If nothing listens
+// probeServer probes the server after the connection of a request was lost. If nothing listens
 // at the server's address, it records a crash during the request.
-func (d *crashDetector) connectionLost(k quarantine.Key) {
+func (d *crashDetector) probeServer(k quarantine.Key) {
 	p := wire.Probe{Clock: d.clock, Connect: wire.TryConnect}
 	if p.Run(context.Background(), d.addr) == wire.ServerEnded {
 		d.recordCrash(k)
@@ -90,14 +90,14 @@
 // requests may be recorded for one run.
 func (d *crashDetector) recordCrash(k quarantine.Key) {
 	d.mu.Lock()
-	first := !d.ended
-	d.ended = true
-	run := d.namePrefix + "/" + strconv.Itoa(d.run)
+	first := !d.crashed
+	d.crashed = true
+	instance := d.namePrefix + "/" + strconv.Itoa(d.instance)
 	d.mu.Unlock()
 	if first {
-		d.log.Info("server ended", zap.String("run", run))
+		d.log.Info("server ended", zap.String("run", instance))
 	}
-	d.log.Info("request recorded with the server's end", zap.String("run", run), zap.Stringer("digest", k))
-	d.table.RecordCrash(run, k)
+	d.log.Info("request recorded with the server's end", zap.String("run", instance), zap.Stringer("digest", k))
+	d.table.RecordCrash(instance, k)
 	d.onCrash()
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -8,8 +8,8 @@
 	"rockcleat/fleet"
 )
 
-// A copyID identifies a copy of a model or adapter by the row's name and the accelerator's index.
-type copyID struct {
+// A replicaID identifies a copy of a model or adapter by the row's name and the accelerator's index.
+type replicaID struct {
 	name        string
 	accelerator int
 }
@@ -19,22 +19,22 @@
 	slotsPerAccelerator int
 	// used is the number of slots in use, by accelerator.
 	used  []int
-	ready map[copyID]bool
+	ready map[replicaID]bool
 	// draining are the copies that accept no more requests because they will be unloaded.
-	draining map[copyID]bool
+	draining map[replicaID]bool
 	// running is the number of requests running on each copy.
-	running map[copyID]int
-	// copies maps each slot in use to its copy. lastSlot is the last slot number assigned.
-	copies   map[int]copyID
+	running map[replicaID]int
+	// replicas maps each slot in use to its copy. lastSlot is the last slot number assigned.
+	replicas map[int]replicaID
 	lastSlot int
 }
 
 func newSlotTable() *slotTable {
 	return &slotTable{
-		ready:    make(map[copyID]bool),
-		draining: make(map[copyID]bool),
-		running:  make(map[copyID]int),
-		copies:   make(map[int]copyID),
+		ready:    make(map[replicaID]bool),
+		draining: make(map[replicaID]bool),
+		running:  make(map[replicaID]int),
+		replicas: make(map[int]replicaID),
 	}
 }
 
@@ -44,7 +44,7 @@
 	t.slotsPerAccelerator = slots
 	t.used = make([]int, 1)
 	for _, n := range names {
-		t.ready[copyID{name: n}] = true
+		t.ready[replicaID{name: n}] = true
 	}
 }
 
@@ -55,22 +55,22 @@
 		t.used = append(t.used, 0)
 	}
 	clear(t.ready)
-	present := make(map[copyID]bool)
+	present := make(map[replicaID]bool)
 	for _, r := range residents {
-		id := copyID{name: r.Name, accelerator: r.Accelerator}
+		id := replicaID{name: r.Name, accelerator: r.Accelerator}
 		present[id] = true
 		if r.State == fleet.StateReady {
 			t.ready[id] = true
 		}
 	}
-	maps.DeleteFunc(t.draining, func(id copyID, _ bool) bool { return !present[id] })
+	maps.DeleteFunc(t.draining, func(id replicaID, _ bool) bool { return !present[id] })
 }
 
 // Take implements fairqueue.Slots. It selects the accelerator with the most free slots.
 func (t *slotTable) Take(row string) (int, bool) {
 	best := -1
 	for accelerator := range t.used {
-		id := copyID{name: row, accelerator: accelerator}
+		id := replicaID{name: row, accelerator: accelerator}
 		if !t.ready[id] || t.draining[id] || t.used[accelerator] >= t.slotsPerAccelerator {
 			continue
 		}
@@ -81,21 +81,21 @@
 	if best < 0 {
 		return 0, false
 	}
-	id := copyID{name: row, accelerator: best}
+	id := replicaID{name: row, accelerator: best}
 	t.used[best]++
 	t.running[id]++
 	t.lastSlot++
-	t.copies[t.lastSlot] = id
+	t.replicas[t.lastSlot] = id
 	return t.lastSlot, true
 }
 
 // Release implements fairqueue.Slots.
 func (t *slotTable) Release(slot int) {
-	id, ok := t.copies[slot]
+	id, ok := t.replicas[slot]
 	if !ok {
 		return
 	}
-	delete(t.copies, slot)
+	delete(t.replicas, slot)
 	t.used[id.accelerator]--
 	if t.running[id]--; t.running[id] == 0 {
 		delete(t.running, id)
@@ -106,7 +106,7 @@
 func (t *slotTable) Total(row string) int {
 	total := 0
 	for accelerator := range t.used {
-		id := copyID{name: row, accelerator: accelerator}
+		id := replicaID{name: row, accelerator: accelerator}
 		if t.ready[id] && !t.draining[id] {
 			total += t.slotsPerAccelerator
 		}
@@ -115,16 +115,16 @@
 }
 
 // accelerator returns the accelerator of a slot in use.
-func (t *slotTable) accelerator(slot int) int { return t.copies[slot].accelerator }
+func (t *slotTable) accelerator(slot int) int { return t.replicas[slot].accelerator }
 
 // drain stops new requests to a copy and reports whether none is running on it.
-func (t *slotTable) drain(id copyID) bool {
+func (t *slotTable) drain(id replicaID) bool {
 	t.draining[id] = true
 	return t.running[id] == 0
 }
 
 // resume makes a copy accept requests again.
-func (t *slotTable) resume(id copyID) { delete(t.draining, id) }
+func (t *slotTable) resume(id replicaID) { delete(t.draining, id) }
 
 // load returns the number of busy slots and waiting requests, in percent of all slots.
 func (t *slotTable) load(waiting int) int {
@@ -140,7 +140,7 @@
 func (t *slotTable) withDraining(residents []fleet.Resident) []fleet.Resident {
 	out := slices.Clone(residents)
 	for i, r := range out {
-		if t.draining[copyID{name: r.Name, accelerator: r.Accelerator}] {
+		if t.draining[replicaID{name: r.Name, accelerator: r.Accelerator}] {
 			out[i].State = fleet.StateUnloading
 		}
 	}
--- a/internal/cli/check_settings.go
+++ b/internal/cli/check_settings.go
@@ -9,8 +9,8 @@
 	"rockcleat/internal/config"
 )
 
-// configCheck returns the command that checks a settings file.
-func (a *app) configCheck() *ffcli.Command {
+// configCheckCommand returns the command that checks a settings file.
+func (a *app) configCheckCommand() *ffcli.Command {
 	fs := a.flags("check")
 	role := fs.String("role", "entry", "entry, agent or gateway")
 	return a.command(commandHelp{
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -142,8 +142,8 @@
 			a.quarantineCommands()...),
 		a.limitsCommand(),
 		a.statusCommand(), a.whyCommand(), a.traceCommand(), a.summaryCommand(),
-		a.group("config", "rockcleat config COMMAND", "Check settings files.", a.configCheck()),
-		a.completion(),
+		a.group("config", "rockcleat config COMMAND", "Check settings files.", a.configCheckCommand()),
+		a.completionCommand(),
 	)
 }
 
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -20,8 +20,8 @@
 complete -F _rockcleat rockcleat
 `
 
-// completion returns the command that prints the completion script.
-func (a *app) completion() *ffcli.Command {
+// completionCommand returns the command that prints the completion script.
+func (a *app) completionCommand() *ffcli.Command {
 	return a.command(commandHelp{
 		name: "completion", usage: "completion",
 		short:   "Print a bash completion script.",
--- a/internal/cli/save.go
+++ b/internal/cli/save.go
@@ -35,10 +35,10 @@
 	unknown := false
 	for attempt := range maxSaveAttempts {
 		addr := a.entries()[attempt%len(a.entries())]
-		var ans wire.SaveResponse
-		err = c.Post(ctx, addr, wire.PathTable, wire.SaveRequest{Edit: edit}, &ans)
+		var resp wire.SaveResponse
+		err = c.Post(ctx, addr, wire.PathTable, wire.SaveRequest{Edit: edit}, &resp)
 		if err == nil {
-			return ans.Version, nil
+			return resp.Version, nil
 		}
 		final, maybeSaved := saveError(err)
 		if final != nil && !unknown {
@@ -60,14 +60,14 @@
 	if !errors.As(err, &s) {
 		return nil, !errors.Is(err, wire.ErrNotSent)
 	}
-	var ans wire.SaveResponse
+	var resp wire.SaveResponse
 	// If the body cannot be decoded, the message stays empty and the status alone decides.
-	_ = json.Unmarshal(s.Body, &ans)
+	_ = json.Unmarshal(s.Body, &resp)
 	switch s.Status {
 	case http.StatusUnprocessableEntity:
-		return &table.InvalidError{Errors: ans.Errors}, false
+		return &table.InvalidError{Errors: resp.Errors}, false
 	case http.StatusConflict:
-		return fmt.Errorf("%w: %s", table.ErrRowConflict, ans.Message), false
+		return fmt.Errorf("%w: %s", table.ErrRowConflict, resp.Message), false
 	case http.StatusUnauthorized:
 		return errors.New("the shared secret is missing or wrong; set ROCKCLEAT_SECRET or -secret-file"), false
 	case http.StatusServiceUnavailable:
--- a/internal/cli/summary_report.go
+++ b/internal/cli/summary_report.go
@@ -56,7 +56,7 @@
 // report returns the report with at most maxRows rows, or all rows if maxRows is 0. Rows with the most
 // refused requests come first and are kept. Rows of seconds are then sorted by time.
 func (s *summary) report(maxRows int) *summaryReport {
-	r := &summaryReport{By: s.by, All: s.all.row("all"), LeftOut: s.leftOut, Lines: s.lines, Malformed: s.malformed, Moves: summaryMoves{
+	r := &summaryReport{By: s.by, All: s.all.row("all"), LeftOut: s.unlogged, Lines: s.lines, Malformed: s.malformed, Moves: summaryMoves{
 		Planned: s.moves.planned, Loaded: s.moves.loaded, Abandoned: s.moves.abandoned,
 		PlanToLoadedP50: s.moves.planToLoad.quantile(0.5), PlanToLoadedP90: s.moves.planToLoad.quantile(0.9),
 	}}
--- a/internal/cli/summary_stats.go
+++ b/internal/cli/summary_stats.go
@@ -84,8 +84,8 @@
 	plannedAt        map[moveKey]float64
 	events           map[string]int
 	lines, malformed int
-	// leftOut counts answered requests that gateways did not log because of the rate limit of their logs.
-	leftOut int
+	// unlogged counts answered requests that gateways did not log because of the rate limit of their logs.
+	unlogged int
 }
 
 func newSummary(by grouping) *summary {
@@ -111,16 +111,16 @@
 	}
 	switch l.Message {
 	case messageRequest:
-		s.leftOut += l.LeftOut
+		s.unlogged += l.LeftOut
 		s.all.add(l)
 		s.row(l).add(l)
 	case messageRefused:
-		s.refusedEarly(l)
+		s.addRefusedOnArrival(l)
 	case messagePlanned:
 		s.moves.planned++
 		s.plannedAt[moveKey{l.Server, l.Model}] = l.At
 	case messageLoaded:
-		s.loaded(l)
+		s.addLoaded(l)
 	case messageAbandoned:
 		s.moves.abandoned++
 		delete(s.plannedAt, moveKey{l.Server, l.Model})
@@ -131,13 +131,13 @@
 	}
 }
 
-// refusedEarly counts a request that was refused on arrival. Its line names no model and no route.
+// addRefusedOnArrival counts a request that was refused on arrival. Its line names no model and no route.
 // Requests over a limit that were not logged count only in the total, since their organisations are unknown.
-func (s *summary) refusedEarly(l summaryLine) {
-	s.all.refusedEarly(l.Status)
+func (s *summary) addRefusedOnArrival(l summaryLine) {
+	s.all.addRefusedOnArrival(l.Status)
 	s.all.overLimit += l.LeftOut
 	if s.by != byModel && s.by != byRoute {
-		s.row(l).refusedEarly(l.Status)
+		s.row(l).addRefusedOnArrival(l.Status)
 	}
 }
 
@@ -168,8 +168,8 @@
 	return cmp.Or(model, "-")
 }
 
-// loaded counts a loaded model and, if its plan was read before, the time from plan to load.
-func (s *summary) loaded(l summaryLine) {
+// addLoaded counts a loaded model and, if its plan was read before, the time from plan to load.
+func (s *summary) addLoaded(l summaryLine) {
 	s.moves.loaded++
 	key := moveKey{l.Server, l.Model}
 	if at, ok := s.plannedAt[key]; ok {
@@ -194,8 +194,8 @@
 	waited, firstByte                     histogram
 }
 
-// refusedEarly counts a request that was refused on arrival with the given status.
-func (r *requestStats) refusedEarly(status int) {
+// addRefusedOnArrival counts a request that was refused on arrival with the given status.
+func (r *requestStats) addRefusedOnArrival(status int) {
 	if status == http.StatusTooManyRequests {
 		r.overLimit++
 		return
--- a/internal/cli/table_commands.go
+++ b/internal/cli/table_commands.go
@@ -61,7 +61,7 @@
 
 func (a *app) diffCommand() *ffcli.Command {
 	fs := a.flags("diff")
-	replace := countRemoved(fs)
+	replace := replaceFlag(fs)
 	return a.command(commandHelp{
 		name: "diff", usage: "table diff [-replace] FILE",
 		short:   "Print what importing a CSV file would change.",
@@ -71,7 +71,7 @@
 
 func (a *app) checkCommand() *ffcli.Command {
 	fs := a.flags("check")
-	replace := countRemoved(fs)
+	replace := replaceFlag(fs)
 	return a.command(commandHelp{
 		name: "check", usage: "table check [-replace] FILE",
 		short:   "Check a CSV file against the system without saving it.",
@@ -79,8 +79,8 @@
 	}, fs, func(ctx context.Context, args []string) error { return a.check(ctx, args, *replace) })
 }
 
-// countRemoved defines the flag -replace of commands that only compare a file with the table.
-func countRemoved(fs *flag.FlagSet) *bool {
+// replaceFlag defines the flag -replace of commands that only compare a file with the table.
+func replaceFlag(fs *flag.FlagSet) *bool {
 	return fs.Bool("replace", false, "count rows that the file does not name as removed")
 }
 
--- a/internal/cli/table_edit.go
+++ b/internal/cli/table_edit.go
@@ -12,12 +12,12 @@
 
 // importFile saves the rows of a CSV file as one edit.
 func (a *app) importFile(ctx context.Context, args []string, replace bool) error {
-	changes, now, err := a.changesFrom(ctx, args, replace)
+	changes, current, err := a.changesFrom(ctx, args, replace)
 	if err != nil {
 		return err
 	}
 	if len(changes) == 0 {
-		fmt.Fprintf(a.out, "nothing to change; version %d\n", now.Version)
+		fmt.Fprintf(a.out, "nothing to change; version %d\n", current.Version)
 		return nil
 	}
 	return a.saveAndPrint(ctx, changes)
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	row, seen := findRow(t.Rows, args[0])
+	row, version := findRow(t.Rows, args[0])
 	for _, arg := range args[1:] {
 		column, value, ok := strings.Cut(arg, "=")
 		if !ok {
@@ -42,7 +42,7 @@
 			return err
 		}
 	}
-	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], ExpectedVersion: seen, Row: &row}})
+	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], ExpectedVersion: version, Row: &row}})
 }
 
 func (a *app) remove(ctx context.Context, args []string) error {
@@ -53,11 +53,11 @@
 	if err != nil {
 		return err
 	}
-	_, seen := findRow(t.Rows, args[0])
-	if seen == 0 {
+	_, version := findRow(t.Rows, args[0])
+	if version == 0 {
 		return fmt.Errorf("no row %q", args[0])
 	}
-	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], ExpectedVersion: seen}})
+	return a.saveAndPrint(ctx, []table.Change{{Name: args[0], ExpectedVersion: version}})
 }
 
 // findRow returns the row with the given name and its version, or a new row and version 0.
@@ -93,11 +93,11 @@
 	if err != nil {
 		return nil, wire.TableResponse{}, err
 	}
-	now, err := a.fetchTable(ctx)
+	current, err := a.fetchTable(ctx)
 	if err != nil {
-		return nil, now, err
+		return nil, current, err
 	}
-	return table.Diff(now.Rows, rows, replace), now, nil
+	return table.Diff(current.Rows, rows, replace), current, nil
 }
 
 // saveAndPrint saves the changes as one edit and prints the resulting table version.
--- a/internal/cli/table_read.go
+++ b/internal/cli/table_read.go
@@ -64,26 +64,26 @@
 
 // diff prints the changes that an import of a file would make.
 func (a *app) diff(ctx context.Context, args []string, replace bool) error {
-	changes, now, err := a.changesFrom(ctx, args, replace)
+	changes, current, err := a.changesFrom(ctx, args, replace)
 	if err != nil {
 		return err
 	}
 	for _, c := range changes {
-		old, seen := findRow(now.Rows, c.Name)
-		if seen > 0 {
+		old, version := findRow(current.Rows, c.Name)
+		if version > 0 {
 			fmt.Fprintln(a.out, "-", strings.Join(old.Cells(), ","))
 		}
 		if c.Row != nil {
 			fmt.Fprintln(a.out, "+", strings.Join(c.Row.Cells(), ","))
 		}
 	}
-	fmt.Fprintf(a.out, "%d rows differ from version %d\n", len(changes), now.Version)
+	fmt.Fprintf(a.out, "%d rows differ from version %d\n", len(changes), current.Version)
 	return nil
 }
 
 // check lets the first entry validate the rows of a file without saving them.
 func (a *app) check(ctx context.Context, args []string, replace bool) error {
-	changes, now, err := a.changesFrom(ctx, args, replace)
+	changes, current, err := a.changesFrom(ctx, args, replace)
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 		}
 		return err
 	}
-	fmt.Fprintf(a.out, "ok: %d rows would change from version %d\n", len(changes), now.Version)
+	fmt.Fprintf(a.out, "ok: %d rows would change from version %d\n", len(changes), current.Version)
 	return nil
 }
 
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -16,10 +16,10 @@
 // notifySignals registers handlers for the signals that stop a process and, if reloads is set, for the
 // one that reloads its settings. It must be called before anything else: a stop signal that arrives
 // earlier kills the process without a graceful shutdown.
-func notifySignals(reloads bool) signals {
+func notifySignals(withReload bool) signals {
 	s := signals{stop: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
-	if reloads {
+	if withReload {
 		s.reload = make(chan os.Signal, 1)
 		signal.Notify(s.reload, syscall.SIGHUP)
 	}
