--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -28,14 +28,14 @@
 const (
 	// statusInterval is the interval at which the engine's status is read.
 	statusInterval = 100 * time.Millisecond
-	// queueInterval is the interval at which the queue is processed. It bounds how late a request
-	// is refused whose queue time has passed.
+	// queueInterval is the interval at which the queue is processed. A request that exceeds its
+	// queue time is refused at most this much later.
 	queueInterval = 20 * time.Millisecond
 	// demandInterval is the interval at which demand is sampled.
 	demandInterval = 250 * time.Millisecond
 	// takeOverInterval is the interval between attempts to acquire a fencing token.
 	takeOverInterval = 500 * time.Millisecond
-	// unloadInterval is the interval at which draining copies are checked for running requests.
+	// unloadInterval is the interval at which draining replicas are checked for running requests.
 	unloadInterval = 100 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 type Engine interface {
 	// Status returns the engine's status.
 	Status(ctx context.Context) (engine.Status, error)
-	// Send sends an order to load or unload.
+	// SendOrder sends an order to load or unload.
 	SendOrder(ctx context.Context, o engine.Order) error
 }
 
@@ -58,7 +58,7 @@
 	Settings config.Agent
 	Store    kv.Store
 	Engine   Engine
-	// VMs reads the platform's list of VMs; may be nil. The agent uses it only to find an entry
+	// VMs reads the platform's list of VMs. It may be nil. The agent uses it only to find an entry
 	// after a time without contact with a planner.
 	VMs     VMLister
 	Clock   clock.Service
@@ -76,10 +76,10 @@
 	clock    clock.Service
 	log      *zap.Logger
 	metrics  *telemetry.Metrics
-	// incarnation identifies this run of the agent. It changes when the agent is no longer leaving.
-	// Guarded by mu.
+	// incarnation identifies this run of the agent. It changes when a leaving agent is no longer
+	// leaving. Guarded by mu.
 	incarnation string
-	// backend sends requests to the backend server, peers sends messages to entries.
+	// backend sends requests to the backend server, entryClient sends messages to entries.
 	backend     *http.Client
 	entryClient *wire.Client
 	replica     table.Replica
@@ -89,7 +89,7 @@
 	requests *server.Listener
 	control  *server.Listener
 	// crashes detects crashes of the backend server, quarantine holds the requests that were
-	// running.
+	// running at the time.
 	crashes    *crashDetector
 	quarantine *quarantine.Table
 	// record is the agent's record in the key-value service. Guarded by orderMu.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -49,7 +49,7 @@
 	store  kv.Store
 }
 
-// newFixture returns an agent that is not started; the tests call its background tasks.
+// newFixture returns an agent that is not started. The tests run its background tasks.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	s, store := standintest.KV(t)
@@ -147,7 +147,7 @@
 	assert.Assert(t, !f.membership.leaving)
 }
 
-// TestUnloadWaitsForRequests checks that a copy is unloaded only after its requests have ended.
+// TestUnloadWaitsForRequests checks that a replica is unloaded only after its requests have ended.
 func TestUnloadWaitsForRequests(t *testing.T) {
 	f := newFixture(t)
 	f.engine.status.Residents = []fleet.Resident{{Name: "a", State: fleet.StateReady, MemoryMiB: 60}}
@@ -228,8 +228,8 @@
 	assert.DeepEqual(t, a.Grants, grants)
 }
 
-// TestLaterListCancelsLeaving checks that an agent listed as leaving stays if a later list does not
-// list it as leaving, unless the agent itself is stopping.
+// TestLaterListCancelsLeaving checks that an agent listed as leaving is no longer leaving once a
+// later list does not list it as leaving, unless the agent itself is stopping.
 func TestLaterListCancelsLeaving(t *testing.T) {
 	tests := map[string]struct {
 		later   wire.Exchange
--- a/internal/agent/catchup.go
+++ b/internal/agent/catchup.go
@@ -19,8 +19,8 @@
 const fetchTableTimeout = time.Second
 
 // fetchNewerTable fetches the table from the entry that sent the request if the entry's version is
-// newer. So the agent gets a table even if no planner contacts it. The request waits for the table
-// only if the agent has none.
+// newer, so that the agent gets a table even if no planner contacts it. The request waits for the
+// table only if the agent has none.
 func (a *Agent) fetchNewerTable(req *http.Request) {
 	version, err := strconv.ParseUint(req.Header.Get(wire.HeaderTableVersion), 10, 64)
 	own := a.replica.Current().Version()
@@ -35,7 +35,7 @@
 	a.fetchTable(addr)
 }
 
-// Intervals of an agent that no planner contacts.
+// Parameters of the detection of missing contact with a planner.
 const (
 	// contactCheckInterval is the interval of the checks for contact with a planner.
 	contactCheckInterval = time.Second
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -16,8 +16,8 @@
 //   - crashDetector: the crashes of the server during requests, which the planner receives with its
 //     exchanges.
 //
-// A request needs a consistent view of the first four, so the agent's mutex guards them together. The
-// record has its own mutex (Agent.orderMu), and so has the crashDetector.
+// A request needs a consistent view of the first four, so Agent.mu guards them together. The record
+// has its own mutex (Agent.orderMu), and so has the crashDetector.
 //
 // An Agent needs the key-value service for its fencing token and its intents, which are stored under
 // agent/ID. While the service is unavailable the agent continues to serve and issues no orders. If no
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -20,7 +20,7 @@
 	return r
 }
 
-// ready reports whether the agent accepts requests, and the reason if not.
+// ready reports whether the agent accepts requests. If not, it also returns the reason.
 func (a *Agent) ready() (bool, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,8 +53,8 @@
 	return c.JSON(http.StatusOK, a.exchangeResponse(msg))
 }
 
-// accept merges the table and reports whether the sender is the current planner, that is, no newer
-// one is known.
+// accept merges the table and records the message. It reports whether the sender is the current
+// planner, that is, no planner with a newer token is known.
 func (a *Agent) accept(msg wire.Exchange) bool {
 	if a.replica.Merge(msg.Table) {
 		a.log.Info("table in force", zap.Uint64("version", a.replica.Current().Version()))
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -27,9 +27,9 @@
 func (m *membership) closed(now time.Time) bool { return m.leaving && !now.Before(m.closeAt) }
 
 // applyList records whether a version of the platform's list of VMs lists the agent as leaving. It
-// reports whether the agent is no longer leaving. That is so if a later version does not list it as
-// leaving, unless it is stopping: the earlier version then referred to a previous VM of the same
-// name.
+// reports whether this canceled the leaving, which is the case if a later version does not list the
+// agent as leaving and the agent is not stopping: the earlier version then referred to a previous VM
+// of the same name.
 func (m *membership) applyList(leaving bool, listVersion uint64) (canceled bool) {
 	if leaving {
 		m.leavingListVersion = max(m.leavingListVersion, listVersion)
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -94,7 +94,7 @@
 	return intents
 }
 
-// drainForUnload stops new requests to the copy that an order unloads and reports whether none is
+// drainForUnload stops new requests to the replica that an order unloads and reports whether none is
 // running on it. Otherwise it keeps the order, which stepUnloads executes later. a.mu must be held.
 func (a *Agent) drainForUnload(o placement.Order) bool {
 	id := replicaID{name: o.Name, accelerator: o.Accelerator}
@@ -106,7 +106,7 @@
 	return false
 }
 
-// stepUnloads executes the unload orders whose copies have drained.
+// stepUnloads executes the unload orders whose replicas have drained.
 func (a *Agent) stepUnloads(time.Time) {
 	a.mu.Lock()
 	var orders []placement.Order
@@ -128,7 +128,7 @@
 }
 
 // cancelIntents removes the intents of orders that were not executed from the ledger and makes
-// their copies accept requests again.
+// their replicas accept requests again.
 func (a *Agent) cancelIntents(intents []ledger.Intent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/agent/pause.go
+++ b/internal/agent/pause.go
@@ -13,7 +13,7 @@
 	// minPause is the minimum gap between two ticks that counts as a pause.
 	minPause = 2 * time.Second
 	// refusalTimeAfterPause is the maximum time after a pause during which new requests are
-	// refused. A planner that has contacted the agent since the pause ends it earlier.
+	// refused. It ends earlier if the agent receives a planner's message sent after the pause.
 	refusalTimeAfterPause = 5 * time.Second
 )
 
@@ -25,8 +25,8 @@
 	token        int64
 	addr         string
 	lastExchange time.Time
-	// lastTick is the time at which the queue was last processed. Until refuseUntil the agent
-	// refuses new requests.
+	// lastTick is the time at which the queue was last processed. The agent refuses new requests
+	// until refuseUntil.
 	lastTick    time.Time
 	refuseUntil time.Time
 	// pauses is the number of pauses. A message that contains the current number was sent after the
@@ -60,8 +60,8 @@
 }
 
 // handlePause refuses the waiting requests if the process was paused, since they and the agent's
-// state may be out of date. New requests are refused until a planner contacts the agent or
-// refusalTimeAfterPause has passed. a.mu must be held.
+// state may be out of date. New requests are refused until a planner's message sent after the pause
+// arrives or refusalTimeAfterPause has passed. a.mu must be held.
 func (a *Agent) handlePause(now time.Time) {
 	gap := a.planner.recordPause(now)
 	if gap == 0 {
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -28,10 +28,10 @@
 	Intents []ledger.Intent `json:"intents"`
 }
 
-// A record gives an agent exclusive control of its backend server. The agent that last took over
-// the key is the only one that can write it, and no order is sent before its intent is written. So
-// an agent that another one has superseded cannot record new orders, and its earlier ones are in
-// the record that the other has read.
+// A record gives an agent exclusive control of its backend server. Only the agent that last took
+// over the key can write it, and no order is sent before its intent is written. A superseded agent
+// therefore cannot record new orders, and its earlier ones are in the record that its successor has
+// read.
 type record struct {
 	store       kv.Store
 	key         string
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -28,8 +28,8 @@
 // estimate the number of tokens of a response.
 const bytesPerToken = 180
 
-// defaultRetryAfter is the Retry-After of refusals whose end is unknown: a load, a grant or a
-// planner's message ends them.
+// defaultRetryAfter is the Retry-After of refusals whose cause has no known end time: it ends with
+// a model load, a concurrency grant or a planner's message.
 const defaultRetryAfter = time.Second
 
 func (a *Agent) requestRouter() http.Handler {
@@ -305,7 +305,7 @@
 	}
 }
 
-// copyFlushing copies r to w and flushes after each read. It returns the number of bytes read.
+// copyFlushing copies r to w and flushes w after each read. It returns the number of bytes read.
 func copyFlushing(w *echo.Response, r io.Reader) (int64, error) {
 	buf := make([]byte, copyBufferSize)
 	var total int64
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -15,7 +15,7 @@
 type serverState struct {
 	ledger ledger.Ledger
 	slots  *slotTable
-	// unloads are the orders that wait for their copies to drain.
+	// unloads are the unload orders whose replicas are still draining.
 	unloads map[replicaID]placement.Order
 	// statusFailures is the number of consecutive failed status calls.
 	statusFailures int
@@ -24,7 +24,8 @@
 	// of an earlier agent.
 	tookOverAt    time.Time
 	statusCurrent bool
-	// engineResponds is always true for a plain service.
+	// engineResponds reports whether the engine responds to status calls. It is always true for a
+	// plain service.
 	engineResponds bool
 	// version is the version of lastRecord, the record that the planner gets.
 	version    uint64
@@ -72,8 +73,8 @@
 	a.server.slots.setResidents(nil, 0, a.server.slots.slotsPerAccelerator)
 }
 
-// resumeReplicas makes copies accept requests again whose unload order has ended without unloading
-// them. a.mu must be held.
+// resumeReplicas makes the replicas accept requests again whose unload order has ended without
+// unloading them. a.mu must be held.
 func (a *Agent) resumeReplicas() {
 	for id := range a.server.slots.draining {
 		if _, waiting := a.server.unloads[id]; !waiting && !a.server.ledger.HasIntentFor(id.name) {
--- a/internal/agent/server_end.go
+++ b/internal/agent/server_end.go
@@ -24,15 +24,16 @@
 type crashDetector struct {
 	clock clock.Service
 	table *quarantine.Table
-	// addr is the address of the server. namePrefix is the prefix of the names of its runs; a run
-	// lasts from a start of the server to its next crash.
+	// addr is the address of the server. namePrefix is the prefix of the names of its instances. An
+	// instance lasts from a start of the server to its next crash.
 	addr, namePrefix string
 	// onCrash is called after a request has been recorded.
 	onCrash func()
 	log     *zap.Logger
 
 	mu sync.Mutex
-	// instance is the index of the current or last run. ended reports whether that run is over.
+	// instance is the index of the current or last instance. crashed reports whether it has
+	// crashed.
 	instance int
 	crashed  bool
 }
@@ -56,14 +57,14 @@
 	}
 }
 
-// serverCrashed asks the planner for an immediate exchange, so that it receives the crash.
+// serverCrashed asks the planner for an immediate exchange, which reports the crash.
 func (a *Agent) serverCrashed() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requestExchange()
 }
 
-// probeServer handles the loss of the connection to the backend server during a request, unless
+// connectionLost handles the loss of the connection to the backend server during a request, unless
 // the client has disconnected.
 func (a *Agent) connectionLost(req *http.Request) {
 	digest := req.Header.Get(wire.HeaderDigest)
@@ -86,8 +87,8 @@
 	}
 }
 
-// recordCrash records that the current run of the server has crashed during a request. Several
-// requests may be recorded for one run.
+// recordCrash records that the current server instance has crashed during a request. Several
+// requests may be recorded for one instance.
 func (d *crashDetector) recordCrash(k quarantine.Key) {
 	d.mu.Lock()
 	first := !d.crashed
@@ -97,7 +98,7 @@
 	if first {
 		d.log.Info("server ended", zap.String("run", instance))
 	}
-	d.log.Info("request recorded with the server's end", zap.String("run", instance), zap.Stringer("digest", k))
+	d.log.Info("request recorded with the server's crash", zap.String("run", instance), zap.Stringer("digest", k))
 	d.table.RecordCrash(instance, k)
 	d.onCrash()
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -8,7 +8,7 @@
 	"rockcleat/fleet"
 )
 
-// A replicaID identifies a copy of a model or adapter by the row's name and the accelerator's index.
+// A replicaID identifies a replica of a model or adapter by the row's name and the accelerator's index.
 type replicaID struct {
 	name        string
 	accelerator int
@@ -20,11 +20,11 @@
 	// used is the number of slots in use, by accelerator.
 	used  []int
 	ready map[replicaID]bool
-	// draining are the copies that accept no more requests because they will be unloaded.
+	// draining are the replicas that accept no more requests because they will be unloaded.
 	draining map[replicaID]bool
-	// running is the number of requests running on each copy.
+	// running is the number of requests running on each replica.
 	running map[replicaID]int
-	// replicas maps each slot in use to its copy. lastSlot is the last slot number assigned.
+	// replicas maps each slot in use to its replica. lastSlot is the last slot number assigned.
 	replicas map[int]replicaID
 	lastSlot int
 }
@@ -117,16 +117,16 @@
 // accelerator returns the accelerator of a slot in use.
 func (t *slotTable) accelerator(slot int) int { return t.replicas[slot].accelerator }
 
-// drain stops new requests to a copy and reports whether none is running on it.
+// drain stops new requests to a replica and reports whether none is running on it.
 func (t *slotTable) drain(id replicaID) bool {
 	t.draining[id] = true
 	return t.running[id] == 0
 }
 
-// resume makes a copy accept requests again.
+// resume makes a replica accept requests again.
 func (t *slotTable) resume(id replicaID) { delete(t.draining, id) }
 
-// load returns the number of busy slots and waiting requests, in percent of all slots.
+// load returns the sum of the busy slots and the waiting requests, in percent of all slots.
 func (t *slotTable) load(waiting int) int {
 	busy := waiting
 	for _, u := range t.used {
@@ -135,8 +135,8 @@
 	return 100 * busy / max(len(t.used)*t.slotsPerAccelerator, 1)
 }
 
-// withDraining returns the residents, ordered by accelerator and name, with draining copies shown
-// as unloading.
+// withDraining returns the residents, ordered by accelerator and name, with draining replicas
+// shown as unloading.
 func (t *slotTable) withDraining(residents []fleet.Resident) []fleet.Resident {
 	out := slices.Clone(residents)
 	for i, r := range out {
--- a/internal/agent/workload.go
+++ b/internal/agent/workload.go
@@ -16,7 +16,7 @@
 	queue *fairqueue.Queue
 	// demand is the demand of each row.
 	demand map[string]*rowDemand
-	// grants is the concurrency that the planner has granted to this server, by row.
+	// grants is the concurrency that the planner has granted to this agent, by row.
 	grants map[string]int
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// demandOf returns the demand of a row, a new one if there is none.
+// demandOf returns the demand of a row. It adds one if there is none.
 func (w *workload) demandOf(row string) *rowDemand {
 	d, ok := w.demand[row]
 	if !ok {
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -24,8 +24,8 @@
 // entries returns the control addresses in the order in which they are tried.
 func (a *app) entries() []string { return strings.Split(a.entryAddrs, ",") }
 
-// getFromEntries decodes the response of the first entry that answers into out. If none does, it returns the
-// error of the last one.
+// getFromEntries decodes the response of the first entry that responds into out. If none does, it
+// returns the error of the last one.
 func (a *app) getFromEntries(ctx context.Context, path string, out any) error {
 	c, err := a.client()
 	if err != nil {
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -14,7 +14,8 @@
 	"rockcleat/quarantine"
 )
 
-// quarantineCommands returns the commands on the quarantine of requests during which servers ended.
+// quarantineCommands returns the commands on the quarantine of requests during which servers have
+// crashed.
 func (a *app) quarantineCommands() []*ffcli.Command {
 	var gateway string
 	flags := func(name string) *flag.FlagSet {
@@ -73,7 +74,7 @@
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second)
 }
 
-// liftQuarantine clears the server ends recorded for a request, so that it is served again.
+// liftQuarantine clears the crashes recorded for a request, so that it is served again.
 func (a *app) liftQuarantine(ctx context.Context, gateway string, args []string) error {
 	if err := checkArgCount(args, 1, 1, "DIGEST"); err != nil {
 		return err
--- a/internal/cli/table_edit.go
+++ b/internal/cli/table_edit.go
@@ -83,8 +83,8 @@
 	return table.ReadCSV(f)
 }
 
-// changesFrom returns the changes that bring the current table to the rows of a file, and the current
-// table. With replace, rows that the file lacks are removed.
+// changesFrom returns the changes that give the current table the rows of a file, and the current
+// table. If replace is set, rows that the file lacks are removed.
 func (a *app) changesFrom(ctx context.Context, args []string, replace bool) ([]table.Change, wire.TableResponse, error) {
 	if err := checkArgCount(args, 1, 1, "one FILE, or - for standard input"); err != nil {
 		return nil, wire.TableResponse{}, err
--- a/internal/cli/table_read.go
+++ b/internal/cli/table_read.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// check lets the first entry validate the rows of a file without saving them.
+// check asks the first entry to validate the rows of a file without saving them.
 func (a *app) check(ctx context.Context, args []string, replace bool) error {
 	changes, current, err := a.changesFrom(ctx, args, replace)
 	if err != nil {
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -17,7 +17,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// errNoLogLine means that no log line matches the request or digest.
+// errNoLogLine is returned if no log line matches the request or digest.
 var errNoLogLine = errors.New("no line speaks of this request; answered ones are logged up to a rate, see docs/OPERATIONS.md")
 
 // maxLogLine is the maximum length of a log line in bytes.
@@ -125,8 +125,8 @@
 	return slices.Contains(digests, any(id))
 }
 
-// selectLines returns the lines of a request, or of all requests with a digest, sorted by time. With around,
-// it also returns other lines within aroundMargin that concern the same servers or concern neither a
+// selectLines returns the lines of a request, or of all requests with a digest, sorted by time. If around
+// is set, it also returns other lines within aroundMargin that concern the same servers or concern neither a
 // request nor a server.
 func selectLines(lines []logLine, id string, around bool) []logLine {
 	var selected []logLine
--- a/internal/cli/why.go
+++ b/internal/cli/why.go
@@ -22,7 +22,7 @@
 	}, a.flags("why"), a.why)
 }
 
-// why prints the decisions of each entry. Entries that do not answer are reported and skipped.
+// why prints the decisions of each entry. Entries that do not respond are reported and skipped.
 func (a *app) why(ctx context.Context, args []string) error {
 	if err := checkArgCount(args, 0, 1, "at most one NAME"); err != nil {
 		return err
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -6,14 +6,14 @@
 	"syscall"
 )
 
-// A signals holds the channels of the signals that a process handles.
+// signals holds the channels of the signals that a process handles.
 type signals struct {
 	// stop requests a graceful shutdown. reload requests that the settings be read again; it is nil if
 	// the process does not support that.
 	stop, reload chan os.Signal
 }
 
-// notifySignals registers handlers for the signals that stop a process and, if reloads is set, for the
+// notifySignals registers handlers for the signals that stop a process and, if withReload is set, for the
 // one that reloads its settings. It must be called before anything else: a stop signal that arrives
 // earlier kills the process without a graceful shutdown.
 func notifySignals(withReload bool) signals {
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -40,11 +40,11 @@
 	// stream reports whether the client asked for an event stream.
 	stream  bool
 	arrived time.Time
-	// repeatable reports whether the request may be sent again after it may have run.
+	// repeatable reports whether the request may be sent again even if it may already have run.
 	repeatable bool
 	// key is the Idempotency-Key prefixed with the row's name; empty if there is none.
 	key string
-	// digest identifies all copies of the request. It is set once the row is known.
+	// digest identifies all copies of the request. It is set when forwarding starts.
 	digest quarantine.Key
 	// response collects the response for the claim record; nil if the request has no key.
 	response *responseRecord
@@ -103,7 +103,7 @@
 	return body, eris.Wrap(rc.SetReadDeadline(time.Time{}), "entry: clear read deadline")
 }
 
-// badRequest returns a failure with status 400; callers may replace the status.
+// badRequest returns an error response with status 400; callers may replace the status.
 func badRequest(code, param, message string) *wire.ErrorResponse {
 	return &wire.ErrorResponse{
 		Status: http.StatusBadRequest, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -90,7 +90,7 @@
 	go c.stepLeases()
 }
 
-// run writes the records of shard i whenever some are pending, within the shard's share of the
+// runShard writes the records of shard i whenever some are pending, within the shard's share of the
 // write rate.
 func (c *claims) runShard(i int) {
 	for {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -170,8 +170,8 @@
 	e.proxy.routes.RetainOnly(known)
 }
 
-// ready reports whether the load balancer should send requests to this entry, and the reason if
-// not.
+// ready reports whether the load balancer should send requests to this entry. If not, it also
+// returns the reason.
 func (e *Entry) ready() (bool, string) {
 	switch {
 	case e.leaving.Load():
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -35,7 +35,7 @@
 	headerSent bool
 	// tokens is the number of tokens that have been streamed to the client.
 	tokens int
-	// refusal is the refusal to return if no other server accepts the request.
+	// refusal is the response to return if no other server accepts the request.
 	refusal *wire.ErrorResponse
 	// tried maps the id of each server tried to its incarnation at the time.
 	tried map[string]string
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -103,7 +103,7 @@
 }
 
 // checkTable validates an edit without saving it. It responds with the version of the table in
-// force.
+// force, or with the validation errors.
 func (o *operatorAPI) checkTable(c echo.Context) error {
 	var r wire.SaveRequest
 	if err := c.Bind(&r); err != nil {
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -59,10 +59,10 @@
 	return true
 }
 
-// respond sends a failure to the client. A write error is ignored: the client has disconnected.
+// respond sends an error response to the client. A write error is ignored: the client has disconnected.
 func (fw *forwarder) respond(errResp wire.ErrorResponse) { _ = errResp.Write(fw.echoContext) }
 
-// unknownOutcome returns the failure of a request that may have run and is not sent again.
+// unknownOutcome returns the error response for a request that may have run and is not sent again.
 func (fw *forwarder) unknownOutcome() wire.ErrorResponse {
 	return wire.ErrorResponse{
 		Status: http.StatusBadGateway, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer, Code: "backend_lost",
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// quarantined reports whether the call is in quarantine, and returns the failure to respond with.
+// quarantined returns the error response for a call in quarantine, and reports whether it is in one.
 // Backend servers have crashed during copies of such a request, so no entry sends it until the
 // quarantine ends.
 func (fw *forwarder) quarantined() (wire.ErrorResponse, bool) {
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -29,14 +29,14 @@
 	// staleAfter is the time without a response from another entry after which an entry watches the
 	// table itself.
 	staleAfter = 4 * time.Second
-	// watchRetryInterval is the interval of the checks whether to watch the table, and the delay
-	// after a failed watch.
+	// watchRetryInterval is the interval between checks whether this entry should watch the table,
+	// and the delay after a failed watch.
 	watchRetryInterval = 500 * time.Millisecond
 	// tableWatchers is the number of entries that watch the table even if they plan no cell.
 	tableWatchers = 4
 )
 
-// tableKey is the key by which entries are ranked for watching the table.
+// tableKey is the rendezvous key by which entries are ranked for watching the table.
 const tableKey = "table"
 
 // A syncer replicates the table, the servers' records and the quarantined requests between entries.
@@ -163,8 +163,8 @@
 func (s *syncer) pause() { clock.Sleep(s.ctx, s.clock, watchRetryInterval) }
 
 // shouldWatch reports whether this entry should watch the table. It should if it has no table yet,
-// plans a cell, ranks among the first tableWatchers entries or has not heard from another entry for
-// staleAfter. All other entries receive changes from those that watch.
+// plans a cell, ranks among the first tableWatchers entries or has had no response from another
+// entry for staleAfter. All other entries receive changes from those that watch.
 func (s *syncer) shouldWatch() bool {
 	if s.replica.Current().Version() == 0 || len(s.planner.HeldCells()) > 0 {
 		return true
--- a/internal/planner/cell.go
+++ b/internal/planner/cell.go
@@ -32,11 +32,11 @@
 	// goneIntervals is the number of exchange intervals without a response after which a backend
 	// server counts as gone.
 	goneIntervals = 2
-	// goneGrace is added to the time given by goneIntervals, for short exchange intervals.
+	// goneGrace is added to the time given by goneIntervals, in case the exchange interval is short.
 	goneGrace = time.Second
 )
 
-// A peer is the state that the planner keeps of one agent.
+// An agentState is the state that the planner keeps of one agent.
 type agentState struct {
 	id string
 	vm inventory.VM
@@ -52,8 +52,8 @@
 	// lastSent is the start of the last exchange, lastSuccess the end of the last successful one,
 	// and joinedAt the time at which the agent joined the cell.
 	lastSent, lastSuccess, joinedAt time.Time
-	// inFlight reports whether an exchange is in progress, urgent whether the next one is due at
-	// once.
+	// inFlight reports whether an exchange is in progress, urgent whether the next one is due
+	// immediately.
 	inFlight, urgent bool
 	// orders are sent with the next exchange.
 	orders []placement.Order
@@ -139,7 +139,8 @@
 	return min(maxPlanInterval, c.Settings.ExchangeInterval.Std())
 }
 
-// requestExchange makes the next exchange with the server due if the server is in the cell.
+// requestExchange makes the next exchange with the server's agent due immediately if the server is
+// in the cell.
 func (c *cellPlanner) requestExchange(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +166,7 @@
 	return changing || slices.ContainsFunc(c.pending, func(o pendingOrder) bool { return o.order.Server == a.id })
 }
 
-// syncAgents adds the peers of servers that have joined the cell, updates those of present servers
+// syncAgents adds the agents of servers that have joined the cell, updates those of present servers
 // and removes those of servers that have left. c.mu must be held.
 func (c *cellPlanner) syncAgents(now time.Time, servers []string, vms map[string]inventory.VM) {
 	for _, id := range servers {
--- a/internal/planner/exchange.go
+++ b/internal/planner/exchange.go
@@ -37,7 +37,7 @@
 	go c.exchange(a, msg)
 }
 
-// servers returns the records of the peers that have reported. c.mu must be held.
+// servers returns the records of the agents that have reported. c.mu must be held.
 func (c *cellPlanner) servers() []fleet.Server {
 	var all []fleet.Server
 	for _, a := range c.agents {
@@ -86,7 +86,7 @@
 		return
 	}
 	// The first message contains no table, and an agent ignores orders addressed to a previous
-	// incarnation. The next message follows at once in both cases.
+	// incarnation. In both cases the next message is due immediately.
 	p.urgent = p.urgent || first || resp.Incarnation != p.record.Incarnation
 	p.recordVersion = resp.RecordSeen
 	next := *resp.Server
@@ -100,8 +100,8 @@
 	c.removeVisibleOrders(p)
 }
 
-// removeVisibleOrders removes the pending orders whose effect is visible in the server's record. c.mu
-// must be held.
+// removeVisibleOrders removes the pending orders whose effect is visible in the server's record.
+// c.mu must be held.
 func (c *cellPlanner) removeVisibleOrders(a *agentState) {
 	c.pending = slices.DeleteFunc(c.pending, func(o pendingOrder) bool {
 		return o.order.Server == a.id && isEffectVisible(a.record, o.order)
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -100,8 +100,8 @@
 	})
 }
 
-// issueOrder queues an order for the server's next exchange, records it as a decision and adds it to the
-// pending orders. c.mu must be held.
+// issueOrder queues an order for the server's next exchange, records it as a decision and adds it to
+// the pending orders. c.mu must be held.
 func (c *cellPlanner) issueOrder(o placement.Order, now time.Time) {
 	a, ok := c.agents[o.Server]
 	if !ok {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -101,8 +101,8 @@
 	// is held. The keys are cell ids.
 	holders map[string]*lease.Holder
 	active  map[string]*cellPlanner
-	// outdatedSince is the time since which the cell list has not matched the VMs; zero while it
-	// does.
+	// outdatedSince is the time since which the cell list has not matched the VMs; it is zero while
+	// the list matches.
 	outdatedSince time.Time
 }
 
@@ -334,7 +334,7 @@
 	}
 }
 
-// RequestExchange makes the next exchange with a backend server due at once.
+// RequestExchange makes the next exchange with a backend server's agent due immediately.
 func (p *Planner) RequestExchange(server string) {
 	p.mu.Lock()
 	active := slices.Collect(maps.Values(p.active))
