--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -103,7 +103,7 @@
 
 	// mu guards the fields below.
 	mu         sync.Mutex
-	work       workload
+	workload   workload
 	server     serverState
 	membership membership
 	planner    plannerContact
@@ -124,7 +124,7 @@
 	}
 	a.backend = &http.Client{Transport: wire.NewTransport(&a.proxied)}
 	a.entryClient = wire.NewClient(o.Settings.Secret, wire.NewTransport(o.Traffic))
-	a.work = newWorkload(a.server.slots, o.Settings.MaxQueued)
+	a.workload = newWorkload(a.server.slots, o.Settings.MaxQueued)
 	a.quarantine = quarantine.New(quarantine.Options{
 		Clock: o.Clock, CrashThreshold: quarantine.DefaultCrashThreshold, Duration: quarantine.DefaultDuration,
 	})
@@ -221,12 +221,12 @@
 	a.handlePause(now)
 	a.planner.lastTick = now
 	if a.closed() {
-		a.work.queue.RefuseAll(fairqueue.ReasonLeaving)
+		a.workload.queue.RefuseAll(fairqueue.ReasonLeaving)
 	}
-	for _, row := range a.work.queue.WaitingRows() {
+	for _, row := range a.workload.queue.WaitingRows() {
 		if a.server.slots.Total(row) == 0 {
-			a.work.queue.RefuseRow(row, fairqueue.ReasonNotResident)
+			a.workload.queue.RefuseRow(row, fairqueue.ReasonNotResident)
 		}
 	}
-	a.work.queue.Step(now)
+	a.workload.queue.Step(now)
 }
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -45,7 +45,7 @@
 	a.applyList(msg)
 	if !msg.Lapsed && a.isForThisIncarnation(msg) && msg.TableVersion >= a.replica.Current().Version() {
 		a.mu.Lock()
-		a.work.setGrants(msg.Grants)
+		a.workload.setGrants(msg.Grants)
 		a.mu.Unlock()
 		// Orders are executed in the background, because they wait for the key-value service.
 		go a.executeOrders(msg.Orders)
@@ -88,7 +88,7 @@
 	if msg.Incarnation != a.incarnation || msg.Seen != a.server.version {
 		resp.Server = &s
 	}
-	resp.Grants = a.work.grantsInUse()
+	resp.Grants = a.workload.grantsInUse()
 	return resp
 }
 
@@ -113,7 +113,7 @@
 	defer a.mu.Unlock()
 	return c.JSON(http.StatusOK, Status{
 		ID: a.settings.ID, Incarnation: a.incarnation, TableVersion: a.replica.Current().Version(),
-		Waiting: a.work.queue.Waiting(), Running: a.work.queue.Running(), Leaving: a.membership.leaving, HasFence: hasFence,
+		Waiting: a.workload.queue.Waiting(), Running: a.workload.queue.Running(), Leaving: a.membership.leaving, HasFence: hasFence,
 		ControlBytes: a.traffic.WireBytes(),
 	})
 }
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -52,11 +52,12 @@
 	}
 	a.membership.leaving = true
 	a.membership.closeAt = a.clock.Now().Add(a.settings.LeaveTime.Std())
-	a.log.Info("leaving", zap.String("reason", reason), zap.Int("running", a.work.queue.Running()))
+	a.log.Info("leaving", zap.String("reason", reason), zap.Int("running", a.workload.queue.Running()))
 	a.requestExchange()
 }
 
-// LeavePermanently is like Leave, but the platform's list of VMs cannot undo it.
+// LeavePermanently is like Leave, but a later version of the platform's list of VMs does not cancel
+// it.
 func (a *Agent) LeavePermanently(reason string) {
 	a.Leave(reason)
 	a.mu.Lock()
--- a/internal/agent/pause.go
+++ b/internal/agent/pause.go
@@ -68,5 +68,5 @@
 		return
 	}
 	a.log.Warn("process was paused", zap.Duration("for", gap))
-	a.work.queue.RefuseAll(reasonPaused)
+	a.workload.queue.RefuseAll(reasonPaused)
 }
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -109,15 +109,15 @@
 		return nil
 	}
 	if errors.Is(err, kv.ErrConflict) || errors.Is(err, kv.ErrUnknown) {
-		return r.recover(ctx, err)
+		return r.reconcile(ctx, err)
 	}
 	return err
 }
 
-// recover reads the record after a conflict or a lost response. It returns errSuperseded if another
+// reconcile reads the record after a conflict or a lost response. It returns errSuperseded if another
 // agent has taken over, and otherwise cause; the intents count as not recorded and may be written
 // again.
-func (r *record) recover(ctx context.Context, cause error) error {
+func (r *record) reconcile(ctx context.Context, cause error) error {
 	e, v, err := r.read(ctx)
 	if err != nil {
 		return err
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -135,7 +135,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.handlePause(a.clock.Now())
-	a.work.demandOf(row.Name)
+	a.workload.demandOf(row.Name)
 	total := a.server.slots.Total(row.Name)
 	switch {
 	case a.closed():
@@ -148,13 +148,13 @@
 	t.Limit = fairqueue.Limit{Weight: row.EffectiveWeight(), QueueTime: row.MaxQueueTime}
 	t.Limit.MaxRunning = max(1, total*row.MaxSlotShare/100)
 	if row.MaxConcurrency > 0 {
-		grant := a.work.grants[row.Name]
+		grant := a.workload.grants[row.Name]
 		if grant == 0 {
 			return &fairqueue.Refusal{Reason: reasonConcurrency, RetryAfter: defaultRetryAfter}
 		}
 		t.Limit.MaxRunning = min(t.Limit.MaxRunning, grant)
 	}
-	a.work.queue.Push(t, a.clock.Now())
+	a.workload.queue.Push(t, a.clock.Now())
 	return nil
 }
 
@@ -169,14 +169,14 @@
 func (a *Agent) countRefusal(row string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.work.demandOf(row).refused += refusedSmoothing
+	a.workload.demandOf(row).refused += refusedSmoothing
 }
 
 // finish removes a request from the queue and charges the tokens that it used.
 func (a *Agent) finish(t *fairqueue.Ticket, tokens int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.work.queue.Done(t, tokens, a.clock.Now())
+	a.workload.queue.Done(t, tokens, a.clock.Now())
 }
 
 // refuse responds that the request was not run.
@@ -198,7 +198,7 @@
 func (a *Agent) setStateHeaders(h http.Header) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h.Set(wire.HeaderLoad, strconv.Itoa(a.server.slots.load(a.work.queue.Waiting())))
+	h.Set(wire.HeaderLoad, strconv.Itoa(a.server.slots.load(a.workload.queue.Waiting())))
 	h.Set(wire.HeaderTableVersion, strconv.FormatUint(a.replica.Current().Version(), 10))
 	if a.membership.leaving {
 		h.Set(wire.HeaderLeaving, a.incarnation)
@@ -216,13 +216,13 @@
 
 // forward forwards the request to the backend server and copies the response. It returns the length
 // of the response body.
-func (a *Agent) forward(c echo.Context, p grantedRequest) (int64, error) {
-	out, err := a.newBackendRequest(c.Request(), p)
+func (a *Agent) forward(c echo.Context, granted grantedRequest) (int64, error) {
+	out, err := a.newBackendRequest(c.Request(), granted)
 	if err != nil {
 		return 0, err
 	}
 	resp, err := a.backend.Do(out)
-	p.stopHeartbeat()
+	granted.stopHeartbeat()
 	if err != nil {
 		if !wire.IsNotSent(err) {
 			a.connectionLost(c.Request())
@@ -231,14 +231,14 @@
 	}
 	defer resp.Body.Close()
 	a.crashes.recordRunning()
-	if p.row.Kind != table.KindService && resp.StatusCode == http.StatusNotFound {
+	if granted.row.Kind != table.KindService && resp.StatusCode == http.StatusNotFound {
 		return 0, a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: defaultRetryAfter})
 	}
 	h := c.Response().Header()
 	copyHeader(h, resp.Header)
 	a.setStateHeaders(h)
 	h.Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
-	h.Set(wire.HeaderWaited, strconv.FormatInt(p.grant.Waited.Milliseconds(), 10))
+	h.Set(wire.HeaderWaited, strconv.FormatInt(granted.grant.Waited.Milliseconds(), 10))
 	c.Response().WriteHeader(resp.StatusCode)
 	n, err := copyFlushing(c.Response(), resp.Body)
 	if err != nil {
@@ -251,9 +251,9 @@
 }
 
 // newBackendRequest returns the request to the backend server.
-func (a *Agent) newBackendRequest(in *http.Request, p grantedRequest) (*http.Request, error) {
+func (a *Agent) newBackendRequest(in *http.Request, granted grantedRequest) (*http.Request, error) {
 	url := a.settings.Backend.URL + in.URL.RequestURI()
-	out, err := http.NewRequestWithContext(in.Context(), in.Method, url, bytes.NewReader(p.body))
+	out, err := http.NewRequestWithContext(in.Context(), in.Method, url, bytes.NewReader(granted.body))
 	if err != nil {
 		return nil, eris.Wrap(err, "agent: make request")
 	}
@@ -263,11 +263,11 @@
 	out.Header.Del(wire.HeaderDigest)
 	wire.DisableRetry(out)
 	a.mu.Lock()
-	accelerator := a.server.slots.accelerator(p.grant.Slot)
+	accelerator := a.server.slots.accelerator(granted.grant.Slot)
 	a.mu.Unlock()
-	if p.row.Kind != table.KindService {
+	if granted.row.Kind != table.KindService {
 		out.Header.Set(engine.HeaderAccelerator, strconv.Itoa(accelerator))
-		out.Header.Set(engine.HeaderPriority, strconv.Itoa(p.row.EffectiveWeight()))
+		out.Header.Set(engine.HeaderPriority, strconv.Itoa(granted.row.EffectiveWeight()))
 	}
 	return out, nil
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -97,7 +97,7 @@
 		s.Residents = a.server.slots.withDraining(a.server.ledger.Residents())
 		s.Slots = a.server.slots.slotsPerAccelerator
 	}
-	s.Demand = a.work.demandLevels(now)
+	s.Demand = a.workload.demandLevels(now)
 	if a.server.version == 0 || !s.EqualExceptVersion(a.server.lastRecord) {
 		a.server.version++
 		a.server.lastRecord = s
--- a/internal/agent/workload.go
+++ b/internal/agent/workload.go
@@ -99,5 +99,5 @@
 func (a *Agent) stepDemand(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.work.sampleDemand(now)
+	a.workload.sampleDemand(now)
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -55,7 +55,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func commandFunc(t *testing.T, args ...string) (code int, out, stderr string) {
+func runCommand(t *testing.T, args ...string) (code int, out, stderr string) {
 	t.Helper()
 	var o, e bytes.Buffer
 	code = cli.Run(context.Background(), args, strings.NewReader(""), &o, &e)
@@ -102,7 +102,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			code, out, stderr := commandFunc(t, tc.args...)
+			code, out, stderr := runCommand(t, tc.args...)
 			assert.Equal(t, code, tc.code, "%s%s", out, stderr)
 			assert.Assert(t, strings.Contains(out+stderr, tc.text), "%s%s", out, stderr)
 		})
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -15,13 +15,13 @@
 
 // attempt sends the call to one server and reports whether the call is over.
 func (fw *forwarder) attempt(s fleet.Server) bool {
-	end := fw.proxy.routes.Begin(s.ID)
+	end := fw.proxy.loadTable.Begin(s.ID)
 	defer end()
 	ctx, cancel := context.WithCancel(fw.echoContext.Request().Context())
 	defer cancel()
-	watch := newStallTimer(fw.proxy.clock, fw.proxy.limits.HeartbeatTimeout.Std(), cancel)
-	defer watch.stop()
-	resp, err := fw.proxy.agents.Do(fw.request(watch.trace(ctx), s))
+	stall := newStallTimer(fw.proxy.clock, fw.proxy.limits.HeartbeatTimeout.Std(), cancel)
+	defer stall.stop()
+	resp, err := fw.proxy.agents.Do(fw.request(stall.trace(ctx), s))
 	if err != nil {
 		return fw.attemptFailed(s, err)
 	}
@@ -32,7 +32,7 @@
 		fw.recordRefusal(resp)
 		return false
 	case wire.OutcomeAnswered:
-		return fw.copyResponse(s, resp, watch)
+		return fw.copyResponse(s, resp, stall)
 	}
 	return fw.serverLost(s, eris.Errorf("entry: agent response with status %d has no known outcome", resp.StatusCode))
 }
@@ -76,9 +76,9 @@
 func (fw *forwarder) recordServerState(s fleet.Server, h http.Header) {
 	now := fw.proxy.clock.Now()
 	if load, err := strconv.Atoi(h.Get(wire.HeaderLoad)); err == nil {
-		fw.proxy.routes.ReportLoad(s.ID, load*max(s.Slots, 1)*max(len(s.Accelerators), 1)/100, now)
+		fw.proxy.loadTable.ReportLoad(s.ID, load*max(s.Slots, 1)*max(len(s.Accelerators), 1)/100, now)
 	}
-	if inc := h.Get(wire.HeaderLeaving); inc != "" {
-		fw.proxy.routes.MarkLeaving(s.ID, inc)
+	if incarnation := h.Get(wire.HeaderLeaving); incarnation != "" {
+		fw.proxy.loadTable.MarkLeaving(s.ID, incarnation)
 	}
 }
--- a/internal/entry/claim_calls.go
+++ b/internal/entry/claim_calls.go
@@ -72,8 +72,9 @@
 	c.shards[i].Finish(r.Key, r.Attempt, *r.Answer)
 }
 
-// callOwner posts a message to the entry that owns the shard. It tries again, after reading the
-// lease anew, if the shard's owner has changed.
+// callOwner posts a message to the entry that owns the shard. If a call certainly had no effect, for
+// example because the shard's owner has changed, it looks up the owner again and retries, up to
+// maxOwnerCalls calls.
 func (c *claims) callOwner(ctx context.Context, i int, path string, in, out any) error {
 	for try := range maxOwnerCalls {
 		addr, err := c.owner(ctx, i, try > 0)
@@ -96,13 +97,13 @@
 }
 
 // owner returns the address of the shard's owner. It returns the cached owner, unless there is
-// none, or again is set and the cached one is older than ownerCacheTime; then it reads the shard's
+// none, or refresh is set and the cached one is older than ownerCacheTime; then it reads the shard's
 // lease.
-func (c *claims) owner(ctx context.Context, i int, again bool) (string, error) {
+func (c *claims) owner(ctx context.Context, i int, refresh bool) (string, error) {
 	c.mu.Lock()
 	o, ok := c.owners[i]
 	c.mu.Unlock()
-	if ok && (!again || c.clock.Now().Sub(o.at) < ownerCacheTime) {
+	if ok && (!refresh || c.clock.Now().Sub(o.at) < ownerCacheTime) {
 		return o.addr, nil
 	}
 	entry, err := c.store.Get(ctx, "lease/"+leaseName(i))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -96,7 +96,7 @@
 		agents: &http.Client{Transport: wire.NewTransport(&e.proxied)}, quarantine: e.quarantine,
 		clock: o.Clock, log: o.Log, metrics: o.Metrics,
 	}
-	e.proxy.routes.Hall = s.Hall
+	e.proxy.loadTable.Hall = s.Hall
 	e.operators = &operatorAPI{
 		id: s.ID, replica: &e.replica, view: &e.view, tableLog: tableLog, planner: e.planner, members: e.members,
 		decisions: &e.decisions, client: client, inFlight: e.proxy.inFlight.Load, traffic: o.Traffic, log: o.Log,
@@ -167,7 +167,7 @@
 	for _, s := range e.view.Servers() {
 		known[s.ID] = true
 	}
-	e.proxy.routes.RetainOnly(known)
+	e.proxy.loadTable.RetainOnly(known)
 }
 
 // ready reports whether the load balancer should send requests to this entry. If not, it also
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -57,7 +57,7 @@
 func (p *proxy) forwardThen(c echo.Context, x *call, finish func(wire.Outcome)) {
 	fw := &forwarder{proxy: p, echoContext: c, call: x, tried: make(map[string]string), finish: finish}
 	x.digest = digestOf(c.Request(), x.row.Name, x.body)
-	p.budget.RecordFirstAttempt()
+	p.retryBudget.RecordFirstAttempt()
 	for try := 0; try < maxAttempts; try++ {
 		s, ok := fw.next()
 		if !ok {
@@ -67,7 +67,7 @@
 			fw.refusal = &errResp
 			break
 		}
-		if try > 0 && !p.budget.Allow() {
+		if try > 0 && !p.retryBudget.Allow() {
 			p.log.Warn("retry budget exhausted", zap.String("request", x.id))
 			break
 		}
@@ -132,7 +132,7 @@
 	for i, s := range servers {
 		candidates[i] = route.Candidate{ID: s.ID, Hall: s.Hall}
 	}
-	best := fw.proxy.routes.Order(candidates, fw.call.prefix, fw.proxy.clock.Now())[0]
+	best := fw.proxy.loadTable.Order(candidates, fw.call.prefix, fw.proxy.clock.Now())[0]
 	i := slices.IndexFunc(servers, func(s fleet.Server) bool { return s.ID == best.ID })
 	return servers[i], true
 }
@@ -140,7 +140,7 @@
 // isLeaving reports whether a server is leaving according to its responses, its record or the
 // platform's list of VMs.
 func (fw *forwarder) isLeaving(s fleet.Server) bool {
-	return s.Leaving || fw.proxy.members.isLeaving(s.ID) || fw.proxy.routes.IsLeaving(s.ID, s.Incarnation)
+	return s.Leaving || fw.proxy.members.isLeaving(s.ID) || fw.proxy.loadTable.IsLeaving(s.ID, s.Incarnation)
 }
 
 // isLoading reports whether a server is loading the model or adapter.
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -28,7 +28,7 @@
 	if fw.echoContext.Request().Context().Err() != nil {
 		return fw.clientDisconnected()
 	}
-	fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
+	fw.proxy.loadTable.Avoid(s.ID, fw.proxy.clock.Now())
 	if wire.IsNotSent(err) {
 		fw.refusal = &wire.ErrorResponse{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer,
@@ -46,7 +46,7 @@
 func (fw *forwarder) serverLost(s fleet.Server, err error) bool {
 	fw.proxy.log.Warn("backend server lost during a request", zap.String("request", fw.call.id), zap.String("server", s.ID),
 		zap.Int("tokens", fw.tokens), zap.Error(err))
-	fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
+	fw.proxy.loadTable.Avoid(s.ID, fw.proxy.clock.Now())
 	fw.mayHaveRun = true
 	if fw.call.repeatable && (!fw.headerSent || fw.call.stream) {
 		return false
--- a/internal/entry/proxy.go
+++ b/internal/entry/proxy.go
@@ -44,9 +44,9 @@
 	clock      clock.Service
 	log        *zap.Logger
 	metrics    *telemetry.Metrics
-	// routes holds the load of each server, budget the retry budget of this entry.
-	routes route.LoadTable
-	budget retry.Budget
+	// loadTable holds the load of each server, retryBudget the retry budget of this entry.
+	loadTable   route.LoadTable
+	retryBudget retry.Budget
 	// inFlight is the number of client requests in progress.
 	inFlight atomic.Int64
 }
@@ -139,8 +139,8 @@
 func serviceFor(t *table.Table, path string) (table.Row, bool) {
 	var best table.Row
 	for _, r := range t.Rows() {
-		under := path == r.Path || strings.HasPrefix(path, r.Path+"/")
-		if r.Kind == table.KindService && under && len(r.Path) > len(best.Path) {
+		matches := path == r.Path || strings.HasPrefix(path, r.Path+"/")
+		if r.Kind == table.KindService && matches && len(r.Path) > len(best.Path) {
 			best = r
 		}
 	}
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -9,7 +9,7 @@
 	"rockcleat/clock"
 )
 
-// A stallTimer cancels an attempt if the server sends nothing for a given time.
+// A stallTimer cancels an attempt if the agent sends nothing for a given time.
 type stallTimer struct {
 	limit time.Duration
 	timer clock.Timer
--- a/internal/entry/stream_copy.go
+++ b/internal/entry/stream_copy.go
@@ -20,15 +20,15 @@
 const maxBufferedResponse = 1 << 20
 
 // copyResponse copies the response to the client and reports whether the call is over.
-func (fw *forwarder) copyResponse(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
+func (fw *forwarder) copyResponse(s fleet.Server, resp *http.Response, stall *stallTimer) bool {
 	if fw.call.stream && isStream(resp.Header) {
-		return fw.copyStream(s, resp, watch)
+		return fw.copyStream(s, resp, stall)
 	}
 	if fw.headerSent {
 		// A stream cannot continue with a response that is not a stream.
 		return fw.serverLost(s, eris.Errorf("entry: resumed stream got a response with status %d that is not a stream", resp.StatusCode))
 	}
-	return fw.copyPlain(s, resp, watch)
+	return fw.copyPlain(s, resp, stall)
 }
 
 // isStream reports whether a response is an event stream.
@@ -38,8 +38,8 @@
 
 // copyPlain copies a response that is not an event stream. A response shorter than
 // maxBufferedResponse is read completely first, and its outcome is recorded before it is sent.
-func (fw *forwarder) copyPlain(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
-	r := transfer.NewProgressReader(resp.Body, watch.restart)
+func (fw *forwarder) copyPlain(s fleet.Server, resp *http.Response, stall *stallTimer) bool {
+	r := transfer.NewProgressReader(resp.Body, stall.restart)
 	buffered, err := io.ReadAll(io.LimitReader(r, maxBufferedResponse))
 	if err != nil {
 		return fw.attemptFailed(s, err)
@@ -115,8 +115,8 @@
 
 // copyStream copies the events of a stream to the client. Only complete events are sent, so that
 // after an interruption another server can continue the stream with the next token.
-func (fw *forwarder) copyStream(s fleet.Server, resp *http.Response, watch *stallTimer) bool {
-	r := bufio.NewReader(transfer.NewProgressReader(resp.Body, watch.restart))
+func (fw *forwarder) copyStream(s fleet.Server, resp *http.Response, stall *stallTimer) bool {
+	r := bufio.NewReader(transfer.NewProgressReader(resp.Body, stall.restart))
 	for {
 		event, err := readEvent(r)
 		if err != nil {
@@ -143,7 +143,7 @@
 		return fw.clientDisconnected()
 	}
 	if !fw.call.repeatable && fw.headerSent {
-		fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
+		fw.proxy.loadTable.Avoid(s.ID, fw.proxy.clock.Now())
 		fw.abortStream()
 		return true
 	}
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -179,11 +179,11 @@
 
 // watchOnce waits for a table newer than the one in force and puts it in force.
 func (s *syncer) watchOnce() error {
-	have := s.replica.Current()
+	current := s.replica.Current()
 	s.mu.Lock()
 	after := s.tableRevision
 	s.mu.Unlock()
-	t, rev, err := s.tableLog.Watch(s.ctx, have, after, tableWatchTimeout)
+	t, rev, err := s.tableLog.Watch(s.ctx, current, after, tableWatchTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/planner/cells.go
+++ b/internal/planner/cells.go
@@ -44,13 +44,13 @@
 		present[vm.ID] = true
 	}
 	next.Next = l.Next
-	placed := make(map[string]bool)
+	assigned := make(map[string]bool)
 	for _, c := range l.Cells {
 		kept := Cell{ID: c.ID}
 		for _, id := range c.Servers {
 			if present[id] {
 				kept.Servers = append(kept.Servers, id)
-				placed[id] = true
+				assigned[id] = true
 			}
 		}
 		changed = changed || len(kept.Servers) != len(c.Servers)
@@ -59,7 +59,7 @@
 		}
 	}
 	for _, vm := range sortedByHall(vms) {
-		if !placed[vm.ID] {
+		if !assigned[vm.ID] {
 			next.add(vm.ID, size)
 			changed = true
 		}
--- a/internal/planner/grants.go
+++ b/internal/planner/grants.go
@@ -58,15 +58,16 @@
 }
 
 // next returns the grants to send to an agent: for each limited row that it serves, an even share
-// of the cell's part of the limit. A grant increases only as far as the other agents' grants allow,
-// and only if complete reports that all agents of the cell have reported.
-func (t *grantTracker) next(agent string, rows []table.Row, servers []fleet.Server, part limitShare, complete bool) []wire.ConcurrencyGrant {
+// of the cell's part of the limit, as given by share. A grant increases only as far as the other
+// agents' grants allow, and only if complete is set, which means that all agents of the cell have
+// reported.
+func (t *grantTracker) next(agent string, rows []table.Row, servers []fleet.Server, share limitShare, complete bool) []wire.ConcurrencyGrant {
 	var grants []wire.ConcurrencyGrant
 	for _, r := range rows {
 		if r.MaxConcurrency == 0 {
 			continue
 		}
-		limit := part(r.MaxConcurrency)
+		limit := share(r.MaxConcurrency)
 		target := agentShare(agent, r.Name, limit, servers)
 		current := t.maxHeld[agent][r.Name]
 		if target > current {
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -28,7 +28,7 @@
 		servers, _ := c.View.Cell(id)
 		cell := placement.Cell{ID: id, Servers: servers, Demand: demand}
 		if id == c.id {
-			cell.Servers = c.withPending(servers)
+			cell.Servers = c.withPendingOrders(servers)
 		} else {
 			cell.Demand = slotsByRow(c.View.Demand(id))
 		}
@@ -117,9 +117,9 @@
 		zap.Int("accelerator", o.Accelerator), zap.String("reason", o.Reason))
 }
 
-// withPending returns the records, ordered by id, with the pending orders applied. c.mu must be
-// held.
-func (c *cellPlanner) withPending(servers []fleet.Server) []fleet.Server {
+// withPendingOrders returns the records, ordered by id, with the pending orders applied. c.mu must
+// be held.
+func (c *cellPlanner) withPendingOrders(servers []fleet.Server) []fleet.Server {
 	byID := make(map[string]*fleet.Server, len(servers))
 	for i := range servers {
 		servers[i].Residents = slices.Clone(servers[i].Residents)
