--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -69,12 +69,12 @@
 	assert.NilError(t, os.WriteFile(file, []byte("name,weight\nm,3\n"), 0o600))
 	assert.NilError(t, os.WriteFile(bad, []byte("name,weight\nm,heavy\n"), 0o600))
 	common := []string{"-entry", addr, "-secret", secret}
-	command := func(words ...string) []string {
+	withFlags := func(args ...string) []string {
 		n := 2
-		if words[0] == "status" || words[0] == "why" {
+		if args[0] == "status" || args[0] == "why" {
 			n = 1
 		}
-		return append(append(append([]string{}, words[:n]...), common...), words[n:]...)
+		return append(append(append([]string{}, args[:n]...), common...), args[n:]...)
 	}
 	tests := []struct {
 		name string
@@ -85,17 +85,17 @@
 		{"help", []string{"-h"}, cli.ExitUsage, "COMMAND"},
 		{"help has an example", []string{"table", "set", "-h"}, cli.ExitUsage, "Example:"},
 		{"no such command", []string{"tabel"}, cli.ExitUsage, "no command"},
-		{"import", command("table", "import", file), cli.ExitOK, "saved 1 rows; version 1"},
-		{"import again", command("table", "import", file), cli.ExitOK, "nothing to change"},
-		{"show", command("table", "show"), cli.ExitOK, "version 1, 1 rows"},
-		{"set", command("table", "set", "m", "weight=4"), cli.ExitOK, "version 2"},
-		{"export", command("table", "export"), cli.ExitOK, "m,model,,,standard,4,100,0,10s,"},
-		{"diff", command("table", "diff", file), cli.ExitOK, "+ m,model,,,standard,3"},
-		{"set unknown column", command("table", "set", "m", "colour=red"), cli.ExitInvalid, "one of the columns"},
-		{"set word as weight", command("table", "set", "m", "weight=heavy"), cli.ExitInvalid, `row "m", column weight: "heavy"`},
-		{"import bad file", command("table", "import", bad), cli.ExitInvalid, `row "m", column weight`},
-		{"refused by the checks", command("table", "set", "m", "weight=0"), cli.ExitInvalid, "column weight"},
-		{"remove", command("table", "remove", "m"), cli.ExitOK, "version 3"},
+		{"import", withFlags("table", "import", file), cli.ExitOK, "saved 1 rows; version 1"},
+		{"import again", withFlags("table", "import", file), cli.ExitOK, "nothing to change"},
+		{"show", withFlags("table", "show"), cli.ExitOK, "version 1, 1 rows"},
+		{"set", withFlags("table", "set", "m", "weight=4"), cli.ExitOK, "version 2"},
+		{"export", withFlags("table", "export"), cli.ExitOK, "m,model,,,standard,4,100,0,10s,"},
+		{"diff", withFlags("table", "diff", file), cli.ExitOK, "+ m,model,,,standard,3"},
+		{"set unknown column", withFlags("table", "set", "m", "colour=red"), cli.ExitInvalid, "one of the columns"},
+		{"set word as weight", withFlags("table", "set", "m", "weight=heavy"), cli.ExitInvalid, `row "m", column weight: "heavy"`},
+		{"import bad file", withFlags("table", "import", bad), cli.ExitInvalid, `row "m", column weight`},
+		{"refused by the checks", withFlags("table", "set", "m", "weight=0"), cli.ExitInvalid, "column weight"},
+		{"remove", withFlags("table", "remove", "m"), cli.ExitOK, "version 3"},
 		{"wrong secret", []string{"table", "set", "-entry", addr, "-secret", "no", "m", "weight=1"}, cli.ExitFailed, ""},
 		{"no entry", []string{"table", "show", "-entry", "127.0.0.1:1", "-secret", secret}, cli.ExitFailed, "refused"},
 		{"settings checked", []string{"config", "check", filepath.Join("..", "..", "examples", "entry.yaml")}, cli.ExitOK, "ok"},
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -79,7 +79,7 @@
 			return
 		}
 	}
-	fw.giveUp()
+	fw.failCall()
 }
 
 // next returns the server to try next. While one may become available, it waits for up to the
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -76,8 +76,8 @@
 	return true
 }
 
-// giveUp ends a call for which no server or no retry is left.
-func (fw *forwarder) giveUp() {
+// failCall ends a call for which no server or no retry is left.
+func (fw *forwarder) failCall() {
 	if fw.echoContext.Request().Context().Err() != nil {
 		fw.clientDisconnected()
 		return
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -150,17 +150,17 @@
 func (s *syncer) watchTable() {
 	for s.ctx.Err() == nil {
 		if !s.shouldWatch() {
-			s.pause()
+			s.waitToRetry()
 			continue
 		}
 		if err := s.watchOnce(); err != nil {
 			s.log.Debug("watching the table failed", zap.Error(err))
-			s.pause()
+			s.waitToRetry()
 		}
 	}
 }
 
-func (s *syncer) pause() { clock.Sleep(s.ctx, s.clock, watchRetryInterval) }
+func (s *syncer) waitToRetry() { clock.Sleep(s.ctx, s.clock, watchRetryInterval) }
 
 // shouldWatch reports whether this entry should watch the table. It should if it has no table yet,
 // plans a cell, ranks among the first tableWatchers entries or has had no response from another
