--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -61,15 +61,15 @@
 		return p.replay(c, x, resp.Record, fingerprint)
 	}
 	x.response = &responseRecord{}
-	done := r
+	finishRequest := r
 	finish := func(o wire.Outcome) {
 		switch o {
 		case wire.OutcomeAnswered:
-			done.Answer = x.response.record()
-			p.claims.finish(done)
+			finishRequest.Answer = x.response.record()
+			p.claims.finish(finishRequest)
 		case wire.OutcomeNotRun:
-			done.NotRun = true
-			p.claims.finish(done)
+			finishRequest.NotRun = true
+			p.claims.finish(finishRequest)
 		}
 	}
 	p.forwardThen(c, x, finish)
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -63,14 +63,14 @@
 func newClaims(o claimsOptions) *claims {
 	s := o.settings
 	c := &claims{claimsOptions: o, owners: make(map[int]cachedOwner)}
-	flush := time.Duration(float64(s.Shards) / s.WritesPerSecond * float64(time.Second))
+	flushInterval := time.Duration(float64(s.Shards) / s.WritesPerSecond * float64(time.Second))
 	for i := range s.Shards {
 		h := lease.New(o.store, o.clock, lease.Options{
 			Name: leaseName(i), Holder: o.id, Addr: o.addr, TTL: s.LeaseTTL.Std(),
 		})
 		c.holders = append(c.holders, h)
 		c.shards = append(c.shards, claim.NewShard(o.store, o.clock, claim.Options{
-			Index: i, Owner: o.id, Retention: s.Retention.Std(), FlushInterval: flush,
+			Index: i, Owner: o.id, Retention: s.Retention.Std(), FlushInterval: flushInterval,
 			HoldsLease: func() bool { _, held := h.Held(); return held },
 		}))
 	}
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -41,8 +41,8 @@
 	tried map[string]string
 	// mayHaveRun reports whether the request may have run on a server that was then lost.
 	mayHaveRun bool
-	// refusedByLeaving reports whether a server refused the request because it is leaving.
-	refusedByLeaving bool
+	// refusedByLeavingServer reports whether a server refused the request because it is leaving.
+	refusedByLeavingServer bool
 	// finish is called with the outcome before the end of the response is sent to the client.
 	finish func(wire.Outcome)
 }
@@ -112,7 +112,7 @@
 	if fw.mayHaveRun {
 		return true
 	}
-	return fw.proxy.isLoading(fw.call.row.Name) && (len(fw.tried) == 0 || fw.refusedByLeaving)
+	return fw.proxy.isLoading(fw.call.row.Name) && (len(fw.tried) == 0 || fw.refusedByLeavingServer)
 }
 
 // choose returns the best server not yet tried. A leaving server is chosen only if no other serves
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -16,7 +16,7 @@
 		Code: resp.Header.Get(wire.HeaderReason), RetryAfter: wire.RetryAfter(resp.Header),
 	}
 	errResp.Message = "the request was not run: " + errResp.Code
-	fw.refusedByLeaving = fw.refusedByLeaving || resp.Header.Get(wire.HeaderLeaving) != ""
+	fw.refusedByLeavingServer = fw.refusedByLeavingServer || resp.Header.Get(wire.HeaderLeaving) != ""
 	if fw.refusal == nil || errResp.RetryAfter < fw.refusal.RetryAfter {
 		fw.refusal = errResp
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -97,10 +97,10 @@
 	// cells is the cell list as last read, sizes the weight store's catalogue.
 	cells []Cell
 	sizes map[string]placement.Size
-	// holders contend for the leases of cells. active holds the planners of the cells whose lease
-	// is held. The keys are cell ids.
-	holders map[string]*lease.Holder
-	active  map[string]*cellPlanner
+	// holders contend for the leases of cells. cellPlanners are the planners of the cells whose
+	// lease is held. The keys of both are cell ids.
+	holders      map[string]*lease.Holder
+	cellPlanners map[string]*cellPlanner
 	// outdatedSince is the time since which the cell list has not matched the VMs; it is zero while
 	// the list matches.
 	outdatedSince time.Time
@@ -108,7 +108,7 @@
 
 // New returns a Planner that is idle until Start.
 func New(o Options) *Planner {
-	p := &Planner{Options: o, holders: make(map[string]*lease.Holder), active: make(map[string]*cellPlanner)}
+	p := &Planner{Options: o, holders: make(map[string]*lease.Holder), cellPlanners: make(map[string]*cellPlanner)}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
@@ -160,7 +160,7 @@
 func (p *Planner) HeldCells() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Sorted(maps.Keys(p.active))
+	return slices.Sorted(maps.Keys(p.cellPlanners))
 }
 
 // Sizes returns the weight store's catalogue as last read.
@@ -307,17 +307,17 @@
 	token, held := h.Held()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c, ok := p.active[cell]
+	c, ok := p.cellPlanners[cell]
 	switch {
 	case held && !ok:
-		p.active[cell] = newCellPlanner(p, cell, h, token)
+		p.cellPlanners[cell] = newCellPlanner(p, cell, h, token)
 		p.Log.Info("started planning cell", zap.String("cell", cell), zap.Int64("token", int64(token)))
 	case held && c.token != token:
-		p.active[cell] = newCellPlanner(p, cell, h, token)
+		p.cellPlanners[cell] = newCellPlanner(p, cell, h, token)
 	case !held && ok && (err == nil || c.superseded.Load()):
-		// After an error of the key-value service the cell stays active: no other entry can acquire
-		// the lease either, and the table and the records must still be exchanged.
-		delete(p.active, cell)
+		// After an error of the key-value service the cell keeps its planner: no other entry can
+		// acquire the lease either, and the table and the records must still be exchanged.
+		delete(p.cellPlanners, cell)
 		p.Log.Info("stopped planning cell", zap.String("cell", cell))
 	}
 }
@@ -329,7 +329,7 @@
 	for id := range p.holders {
 		if !listed[id] {
 			delete(p.holders, id)
-			delete(p.active, id)
+			delete(p.cellPlanners, id)
 		}
 	}
 }
@@ -337,9 +337,9 @@
 // RequestExchange makes the next exchange with a backend server's agent due immediately.
 func (p *Planner) RequestExchange(server string) {
 	p.mu.Lock()
-	active := slices.Collect(maps.Values(p.active))
+	planners := slices.Collect(maps.Values(p.cellPlanners))
 	p.mu.Unlock()
-	for _, c := range active {
+	for _, c := range planners {
 		c.requestExchange(server)
 	}
 }
@@ -347,14 +347,14 @@
 // stepPlans runs the due exchanges and plans of each held cell.
 func (p *Planner) stepPlans(now time.Time) {
 	p.mu.Lock()
-	active := slices.Collect(maps.Values(p.active))
+	planners := slices.Collect(maps.Values(p.cellPlanners))
 	cells := slices.Clone(p.cells)
 	p.mu.Unlock()
 	vms := make(map[string]inventory.VM)
 	for _, vm := range p.Members.Backends() {
 		vms[vm.ID] = vm
 	}
-	for _, c := range active {
+	for _, c := range planners {
 		i := slices.IndexFunc(cells, func(x Cell) bool { return x.ID == c.id })
 		if i < 0 {
 			continue
