--- a/internal/agent/catchup.go
+++ b/internal/agent/catchup.go
@@ -19,8 +19,8 @@
 const fetchTableTimeout = time.Second
 
 // fetchNewerTable fetches the table from the entry that sent the request if the entry's version is
-// newer. So the agent gets a table even if no planner contacts it. The request waits for the table
-// only if the agent has none.
+// newer, so that the agent gets a table even if no planner contacts it. The request waits for the
+// table only if the agent has none.
 func (a *Agent) fetchNewerTable(req *http.Request) {
 	version, err := strconv.ParseUint(req.Header.Get(wire.HeaderTableVersion), 10, 64)
 	own := a.replica.Current().Version()
@@ -35,7 +35,7 @@
 	a.fetchTable(addr)
 }
 
-// Intervals of an agent that no planner contacts.
+// Parameters of the detection of missing contact with a planner.
 const (
 	// contactCheckInterval is the interval of the checks for contact with a planner.
 	contactCheckInterval = time.Second
@@ -76,13 +76,13 @@
 // fetchTable fetches a newer table from the entry at addr and clears fetchingTable.
 func (a *Agent) fetchTable(addr string) {
 	defer a.fetchingTable.Store(false)
-	var answer wire.SyncResponse
+	var resp wire.SyncResponse
 	r := wire.SyncRequest{From: a.settings.ID, Table: a.replica.Current().Version(), TableOnly: true}
-	if err := a.peers.PostWithStallTimeout(context.Background(), fetchTableTimeout, addr, wire.PathSync, r, &answer); err != nil {
+	if err := a.entryClient.PostWithStallTimeout(context.Background(), fetchTableTimeout, addr, wire.PathSync, r, &resp); err != nil {
 		a.log.Debug("fetching the table from an entry failed", zap.Error(err))
 		return
 	}
-	if a.replica.Merge(answer.Table) {
+	if a.replica.Merge(resp.Table) {
 		a.log.Info("table in force", zap.Uint64("version", a.replica.Current().Version()), zap.String("from", "entry"))
 	}
 }
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -20,7 +20,7 @@
 	return r
 }
 
-// ready reports whether the agent accepts requests, and the reason if not.
+// ready reports whether the agent accepts requests. If not, it also returns the reason.
 func (a *Agent) ready() (bool, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -40,21 +40,21 @@
 		return err
 	}
 	if !a.accept(msg) {
-		return c.JSON(http.StatusOK, a.exchangeAnswer(msg))
+		return c.JSON(http.StatusOK, a.exchangeResponse(msg))
 	}
 	a.applyList(msg)
 	if !msg.Lapsed && a.isForThisIncarnation(msg) && msg.TableVersion >= a.replica.Current().Version() {
 		a.mu.Lock()
-		a.work.setGrants(msg.Grants)
+		a.workload.setGrants(msg.Grants)
 		a.mu.Unlock()
 		// Orders are executed in the background, because they wait for the key-value service.
 		go a.executeOrders(msg.Orders)
 	}
-	return c.JSON(http.StatusOK, a.exchangeAnswer(msg))
+	return c.JSON(http.StatusOK, a.exchangeResponse(msg))
 }
 
-// accept merges the table and reports whether the sender is the current planner, that is, no newer
-// one is known.
+// accept merges the table and records the message. It reports whether the sender is the current
+// planner, that is, no planner with a newer token is known.
 func (a *Agent) accept(msg wire.Exchange) bool {
 	if a.replica.Merge(msg.Table) {
 		a.log.Info("table in force", zap.Uint64("version", a.replica.Current().Version()))
@@ -75,21 +75,21 @@
 	return msg.Incarnation == a.incarnation
 }
 
-// exchangeAnswer returns the response to a planner. It contains the server's record if the planner
+// exchangeResponse returns the response to a planner. It contains the server's record if the planner
 // does not have its current version.
-func (a *Agent) exchangeAnswer(msg wire.Exchange) wire.ExchangeResponse {
+func (a *Agent) exchangeResponse(msg wire.Exchange) wire.ExchangeResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.serverRecord(a.clock.Now())
-	answer := wire.ExchangeResponse{
+	resp := wire.ExchangeResponse{
 		Incarnation: a.incarnation, Token: a.planner.token, TableVersion: a.replica.Current().Version(), RecordSeen: a.server.version,
 		Pauses: a.planner.pauses, Quarantine: a.quarantine.Answer(msg.Quarantine, quarantine.AllRecords),
 	}
 	if msg.Incarnation != a.incarnation || msg.Seen != a.server.version {
-		answer.Server = &s
+		resp.Server = &s
 	}
-	answer.Grants = a.work.grantsInUse()
-	return answer
+	resp.Grants = a.workload.grantsInUse()
+	return resp
 }
 
 // Status is the agent's state as reported to operators.
@@ -113,7 +113,7 @@
 	defer a.mu.Unlock()
 	return c.JSON(http.StatusOK, Status{
 		ID: a.settings.ID, Incarnation: a.incarnation, TableVersion: a.replica.Current().Version(),
-		Waiting: a.work.queue.Waiting(), Running: a.work.queue.Running(), Leaving: a.membership.leaving, HasFence: hasFence,
+		Waiting: a.workload.queue.Waiting(), Running: a.workload.queue.Running(), Leaving: a.membership.leaving, HasFence: hasFence,
 		ControlBytes: a.traffic.WireBytes(),
 	})
 }
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -15,10 +15,10 @@
 type membership struct {
 	leaving bool
 	// stopping reports whether the agent is leaving because it stops or was superseded.
-	// listedVersion is the latest version of the platform's list of VMs that lists the agent as
+	// leavingListVersion is the latest version of the platform's list of VMs that lists the agent as
 	// leaving.
-	stopping      bool
-	listedVersion uint64
+	stopping           bool
+	leavingListVersion uint64
 	// closeAt is the time from which a leaving agent refuses new requests.
 	closeAt time.Time
 }
@@ -27,18 +27,18 @@
 func (m *membership) closed(now time.Time) bool { return m.leaving && !now.Before(m.closeAt) }
 
 // applyList records whether a version of the platform's list of VMs lists the agent as leaving. It
-// reports whether the agent is no longer leaving. That is so if a later version does not list it as
-// leaving, unless it is stopping: the earlier version then referred to a previous VM of the same
-// name.
-func (m *membership) applyList(leaving bool, list uint64) (stays bool) {
+// reports whether this canceled the leaving, which is the case if a later version does not list the
+// agent as leaving and the agent is not stopping: the earlier version then referred to a previous VM
+// of the same name.
+func (m *membership) applyList(leaving bool, listVersion uint64) (canceled bool) {
 	if leaving {
-		m.listedVersion = max(m.listedVersion, list)
+		m.leavingListVersion = max(m.leavingListVersion, listVersion)
 		return false
 	}
-	if m.stopping || !m.leaving || m.listedVersion == 0 || list <= m.listedVersion {
+	if m.stopping || !m.leaving || m.leavingListVersion == 0 || listVersion <= m.leavingListVersion {
 		return false
 	}
-	m.leaving, m.listedVersion = false, 0
+	m.leaving, m.leavingListVersion = false, 0
 	return true
 }
 
@@ -52,11 +52,12 @@
 	}
 	a.membership.leaving = true
 	a.membership.closeAt = a.clock.Now().Add(a.settings.LeaveTime.Std())
-	a.log.Info("leaving", zap.String("reason", reason), zap.Int("running", a.work.queue.Running()))
+	a.log.Info("leaving", zap.String("reason", reason), zap.Int("running", a.workload.queue.Running()))
 	a.requestExchange()
 }
 
-// LeavePermanently is like Leave, but the platform's list of VMs cannot undo it.
+// LeavePermanently is like Leave, but a later version of the platform's list of VMs does not cancel
+// it.
 func (a *Agent) LeavePermanently(reason string) {
 	a.Leave(reason)
 	a.mu.Lock()
@@ -76,7 +77,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), requestExchangeTimeout)
 		defer cancel()
-		err := a.peers.Post(ctx, addr, wire.PathExchangeTrigger, wire.ExchangeTrigger{Server: a.settings.ID}, nil)
+		err := a.entryClient.Post(ctx, addr, wire.PathExchangeTrigger, wire.ExchangeTrigger{Server: a.settings.ID}, nil)
 		if err != nil {
 			a.log.Debug("requesting an exchange with the planner failed", zap.Error(err))
 		}
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -28,10 +28,10 @@
 	Intents []ledger.Intent `json:"intents"`
 }
 
-// A record gives an agent exclusive control of its backend server. The agent that last took over
-// the key is the only one that can write it, and no order is sent before its intent is written. So
-// an agent that another one has superseded cannot record new orders, and its earlier ones are in
-// the record that the other has read.
+// A record gives an agent exclusive control of its backend server. Only the agent that last took
+// over the key can write it, and no order is sent before its intent is written. A superseded agent
+// therefore cannot record new orders, and its earlier ones are in the record that its successor has
+// read.
 type record struct {
 	store       kv.Store
 	key         string
@@ -109,15 +109,15 @@
 		return nil
 	}
 	if errors.Is(err, kv.ErrConflict) || errors.Is(err, kv.ErrUnknown) {
-		return r.recover(ctx, err)
+		return r.reconcile(ctx, err)
 	}
 	return err
 }
 
-// recover reads the record after a conflict or a lost response. It returns errSuperseded if another
+// reconcile reads the record after a conflict or a lost response. It returns errSuperseded if another
 // agent has taken over, and otherwise cause; the intents count as not recorded and may be written
 // again.
-func (r *record) recover(ctx context.Context, cause error) error {
+func (r *record) reconcile(ctx context.Context, cause error) error {
 	e, v, err := r.read(ctx)
 	if err != nil {
 		return err
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -28,8 +28,8 @@
 // estimate the number of tokens of a response.
 const bytesPerToken = 180
 
-// defaultRetryAfter is the Retry-After of refusals whose end is unknown: a load, a grant or a
-// planner's message ends them.
+// defaultRetryAfter is the Retry-After of refusals whose cause has no known end time: it ends with
+// a model load, a concurrency grant or a planner's message.
 const defaultRetryAfter = time.Second
 
 func (a *Agent) requestRouter() http.Handler {
@@ -90,14 +90,14 @@
 var errBodyTooLarge = errors.New("agent: body too long")
 
 func (a *Agent) respondBodyError(c echo.Context, err error) error {
-	f := wire.ErrorResponse{
+	errResp := wire.ErrorResponse{
 		Status: http.StatusBadRequest, Outcome: wire.OutcomeNotRun, Type: wire.TypeInvalidRequest,
 		Code: "body_unreadable", Message: err.Error(),
 	}
 	if errors.Is(err, errBodyTooLarge) {
-		f.Status, f.Code = http.StatusRequestEntityTooLarge, "body_too_long"
+		errResp.Status, errResp.Code = http.StatusRequestEntityTooLarge, "body_too_long"
 	}
-	return f.Write(c)
+	return errResp.Write(c)
 }
 
 // waitForSlot queues the request until it is granted a slot or refused. It returns neither a ticket
@@ -135,7 +135,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.handlePause(a.clock.Now())
-	a.work.demandOf(row.Name)
+	a.workload.demandOf(row.Name)
 	total := a.server.slots.Total(row.Name)
 	switch {
 	case a.closed():
@@ -148,13 +148,13 @@
 	t.Limit = fairqueue.Limit{Weight: row.EffectiveWeight(), QueueTime: row.MaxQueueTime}
 	t.Limit.MaxRunning = max(1, total*row.MaxSlotShare/100)
 	if row.MaxConcurrency > 0 {
-		grant := a.work.grants[row.Name]
+		grant := a.workload.grants[row.Name]
 		if grant == 0 {
 			return &fairqueue.Refusal{Reason: reasonConcurrency, RetryAfter: defaultRetryAfter}
 		}
 		t.Limit.MaxRunning = min(t.Limit.MaxRunning, grant)
 	}
-	a.work.queue.Push(t, a.clock.Now())
+	a.workload.queue.Push(t, a.clock.Now())
 	return nil
 }
 
@@ -169,14 +169,14 @@
 func (a *Agent) countRefusal(row string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.work.demandOf(row).refused += refusedSmoothing
+	a.workload.demandOf(row).refused += refusedSmoothing
 }
 
 // finish removes a request from the queue and charges the tokens that it used.
 func (a *Agent) finish(t *fairqueue.Ticket, tokens int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.work.queue.Done(t, tokens, a.clock.Now())
+	a.workload.queue.Done(t, tokens, a.clock.Now())
 }
 
 // refuse responds that the request was not run.
@@ -186,11 +186,11 @@
 	if r.Reason == fairqueue.ReasonQueueTime || r.Reason == reasonConcurrency {
 		status = http.StatusTooManyRequests
 	}
-	f := wire.ErrorResponse{
+	errResp := wire.ErrorResponse{
 		Status: status, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded, Code: string(r.Reason),
 		Message: "the request was not run: " + string(r.Reason), RetryAfter: max(r.RetryAfter, time.Millisecond),
 	}
-	return f.Write(c)
+	return errResp.Write(c)
 }
 
 // setStateHeaders sets the headers that report the agent's load and table version and whether it is
@@ -198,7 +198,7 @@
 func (a *Agent) setStateHeaders(h http.Header) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h.Set(wire.HeaderLoad, strconv.Itoa(a.server.slots.load(a.work.queue.Waiting())))
+	h.Set(wire.HeaderLoad, strconv.Itoa(a.server.slots.load(a.workload.queue.Waiting())))
 	h.Set(wire.HeaderTableVersion, strconv.FormatUint(a.replica.Current().Version(), 10))
 	if a.membership.leaving {
 		h.Set(wire.HeaderLeaving, a.incarnation)
@@ -216,13 +216,13 @@
 
 // forward forwards the request to the backend server and copies the response. It returns the length
 // of the response body.
-func (a *Agent) forward(c echo.Context, p grantedRequest) (int64, error) {
-	out, err := a.newBackendRequest(c.Request(), p)
+func (a *Agent) forward(c echo.Context, granted grantedRequest) (int64, error) {
+	out, err := a.newBackendRequest(c.Request(), granted)
 	if err != nil {
 		return 0, err
 	}
 	resp, err := a.backend.Do(out)
-	p.stopHeartbeat()
+	granted.stopHeartbeat()
 	if err != nil {
 		if !wire.IsNotSent(err) {
 			a.connectionLost(c.Request())
@@ -231,14 +231,14 @@
 	}
 	defer resp.Body.Close()
 	a.crashes.recordRunning()
-	if p.row.Kind != table.KindService && resp.StatusCode == http.StatusNotFound {
+	if granted.row.Kind != table.KindService && resp.StatusCode == http.StatusNotFound {
 		return 0, a.refuse(c, fairqueue.Refusal{Reason: fairqueue.ReasonNotResident, RetryAfter: defaultRetryAfter})
 	}
 	h := c.Response().Header()
 	copyHeader(h, resp.Header)
 	a.setStateHeaders(h)
 	h.Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
-	h.Set(wire.HeaderWaited, strconv.FormatInt(p.grant.Waited.Milliseconds(), 10))
+	h.Set(wire.HeaderWaited, strconv.FormatInt(granted.grant.Waited.Milliseconds(), 10))
 	c.Response().WriteHeader(resp.StatusCode)
 	n, err := copyFlushing(c.Response(), resp.Body)
 	if err != nil {
@@ -251,9 +251,9 @@
 }
 
 // newBackendRequest returns the request to the backend server.
-func (a *Agent) newBackendRequest(in *http.Request, p grantedRequest) (*http.Request, error) {
+func (a *Agent) newBackendRequest(in *http.Request, granted grantedRequest) (*http.Request, error) {
 	url := a.settings.Backend.URL + in.URL.RequestURI()
-	out, err := http.NewRequestWithContext(in.Context(), in.Method, url, bytes.NewReader(p.body))
+	out, err := http.NewRequestWithContext(in.Context(), in.Method, url, bytes.NewReader(granted.body))
 	if err != nil {
 		return nil, eris.Wrap(err, "agent: make request")
 	}
@@ -263,11 +263,11 @@
 	out.Header.Del(wire.HeaderDigest)
 	wire.DisableRetry(out)
 	a.mu.Lock()
-	accelerator := a.server.slots.accelerator(p.grant.Slot)
+	accelerator := a.server.slots.accelerator(granted.grant.Slot)
 	a.mu.Unlock()
-	if p.row.Kind != table.KindService {
+	if granted.row.Kind != table.KindService {
 		out.Header.Set(engine.HeaderAccelerator, strconv.Itoa(accelerator))
-		out.Header.Set(engine.HeaderPriority, strconv.Itoa(p.row.EffectiveWeight()))
+		out.Header.Set(engine.HeaderPriority, strconv.Itoa(granted.row.EffectiveWeight()))
 	}
 	return out, nil
 }
@@ -279,15 +279,15 @@
 		return nil
 	}
 	a.setStateHeaders(c.Response().Header())
-	f := wire.ErrorResponse{
+	errResp := wire.ErrorResponse{
 		Status: http.StatusBadGateway, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer,
 		Code: "backend_lost", Message: "the backend server gave no answer; the request may have run",
 	}
 	if wire.IsNotSent(err) {
-		f.Status, f.Outcome, f.Code = http.StatusServiceUnavailable, wire.OutcomeNotRun, "backend_unreachable"
-		f.Message, f.RetryAfter = "the backend server could not be reached; the request was not run", defaultRetryAfter
+		errResp.Status, errResp.Outcome, errResp.Code = http.StatusServiceUnavailable, wire.OutcomeNotRun, "backend_unreachable"
+		errResp.Message, errResp.RetryAfter = "the backend server could not be reached; the request was not run", defaultRetryAfter
 	}
-	return f.Write(c)
+	return errResp.Write(c)
 }
 
 // hopByHopHeaders are the hop-by-hop headers, which are not forwarded.
@@ -305,7 +305,7 @@
 	}
 }
 
-// copyFlushing copies r to w and flushes after each read. It returns the number of bytes read.
+// copyFlushing copies r to w and flushes w after each read. It returns the number of bytes read.
 func copyFlushing(w *echo.Response, r io.Reader) (int64, error) {
 	buf := make([]byte, copyBufferSize)
 	var total int64
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -15,8 +15,8 @@
 type serverState struct {
 	ledger ledger.Ledger
 	slots  *slotTable
-	// unloads are the orders that wait for their copies to drain.
-	unloads map[copyID]placement.Order
+	// unloads are the unload orders whose replicas are still draining.
+	unloads map[replicaID]placement.Order
 	// statusFailures is the number of consecutive failed status calls.
 	statusFailures int
 	// tookOverAt is the time at which the agent acquired its fencing token. statusCurrent reports
@@ -24,7 +24,8 @@
 	// of an earlier agent.
 	tookOverAt    time.Time
 	statusCurrent bool
-	// engineResponds is always true for a plain service.
+	// engineResponds reports whether the engine responds to status calls. It is always true for a
+	// plain service.
 	engineResponds bool
 	// version is the version of lastRecord, the record that the planner gets.
 	version    uint64
@@ -32,7 +33,7 @@
 }
 
 func newServerState() serverState {
-	return serverState{slots: newSlotTable(), unloads: make(map[copyID]placement.Order)}
+	return serverState{slots: newSlotTable(), unloads: make(map[replicaID]placement.Order)}
 }
 
 // stepStatus reads the engine's status and applies it.
@@ -48,7 +49,7 @@
 	a.server.statusFailures = 0
 	a.server.ledger.ApplyReport(ledger.Report{MemoryMiB: status.MemoryMiB, Residents: status.Residents, Finished: status.Finished}, now)
 	a.server.slots.setResidents(status.Residents, len(status.MemoryMiB), status.Slots)
-	a.resumeCopies()
+	a.resumeReplicas()
 	a.server.engineResponds = true
 	a.server.statusCurrent = requestedAt.After(a.server.tookOverAt)
 }
@@ -72,11 +73,11 @@
 	a.server.slots.setResidents(nil, 0, a.server.slots.slotsPerAccelerator)
 }
 
-// resumeCopies makes copies accept requests again whose unload order has ended without unloading
-// them. a.mu must be held.
-func (a *Agent) resumeCopies() {
+// resumeReplicas makes the replicas accept requests again whose unload order has ended without
+// unloading them. a.mu must be held.
+func (a *Agent) resumeReplicas() {
 	for id := range a.server.slots.draining {
-		if _, waits := a.server.unloads[id]; !waits && !a.server.ledger.HasIntentFor(id.name) {
+		if _, waiting := a.server.unloads[id]; !waiting && !a.server.ledger.HasIntentFor(id.name) {
 			a.server.slots.resume(id)
 		}
 	}
@@ -96,7 +97,7 @@
 		s.Residents = a.server.slots.withDraining(a.server.ledger.Residents())
 		s.Slots = a.server.slots.slotsPerAccelerator
 	}
-	s.Demand = a.work.demandLevels(now)
+	s.Demand = a.workload.demandLevels(now)
 	if a.server.version == 0 || !s.EqualExceptVersion(a.server.lastRecord) {
 		a.server.version++
 		a.server.lastRecord = s
--- a/internal/agent/server_end.go
+++ b/internal/agent/server_end.go
@@ -24,17 +24,18 @@
 type crashDetector struct {
 	clock clock.Service
 	table *quarantine.Table
-	// addr is the address of the server. namePrefix is the prefix of the names of its runs; a run
-	// lasts from a start of the server to its next crash.
+	// addr is the address of the server. namePrefix is the prefix of the names of its instances. An
+	// instance lasts from a start of the server to its next crash.
 	addr, namePrefix string
 	// onCrash is called after a request has been recorded.
 	onCrash func()
 	log     *zap.Logger
 
 	mu sync.Mutex
-	// run is the index of the current or last run. ended reports whether that run is over.
-	run   int
-	ended bool
+	// instance is the index of the current or last instance. crashed reports whether it has
+	// crashed.
+	instance int
+	crashed  bool
 }
 
 // hostPort returns the host and port of a base URL, or "" if the URL is invalid.
@@ -50,13 +51,13 @@
 func (d *crashDetector) recordRunning() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.ended {
-		d.run++
-		d.ended = false
+	if d.crashed {
+		d.instance++
+		d.crashed = false
 	}
 }
 
-// serverCrashed asks the planner for an immediate exchange, so that it receives the crash.
+// serverCrashed asks the planner for an immediate exchange, which reports the crash.
 func (a *Agent) serverCrashed() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,31 +74,31 @@
 		return
 	}
 	if req.Context().Err() == nil {
-		go a.crashes.connectionLost(k)
+		go a.crashes.probeServer(k)
 	}
 }
 
-// connectionLost probes the server after the connection of a request was lost. If nothing listens
+// probeServer probes the server after the connection of a request was lost. If nothing listens
 // at the server's address, it records a crash during the request.
-func (d *crashDetector) connectionLost(k quarantine.Key) {
+func (d *crashDetector) probeServer(k quarantine.Key) {
 	p := wire.Probe{Clock: d.clock, Connect: wire.TryConnect}
 	if p.Run(context.Background(), d.addr) == wire.ServerEnded {
 		d.recordCrash(k)
 	}
 }
 
-// recordCrash records that the current run of the server has crashed during a request. Several
-// requests may be recorded for one run.
+// recordCrash records that the current server instance has crashed during a request. Several
+// requests may be recorded for one instance.
 func (d *crashDetector) recordCrash(k quarantine.Key) {
 	d.mu.Lock()
-	first := !d.ended
-	d.ended = true
-	run := d.namePrefix + "/" + strconv.Itoa(d.run)
+	first := !d.crashed
+	d.crashed = true
+	instance := d.namePrefix + "/" + strconv.Itoa(d.instance)
 	d.mu.Unlock()
 	if first {
-		d.log.Info("server ended", zap.String("run", run))
+		d.log.Info("server ended", zap.String("run", instance))
 	}
-	d.log.Info("request recorded with the server's end", zap.String("run", run), zap.Stringer("digest", k))
-	d.table.RecordCrash(run, k)
+	d.log.Info("request recorded with the server's crash", zap.String("run", instance), zap.Stringer("digest", k))
+	d.table.RecordCrash(instance, k)
 	d.onCrash()
 }
--- a/internal/entry/claim_calls.go
+++ b/internal/entry/claim_calls.go
@@ -37,9 +37,9 @@
 	if c.shards[i].IsOpen() {
 		return c.claimLocal(ctx, i, r)
 	}
-	var a wire.ClaimResponse
-	err := c.callOwner(ctx, i, wire.PathClaim, r, &a)
-	return a, err
+	var resp wire.ClaimResponse
+	err := c.callOwner(ctx, i, wire.PathClaim, r, &resp)
+	return resp, err
 }
 
 // claimLocal claims a key of shard i, which this entry owns.
@@ -72,8 +72,9 @@
 	c.shards[i].Finish(r.Key, r.Attempt, *r.Answer)
 }
 
-// callOwner posts a message to the entry that owns the shard. It tries again, after reading the
-// lease anew, if the shard's owner has changed.
+// callOwner posts a message to the entry that owns the shard. If a call certainly had no effect, for
+// example because the shard's owner has changed, it looks up the owner again and retries, up to
+// maxOwnerCalls calls.
 func (c *claims) callOwner(ctx context.Context, i int, path string, in, out any) error {
 	for try := range maxOwnerCalls {
 		addr, err := c.owner(ctx, i, try > 0)
@@ -96,13 +97,13 @@
 }
 
 // owner returns the address of the shard's owner. It returns the cached owner, unless there is
-// none, or again is set and the cached one is older than ownerCacheTime; then it reads the shard's
+// none, or refresh is set and the cached one is older than ownerCacheTime; then it reads the shard's
 // lease.
-func (c *claims) owner(ctx context.Context, i int, again bool) (string, error) {
+func (c *claims) owner(ctx context.Context, i int, refresh bool) (string, error) {
 	c.mu.Lock()
 	o, ok := c.owners[i]
 	c.mu.Unlock()
-	if ok && (!again || c.clock.Now().Sub(o.at) < ownerCacheTime) {
+	if ok && (!refresh || c.clock.Now().Sub(o.at) < ownerCacheTime) {
 		return o.addr, nil
 	}
 	entry, err := c.store.Get(ctx, "lease/"+leaseName(i))
@@ -125,14 +126,14 @@
 // serveClaim handles a claim forwarded by another entry.
 func (c *claims) serveClaim(ec echo.Context) error {
 	return c.serveOwned(ec, func(i int, r wire.ClaimRequest) error {
-		a, err := c.claimLocal(ec.Request().Context(), i, r)
+		resp, err := c.claimLocal(ec.Request().Context(), i, r)
 		switch {
 		case errors.Is(err, claim.ErrNotOwner):
 			return ec.NoContent(http.StatusMisdirectedRequest)
 		case err != nil:
 			return ec.String(http.StatusServiceUnavailable, err.Error())
 		}
-		return ec.JSON(http.StatusOK, a)
+		return ec.JSON(http.StatusOK, resp)
 	})
 }
 
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -63,14 +63,14 @@
 func newClaims(o claimsOptions) *claims {
 	s := o.settings
 	c := &claims{claimsOptions: o, owners: make(map[int]cachedOwner)}
-	flush := time.Duration(float64(s.Shards) / s.WritesPerSecond * float64(time.Second))
+	flushInterval := time.Duration(float64(s.Shards) / s.WritesPerSecond * float64(time.Second))
 	for i := range s.Shards {
 		h := lease.New(o.store, o.clock, lease.Options{
 			Name: leaseName(i), Holder: o.id, Addr: o.addr, TTL: s.LeaseTTL.Std(),
 		})
 		c.holders = append(c.holders, h)
 		c.shards = append(c.shards, claim.NewShard(o.store, o.clock, claim.Options{
-			Index: i, Owner: o.id, Retention: s.Retention.Std(), FlushInterval: flush,
+			Index: i, Owner: o.id, Retention: s.Retention.Std(), FlushInterval: flushInterval,
 			HoldsLease: func() bool { _, held := h.Held(); return held },
 		}))
 	}
@@ -82,17 +82,17 @@
 // start starts the lease renewal and one goroutine per shard, so that a slow write delays no other
 // shard.
 func (c *claims) start() {
-	every := c.settings.LeaseTTL.Std() / leaseRenewalsPerTTL
-	c.unsubscribe = append(c.unsubscribe, c.clock.Subscribe(every, func(time.Time) { c.stepLeases() }))
+	interval := c.settings.LeaseTTL.Std() / leaseRenewalsPerTTL
+	c.unsubscribe = append(c.unsubscribe, c.clock.Subscribe(interval, func(time.Time) { c.stepLeases() }))
 	for i := range c.shards {
-		go c.run(i)
+		go c.runShard(i)
 	}
 	go c.stepLeases()
 }
 
-// run writes the records of shard i whenever some are pending, within the shard's share of the
+// runShard writes the records of shard i whenever some are pending, within the shard's share of the
 // write rate.
-func (c *claims) run(i int) {
+func (c *claims) runShard(i int) {
 	for {
 		select {
 		case <-c.shards[i].Wake():
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -35,14 +35,14 @@
 	headerSent bool
 	// tokens is the number of tokens that have been streamed to the client.
 	tokens int
-	// refusal is the refusal to return if no other server accepts the request.
+	// refusal is the response to return if no other server accepts the request.
 	refusal *wire.ErrorResponse
 	// tried maps the id of each server tried to its incarnation at the time.
 	tried map[string]string
 	// mayHaveRun reports whether the request may have run on a server that was then lost.
 	mayHaveRun bool
-	// refusedByLeaving reports whether a server refused the request because it is leaving.
-	refusedByLeaving bool
+	// refusedByLeavingServer reports whether a server refused the request because it is leaving.
+	refusedByLeavingServer bool
 	// finish is called with the outcome before the end of the response is sent to the client.
 	finish func(wire.Outcome)
 }
@@ -57,17 +57,17 @@
 func (p *proxy) forwardThen(c echo.Context, x *call, finish func(wire.Outcome)) {
 	fw := &forwarder{proxy: p, echoContext: c, call: x, tried: make(map[string]string), finish: finish}
 	x.digest = digestOf(c.Request(), x.row.Name, x.body)
-	p.budget.RecordFirstAttempt()
+	p.retryBudget.RecordFirstAttempt()
 	for try := 0; try < maxAttempts; try++ {
 		s, ok := fw.next()
 		if !ok {
 			break
 		}
-		if f, quarantined := fw.quarantined(); quarantined {
-			fw.refusal = &f
+		if errResp, quarantined := fw.quarantined(); quarantined {
+			fw.refusal = &errResp
 			break
 		}
-		if try > 0 && !p.budget.Allow() {
+		if try > 0 && !p.retryBudget.Allow() {
 			p.log.Warn("retry budget exhausted", zap.String("request", x.id))
 			break
 		}
@@ -79,7 +79,7 @@
 			return
 		}
 	}
-	fw.giveUp()
+	fw.failCall()
 }
 
 // next returns the server to try next. While one may become available, it waits for up to the
@@ -112,7 +112,7 @@
 	if fw.mayHaveRun {
 		return true
 	}
-	return fw.proxy.isLoading(fw.call.row.Name) && (len(fw.tried) == 0 || fw.refusedByLeaving)
+	return fw.proxy.isLoading(fw.call.row.Name) && (len(fw.tried) == 0 || fw.refusedByLeavingServer)
 }
 
 // choose returns the best server not yet tried. A leaving server is chosen only if no other serves
@@ -121,26 +121,26 @@
 	servers := slices.DeleteFunc(slices.Clone(fw.proxy.view.ServersFor(fw.call.row.Name)), func(s fleet.Server) bool {
 		return fw.tried[s.ID] == s.Incarnation
 	})
-	staying := slices.DeleteFunc(slices.Clone(servers), fw.leaving)
+	staying := slices.DeleteFunc(slices.Clone(servers), fw.isLeaving)
 	if len(staying) > 0 {
 		servers = staying
 	}
 	if len(servers) == 0 {
 		return fleet.Server{}, false
 	}
-	cands := make([]route.Candidate, len(servers))
+	candidates := make([]route.Candidate, len(servers))
 	for i, s := range servers {
-		cands[i] = route.Candidate{ID: s.ID, Hall: s.Hall}
+		candidates[i] = route.Candidate{ID: s.ID, Hall: s.Hall}
 	}
-	best := fw.proxy.routes.Order(cands, fw.call.prefix, fw.proxy.clock.Now())[0]
+	best := fw.proxy.loadTable.Order(candidates, fw.call.prefix, fw.proxy.clock.Now())[0]
 	i := slices.IndexFunc(servers, func(s fleet.Server) bool { return s.ID == best.ID })
 	return servers[i], true
 }
 
-// leaving reports whether a server is leaving according to its responses, its record or the
+// isLeaving reports whether a server is leaving according to its responses, its record or the
 // platform's list of VMs.
-func (fw *forwarder) leaving(s fleet.Server) bool {
-	return s.Leaving || fw.proxy.members.isLeaving(s.ID) || fw.proxy.routes.IsLeaving(s.ID, s.Incarnation)
+func (fw *forwarder) isLeaving(s fleet.Server) bool {
+	return s.Leaving || fw.proxy.members.isLeaving(s.ID) || fw.proxy.loadTable.IsLeaving(s.ID, s.Incarnation)
 }
 
 // isLoading reports whether a server is loading the model or adapter.
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -11,14 +11,14 @@
 
 // recordRefusal records an agent's refusal unless an earlier one has a shorter Retry-After.
 func (fw *forwarder) recordRefusal(resp *http.Response) {
-	f := &wire.ErrorResponse{
+	errResp := &wire.ErrorResponse{
 		Status: resp.StatusCode, Outcome: wire.OutcomeNotRun, Type: wire.TypeOverloaded,
 		Code: resp.Header.Get(wire.HeaderReason), RetryAfter: wire.RetryAfter(resp.Header),
 	}
-	f.Message = "the request was not run: " + f.Code
-	fw.refusedByLeaving = fw.refusedByLeaving || resp.Header.Get(wire.HeaderLeaving) != ""
-	if fw.refusal == nil || f.RetryAfter < fw.refusal.RetryAfter {
-		fw.refusal = f
+	errResp.Message = "the request was not run: " + errResp.Code
+	fw.refusedByLeavingServer = fw.refusedByLeavingServer || resp.Header.Get(wire.HeaderLeaving) != ""
+	if fw.refusal == nil || errResp.RetryAfter < fw.refusal.RetryAfter {
+		fw.refusal = errResp
 	}
 }
 
@@ -26,9 +26,9 @@
 // is over.
 func (fw *forwarder) attemptFailed(s fleet.Server, err error) bool {
 	if fw.echoContext.Request().Context().Err() != nil {
-		return fw.clientGone()
+		return fw.clientDisconnected()
 	}
-	fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
+	fw.proxy.loadTable.Avoid(s.ID, fw.proxy.clock.Now())
 	if wire.IsNotSent(err) {
 		fw.refusal = &wire.ErrorResponse{
 			Status: http.StatusServiceUnavailable, Outcome: wire.OutcomeNotRun, Type: wire.TypeServer,
@@ -46,7 +46,7 @@
 func (fw *forwarder) serverLost(s fleet.Server, err error) bool {
 	fw.proxy.log.Warn("backend server lost during a request", zap.String("request", fw.call.id), zap.String("server", s.ID),
 		zap.Int("tokens", fw.tokens), zap.Error(err))
-	fw.proxy.routes.Avoid(s.ID, fw.proxy.clock.Now())
+	fw.proxy.loadTable.Avoid(s.ID, fw.proxy.clock.Now())
 	fw.mayHaveRun = true
 	if fw.call.repeatable && (!fw.headerSent || fw.call.stream) {
 		return false
@@ -59,10 +59,10 @@
 	return true
 }
 
-// respond sends a failure to the client. A write error is ignored: the client has disconnected.
-func (fw *forwarder) respond(f wire.ErrorResponse) { _ = f.Write(fw.echoContext) }
+// respond sends an error response to the client. A write error is ignored: the client has disconnected.
+func (fw *forwarder) respond(errResp wire.ErrorResponse) { _ = errResp.Write(fw.echoContext) }
 
-// unknownOutcome returns the failure of a request that may have run and is not sent again.
+// unknownOutcome returns the error response for a request that may have run and is not sent again.
 func (fw *forwarder) unknownOutcome() wire.ErrorResponse {
 	return wire.ErrorResponse{
 		Status: http.StatusBadGateway, Outcome: wire.OutcomeUnknown, Type: wire.TypeServer, Code: "backend_lost",
@@ -70,16 +70,16 @@
 	}
 }
 
-// clientGone ends a call whose client has disconnected. It returns true: the call is over.
-func (fw *forwarder) clientGone() bool {
+// clientDisconnected ends a call whose client has disconnected. It returns true: the call is over.
+func (fw *forwarder) clientDisconnected() bool {
 	fw.recordOutcome(wire.OutcomeUnknown)
 	return true
 }
 
-// giveUp ends a call for which no server or no retry is left.
-func (fw *forwarder) giveUp() {
+// failCall ends a call for which no server or no retry is left.
+func (fw *forwarder) failCall() {
 	if fw.echoContext.Request().Context().Err() != nil {
-		fw.clientGone()
+		fw.clientDisconnected()
 		return
 	}
 	if fw.headerSent {
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -29,14 +29,14 @@
 	// staleAfter is the time without a response from another entry after which an entry watches the
 	// table itself.
 	staleAfter = 4 * time.Second
-	// watchRetryInterval is the interval of the checks whether to watch the table, and the delay
-	// after a failed watch.
+	// watchRetryInterval is the interval between checks whether this entry should watch the table,
+	// and the delay after a failed watch.
 	watchRetryInterval = 500 * time.Millisecond
 	// tableWatchers is the number of entries that watch the table even if they plan no cell.
 	tableWatchers = 4
 )
 
-// tableKey is the key by which entries are ranked for watching the table.
+// tableKey is the rendezvous key by which entries are ranked for watching the table.
 const tableKey = "table"
 
 // A syncer replicates the table, the servers' records and the quarantined requests between entries.
@@ -91,15 +91,15 @@
 		return
 	}
 	peer := peers[rand.IntN(len(peers))]
-	var a wire.SyncResponse
+	var resp wire.SyncResponse
 	link := s.link(peer.ID)
-	err := s.peers.PostWithStallTimeout(s.ctx, syncTimeout, peer.Control, wire.PathSync, s.request(link.Message(peer.ID)), &a)
+	err := s.peers.PostWithStallTimeout(s.ctx, syncTimeout, peer.Control, wire.PathSync, s.request(link.Message(peer.ID)), &resp)
 	if err != nil {
 		s.log.Debug("sync with another entry failed", zap.String("peer", peer.ID), zap.Error(err))
 		return
 	}
-	link.ApplyReply(a.Quarantine)
-	s.apply(a)
+	link.ApplyReply(resp.Quarantine)
+	s.apply(resp)
 }
 
 // link returns the quarantine exchange with another entry.
@@ -120,11 +120,11 @@
 }
 
 // apply merges another entry's response.
-func (s *syncer) apply(a wire.SyncResponse) {
-	if s.replica.Merge(a.Table) {
+func (s *syncer) apply(resp wire.SyncResponse) {
+	if s.replica.Merge(resp.Table) {
 		s.log.Info("table in force", zap.Uint64("version", s.replica.Current().Version()), zap.String("from", "entry"))
 	}
-	s.view.Merge(a.Cells)
+	s.view.Merge(resp.Cells)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastSync = s.clock.Now()
@@ -137,12 +137,12 @@
 		return err
 	}
 	t := s.replica.Current()
-	a := wire.SyncResponse{Table: t.DeltaSince(r.Table), TableVersion: t.Version()}
+	resp := wire.SyncResponse{Table: t.DeltaSince(r.Table), TableVersion: t.Version()}
 	if !r.TableOnly {
-		a.Cells = s.view.DeltasSince(r.Cells)
-		a.Quarantine = s.quarantine.Answer(r.Quarantine, quarantine.AllRecords)
+		resp.Cells = s.view.DeltasSince(r.Cells)
+		resp.Quarantine = s.quarantine.Answer(r.Quarantine, quarantine.AllRecords)
 	}
-	return c.JSON(http.StatusOK, a)
+	return c.JSON(http.StatusOK, resp)
 }
 
 // watchTable follows the table in the platform's key-value service while shouldWatch reports that
@@ -150,21 +150,21 @@
 func (s *syncer) watchTable() {
 	for s.ctx.Err() == nil {
 		if !s.shouldWatch() {
-			s.pause()
+			s.waitToRetry()
 			continue
 		}
 		if err := s.watchOnce(); err != nil {
 			s.log.Debug("watching the table failed", zap.Error(err))
-			s.pause()
+			s.waitToRetry()
 		}
 	}
 }
 
-func (s *syncer) pause() { clock.Sleep(s.ctx, s.clock, watchRetryInterval) }
+func (s *syncer) waitToRetry() { clock.Sleep(s.ctx, s.clock, watchRetryInterval) }
 
 // shouldWatch reports whether this entry should watch the table. It should if it has no table yet,
-// plans a cell, ranks among the first tableWatchers entries or has not heard from another entry for
-// staleAfter. All other entries receive changes from those that watch.
+// plans a cell, ranks among the first tableWatchers entries or has had no response from another
+// entry for staleAfter. All other entries receive changes from those that watch.
 func (s *syncer) shouldWatch() bool {
 	if s.replica.Current().Version() == 0 || len(s.planner.HeldCells()) > 0 {
 		return true
@@ -179,23 +179,23 @@
 
 // watchOnce waits for a table newer than the one in force and puts it in force.
 func (s *syncer) watchOnce() error {
-	have := s.replica.Current()
+	current := s.replica.Current()
 	s.mu.Lock()
 	after := s.tableRevision
 	s.mu.Unlock()
-	t, rev, err := s.tableLog.Watch(s.ctx, have, after, tableWatchTimeout)
+	t, rev, err := s.tableLog.Watch(s.ctx, current, after, tableWatchTimeout)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	s.tableRevision = rev
 	s.mu.Unlock()
-	s.offer(t)
+	s.storeIfNewer(t)
 	return nil
 }
 
-// offer puts a table in force if it is newer than the current one.
-func (s *syncer) offer(t *table.Table) {
+// storeIfNewer puts a table in force if it is newer than the current one.
+func (s *syncer) storeIfNewer(t *table.Table) {
 	if s.replica.StoreIfNewer(t) {
 		s.log.Info("table in force", zap.Uint64("version", t.Version()), zap.String("from", "kv"))
 	}
--- a/internal/planner/grants.go
+++ b/internal/planner/grants.go
@@ -22,11 +22,11 @@
 
 // report replaces an agent's grants by those that it has reported.
 func (t *grantTracker) report(agent string, grants []wire.ConcurrencyGrant) {
-	has := make(map[string]int)
+	held := make(map[string]int)
 	for _, g := range grants {
-		has[g.Row] = g.Max
+		held[g.Row] = g.Max
 	}
-	t.maxHeld[agent] = has
+	t.maxHeld[agent] = held
 }
 
 // recordSend records grants before they are sent. Since the message may be lost, the larger of the
@@ -49,24 +49,25 @@
 // heldByOthers returns the sum of the grants of a row that all other agents may hold.
 func (t *grantTracker) heldByOthers(agent, row string) int {
 	sum := 0
-	for id, has := range t.maxHeld {
+	for id, held := range t.maxHeld {
 		if id != agent {
-			sum += has[row]
+			sum += held[row]
 		}
 	}
 	return sum
 }
 
 // next returns the grants to send to an agent: for each limited row that it serves, an even share
-// of the cell's part of the limit. A grant increases only as far as the other agents' grants allow,
-// and only if complete reports that all agents of the cell have reported.
-func (t *grantTracker) next(agent string, rows []table.Row, servers []fleet.Server, part limitShare, complete bool) []wire.ConcurrencyGrant {
+// of the cell's part of the limit, as given by share. A grant increases only as far as the other
+// agents' grants allow, and only if complete is set, which means that all agents of the cell have
+// reported.
+func (t *grantTracker) next(agent string, rows []table.Row, servers []fleet.Server, share limitShare, complete bool) []wire.ConcurrencyGrant {
 	var grants []wire.ConcurrencyGrant
 	for _, r := range rows {
 		if r.MaxConcurrency == 0 {
 			continue
 		}
-		limit := part(r.MaxConcurrency)
+		limit := share(r.MaxConcurrency)
 		target := agentShare(agent, r.Name, limit, servers)
 		current := t.maxHeld[agent][r.Name]
 		if target > current {
