--- a/internal/placer/doc.go
+++ b/internal/placer/doc.go
@@ -13,7 +13,7 @@
 // number.
 //
 // A leader that cannot reach the store stops issuing orders before its lease expires; engines then keep what
-// they hold. An engine that does not answer gets no order until it has reported again.
+// they hold. An engine that does not respond gets no order until it has reported again.
 //
 // A sequence number counts the orders that an engine has accepted. A version of the residency consists of the
 // leader's token and a count of changes. Memory is in megabytes, demand in tokens per second.
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -31,10 +31,10 @@
 	// cacheUnknownDuration is how long after a load a report may still list cached weights that the load has
 	// evicted.
 	cacheUnknownDuration = 700 * time.Millisecond
-	// maxLoadWait is how long a load may wait for memory to be freed on its engine. An order that was not
-	// answered may be carried out up to 12 s later, so the wait has to be longer.
+	// maxLoadWait is how long a load may wait for memory to be freed on its engine. An order without a
+	// response may be carried out up to 12 s later, so the wait has to be longer.
 	maxLoadWait = 13 * time.Second
-	// orderRetryDelay is the delay before the report that follows an unanswered order.
+	// orderRetryDelay is the delay before the report that follows an order without a response.
 	orderRetryDelay = 300 * time.Millisecond
 )
 
@@ -63,8 +63,7 @@
 	lastAccepted time.Time
 	// callInProgress is set while a call to the engine is in progress.
 	callInProgress bool
-	// otherInstance is set when the last report came from another incarnation of the server than the
-	// registered one.
+	// otherInstance is set when the last report came from another server instance than the registered one.
 	otherInstance bool
 	// nextReport is when the next report is due, or zero if none is.
 	nextReport time.Time
@@ -151,7 +150,7 @@
 }
 
 // isLoadOverdue reports whether a load has waited for longer than maxLoadWait. Either the engine lets running
-// requests end before it unloads a model, or it does not answer.
+// requests end before it unloads a model, or it does not respond.
 func (e *engineState) isLoadOverdue(now time.Time) bool {
 	n := len(e.pending)
 	if n == 0 || e.pending[n-1].Unload || now.Sub(e.plannedAt) < maxLoadWait {
@@ -169,15 +168,15 @@
 	return model
 }
 
-// isFromOtherInstance reports whether a report comes from another incarnation of the server than the
-// registered one. This happens when the server has restarted and its new record has not been seen yet.
-// Incarnations cannot be told apart where the records do not identify them.
+// isFromOtherInstance reports whether a report comes from another server instance than the registered one.
+// This happens when the server has restarted and its new record has not been seen yet. It returns false where
+// the records or the reports do not identify the instance.
 func (e *engineState) isFromOtherInstance(r backend.Report) bool {
 	return r.ServerID != "" && e.server.Instance != "" && r.ServerID != e.server.ID
 }
 
-// apply updates the engine's state from a report. It returns false and changes nothing if the report may
-// predate the last accepted order.
+// apply updates the engine's state from a report and reports whether it did. A report that may predate the
+// last accepted order is ignored.
 func (e *engineState) apply(r backend.Report, now time.Time) bool {
 	if e.known && r.Sequence < e.sequence && now.Sub(e.lastAccepted) < maxReportLag {
 		return false
@@ -197,7 +196,7 @@
 }
 
 // completeOrders removes the pending orders that the last report shows as carried out, including those whose
-// answer was lost. It returns the model that was loaded, if any. The engine must have no order in progress.
+// response was lost. It returns the model that was loaded, if any. The engine must have no order in progress.
 func (e *engineState) completeOrders(now time.Time) (loaded string) {
 	for len(e.pending) > 0 {
 		o := e.pending[0]
--- a/internal/placer/harness_test.go
+++ b/internal/placer/harness_test.go
@@ -42,12 +42,13 @@
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
 	issued  []issuedOrder
-	// respond, if not nil, returns the answer to the n-th order and whether the order is carried out.
+	// respond, if not nil, returns the outcome of the n-th order, whether the order is carried out, and an
+	// error.
 	respond func(n int, o backend.Order) (out backend.OrderOutcome, done bool, err error)
 }
 
 type fakeEngine struct {
-	// serverID is the incarnation named in reports; empty for none.
+	// serverID is the server instance named in reports; empty for none.
 	serverID        string
 	sequence        int
 	fence           int64
--- a/internal/placer/loads_test.go
+++ b/internal/placer/loads_test.go
@@ -11,7 +11,7 @@
 	"rockcleat/dispatch"
 )
 
-// TestLoadsAddUp checks the totals after random updates of the gateways' loads.
+// TestLoadsAddUp checks the totals of the other gateways' loads after random updates.
 func TestLoadsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLoadTotals()
--- a/internal/placer/orders.go
+++ b/internal/placer/orders.go
@@ -83,11 +83,11 @@
 	p.publish(now)
 }
 
-// handleOtherInstance handles a report from another incarnation of an engine than the registered one. The
-// registered incarnation is gone: it gets no orders and holds nothing. The registry will list the new one.
+// handleOtherInstance handles a report from another server instance than the registered one. The registered
+// instance has ended: it gets no orders and holds nothing. The registry will list the new one.
 func (p *Placer) handleOtherInstance(e *engineState, r backend.Report, now time.Time) {
 	if !e.otherInstance {
-		p.opts.Log.Info("report from another incarnation of the server", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
+		p.opts.Log.Info("report from another server instance than the registered one", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
 	}
 	e.known, e.otherInstance = false, true
 	e.nextReport = now.Add(pollInterval)
@@ -140,7 +140,7 @@
 	return p.opts.Engines.Order(p.ctx, s, o)
 }
 
-// An orderResult is the result of an order.
+// An orderResult is an order with its outcome.
 type orderResult struct {
 	order   backend.Order
 	outcome backend.OrderOutcome
@@ -180,7 +180,7 @@
 		e.pending = nil
 	case backend.OrderUnanswered:
 		// The order may still be carried out. Request a report, then repeat the order with the same sequence
-		// number, so that the engine accepts it only once.
+		// number, so that the engine accepts it at most once.
 		e.known = false
 		e.nextReport = now.Add(orderRetryDelay)
 	default:
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -28,8 +28,8 @@
 type Lease interface {
 	// Held returns the fencing token and reports whether the lease is certainly still held.
 	Held() (lease.Token, bool)
-	// OtherHolder returns the record of the last other holder that was observed. HasSeenOther reports whether
-	// any was.
+	// LastRecord returns the record last seen under the lease's key, or a zero Record if none was seen.
+	// HasSeenOther reports whether the record of another holder was ever seen.
 	LastRecord() lease.Record
 	HasSeenOther() bool
 	// Campaign tries to acquire and keep the lease until ctx is done. Release gives up the lease.
@@ -76,7 +76,8 @@
 	adapterWaitingSince map[backend.Adapter]time.Time
 	// plannedAt holds the time of the last model plan of each service.
 	plannedAt map[string]time.Time
-	// successions holds, by service, the order observed in this term in which demand moves between models.
+	// successions estimates, by service, the order in which demand moves between models. It starts empty in
+	// each term.
 	successions      map[string]*residency.SequenceEstimator
 	storeLoadLimiter storeLoadLimiter
 	speeds           speedTable
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -220,8 +220,8 @@
 	assert.Equal(t, f.engines.orders()[0].server, "e1")
 }
 
-// TestAdapterOfAThrottledEngineIsLoadedElsewhere checks that an adapter is loaded on another engine if its only
-// engine limits its requests.
+// TestAdapterOfAThrottledEngineIsLoadedElsewhere checks that an adapter held only by a throttled engine is
+// loaded on another one.
 func TestAdapterOfAThrottledEngineIsLoadedElsewhere(t *testing.T) {
 	synctest.Test(t, testAdapterOfAThrottledEngineIsLoadedElsewhere)
 }
@@ -263,8 +263,8 @@
 	assert.Equal(t, len(reply.Gateways), 1, "a gateway that was silent no longer counts")
 }
 
-// TestResidencyIsSentInParts checks that a gateway is sent what has changed since the version that it has,
-// and everything if that version is of another term.
+// TestResidencyIsSentInParts checks that a gateway is sent the engines that have changed since the version
+// that it has, and all engines if that version belongs to another term.
 func TestResidencyIsSentInParts(t *testing.T) { synctest.Test(t, testResidencyIsSentInParts) }
 
 func testResidencyIsSentInParts(t *testing.T) {
@@ -288,8 +288,8 @@
 	assert.Assert(t, reply.Full && len(reply.Residency) == 2, "%+v", reply)
 }
 
-// TestPastDemandIsNotCounted guards against counters of past demand that are taken for current demand by a
-// new leader and cause moves.
+// TestPastDemandIsNotCounted guards against a new leader that takes counters of past demand for current
+// demand and plans moves.
 func TestPastDemandIsNotCounted(t *testing.T) { synctest.Test(t, testPastDemandIsNotCounted) }
 
 func testPastDemandIsNotCounted(t *testing.T) {
@@ -318,8 +318,8 @@
 	assert.Equal(t, f.engines.orders()[0].order.Adapter, "a1")
 }
 
-// TestStuckUnloadBlocksNoOtherLoad checks that an engine whose unload never completes does not block a
-// model: the model is loaded on another engine, and so are the other models.
+// TestStuckUnloadBlocksNoOtherLoad checks that a load that waits for an unload which never completes is
+// planned on another engine, and that it does not delay the loads of other models.
 func TestStuckUnloadBlocksNoOtherLoad(t *testing.T) {
 	synctest.Test(t, testStuckUnloadBlocksNoOtherLoad)
 }
@@ -343,8 +343,8 @@
 	})
 }
 
-// TestAnotherIncarnationOfAnEngine checks a report from another incarnation of an engine than the registered
-// one: the engine gets no order and is published as empty. Once the new incarnation is registered, its
+// TestAnotherIncarnationOfAnEngine checks a report from another server instance than the registered one: the
+// registered instance gets no order and is published as empty. Once the new instance is registered, its
 // sequence numbers start at 0.
 func TestAnotherIncarnationOfAnEngine(t *testing.T) {
 	synctest.Test(t, testAnotherIncarnationOfAnEngine)
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// abandonOverdueLoads drops loads that have waited too long for their engine, so that they are planned on
+// abandonOverdueLoads removes loads that have waited too long for their engine, so that they are planned on
 // another engine and do not delay other loads.
 func (p *Placer) abandonOverdueLoads(engines []*engineState, now time.Time) {
 	for _, e := range engines {
@@ -91,7 +91,7 @@
 		if len(e.pending) == 0 || e.accepted && len(e.pending) == 1 {
 			continue
 		}
-		// An abandoned move leaves its unloads, without the load.
+		// The pending orders of an abandoned move end with an unload.
 		last := e.pending[len(e.pending)-1]
 		if !last.Unload && e.source(last.Model) == residency.FromStore {
 			n++
--- a/internal/placer/speeds_test.go
+++ b/internal/placer/speeds_test.go
@@ -12,8 +12,8 @@
 	"rockcleat/internal/placer"
 )
 
-// TestSpeedsAreLearnedOnce checks that samples of many gateways add up to one published speed, that only
-// changes are sent, and that the next leader starts with the speeds that it knows.
+// TestSpeedsAreLearnedOnce checks that the samples of many gateways yield one published speed, that only
+// changes are sent, and that a new term publishes the speeds known before.
 func TestSpeedsAreLearnedOnce(t *testing.T) { synctest.Test(t, testSpeedsAreLearnedOnce) }
 
 func testSpeedsAreLearnedOnce(t *testing.T) {
