--- a/quota/account.go
+++ b/quota/account.go
@@ -17,7 +17,7 @@
 	// Until deniedUntil the owner is not asked for an amount of deniedAmount or more.
 	deniedUntil  time.Time
 	deniedAmount float64
-	// delegatedAt is when the last request that an owner answered was sent. Until then the owner had this
+	// delegatedAt is when the last request to which an owner replied was sent. Until then the owner had this
 	// gateway's share.
 	delegatedAt time.Time
 	// ownShare is the bucket of this gateway's own share of the rate while the owner cannot be reached, else
@@ -92,7 +92,7 @@
 }
 
 // ownShareBurstTime bounds the burst of a gateway's own share, as a duration at its rate. A process that was
-// paused must not spend at once what it did not spend meanwhile.
+// paused must not spend all at once what it did not spend meanwhile.
 const ownShareBurstTime = time.Second
 
 // spendOwnShare spends an amount from the gateway's own share of the rate, 0 to 1, and reports whether there
@@ -106,5 +106,5 @@
 	return share > 0 && a.ownShare.amount >= amount && a.ownShare.take(l, amount)
 }
 
-// clearOwnShare removes the bucket of the gateway's own share once the owner answers.
+// clearOwnShare removes the bucket of the gateway's own share once an owner has replied.
 func (a *account) clearOwnShare() { a.ownShare = nil }
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -9,17 +9,18 @@
 // whichever gateways its requests arrive at.
 //
 // The limit is also enforced when gateways lose contact with each other. Each of n gateways has a share of
-// 1/n of the rate, and delegates it to the owner that it asks (gatewaySet). The shares of gateways recently
-// removed from the list are left to these gateways. An owner in contact with the leader grants the shares of
-// all listed gateways. When OwnershipTTL has passed since the last contact, and a grace period that the
-// Tolerance permits, the owner grants only the shares of gateways that asked it recently, and LeaderlessTTL after
-// OwnershipTTL none. OwnershipTTL is shorter than the time after which the leader lets another gateway become the
-// owner. A gateway that cannot reach the owner spends its own share, up to the same time. Two owners that do
-// not know of each other therefore grant no more than the rate together, within the Tolerance. A new owner
-// starts with an empty bucket. A grant counts as spent when it is made, and expires after GrantTTL.
+// 1/n of the rate, and delegates it to the owner from which it requests grants (gatewaySet). The shares of
+// gateways recently removed from the list are left to these gateways. An owner in contact with the leader
+// grants the shares of all listed gateways. Once OwnershipTTL and a grace period within the Tolerance have
+// passed since the last contact, the owner grants only the shares of gateways that recently requested a grant
+// from it. LeaderlessTTL after OwnershipTTL it grants none. OwnershipTTL is shorter than the time after which
+// the leader lets another gateway become the owner. A gateway that cannot reach the owner spends its own
+// share, up to the same time. Two owners that do not know of each other therefore grant no more than the rate
+// together, within the Tolerance. A new owner starts with an empty bucket. A grant counts as spent when it is
+// made, and expires after GrantTTL.
 //
 // A Limiter keeps its buckets, prefetched grants and shares in memory and loses them when the process ends.
 // It relies on package clock, on the caller to pass on the leader's list of gateways and the time of each
-// reply from the leader, and on an GrantClient to reach other gateways. Failures are reported as outcomes, not as
-// errors. Amounts are in the limit's unit, rates in that unit per second, times are of type time.Duration.
+// reply from the leader, and on a GrantClient to reach other gateways. Failures are reported as outcomes, not
+// as errors. Amounts are in the limit's unit, rates in that unit per second, times are of type time.Duration.
 package quota
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -11,20 +11,20 @@
 // Timing of ownership; see docs/design/0014.
 const (
 	// OwnershipTTL is how long a gateway has the shares of all listed gateways, counted from when it sent the
-	// last request that a leader answered. It must be shorter than the two seconds after which the leader
+	// last request to which a leader replied. It must be shorter than the two seconds after which the leader
 	// removes a gateway that does not report.
 	OwnershipTTL = 1800 * time.Millisecond
 	// LeaderlessTTL is how long after that a gateway continues without a leader. It is longer than the time to
 	// replace a failed leader, and longer than the time for which an unconfirmed configuration may be used.
 	LeaderlessTTL = 8 * time.Second
-	// delegationTime is how long a gateway's share stays with an owner that it has asked. A longer time would
-	// let two owners have the share at once for too long.
+	// delegationTime is how long a gateway's share stays with an owner from which it has requested a grant. A
+	// longer time would prolong the period in which two owners can have the share at once.
 	delegationTime = time.Second
 	// maxGrace bounds the additional time in which the Tolerance lets an owner without a leader keep the
 	// shares of all listed gateways.
 	maxGrace = 2 * time.Second
 	// graceShare is the fraction of the Tolerance that one owner may use for that additional time. Several
-	// owners can lose the leader one after another.
+	// owners can lose contact with the leader one after another.
 	graceShare = 0.1
 )
 
@@ -43,9 +43,10 @@
 	return min(time.Duration(graceShare*excess/l.Rate*float64(time.Second)), maxGrace)
 }
 
-// An AbsentGateways is the leader's count of gateways that do not report to it but may be spending their shares.
+// AbsentGateways holds the leader's counts of gateways that do not report to it but may be spending their
+// shares.
 type AbsentGateways struct {
-	// Lapsed is the number of gateways recently removed from the leader's list. Awaited is the number of
+	// Removed is the number of gateways recently removed from the leader's list. Awaited is the number of
 	// listed gateways that were known before the leader's term and have not reported in it.
 	Removed int `json:"lapsed,omitempty"`
 	Awaited int `json:"awaited,omitempty"`
@@ -58,17 +59,18 @@
 	gatewayIDs []string
 	// owners caches the owner of each organisation.
 	owners map[string]string
-	// removed holds the gateways recently removed from the list and when they were. Each may go on spending
-	// its share for LeaderlessTTL.
+	// removed holds when each gateway recently removed from the list was removed. Each may go on spending its
+	// share for LeaderlessTTL.
 	removed map[string]time.Time
-	// absent is the last AbsentGateways received from a leader. A gateway that has restarted does not know itself
-	// which gateways were removed.
+	// absent is the last AbsentGateways received from a leader. A gateway that has restarted does not itself
+	// know which gateways were removed.
 	absent AbsentGateways
 	// askedAt is when each listed gateway last requested a grant from this one.
 	askedAt map[string]time.Time
 	// confirmedUntil is the time until which this gateway has the shares of all listed gateways.
 	confirmedUntil time.Time
-	// wasUnconfirmed is set if confirmedUntil had passed when the last request that a leader answered was sent.
+	// wasUnconfirmed is set if confirmedUntil had passed when the last request to which a leader replied was
+	// sent.
 	wasUnconfirmed bool
 }
 
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -48,7 +48,7 @@
 	// lastListed holds when each last was.
 	stored     []string
 	lastListed map[string]time.Time
-	// spends lists the requests that were let through.
+	// spends lists the requests that were within the limit.
 	spends []spend
 }
 
@@ -57,7 +57,7 @@
 	amount float64
 }
 
-// A testGateway is a simulated gateway. It implements quota.Asker for its own limiter.
+// A testGateway is a simulated gateway. It implements quota.GrantClient for its own limiter.
 type testGateway struct {
 	set     *gatewaySet
 	id      string
@@ -190,7 +190,7 @@
 	}
 }
 
-// request sends a request to a gateway and records it if it is let through.
+// request sends a request to a gateway and records it if it is within the limit.
 func (s *gatewaySet) request(i int, amount float64) quota.Outcome {
 	g := s.gateways[i]
 	if g.paused {
@@ -227,7 +227,7 @@
 	return 0
 }
 
-// RequestGrant implements quota.Asker.
+// RequestGrant implements quota.GrantClient.
 func (g *testGateway) RequestGrant(_ context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	for _, other := range g.set.gateways {
 		if other.id == gateway && g.set.reaches(g, other) {
--- a/quota/granter.go
+++ b/quota/granter.go
@@ -8,8 +8,8 @@
 	Key string `json:"organisation"`
 	// From is the ID of the requesting gateway.
 	From string `json:"from"`
-	// Need is the amount that one request spends. Ahead is the additional amount to prefetch. Both are in the
-	// limit's unit.
+	// Need is the amount that one request spends. Prefetch is the additional amount to prefetch. Both are
+	// in the limit's unit.
 	Need     float64 `json:"need"`
 	Prefetch float64 `json:"ahead,omitempty"`
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -20,14 +20,14 @@
 	denialTime = 50 * time.Millisecond
 )
 
-// ErrNotRunning is returned by an GrantClient if the process of the other gateway is known to have ended: nothing
-// listens at its address.
+// ErrNotRunning is returned by a GrantClient if the process of the other gateway is known to have ended:
+// nothing listens at its address.
 var ErrNotRunning = errors.New("quota: gateway process is not running")
 
-// An GrantClient requests grants from other gateways.
+// A GrantClient requests grants from other gateways.
 type GrantClient interface {
-	// RequestGrant requests a grant from the gateway with the given ID. The error is or wraps ErrNotRunning if the
-	// process is known to have ended.
+	// RequestGrant requests a grant from the gateway with the given ID. The error is or wraps ErrNotRunning if
+	// the process of that gateway is known to have ended.
 	RequestGrant(ctx context.Context, gateway string, r Request) (Reply, error)
 }
 
@@ -40,8 +40,8 @@
 	Tolerance   Tolerance
 	// Limit returns an organisation's limit; ok is false if it has none.
 	Limit func(organisation string) (l Limit, ok bool)
-	// OnOwnerUnresponsive, if not nil, is called when an owner does not reply as the owner. It is not called again
-	// for the same organisation until an owner has.
+	// OnOwnerUnresponsive, if not nil, is called when an owner does not reply or replies that it is not the
+	// owner. It is not called again for the same organisation until an owner has replied.
 	OnOwnerUnresponsive func(organisation, gateway string, err error)
 }
 
@@ -72,7 +72,7 @@
 type Decision struct {
 	Outcome Outcome
 	// RetryAfter is the time after which the organisation may be within its limit again, if the outcome is
-	// Over.
+	// OverLimit.
 	RetryAfter time.Duration
 }
 
@@ -85,7 +85,8 @@
 	gateways gatewaySet
 	granter  granter
 	accounts map[string]*account
-	// unresponsive holds the organisations whose owner did not reply as such to the last request.
+	// unresponsive holds the organisations whose owner did not reply to the last request, or replied that it is
+	// not the owner.
 	unresponsive map[string]bool
 }
 
@@ -98,15 +99,16 @@
 	}
 }
 
-// RecordLeaderReply records that a leader replied to a request sent at the given time, and the AbsentGateways in its reply. Call
-// it before SetGateways with the list of the same reply.
+// RecordLeaderReply records that a leader replied to a request sent at the given time, and the AbsentGateways
+// in its reply. Call it before SetGateways with the list of the same reply.
 func (l *Limiter) RecordLeaderReply(sentAt time.Time, a AbsentGateways) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gateways.recordLeaderReply(sentAt, a)
 }
 
-// CountRemoved returns the number of gateways recently removed from the list. A leader sends it in its replies.
+// CountRemoved returns the number of gateways recently removed from the list. A leader sends it in its
+// replies, as AbsentGateways.Removed.
 func (l *Limiter) CountRemoved() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,8 +128,8 @@
 	l.granter.retain(func(organisation string) bool { return l.gateways.owner(organisation) == l.opts.Self }, now)
 }
 
-// AddFormerGateways records gateways that were known before this process started. Those that are not on the list may
-// still be spending their shares.
+// AddFormerGateways records gateways that were known before this process started. Those that are not on the
+// list may still be spending their shares.
 func (l *Limiter) AddFormerGateways(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,7 +195,7 @@
 	return Request{Key: organisation, From: l.opts.Self, Need: amount, Prefetch: a.prefetchAmount(amount)}, Decision{}, false
 }
 
-// errNoOwner means that there is no known owner, or that the gateway asked is not the owner.
+// errNoOwner means that no owner is known, or that the gateway that received the request is not the owner.
 var errNoOwner = errors.New("quota: no gateway owns the limit")
 
 // requestGrant requests a grant from the owner of a limit. It returns an error if there is no reply from an
@@ -245,9 +247,9 @@
 	return Decision{Outcome: OverLimit, RetryAfter: wait}
 }
 
-// takeOwnShare spends from this gateway's own share if the owner cannot have it any more. An owner that has
-// lost its connections acts as owner until OwnershipTTL has passed; meanwhile the outcome is Unknown. The
-// outcome is never Over, because the owner could grant more than this share.
+// takeOwnShare spends from this gateway's own share once the owner can no longer grant it. While this gateway
+// is in contact with the leader, an owner that is unreachable but running may still grant it, and the outcome
+// is Unknown. The outcome is never OverLimit, because the owner could grant more than this share.
 func (l *Limiter) takeOwnShare(organisation string, limit Limit, amount float64, notRunning bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -12,7 +12,7 @@
 	"rockcleat/serverlimit"
 )
 
-// tolerance is the permitted excess over the limit of an organisation, as agreed with the users.
+// tolerance is the permitted excess over the limit of an organisation.
 var tolerance = quota.Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 10_000}
 
 // typicalCost is the cost of a request in tokens.
@@ -70,8 +70,8 @@
 	assert.Assert(t, s.maxSpentIn(tolerance.Window) <= maxAllowed(limit), "%v tokens in a window", s.maxSpentIn(tolerance.Window))
 }
 
-// TestNewOwnerStartsEmpty checks that repeated restarts of the owner, which forgets its grants, do not
-// exceed the limit.
+// TestNewOwnerStartsEmpty checks that the limit holds when the owner restarts repeatedly and loses the record
+// of its grants.
 func TestNewOwnerStartsEmpty(t *testing.T) {
 	limit := quota.Limit{Rate: 100_000, Burst: 100_000}
 	s := newGatewaySet(6, limit)
@@ -115,13 +115,13 @@
 		s.injectFaults(t, func() float64 { return 1 })
 		most, allowed := s.maxSpentIn(serverlimit.CountingWindow), 1.5*perSecond*serverlimit.CountingWindow.Seconds()+5
 		if most > allowed {
-			t.Fatalf("let through %v requests in a window, limit is %v", most, allowed)
+			t.Fatalf("%v requests ran in a window, limit is %v", most, allowed)
 		}
 	})
 }
 
 // injectFaults partitions, restarts and pauses gateways at random, while each gateway receives requests until
-// one is not let through.
+// one is not within the limit.
 func (s *gatewaySet) injectFaults(t *rapid.T, cost func() float64) {
 	for range rapid.IntRange(20, 80).Draw(t, "steps") {
 		s.step(time.Duration(rapid.IntRange(10, 900).Draw(t, "ms")) * time.Millisecond)
@@ -158,7 +158,7 @@
 }
 
 // TestUnlistedGatewaysHaveNoShare checks that a gateway that is not listed has no share: it spends none
-// itself, and an owner that it asks gains none.
+// itself, and its requests add none to the owner's share.
 func TestUnlistedGatewaysHaveNoShare(t *testing.T) {
 	limit := quota.Limit{Rate: 1000, Burst: 1000}
 	s := newGatewaySet(3, limit)
--- a/quota/status.go
+++ b/quota/status.go
@@ -2,7 +2,8 @@
 
 // Counts holds a gateway's decisions for one organisation since the process started.
 type Counts struct {
-	// Inside, Over and Unknown are the numbers of requests by outcome.
+	// Inside, Over and Unknown are the numbers of requests with the outcomes WithinLimit, OverLimit and
+	// Unknown.
 	Inside  int64 `json:"inside"`
 	Over    int64 `json:"over"`
 	Unknown int64 `json:"unknown"`
