--- a/apikey/directory.go
+++ b/apikey/directory.go
@@ -11,7 +11,7 @@
 	return Digest(sum[:len(Digest{})])
 }
 
-// A OrganisationKeys is an organisation and its keys in plain text.
+// OrganisationKeys holds an organisation and its keys in plain text.
 type OrganisationKeys struct {
 	Organisation string
 	Keys         []string
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -33,15 +33,15 @@
 // IsZero reports whether the message carries no records and no position.
 func (m Message[R]) IsZero() bool { return len(m.Records) == 0 && m.Seen == Cursor{} }
 
-// A Reply is the answer to a Message. Its Cursor is the position up to which Records completes the changes
-// known to the receiver.
+// A Reply is a peer's reply to a Message. Its Cursor is the position up to which the receiver knows the
+// sender's changes once it has merged Records.
 type Reply[R any] struct {
 	Cursor
 	Records []R `json:"records,omitempty"`
 }
 
-// HandleMessage merges the records of a message into the log and returns the reply. The reply is nil if there is
-// nothing new for the peer.
+// HandleMessage merges the records of a message into the log and returns the reply. The reply is nil if there
+// is nothing new for the peer.
 func HandleMessage[R any](l Log[R], m Message[R]) *Reply[R] {
 	l.Merge(m.Records)
 	after := m.Seen.Version
