--- a/kv/breaker.go
+++ b/kv/breaker.go
@@ -19,9 +19,9 @@
 }
 
 // A Breaker is a circuit breaker for the service. After a failed call it refuses further calls with
-// ErrUnavailable for the duration of the pause, and then lets one call at a time through until one
-// succeeds. All views of a process share one Breaker, since the service's failures do not depend on
-// the prefix. It limits the load that many processes put on a failing service.
+// ErrUnavailable for the cooldown, and then lets one call at a time through until one succeeds. All
+// views of a process share one Breaker, since the service's failures do not depend on the prefix.
+// It limits the load that many processes put on a failing service.
 //
 // It is safe for concurrent use.
 type Breaker struct {
@@ -29,7 +29,7 @@
 
 	mu   sync.Mutex
 	open bool
-	// retryAt is when an open Breaker lets a call through; probing reports whether that call is in
+	// retryAt is when an open Breaker lets a call through. probing is set while that call is in
 	// progress.
 	retryAt time.Time
 	probing bool
@@ -44,7 +44,7 @@
 // View returns s guarded by the Breaker.
 func (b *Breaker) View(s PrefixStore) PrefixStore { return breakerView{breaker: b, store: s} }
 
-// allow reports whether a call may be made. If it returns true, the caller reports the result to
+// allow reports whether a call may be made. If it returns true, the caller must pass the result to
 // recordResult.
 func (b *Breaker) allow() bool {
 	b.mu.Lock()
@@ -59,8 +59,8 @@
 	return true
 }
 
-// recordResult records the result of a call. A call whose own context ended says nothing about the
-// service and does not change the state.
+// recordResult records the result of a call. A failed call whose context has ended does not open or
+// close the Breaker, since the service need not be the cause.
 func (b *Breaker) recordResult(ctx context.Context, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/kv/breaker_test.go
+++ b/kv/breaker_test.go
@@ -36,7 +36,7 @@
 	return nil, after, s.next()
 }
 
-// TestBreaker counts the calls that reach the service out of 40 made 100 ms apart.
+// TestBreaker counts how many of 40 calls, made 100 ms apart, reach the service.
 func TestBreaker(t *testing.T) {
 	tests := map[string]struct {
 		pause time.Duration
--- a/kv/changelog.go
+++ b/kv/changelog.go
@@ -22,8 +22,8 @@
 	floor, to Revision
 	events    []Event
 	// currentAt is the latest time at which the log is known to have held every change. receivedAt
-	// is the same for data forwarded by another process; a watch made by this process itself does
-	// not advance it, so its own reads never replace a watch of the service.
+	// is the same for data forwarded by another process. A watch made by this process itself does
+	// not advance receivedAt, so that later watches are not served from its result.
 	currentAt, receivedAt time.Time
 	// entries are all entries under the prefix as of to, if complete is set. Entries whose changes
 	// were filtered out by the sender may be older.
@@ -31,17 +31,17 @@
 	complete bool
 	// digests are the digests of the entries, if FanoutOptions.Digest is set.
 	digests map[string]uint64
-	// filtered reports whether changes after floor were filtered out, here or by the sender. This
-	// process must then list the prefix before it watches the service again.
+	// filtered is set if changes after floor were filtered out, here or by the sender. This process
+	// must then list the prefix before it watches the service again.
 	filtered bool
-	// missing are the entries that the backup lacked after a restore of the service. Each is kept
-	// until its writer writes it again or the given time passes.
+	// missing holds the keys of known entries that the service lacked after it was restored from a
+	// backup, with the time until which each entry is kept unless its writer writes it again.
 	missing map[string]time.Time
-	// stale are the entries of a restored backup that are ignored until they are written again.
+	// stale holds the entries of a restored backup that are ignored until they are written again.
 	stale map[string]staleEntry
 	// lastEvents is the time at which a watch of the service last returned changes.
 	lastEvents time.Time
-	// receiving reports whether watches are answered from data forwarded by another process.
+	// receiving is set while watches are served from data forwarded by another process.
 	receiving bool
 	// changed is closed and replaced when any other field changes.
 	changed chan struct{}
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// reset replaces the contents with a list of the whole prefix, for a log that is not complete.
+// reset replaces the contents of a log that is not complete with a list of the whole prefix.
 func (l *changeLog) reset(entries []Entry, at Revision) {
 	l.floor, l.to, l.events, l.filtered = at, at, nil, false
 	l.entries = make(map[string]Entry, len(entries))
--- a/kv/client.go
+++ b/kv/client.go
@@ -28,8 +28,8 @@
 type ClientOptions struct {
 	// URL is the base URL of the service, such as http://10.0.0.5:7000.
 	URL string
-	// Timeout bounds the time until a call is answered, beyond the wait of a watch, and each
-	// interval in which no more of the response arrives; zero means 3 s.
+	// Timeout bounds the time until the response to a call begins, in addition to the wait of a
+	// watch, and each interval in which no more of the response arrives; zero means 3 s.
 	Timeout time.Duration
 	// HTTP is the client to use; nil means a new one.
 	HTTP *http.Client
@@ -45,7 +45,7 @@
 	onCall  func(kind string)
 }
 
-// Kinds of calls passed to ClientOptions.Counted.
+// Kinds of calls passed to ClientOptions.OnCall.
 const (
 	CallRead  = "read"
 	CallWrite = "write"
--- a/kv/copy.go
+++ b/kv/copy.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// PeriodicWriters describe processes that rewrite their entries under a prefix periodically for as long as
-// they run.
+// PeriodicWriters describes processes that rewrite their entries under a prefix periodically for as
+// long as they run.
 //
 // After the service is restored from a backup, it holds entries of writers that have ended since,
 // lacks those of writers that started, and has outdated values for others. Every running writer
@@ -97,9 +97,9 @@
 	return list
 }
 
-// limitToMissing shortens the wait of a watch so that it ends when the time of a missing entry
-// passes. If that time has passed, it drops the missing entries and returns relist: the caller
-// lists the service again and uses the list as it is.
+// limitToMissing shortens the wait of a watch so that the watch ends when a missing entry need no
+// longer be kept. If that time has passed for one, it stops keeping all of them and returns relist:
+// the caller must list the prefix again.
 func (f *Fanout) limitToMissing(prefix string, wait time.Duration) (left time.Duration, relist bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/kv/copy_test.go
+++ b/kv/copy_test.go
@@ -73,8 +73,8 @@
 }
 
 // TestRestoreFromBackup restores the service from a backup with an outdated entry, a missing entry
-// and an entry that was deleted since. The watcher must keep listing what it knew until each entry
-// is written again or its time passes.
+// and an entry that was deleted since. The watcher must keep listing the entries that it knew until
+// each is written again or has been missing for writeInterval.
 func TestRestoreFromBackup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRestorableService(t)
@@ -103,7 +103,7 @@
 		_, err = s.watch()
 		assert.ErrorIs(t, err, kv.ErrCompacted, "one has not written again in its time")
 		assert.Assert(t, time.Since(began) <= writeInterval)
-		// A deleted entry does not return by itself, and an outdated value stays ignored.
+		// The deleted entry of the backup is not listed, and the outdated value stays ignored.
 		assert.DeepEqual(t, s.list(), map[string]string{"s/leaving": "6", "s/ended": "5", "s/new": "2"})
 
 		s.store.Set("s/gone", []byte("6"))
@@ -115,7 +115,8 @@
 }
 
 // TestRestoreEarlierIncarnation restores the service twice from a backup with an entry of an
-// earlier incarnation of a writer. The later incarnation must stay until the writer writes again.
+// earlier incarnation of a writer. The entry of the later incarnation must be listed until the
+// writer writes again.
 func TestRestoreEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRestorableService(t)
@@ -137,8 +138,8 @@
 	})
 }
 
-// TestRestoreTwice restores the service twice in a row. The entries known before the first
-// restore must stay.
+// TestRestoreTwice restores the service twice in a row. The entries known before the first restore
+// must still be listed.
 func TestRestoreTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRestorableService(t)
--- a/kv/doc.go
+++ b/kv/doc.go
@@ -7,13 +7,13 @@
 // limits the calls to a failing service.
 //
 // A Revision combines an era and a count of writes. The era rises when the service is restored from
-// a backup. Counts of different eras are not comparable, except by PeriodicWriters: the first list of a new
-// era is merged with the entries known before.
+// a backup. Counts of different eras are not comparable in general. A Fanout merges the first list
+// of a new era with the entries known before if the prefix has PeriodicWriters.
 //
 // The package owns no state of the service. A Fanout keeps a bounded log of the latest changes of
 // the prefixes in use, with the time at which it was current. The package relies on revisions that
 // only grow and on package clock. While the service is unavailable, calls fail and Follow retries
-// with pauses; the data already known is kept, and the caller judges its age.
+// with backoff; the data already known is kept, and the caller judges its age.
 //
 // Errors classify the outcome of a call and are tested with errors.Is. ErrUnavailable,
 // ErrRateLimited, ErrConflict, ErrNotFound and ErrLeaseGone mean that a write had no effect.
--- a/kv/fanout.go
+++ b/kv/fanout.go
@@ -10,7 +10,7 @@
 // FanoutOptions configure a Fanout.
 type FanoutOptions struct {
 	Clock clock.Service
-	// MaxAge is the maximum age of forwarded data that watches are answered from.
+	// MaxAge is the maximum age of forwarded data that watches are served from.
 	MaxAge time.Duration
 	// ExtraAge, if not nil, returns what this process adds to MaxAge, so that processes far from
 	// the watcher fall back to the service later than nearer ones.
@@ -24,8 +24,8 @@
 	// Digest, if not nil, returns a digest of the part of an entry that other processes use. A
 	// change that leaves the digest the same is not forwarded.
 	Digest func(prefix string, e Entry) uint64
-	// PeriodicWriters, if not nil, returns the periodic writers of a prefix, or nil if it has none. A list
-	// of a prefix without writers is used as it is after a restore of the service.
+	// PeriodicWriters, if not nil, returns the periodic writers of a prefix, or nil if it has none.
+	// After a restore of the service, the list of a prefix without them replaces the known entries.
 	PeriodicWriters func(prefix string) PeriodicWriters
 	// OnSwitch, if not nil, is called when the watches of a prefix change between the service
 	// (direct) and forwarded data.
@@ -34,7 +34,7 @@
 
 // A Fanout lets one process, the watcher, watch the service on behalf of many. In the watcher it
 // keeps the latest changes of each prefix and returns them for forwarding (Since). In the other
-// processes it applies the forwarded changes (Apply) and answers watches from them. A watch goes to
+// processes it applies the forwarded changes (Apply) and serves watches from them. A watch goes to
 // the service while the forwarded data is older than MaxAge.
 //
 // It is safe for concurrent use.
@@ -53,9 +53,9 @@
 	From   Revision `json:"from"`
 	To     Revision `json:"at"`
 	Events []Event  `json:"events,omitempty"`
-	// Full reports that Events are instead all entries as of To.
+	// Full is set if Events are instead all entries as of To.
 	Full bool `json:"full,omitempty"`
-	// Filtered reports that changes with an unchanged digest were left out.
+	// Filtered is set if changes with an unchanged digest were left out.
 	Filtered bool `json:"left,omitempty"`
 	// AgeMs is the time since the batch was known to be complete, in milliseconds.
 	AgeMs int64 `json:"age"`
@@ -295,8 +295,8 @@
 	}
 }
 
-// appendBatch appends the changes of a batch that was current at currentAt. It reports false if the
-// prefix is not in use or the batch is older than the log.
+// appendBatch appends the changes of a batch that was current at currentAt and reports whether it
+// did. It ignores the batch if the prefix is not in use or the batch is older than the log.
 func (f *Fanout) appendBatch(prefix string, b Batch, currentAt time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/kv/fanout_test.go
+++ b/kv/fanout_test.go
@@ -28,7 +28,7 @@
 	sourceSees      *mirror
 	otherSees       *mirror
 	sourceIsWatcher atomic.Bool
-	// watchesDirectly reports whether other watches the service itself.
+	// watchesDirectly is set while other watches the service itself.
 	watchesDirectly atomic.Bool
 }
 
--- a/kv/fanout_view.go
+++ b/kv/fanout_view.go
@@ -41,8 +41,9 @@
 	return entries, at, err
 }
 
-// listReceived returns all entries under a prefix from forwarded data that is recent enough. While
-// nothing is known of the prefix, it waits for such data for up to FanoutOptions.ListWait.
+// listReceived returns all entries under a prefix from forwarded data that is recent enough, and
+// reports whether there is such data. While nothing is known of the prefix, it waits for such data
+// for up to FanoutOptions.ListWait.
 func (f *Fanout) listReceived(ctx context.Context, prefix string) ([]Entry, Revision, bool) {
 	wait := time.Duration(0)
 	if f.opts.ListWait != nil {
@@ -98,7 +99,7 @@
 	return nil, after, ctx.Err()
 }
 
-// setReceiving records whether watches of a prefix are answered from forwarded data. It reports
+// setReceiving records whether watches of a prefix are served from forwarded data. It reports
 // whether the service must be listed first because changes were filtered out.
 func (f *Fanout) setReceiving(prefix string, receiving bool) (listFirst bool) {
 	f.mu.Lock()
@@ -115,14 +116,14 @@
 	return listFirst
 }
 
-// A cachedChanges is the answer to a watch from the log.
+// A cachedChanges is the result of a watch that is served from the log.
 type cachedChanges struct {
 	// events are the changes after the watch's revision, up to and including revision to.
 	events []Event
 	to     Revision
 	// validFor is how long the watch may wait for forwarded changes if there are no events.
 	validFor time.Duration
-	// relist reports that the changes are no longer held but all entries are.
+	// relist is set if the changes are no longer held but all entries are.
 	relist bool
 	// changed is closed when the log changes.
 	changed <-chan struct{}
--- a/kv/follow.go
+++ b/kv/follow.go
@@ -30,11 +30,11 @@
 	Follower     Follower
 }
 
-// Pauses between failed calls. The pause doubles up to a maximum, with jitter of ±50 %.
+// Backoff after failed calls. It doubles up to a maximum, with jitter of ±50 %.
 const (
-	// initialBackoff is the mean of the first pause.
+	// initialBackoff is the mean of the first backoff.
 	initialBackoff = 100 * time.Millisecond
-	// maxBackoff is the mean of the longest pause.
+	// maxBackoff is the mean of the longest backoff.
 	maxBackoff = 500 * time.Millisecond
 )
 
@@ -61,7 +61,7 @@
 }
 
 // watchFrom watches from a revision until the service has compacted it or ctx ends, and reports
-// whether any watch succeeded. If none did, the caller must pause before the next list.
+// whether any watch succeeded. If none did, the caller must back off before the next list.
 func (o FollowOptions) watchFrom(ctx context.Context, at Revision) (watched bool) {
 	backoff := initialBackoff
 	for ctx.Err() == nil {
@@ -84,7 +84,7 @@
 	return watched
 }
 
-// sleepBackoff waits for the pause with jitter and returns the next pause.
+// sleepBackoff waits for the backoff with jitter and returns the next backoff.
 func (o FollowOptions) sleepBackoff(ctx context.Context, backoff time.Duration) time.Duration {
 	clock.Sleep(ctx, o.Clock, backoff/2+rand.N(backoff))
 	return min(2*backoff, maxBackoff)
--- a/kv/kvtest/store.go
+++ b/kv/kvtest/store.go
@@ -74,7 +74,7 @@
 	s.notify()
 }
 
-// A Copy is a backup of a Store: its entries and its count of writes.
+// A Backup is a backup of a Store: its entries and its count of writes.
 type Backup struct {
 	count   int64
 	entries map[string]entry
@@ -113,7 +113,7 @@
 	}
 }
 
-// OnEra registers f to be called with each new era.
+// OnEraChange registers f to be called with each new era.
 func (s *Store) OnEraChange(f func(era int64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/kv/prefix.go
+++ b/kv/prefix.go
@@ -13,7 +13,7 @@
 // An Event is one change of a key.
 type Event struct {
 	Entry Entry
-	// Deleted reports that the key was deleted; the entry's value is then empty.
+	// Deleted is set if the key was deleted; the entry's value is then empty.
 	Deleted bool
 }
 
