--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -18,7 +18,7 @@
 	// watchTimeout is the maximum duration of one watch of the lease's key. A process that waits
 	// for the lease makes one call to the service in that time.
 	watchTimeout = 5 * time.Second
-	// retryBackoff is the mean pause after a failed call, with jitter of ±50 %.
+	// retryBackoff is the mean backoff after a failed call, with jitter of ±50 %.
 	retryBackoff = 400 * time.Millisecond
 )
 
@@ -47,8 +47,8 @@
 			clock.Sleep(ctx, h.clock, h.opts.TTL/renewalsPerTTL)
 			w.signal()
 		case !w.isHeldByOther():
-			// The service refused the write, but no other holder's record is known, so that no
-			// event may follow.
+			// The service refused the write, but no other holder's record is known. There may be no
+			// event that signals when the lease is free.
 			w.retryAfterBackoff(ctx)
 		}
 	}
@@ -58,11 +58,11 @@
 type watcher struct {
 	holder *Holder
 	free   chan struct{}
-	// recordExists reports whether the last known state of the key is a record.
+	// recordExists is set if the key had a record when last seen.
 	recordExists atomic.Bool
 }
 
-// delayAcquire waits for Options.Delay unless the lease is held.
+// delayAcquire waits for Options.AcquireDelay unless the lease is held.
 func (w *watcher) delayAcquire(ctx context.Context) {
 	if _, held := w.holder.Held(); held || w.holder.opts.AcquireDelay == nil {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// retryAfterBackoff pauses and then calls signal.
+// retryAfterBackoff waits for the backoff and then calls signal.
 func (w *watcher) retryAfterBackoff(ctx context.Context) {
 	clock.Sleep(ctx, w.holder.clock, retryBackoff/2+rand.N(retryBackoff))
 	w.signal()
--- a/lease/campaign_test.go
+++ b/lease/campaign_test.go
@@ -17,7 +17,7 @@
 	"rockcleat/lease"
 )
 
-// shortTTL keeps takeovers short.
+// shortTTL is a TTL that keeps the tests short.
 const shortTTL = 300 * time.Millisecond
 
 func contender(s kv.Store, name string) *lease.Holder {
@@ -145,7 +145,7 @@
 	return s.Store.Grant(ctx, ttl)
 }
 
-// TestCampaignDelay checks that processes with a AcquireDelay request no lease if another process
+// TestCampaignDelay checks that processes with an AcquireDelay request no lease if another process
 // has acquired it in that time, and acquire it otherwise.
 func TestCampaignDelay(t *testing.T) {
 	const delay = 500 * time.Millisecond
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -62,7 +62,7 @@
 	token      Token
 	expiry     time.Time
 	lastRecord Record
-	// seenOther reports whether another holder's record was ever read.
+	// seenOther is set if another holder's record was ever read.
 	seenOther bool
 }
 
@@ -99,8 +99,8 @@
 	return h.seenOther
 }
 
-// AcquireOrRenew renews the lease if it is held and tries to acquire it otherwise. A lease held by another
-// process is not an error; Step does not wait for it.
+// AcquireOrRenew renews the lease if it is held and tries to acquire it otherwise. A lease held by
+// another process is not an error; AcquireOrRenew does not wait for it.
 //
 // Call it about three times per TTL.
 func (h *Holder) AcquireOrRenew(ctx context.Context) error {
@@ -122,8 +122,8 @@
 	return h.store.Revoke(ctx, id)
 }
 
-// ExpireBeforeEra gives up a lease of an era before the given one without a call to the service, which no
-// longer has that lease.
+// ExpireBeforeEra gives up a lease of an era before the given one without a call to the service,
+// which no longer has that lease.
 func (h *Holder) ExpireBeforeEra(era int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
