--- a/clock/clocktest/machine.go
+++ b/clock/clocktest/machine.go
@@ -27,7 +27,7 @@
 // Now implements clock.Source.
 func (m *Source) Now() time.Time { return time.Now() }
 
-// Boot implements clock.Source.
+// SinceBoot implements clock.Source.
 func (m *Source) SinceBoot() (time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
