--- a/backend/engine.go
+++ b/backend/engine.go
@@ -19,13 +19,13 @@
 
 // A Report is an engine's report of its state. It may be some hundred milliseconds old.
 type Report struct {
-	// ServerID identifies the run that the report is from, as Server.ID does; empty if not
+	// ServerID identifies the server instance that sent the report, as Server.ID does; empty if not
 	// reported.
 	ServerID  string
 	Residents []Resident
 	// LoadingAdapters lists the adapters that are being loaded.
 	LoadingAdapters []Adapter
-	// OrderInProgress reports whether an order is being carried out.
+	// OrderInProgress is set while an order is being carried out.
 	OrderInProgress bool
 	// Sequence is the number of orders that the engine has accepted.
 	Sequence int
@@ -50,7 +50,7 @@
 
 // The outcomes of an order.
 const (
-	// OrderUnanswered means that no answer arrived: the order may be carried out later.
+	// OrderUnanswered means that no response arrived: the order may still be carried out.
 	OrderUnanswered OrderOutcome = iota
 	// OrderAccepted means that the order is being carried out.
 	OrderAccepted
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -18,7 +18,8 @@
 // the time until a change of the list is noticed, it is short enough for servers that have stopped.
 const vanishedRetention = 1300 * time.Millisecond
 
-// A vanishedServer was removed from the list without having announced that it leaves.
+// A vanishedServer is a server that was removed from the list without having announced that it is
+// leaving.
 type vanishedServer struct {
 	Server
 	since time.Time
@@ -95,7 +96,7 @@
 	delete(r.vanished, s.Name())
 }
 
-// noteVanished records a server that is no longer listed, unless it announced that it leaves.
+// noteVanished records a server that is no longer listed, unless it was leaving.
 func (r *Registry) noteVanished(s Server, now time.Time) {
 	if s.Leaving {
 		return
@@ -109,8 +110,8 @@
 // A Change is a new or changed record of a server, or its removal from the list.
 type Change struct {
 	Server
-	// Removed reports that the server is no longer listed, Unusable that its record does not describe
-	// a server. If either is set, only the server's name is used.
+	// Removed is set if the server is no longer listed, Unusable if its record does not describe a
+	// server. If either is set, only the server's name is used.
 	Removed, Unusable bool
 }
 
--- a/backend/restart_test.go
+++ b/backend/restart_test.go
@@ -9,13 +9,13 @@
 	"rockcleat/backend"
 )
 
-// instanceRecord returns the record of a run of the server s.
+// instanceRecord returns the record of an instance of the server s.
 func instanceRecord(id string) backend.Server {
 	return backend.Server{ID: id, Instance: "s", Service: "llm", Residents: []backend.Resident{{Model: "of " + id}}}
 }
 
-// TestRestart checks that a new run of a server replaces the former one, which then never returns,
-// whatever the order of their start times.
+// TestRestart checks that a new instance of a server replaces the previous one, which is then ignored
+// for good, whatever the order of their start times.
 func TestRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	update := func(id string) func(r *backend.Registry) []backend.Restart {
--- a/backend/server.go
+++ b/backend/server.go
@@ -20,9 +20,9 @@
 	return adapter == "" || slices.Contains(r.Adapters, adapter)
 }
 
-// A Server describes one run of a backend server.
+// A Server describes a server instance, that is, one run of a backend server's process.
 type Server struct {
-	// ID identifies the run. A restarted server has a new ID.
+	// ID identifies the server instance. A restarted server has a new ID.
 	ID string
 	// Instance is the name that the platform lists the server under, which a restarted server
 	// may keep; empty if the name is ID.
@@ -32,7 +32,7 @@
 	Hall     string
 	// Slots is the number of requests that the server processes concurrently.
 	Slots int
-	// Leaving reports that the server accepts no new requests.
+	// Leaving is set if the server is leaving: it accepts no new requests.
 	Leaving   bool
 	Residents []Resident
 	// CachedInMemory and CachedOnDisk name the models whose weights the server's machine has
@@ -85,8 +85,8 @@
 	withoutInstance []string
 }
 
-// WithoutInstance returns the names of the servers that are left out because their records have no
-// Instance while those of most servers have one.
+// WithoutInstance returns the names of the servers that are left out because their records lack
+// Server.Instance while those of most servers have it.
 func (s *Snapshot) WithoutInstance() []string { return s.withoutInstance }
 
 // A modelKey identifies a model of a service.
