--- a/backend/registry.go
+++ b/backend/registry.go
@@ -70,7 +70,7 @@
 		case known && old.ID != s.ID:
 			restarts = append(restarts, r.endedInstances.end(old, s))
 		}
-		r.list(s)
+		r.setListed(s)
 	}
 	for name, s := range before {
 		if _, ok := r.listed[name]; !ok {
@@ -90,8 +90,8 @@
 	return v.Server, ok
 }
 
-// list sets the record of a server.
-func (r *Registry) list(s Server) {
+// setListed sets the record of a server.
+func (r *Registry) setListed(s Server) {
 	r.listed[s.Name()] = s
 	delete(r.vanished, s.Name())
 }
@@ -141,7 +141,7 @@
 		}
 		_, listed := r.listed[c.Name()]
 		differs = differs || !listed || r.isVisible(old, c.Server)
-		r.list(c.Server)
+		r.setListed(c.Server)
 	}
 	if differs {
 		r.rebuild(now)
--- a/clock/doc.go
+++ b/clock/doc.go
@@ -6,5 +6,6 @@
 // counts the time during which the machine is suspended. Package clocktest has a Service whose time
 // a test advances, and a Source with simulated suspensions.
 //
-// The package owns the timers that it creates. A machine without a boot clock counts no suspension.
+// The package owns the timers that it creates. On a machine without a boot clock, suspensions are
+// not counted.
 package clock
--- a/internal/placer/messages.go
+++ b/internal/placer/messages.go
@@ -15,7 +15,7 @@
 	// Loads is the gateway's load at each server.
 	Loads map[string]dispatch.Load `json:"loads,omitempty"`
 	// Demands holds the counters since the gateway's start, by model or adapter. Those unchanged since the
-	// last report that was answered are omitted.
+	// last report that got a Reply are omitted.
 	Demands map[string]dispatch.Demand `json:"demands,omitempty"`
 	// Full is set when Demands omits nothing, for a leader without state.
 	Full bool `json:"full,omitempty"`
@@ -29,7 +29,7 @@
 	SpeedsVersion int64                    `json:"speeds,omitempty"`
 }
 
-// A Gateway is a gateway that counts as alive.
+// A Gateway is a gateway on the leader's list.
 type Gateway struct {
 	dispatch.Gateway
 	// Addr is the address at which the gateway accepts messages.
--- a/kv/copy.go
+++ b/kv/copy.go
@@ -100,7 +100,7 @@
 // limitToMissing shortens the wait of a watch so that the watch ends when a missing entry need no
 // longer be kept. If that time has passed for one, it stops keeping all of them and returns relist:
 // the caller must list the prefix again.
-func (f *Fanout) limitToMissing(prefix string, wait time.Duration) (left time.Duration, relist bool) {
+func (f *Fanout) limitToMissing(prefix string, wait time.Duration) (remaining time.Duration, relist bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := f.log(prefix)
--- a/kv/copy_test.go
+++ b/kv/copy_test.go
@@ -171,8 +171,8 @@
 	return nil, after, s.watch
 }
 
-// TestFollowBacksOff guards against a busy loop: Follow must pause between calls
-// whichever error the service returns immediately.
+// TestFollowBacksOff guards against a busy loop: Follow must back off whichever error the service
+// returns immediately.
 func TestFollowBacksOff(t *testing.T) {
 	outcomes := map[string]error{
 		"compacted": kv.ErrCompacted, "unavailable": kv.ErrUnavailable, "rate limited": kv.ErrRateLimited,
--- a/kv/fanout_hand_on_test.go
+++ b/kv/fanout_hand_on_test.go
@@ -29,22 +29,22 @@
 	late := kv.NewFanout(options)
 	store.Set("a/1", []byte("1"))
 	store.Set("a/2", []byte("2"))
-	var sourceSees, lateSees mirror
+	var sourceMirror, lateMirror mirror
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: source.View(store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &sourceSees,
+		Store: source.View(store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &sourceMirror,
 	})
 	store.Remove("a/2")
-	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "1"}))
+	poll.WaitOn(t, sourceMirror.hasEntries(map[string]string{"a/1": "1"}))
 	unreachable := &watchCounter{PrefixStore: store}
 	unreachable.closed.Store(true)
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: late.View(unreachable, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &lateSees,
+		Store: late.View(unreachable, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &lateMirror,
 	})
 	stop := clocktest.Real{}.Subscribe(20*time.Millisecond, func(time.Time) { late.Apply(source.Since(late.Revisions()), time.Now()) })
 	defer stop()
-	poll.WaitOn(t, lateSees.shows(map[string]string{"a/1": "1"}))
+	poll.WaitOn(t, lateMirror.hasEntries(map[string]string{"a/1": "1"}))
 	store.Set("a/3", []byte("3"))
-	poll.WaitOn(t, lateSees.shows(map[string]string{"a/1": "1", "a/3": "3"}))
+	poll.WaitOn(t, lateMirror.hasEntries(map[string]string{"a/1": "1", "a/3": "3"}))
 	assert.Equal(t, unreachable.watches.Load(), int64(0))
 }
 
@@ -64,7 +64,7 @@
 			defer cancel()
 			p := newFanoutPairWith(ctx, t, shortMaxAge, test.extra)
 			before := p.direct.watches.Load()
-			p.setCut(true)
+			p.setForwardingStopped(true)
 			if test.alone {
 				poll.WaitOn(t, p.watchesDirectlyIs(true))
 				return
@@ -203,9 +203,9 @@
 	assert.Assert(t, !batches["a/"].Full)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	var lateSees mirror
+	var lateMirror mirror
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: late.View(store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &lateSees,
+		Store: late.View(store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &lateMirror,
 	})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if _, asked := late.Revisions()["a/"]; !asked {
@@ -214,7 +214,7 @@
 		return poll.Success()
 	})
 	late.Apply(batches, time.Now())
-	poll.WaitOn(t, lateSees.shows(map[string]string{"a/1": "1"}))
+	poll.WaitOn(t, lateMirror.hasEntries(map[string]string{"a/1": "1"}))
 }
 
 // TestFanoutNewWatcherCancelsWatch checks that a process that becomes the watcher ends its long
@@ -222,22 +222,22 @@
 func TestFanoutNewWatcherCancelsWatch(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	var watches atomic.Bool
+	var isWatcher atomic.Bool
 	store := kvtest.New(clocktest.Real{})
 	store.Set("a/1", []byte("1"))
-	f := kv.NewFanout(kv.FanoutOptions{Clock: clocktest.Real{}, MaxAge: longMaxAge, IsWatcher: watches.Load})
-	var sees mirror
+	f := kv.NewFanout(kv.FanoutOptions{Clock: clocktest.Real{}, MaxAge: longMaxAge, IsWatcher: isWatcher.Load})
+	var follower mirror
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: f.View(store, false), Prefix: "a/", WatchTimeout: time.Hour, Clock: clocktest.Real{}, Follower: &sees,
+		Store: f.View(store, false), Prefix: "a/", WatchTimeout: time.Hour, Clock: clocktest.Real{}, Follower: &follower,
 	})
-	poll.WaitOn(t, sees.shows(map[string]string{"a/1": "1"}))
+	poll.WaitOn(t, follower.hasEntries(map[string]string{"a/1": "1"}))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if store.Calls("watch") == 0 {
 			return poll.Continue("no watch yet")
 		}
 		return poll.Success()
 	})
-	watches.Store(true)
+	isWatcher.Store(true)
 	f.RecheckWatcher()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if n := store.Calls("watch"); n < 2 {
@@ -246,5 +246,5 @@
 		return poll.Success()
 	})
 	store.Set("a/2", []byte("2"))
-	poll.WaitOn(t, sees.shows(map[string]string{"a/1": "1", "a/2": "2"}))
+	poll.WaitOn(t, follower.hasEntries(map[string]string{"a/1": "1", "a/2": "2"}))
 }
--- a/kv/fanout_test.go
+++ b/kv/fanout_test.go
@@ -21,13 +21,13 @@
 	store *kvtest.Store
 	// direct is the service as other reaches it.
 	direct *watchCounter
-	// cut stops forwarding.
-	mu              sync.Mutex
-	cut             bool
-	source, other   *kv.Fanout
-	sourceSees      *mirror
-	otherSees       *mirror
-	sourceIsWatcher atomic.Bool
+	// mu guards forwardingStopped.
+	mu                sync.Mutex
+	forwardingStopped bool
+	source, other     *kv.Fanout
+	sourceMirror      *mirror
+	otherMirror       *mirror
+	sourceIsWatcher   atomic.Bool
 	// watchesDirectly is set while other watches the service itself.
 	watchesDirectly atomic.Bool
 }
@@ -65,7 +65,7 @@
 // newFanoutPairWith is newFanoutPair with an ExtraAge for other.
 func newFanoutPairWith(ctx context.Context, t *testing.T, maxAge, extraAge time.Duration) *fanoutPair {
 	t.Helper()
-	p := &fanoutPair{store: kvtest.New(clocktest.Real{}), sourceSees: &mirror{}, otherSees: &mirror{}}
+	p := &fanoutPair{store: kvtest.New(clocktest.Real{}), sourceMirror: &mirror{}, otherMirror: &mirror{}}
 	p.sourceIsWatcher.Store(true)
 	p.watchesDirectly.Store(true)
 	p.source = kv.NewFanout(kv.FanoutOptions{Clock: clocktest.Real{}, MaxAge: maxAge, IsWatcher: p.sourceIsWatcher.Load})
@@ -75,14 +75,14 @@
 	})
 	p.store.Set("a/1", []byte("1"))
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: p.source.View(p.store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: p.sourceSees,
+		Store: p.source.View(p.store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: p.sourceMirror,
 	})
 	p.direct = &watchCounter{PrefixStore: p.store}
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: p.other.View(p.direct, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: p.otherSees,
+		Store: p.other.View(p.direct, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: p.otherMirror,
 	})
-	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "1"}))
-	poll.WaitOn(t, p.sourceSees.shows(map[string]string{"a/1": "1"}))
+	poll.WaitOn(t, p.otherMirror.hasEntries(map[string]string{"a/1": "1"}))
+	poll.WaitOn(t, p.sourceMirror.hasEntries(map[string]string{"a/1": "1"}))
 	stop := clocktest.Real{}.Subscribe(20*time.Millisecond, func(time.Time) { p.forward() })
 	t.Cleanup(stop)
 	poll.WaitOn(t, p.watchesDirectlyIs(false))
@@ -98,17 +98,17 @@
 	}
 }
 
-// setCut stops or resumes forwarding.
-func (p *fanoutPair) setCut(cut bool) {
+// setForwardingStopped stops or resumes forwarding.
+func (p *fanoutPair) setForwardingStopped(stopped bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut = cut
+	p.forwardingStopped = stopped
 }
 
 func (p *fanoutPair) forward() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cut {
+	if p.forwardingStopped {
 		return
 	}
 	sent := time.Now()
@@ -126,11 +126,11 @@
 		key := fmt.Sprint("a/n", i)
 		p.store.Set(key, []byte("x"))
 		want[key] = "x"
-		poll.WaitOn(t, p.otherSees.shows(want))
+		poll.WaitOn(t, p.otherMirror.hasEntries(want))
 	}
 	p.store.Remove("a/1")
 	delete(want, "a/1")
-	poll.WaitOn(t, p.otherSees.shows(want))
+	poll.WaitOn(t, p.otherMirror.hasEntries(want))
 	assert.Equal(t, p.direct.watches.Load(), before)
 }
 
@@ -138,9 +138,9 @@
 // becomes too old.
 func TestFanoutCutOff(t *testing.T) {
 	tests := map[string]func(p *fanoutPair){
-		"nothing is handed on":             func(p *fanoutPair) { p.setCut(true) },
+		"nothing is handed on":             func(p *fanoutPair) { p.setForwardingStopped(true) },
 		"the source sees nothing any more": func(p *fanoutPair) { p.source.Invalidate(); p.sourceIsWatcher.Store(false) },
-		"the source is no longer one":      func(p *fanoutPair) { p.setCut(true); p.other.Invalidate() },
+		"the source is no longer one":      func(p *fanoutPair) { p.setForwardingStopped(true); p.other.Invalidate() },
 	}
 	for name, cut := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -149,7 +149,7 @@
 			p := newFanoutPair(ctx, t, shortMaxAge)
 			cut(p)
 			p.store.Set("a/2", []byte("2"))
-			poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "1", "a/2": "2"}))
+			poll.WaitOn(t, p.otherMirror.hasEntries(map[string]string{"a/1": "1", "a/2": "2"}))
 			poll.WaitOn(t, p.watchesDirectlyIs(true))
 		})
 	}
@@ -161,14 +161,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p := newFanoutPair(ctx, t, longMaxAge)
-	p.setCut(true)
+	p.setForwardingStopped(true)
 	p.other.Invalidate()
 	want := map[string]string{"a/1": "1"}
 	for i := range 4 {
 		key := fmt.Sprint("a/n", i)
 		p.store.Set(key, []byte("x"))
 		want[key] = "x"
-		poll.WaitOn(t, p.otherSees.shows(want))
+		poll.WaitOn(t, p.otherMirror.hasEntries(want))
 	}
 }
 
@@ -178,21 +178,21 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p := newFanoutPair(ctx, t, shortMaxAge)
-	p.setCut(true)
+	p.setForwardingStopped(true)
 	want := map[string]string{"a/1": "1"}
 	big := make([]byte, 400<<10)
 	for i := range 5 {
 		key := fmt.Sprint("a/big", i)
 		p.store.Set(key, big)
 		want[key] = string(big)
-		poll.WaitOn(t, p.sourceSees.shows(want))
+		poll.WaitOn(t, p.sourceMirror.hasEntries(want))
 	}
 	seen := map[string]kv.Revision{"a/": 1}
 	batch := p.source.Since(seen)["a/"]
 	assert.Assert(t, batch.Full, "the log is bounded: what was dropped does not count as nothing")
 	assert.Equal(t, len(batch.Events), len(want), "all entries instead")
-	p.setCut(false)
-	poll.WaitOn(t, p.otherSees.shows(want))
+	p.setForwardingStopped(false)
+	poll.WaitOn(t, p.otherMirror.hasEntries(want))
 }
 
 // TestFanoutIgnoresOlderBatch checks that a batch older than the known data is ignored.
@@ -201,14 +201,14 @@
 	defer cancel()
 	p := newFanoutPair(ctx, t, shortMaxAge)
 	p.store.Set("a/1", []byte("2"))
-	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "2"}))
-	p.setCut(true)
+	poll.WaitOn(t, p.otherMirror.hasEntries(map[string]string{"a/1": "2"}))
+	p.setForwardingStopped(true)
 	at := p.other.Revisions()["a/"]
 	p.other.Apply(map[string]kv.Batch{"a/": {
 		From: 0, To: at - 1, Events: []kv.Event{{Entry: kv.Entry{Key: "a/1", Value: []byte("1"), Revision: at - 1}}},
 	}}, time.Now())
 	p.store.Set("a/3", []byte("3"))
-	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "2", "a/3": "3"}))
+	poll.WaitOn(t, p.otherMirror.hasEntries(map[string]string{"a/1": "2", "a/3": "3"}))
 	assert.Assert(t, p.other.Revisions()["a/"] > at)
 }
 
@@ -224,24 +224,24 @@
 	options.IsWatcher = func() bool { return false }
 	other := kv.NewFanout(options)
 	store.Set("a/1", []byte("x1"))
-	var sourceSees, otherSees mirror
+	var sourceMirror, otherMirror mirror
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: source.View(store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &sourceSees,
+		Store: source.View(store, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &sourceMirror,
 	})
 	direct := &watchCounter{PrefixStore: store}
 	direct.closed.Store(true)
 	go kv.Follow(ctx, kv.FollowOptions{
-		Store: other.View(direct, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &otherSees,
+		Store: other.View(direct, false), Prefix: "a/", WatchTimeout: time.Second, Clock: clocktest.Real{}, Follower: &otherMirror,
 	})
-	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "x1"}))
-	poll.WaitOn(t, otherSees.shows(map[string]string{"a/1": "x1"}))
+	poll.WaitOn(t, sourceMirror.hasEntries(map[string]string{"a/1": "x1"}))
+	poll.WaitOn(t, otherMirror.hasEntries(map[string]string{"a/1": "x1"}))
 	store.Set("a/1", []byte("x2"))
-	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "x2"}))
+	poll.WaitOn(t, sourceMirror.hasEntries(map[string]string{"a/1": "x2"}))
 	store.Set("a/2", []byte("y1"))
-	poll.WaitOn(t, sourceSees.shows(map[string]string{"a/1": "x2", "a/2": "y1"}))
+	poll.WaitOn(t, sourceMirror.hasEntries(map[string]string{"a/1": "x2", "a/2": "y1"}))
 	other.Apply(source.Since(other.Revisions()), time.Now())
-	poll.WaitOn(t, otherSees.shows(map[string]string{"a/1": "x1", "a/2": "y1"}))
+	poll.WaitOn(t, otherMirror.hasEntries(map[string]string{"a/1": "x1", "a/2": "y1"}))
 	direct.closed.Store(false)
 	other.Invalidate()
-	poll.WaitOn(t, otherSees.shows(map[string]string{"a/1": "x2", "a/2": "y1"}))
+	poll.WaitOn(t, otherMirror.hasEntries(map[string]string{"a/1": "x2", "a/2": "y1"}))
 }
--- a/kv/follow_test.go
+++ b/kv/follow_test.go
@@ -19,7 +19,7 @@
 // A mirror is a Follower that keeps the entries and counts the calls.
 type mirror struct {
 	mu          sync.Mutex
-	keys        map[string]string
+	entries     map[string]string
 	unreachable int
 	reachable   int
 }
@@ -27,9 +27,9 @@
 func (m *mirror) Replace(entries []kv.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.keys = make(map[string]string)
+	m.entries = make(map[string]string)
 	for _, e := range entries {
-		m.keys[e.Key] = string(e.Value)
+		m.entries[e.Key] = string(e.Value)
 	}
 }
 
@@ -38,10 +38,10 @@
 	defer m.mu.Unlock()
 	for _, e := range events {
 		if e.Deleted {
-			delete(m.keys, e.Entry.Key)
+			delete(m.entries, e.Entry.Key)
 			continue
 		}
-		m.keys[e.Entry.Key] = string(e.Entry.Value)
+		m.entries[e.Entry.Key] = string(e.Entry.Value)
 	}
 }
 
@@ -57,14 +57,14 @@
 	m.reachable++
 }
 
-func (m *mirror) shows(want map[string]string) poll.Check {
+func (m *mirror) hasEntries(want map[string]string) poll.Check {
 	return func(poll.LogT) poll.Result {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if maps.Equal(m.keys, want) {
+		if maps.Equal(m.entries, want) {
 			return poll.Success()
 		}
-		return poll.Continue("have %v, want %v", m.keys, want)
+		return poll.Continue("have %v, want %v", m.entries, want)
 	}
 }
 
@@ -132,9 +132,9 @@
 			go kv.Follow(ctx, kv.FollowOptions{
 				Store: f.store, Prefix: "a/", WatchTimeout: time.Minute, Clock: clocktest.Real{}, Follower: f.m,
 			})
-			poll.WaitOn(t, f.m.shows(map[string]string{"a/1": "1", "a/2": "2"}))
+			poll.WaitOn(t, f.m.hasEntries(map[string]string{"a/1": "1", "a/2": "2"}))
 			test.trouble(t, f)
-			poll.WaitOn(t, f.m.shows(test.want))
+			poll.WaitOn(t, f.m.hasEntries(test.want))
 		})
 	}
 }
@@ -148,14 +148,14 @@
 	go kv.Follow(ctx, kv.FollowOptions{
 		Store: store, Prefix: "a/", WatchTimeout: time.Minute, Clock: clocktest.Real{}, Follower: m,
 	})
-	poll.WaitOn(t, m.shows(map[string]string{"a/1": "1"}))
+	poll.WaitOn(t, m.hasEntries(map[string]string{"a/1": "1"}))
 	for range 50 {
 		// Writes under other prefixes advance the history beyond the followed key's revision.
 		store.Set("b/1", []byte("x"))
 	}
 	store.Compact()
 	store.Set("a/1", []byte("2"))
-	poll.WaitOn(t, m.shows(map[string]string{"a/1": "2"}))
+	poll.WaitOn(t, m.hasEntries(map[string]string{"a/1": "2"}))
 	assert.Assert(t, store.Calls("list") <= 2, "%d lists", store.Calls("list"))
 	assert.Assert(t, store.Calls("watch") <= 4, "%d watches", store.Calls("watch"))
 	assert.Assert(t, !errors.Is(ctx.Err(), context.Canceled))
--- a/kv/prefix.go
+++ b/kv/prefix.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ErrCompacted means that the service no longer has the changes that a watch asked for. The caller
-// lists the prefix again.
+// ErrCompacted means that the service no longer has all changes after the revision of a watch. The
+// caller must list the prefix again.
 var ErrCompacted = errors.New("kv: history compacted")
 
 // An Event is one change of a key.
--- a/quota/account.go
+++ b/quota/account.go
@@ -14,7 +14,7 @@
 // An account holds what a gateway may spend for one organisation, and the demand it has measured for it.
 type account struct {
 	credits []credit
-	// Until deniedUntil the owner is not asked for an amount of deniedAmount or more.
+	// Until deniedUntil, no grant for an amount of deniedAmount or more is requested from the owner.
 	deniedUntil  time.Time
 	deniedAmount float64
 	// delegatedAt is when the last request to which an owner replied was sent. Until then the owner had this
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -65,8 +65,8 @@
 	// absent is the last AbsentGateways received from a leader. A gateway that has restarted does not itself
 	// know which gateways were removed.
 	absent AbsentGateways
-	// askedAt is when each listed gateway last requested a grant from this one.
-	askedAt map[string]time.Time
+	// requestedAt is when each listed gateway last requested a grant from this one.
+	requestedAt map[string]time.Time
 	// confirmedUntil is the time until which this gateway has the shares of all listed gateways.
 	confirmedUntil time.Time
 	// wasUnconfirmed is set if confirmedUntil had passed when the last request to which a leader replied was
@@ -76,7 +76,7 @@
 
 func newGatewaySet(self string, now time.Time) gatewaySet {
 	return gatewaySet{
-		self: self, owners: make(map[string]string), removed: make(map[string]time.Time), askedAt: make(map[string]time.Time),
+		self: self, owners: make(map[string]string), removed: make(map[string]time.Time), requestedAt: make(map[string]time.Time),
 		confirmedUntil: now,
 	}
 }
@@ -100,7 +100,7 @@
 			s.removed[id] = now
 		}
 	}
-	maps.DeleteFunc(s.askedAt, func(id string, _ time.Time) bool { return !listed[id] })
+	maps.DeleteFunc(s.requestedAt, func(id string, _ time.Time) bool { return !listed[id] })
 	s.gatewayIDs, s.owners = ids, make(map[string]string)
 }
 
@@ -142,16 +142,16 @@
 // recordRequest records that a gateway requested a grant from this one, if it is listed.
 func (s *gatewaySet) recordRequest(id string, now time.Time) {
 	if slices.Contains(s.gatewayIDs, id) {
-		s.askedAt[id] = now
+		s.requestedAt[id] = now
 	}
 }
 
-// countDelegators returns the number of gateways whose share this gateway has: those that asked it recently,
-// and itself. Gateways that are not listed have no share.
+// countDelegators returns the number of gateways whose share this gateway has: those that recently requested a
+// grant from it, and itself. Gateways that are not listed have no share.
 func (s *gatewaySet) countDelegators(now time.Time) int {
 	n := 0
 	for _, id := range s.gatewayIDs {
-		at, asked := s.askedAt[id]
+		at, asked := s.requestedAt[id]
 		if id == s.self || asked && now.Sub(at) <= delegationTime {
 			n++
 		}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -15,9 +15,9 @@
 	// an organisation exceed its limit in a window by at most half a second's worth of the rate, since a
 	// prefetch is no larger than the demand in GrantTTL.
 	GrantTTL = 500 * time.Millisecond
-	// denialTime bounds the time in which an owner is not asked again after a denial. It limits the requests
-	// for grants that an organisation far over its limit causes.
-	denialTime = 50 * time.Millisecond
+	// maxDenialTime bounds the time after a denial in which no grant is requested from the owner. The pause
+	// limits the requests for grants that an organisation far over its limit causes.
+	maxDenialTime = 50 * time.Millisecond
 )
 
 // ErrNotRunning is returned by a GrantClient if the process of the other gateway is known to have ended:
@@ -243,7 +243,7 @@
 		return Decision{Outcome: Unknown}
 	}
 	wait := time.Duration(reply.RetryAfterMs) * time.Millisecond
-	a.deniedUntil, a.deniedAmount = sentAt.Add(min(wait, denialTime)), r.Need
+	a.deniedUntil, a.deniedAmount = sentAt.Add(min(wait, maxDenialTime)), r.Need
 	return Decision{Outcome: OverLimit, RetryAfter: wait}
 }
 
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -38,9 +38,9 @@
 			r := rand.New(rand.NewPCG(1, 2))
 			s := newGatewaySet(24, limit)
 			s.step(3 * time.Second)
-			pause := time.Duration(typicalCost / (0.75 * limit.Rate) * float64(time.Second))
+			interval := time.Duration(typicalCost / (0.75 * limit.Rate) * float64(time.Second))
 			for range 500 {
-				s.step(pause)
+				s.step(interval)
 				assert.Equal(t, s.request(r.IntN(24), typicalCost), quota.WithinLimit)
 			}
 		})
@@ -54,10 +54,10 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	s.step(3 * time.Second)
 	const seconds = 10
-	pause := time.Duration(typicalCost / (6 * limit.Rate) * float64(time.Second))
+	interval := time.Duration(typicalCost / (6 * limit.Rate) * float64(time.Second))
 	inside := 0
 	for range int(seconds * 6 * limit.Rate / typicalCost) {
-		s.step(pause)
+		s.step(interval)
 		switch s.request(r.IntN(24), typicalCost) {
 		case quota.WithinLimit:
 			inside++
