--- a/clock/clock.go
+++ b/clock/clock.go
@@ -28,8 +28,8 @@
 // Sleep waits for d or until ctx ends. It returns at once if d is not positive.
 func Sleep(ctx context.Context, s Service, d time.Duration) { Await(ctx, s, nil, d) }
 
-// Await waits until c can be received from, for at most d and until ctx ends. It returns at once if
-// d is not positive.
+// Await waits until c can be received from, d has passed or ctx ends. It returns at once if d is not
+// positive.
 func Await(ctx context.Context, s Service, c <-chan struct{}, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -93,7 +93,7 @@
 	g.apply(r, now)
 }
 
-// reset replaces the state of a gateway by a report. previous is the state so far, or nil.
+// reset replaces the state of a gateway with a report. previous is the state so far, or nil.
 func (d *demand) reset(previous *gateway, r Report, now time.Time) {
 	if previous != nil {
 		d.loads.update(previous.report.Loads, nil)
@@ -155,7 +155,7 @@
 	clear(d.newTokens)
 }
 
-// removeUnresponsive removes gateways that have not reported within the timeout.
+// removeUnresponsive removes gateways, awaited ones included, that have not reported within the timeout.
 func (d *demand) removeUnresponsive(now time.Time, timeout time.Duration) {
 	if now.Sub(d.awaitedSince) > timeout {
 		clear(d.awaited)
--- a/kv/changelog.go
+++ b/kv/changelog.go
@@ -23,7 +23,7 @@
 	events    []Event
 	// currentAt is the latest time at which the log is known to have held every change. receivedAt
 	// is the same for data forwarded by another process. A watch made by this process itself does
-	// not advance receivedAt, so that later watches are not served from its result.
+	// not advance receivedAt, so that later watches still go to the service.
 	currentAt, receivedAt time.Time
 	// entries are all entries under the prefix as of to, if complete is set. Entries whose changes
 	// were filtered out by the sender may be older.
--- a/kv/fanout_hand_on_test.go
+++ b/kv/fanout_hand_on_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestFanoutHasUpdates checks when another process is due an update: after a change, without any data,
-// or for a newer view of one prefix while another prefix is current at all times.
+// TestFanoutHasUpdates checks when another process is due an update: after a change, if it has no
+// data, or for a newer view of one prefix while another prefix is current at all times.
 func TestFanoutHasUpdates(t *testing.T) {
 	const step = 100 * time.Millisecond
 	c := clocktest.New(time.Unix(1000, 0))
--- a/quota/account.go
+++ b/quota/account.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A credit is an amount granted or given back that has not been spent yet.
+// A credit is an amount granted or refunded that has not been spent yet.
 type credit struct {
 	amount float64
 	until  time.Time
--- a/quota/granter.go
+++ b/quota/granter.go
@@ -8,8 +8,8 @@
 	Key string `json:"organisation"`
 	// From is the ID of the requesting gateway.
 	From string `json:"from"`
-	// Need is the amount that one request spends. Prefetch is the additional amount to prefetch. Both are
-	// in the limit's unit.
+	// Need is the amount that one request spends. Prefetch is an additional amount for later requests. Both
+	// are in the limit's unit.
 	Need     float64 `json:"need"`
 	Prefetch float64 `json:"ahead,omitempty"`
 }
@@ -40,7 +40,7 @@
 // A granter holds the buckets of the organisations that a gateway owns.
 type granter struct {
 	buckets map[string]*bucket
-	// since is when buckets that do not exist yet started to fill.
+	// since is the time from which a bucket created later is filled.
 	since time.Time
 }
 
--- a/quota/status.go
+++ b/quota/status.go
@@ -7,8 +7,7 @@
 	Inside  int64 `json:"inside"`
 	Over    int64 `json:"over"`
 	Unknown int64 `json:"unknown"`
-	// Spent is the amount spent by requests within the limit, without what was given back, in the limit's
-	// unit.
+	// Spent is the amount spent by requests within the limit, less refunds, in the limit's unit.
 	Spent float64 `json:"spent"`
 }
 
