--- a/backend/registry.go
+++ b/backend/registry.go
@@ -18,7 +18,8 @@
 // the time until a change of the list is noticed, it is short enough for servers that have stopped.
 const vanishedRetention = 1300 * time.Millisecond
 
-// A vanishedServer was removed from the list without having announced that it leaves.
+// A vanishedServer is a server that was removed from the list without having announced that it is
+// leaving.
 type vanishedServer struct {
 	Server
 	since time.Time
@@ -33,9 +34,9 @@
 type Registry struct {
 	mu sync.Mutex
 	// listed and vanished are keyed by Server.Name.
-	listed    map[string]Server
-	vanished  map[string]vanishedServer
-	endedRuns endedRuns
+	listed         map[string]Server
+	vanished       map[string]vanishedServer
+	endedInstances endedInstances
 	// residency is the leader's residency by Server.ID, last updated at residencyAt; nil if
 	// unknown.
 	residency   map[string]Residency
@@ -61,15 +62,15 @@
 	for _, s := range list {
 		old, known := r.previous(before, s.Name())
 		switch {
-		case r.endedRuns.hasEnded(s):
+		case r.endedInstances.hasEnded(s):
 			if old, ok := before[s.Name()]; ok {
 				r.listed[s.Name()] = old
 			}
 			continue
 		case known && old.ID != s.ID:
-			restarts = append(restarts, r.endedRuns.end(old, s))
+			restarts = append(restarts, r.endedInstances.end(old, s))
 		}
-		r.list(s)
+		r.setListed(s)
 	}
 	for name, s := range before {
 		if _, ok := r.listed[name]; !ok {
@@ -89,13 +90,13 @@
 	return v.Server, ok
 }
 
-// list sets the record of a server.
-func (r *Registry) list(s Server) {
+// setListed sets the record of a server.
+func (r *Registry) setListed(s Server) {
 	r.listed[s.Name()] = s
 	delete(r.vanished, s.Name())
 }
 
-// noteVanished records a server that is no longer listed, unless it announced that it leaves.
+// noteVanished records a server that is no longer listed, unless it was leaving.
 func (r *Registry) noteVanished(s Server, now time.Time) {
 	if s.Leaving {
 		return
@@ -109,8 +110,8 @@
 // A Change is a new or changed record of a server, or its removal from the list.
 type Change struct {
 	Server
-	// Removed reports that the server is no longer listed, Unusable that its record does not describe
-	// a server. If either is set, only the server's name is used.
+	// Removed is set if the server is no longer listed, Unusable if its record does not describe a
+	// server. If either is set, only the server's name is used.
 	Removed, Unusable bool
 }
 
@@ -133,14 +134,14 @@
 			r.remove(c, now)
 			differs = true
 			continue
-		case r.endedRuns.hasEnded(c.Server):
+		case r.endedInstances.hasEnded(c.Server):
 			continue
 		case known && old.ID != c.ID:
-			restarts = append(restarts, r.endedRuns.end(old, c.Server))
+			restarts = append(restarts, r.endedInstances.end(old, c.Server))
 		}
 		_, listed := r.listed[c.Name()]
 		differs = differs || !listed || r.isVisible(old, c.Server)
-		r.list(c.Server)
+		r.setListed(c.Server)
 	}
 	if differs {
 		r.rebuild(now)
@@ -266,13 +267,13 @@
 		all = append(all, s)
 	}
 	slices.SortFunc(all, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
-	all, unstarted := dropWithoutInstance(all)
+	all, dropped := dropWithoutInstance(all)
 	for i := range all {
 		if published, ok := r.residency[all[i].ID]; ok {
 			all[i].Residents = published.Residents
 		}
 	}
 	snapshot := newSnapshot(all)
-	snapshot.withoutInstance = unstarted
+	snapshot.withoutInstance = dropped
 	r.snapshot.Store(snapshot)
 }
--- a/internal/placer/orders.go
+++ b/internal/placer/orders.go
@@ -59,11 +59,11 @@
 
 // applyReport applies a report and schedules the next one.
 func (p *Placer) applyReport(e *engineState, r backend.Report, now time.Time) {
-	if e.isFromOtherIncarnation(r) {
-		p.handleOtherIncarnation(e, r, now)
+	if e.isFromOtherInstance(r) {
+		p.handleOtherInstance(e, r, now)
 		return
 	}
-	e.otherIncarnation = false
+	e.otherInstance = false
 	if !e.apply(r, now) {
 		e.nextReport = now.Add(pollInterval / 2)
 		return
@@ -83,13 +83,13 @@
 	p.publish(now)
 }
 
-// handleOtherIncarnation handles a report from another incarnation of an engine than the registered one. The
-// registered incarnation is gone: it gets no orders and holds nothing. The registry will list the new one.
-func (p *Placer) handleOtherIncarnation(e *engineState, r backend.Report, now time.Time) {
-	if !e.otherIncarnation {
-		p.opts.Log.Info("report from another incarnation of the server", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
+// handleOtherInstance handles a report from another server instance than the registered one. The registered
+// instance has ended: it gets no orders and holds nothing. The registry will list the new one.
+func (p *Placer) handleOtherInstance(e *engineState, r backend.Report, now time.Time) {
+	if !e.otherInstance {
+		p.opts.Log.Info("report from another server instance than the registered one", zap.String("server", e.server.ID), zap.String("reports", r.ServerID))
 	}
-	e.known, e.otherIncarnation = false, true
+	e.known, e.otherInstance = false, true
 	e.nextReport = now.Add(pollInterval)
 	p.publish(now)
 }
@@ -109,7 +109,7 @@
 		e.pending = nil
 		return
 	}
-	if e.fromStore() && !p.storeLoadLimiter.allow(now) {
+	if e.loadsFromStore() && !p.storeLoadLimiter.allow(now) {
 		return
 	}
 	e.callInProgress = true
@@ -140,7 +140,7 @@
 	return p.opts.Engines.Order(p.ctx, s, o)
 }
 
-// An orderResult is the result of an order.
+// An orderResult is an order with its outcome.
 type orderResult struct {
 	order   backend.Order
 	outcome backend.OrderOutcome
@@ -180,7 +180,7 @@
 		e.pending = nil
 	case backend.OrderUnanswered:
 		// The order may still be carried out. Request a report, then repeat the order with the same sequence
-		// number, so that the engine accepts it only once.
+		// number, so that the engine accepts it at most once.
 		e.known = false
 		e.nextReport = now.Add(orderRetryDelay)
 	default:
--- a/kv/copy_test.go
+++ b/kv/copy_test.go
@@ -16,8 +16,8 @@
 	"rockcleat/kv/kvtest"
 )
 
-// writeTime is the MaxWriteInterval of counterWriters.
-const writeTime = 3 * time.Second
+// writeInterval is the MaxWriteInterval of counterWriters.
+const writeInterval = 3 * time.Second
 
 // counterWriters write increasing digits.
 type counterWriters struct{}
@@ -27,7 +27,7 @@
 	return bytes.Compare(e.Value, than.Value) < 0, e.Value[0] <= '9' && than.Value[0] <= '9'
 }
 
-func (counterWriters) MaxWriteInterval() time.Duration { return writeTime }
+func (counterWriters) MaxWriteInterval() time.Duration { return writeInterval }
 
 // A restorableService is a service with counterWriters under s/, seen by a watcher.
 type restorableService struct {
@@ -73,8 +73,8 @@
 }
 
 // TestRestoreFromBackup restores the service from a backup with an outdated entry, a missing entry
-// and an entry that was deleted since. The watcher must keep listing what it knew until each entry
-// is written again or its time passes.
+// and an entry that was deleted since. The watcher must keep listing the entries that it knew until
+// each is written again or has been missing for writeInterval.
 func TestRestoreFromBackup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRestorableService(t)
@@ -102,8 +102,8 @@
 		began := time.Now()
 		_, err = s.watch()
 		assert.ErrorIs(t, err, kv.ErrCompacted, "one has not written again in its time")
-		assert.Assert(t, time.Since(began) <= writeTime)
-		// A deleted entry does not return by itself, and an outdated value stays ignored.
+		assert.Assert(t, time.Since(began) <= writeInterval)
+		// The deleted entry of the backup is not listed, and the outdated value stays ignored.
 		assert.DeepEqual(t, s.list(), map[string]string{"s/leaving": "6", "s/ended": "5", "s/new": "2"})
 
 		s.store.Set("s/gone", []byte("6"))
@@ -115,7 +115,8 @@
 }
 
 // TestRestoreEarlierIncarnation restores the service twice from a backup with an entry of an
-// earlier incarnation of a writer. The later incarnation must stay until the writer writes again.
+// earlier incarnation of a writer. The entry of the later incarnation must be listed until the
+// writer writes again.
 func TestRestoreEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRestorableService(t)
@@ -137,8 +138,8 @@
 	})
 }
 
-// TestRestoreTwice restores the service twice in a row. The entries known before the first
-// restore must stay.
+// TestRestoreTwice restores the service twice in a row. The entries known before the first restore
+// must still be listed.
 func TestRestoreTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRestorableService(t)
@@ -170,8 +171,8 @@
 	return nil, after, s.watch
 }
 
-// TestFollowBacksOff guards against a busy loop: Follow must pause between calls
-// whichever error the service returns immediately.
+// TestFollowBacksOff guards against a busy loop: Follow must back off whichever error the service
+// returns immediately.
 func TestFollowBacksOff(t *testing.T) {
 	outcomes := map[string]error{
 		"compacted": kv.ErrCompacted, "unavailable": kv.ErrUnavailable, "rate limited": kv.ErrRateLimited,
--- a/kv/kvtest/store.go
+++ b/kv/kvtest/store.go
@@ -74,7 +74,7 @@
 	s.notify()
 }
 
-// A Copy is a backup of a Store: its entries and its count of writes.
+// A Backup is a backup of a Store: its entries and its count of writes.
 type Backup struct {
 	count   int64
 	entries map[string]entry
@@ -84,23 +84,23 @@
 func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := Backup{count: s.rev.Count(), entries: make(map[string]entry)}
+	backup := Backup{count: s.rev.Count(), entries: make(map[string]entry)}
 	for key, e := range s.entries {
 		if e.lease == 0 {
-			c.entries[key] = e
+			backup.entries[key] = e
 		}
 	}
-	return c
+	return backup
 }
 
 // Restore replaces the contents with a backup and starts the next era. Later writes and all leases
 // are lost, and counts of writes are used again.
-func (s *Store) Restore(c Backup) {
+func (s *Store) Restore(backup Backup) {
 	s.mu.Lock()
 	s.era++
-	s.rev = kv.NewRevision(s.era, c.count)
-	s.entries = make(map[string]entry, len(c.entries))
-	for key, e := range c.entries {
+	s.rev = kv.NewRevision(s.era, backup.count)
+	s.entries = make(map[string]entry, len(backup.entries))
+	for key, e := range backup.entries {
 		e.Revision = kv.NewRevision(s.era, e.Revision.Count())
 		s.entries[key] = e
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-// OnEra registers f to be called with each new era.
+// OnEraChange registers f to be called with each new era.
 func (s *Store) OnEraChange(f func(era int64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/kv/prefix.go
+++ b/kv/prefix.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// ErrCompacted means that the service no longer has the changes that a watch asked for. The caller
-// lists the prefix again.
+// ErrCompacted means that the service no longer has all changes after the revision of a watch. The
+// caller must list the prefix again.
 var ErrCompacted = errors.New("kv: history compacted")
 
 // An Event is one change of a key.
 type Event struct {
 	Entry Entry
-	// Deleted reports that the key was deleted; the entry's value is then empty.
+	// Deleted is set if the key was deleted; the entry's value is then empty.
 	Deleted bool
 }
 
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -11,20 +11,20 @@
 // Timing of ownership; see docs/design/0014.
 const (
 	// OwnershipTTL is how long a gateway has the shares of all listed gateways, counted from when it sent the
-	// last request that a leader answered. It must be shorter than the two seconds after which the leader
+	// last request to which a leader replied. It must be shorter than the two seconds after which the leader
 	// removes a gateway that does not report.
 	OwnershipTTL = 1800 * time.Millisecond
 	// LeaderlessTTL is how long after that a gateway continues without a leader. It is longer than the time to
 	// replace a failed leader, and longer than the time for which an unconfirmed configuration may be used.
 	LeaderlessTTL = 8 * time.Second
-	// delegationTime is how long a gateway's share stays with an owner that it has asked. A longer time would
-	// let two owners have the share at once for too long.
+	// delegationTime is how long a gateway's share stays with an owner from which it has requested a grant. A
+	// longer time would prolong the period in which two owners can have the share at once.
 	delegationTime = time.Second
 	// maxGrace bounds the additional time in which the Tolerance lets an owner without a leader keep the
 	// shares of all listed gateways.
 	maxGrace = 2 * time.Second
 	// graceShare is the fraction of the Tolerance that one owner may use for that additional time. Several
-	// owners can lose the leader one after another.
+	// owners can lose contact with the leader one after another.
 	graceShare = 0.1
 )
 
@@ -43,9 +43,10 @@
 	return min(time.Duration(graceShare*excess/l.Rate*float64(time.Second)), maxGrace)
 }
 
-// An AbsentGateways is the leader's count of gateways that do not report to it but may be spending their shares.
+// AbsentGateways holds the leader's counts of gateways that do not report to it but may be spending their
+// shares.
 type AbsentGateways struct {
-	// Lapsed is the number of gateways recently removed from the leader's list. Awaited is the number of
+	// Removed is the number of gateways recently removed from the leader's list. Awaited is the number of
 	// listed gateways that were known before the leader's term and have not reported in it.
 	Removed int `json:"lapsed,omitempty"`
 	Awaited int `json:"awaited,omitempty"`
@@ -58,30 +59,31 @@
 	gatewayIDs []string
 	// owners caches the owner of each organisation.
 	owners map[string]string
-	// removed holds the gateways recently removed from the list and when they were. Each may go on spending
-	// its share for LeaderlessTTL.
+	// removed holds when each gateway recently removed from the list was removed. Each may go on spending its
+	// share for LeaderlessTTL.
 	removed map[string]time.Time
-	// absence is the last AbsentGateways received from a leader. A gateway that has restarted does not know itself
-	// which gateways were removed.
-	absence AbsentGateways
-	// askedAt is when each listed gateway last requested a grant from this one.
-	askedAt map[string]time.Time
+	// absent is the last AbsentGateways received from a leader. A gateway that has restarted does not itself
+	// know which gateways were removed.
+	absent AbsentGateways
+	// requestedAt is when each listed gateway last requested a grant from this one.
+	requestedAt map[string]time.Time
 	// confirmedUntil is the time until which this gateway has the shares of all listed gateways.
 	confirmedUntil time.Time
-	// wasUnconfirmed is set if confirmedUntil had passed when the last request that a leader answered was sent.
+	// wasUnconfirmed is set if confirmedUntil had passed when the last request to which a leader replied was
+	// sent.
 	wasUnconfirmed bool
 }
 
 func newGatewaySet(self string, now time.Time) gatewaySet {
 	return gatewaySet{
-		self: self, owners: make(map[string]string), removed: make(map[string]time.Time), askedAt: make(map[string]time.Time),
+		self: self, owners: make(map[string]string), removed: make(map[string]time.Time), requestedAt: make(map[string]time.Time),
 		confirmedUntil: now,
 	}
 }
 
 // recordLeaderReply records that a leader replied to a request sent at the given time.
 func (s *gatewaySet) recordLeaderReply(sentAt time.Time, a AbsentGateways) {
-	s.absence = a
+	s.absent = a
 	s.wasUnconfirmed = sentAt.After(s.confirmedUntil)
 	s.confirmedUntil = sentAt.Add(OwnershipTTL)
 }
@@ -98,7 +100,7 @@
 			s.removed[id] = now
 		}
 	}
-	maps.DeleteFunc(s.askedAt, func(id string, _ time.Time) bool { return !listed[id] })
+	maps.DeleteFunc(s.requestedAt, func(id string, _ time.Time) bool { return !listed[id] })
 	s.gatewayIDs, s.owners = ids, make(map[string]string)
 }
 
@@ -134,22 +136,22 @@
 
 // size returns the number of gateways that have a share: those listed and those recently removed.
 func (s *gatewaySet) size(now time.Time) int {
-	return len(s.gatewayIDs) + max(s.countRemoved(now), s.absence.Removed)
+	return len(s.gatewayIDs) + max(s.countRemoved(now), s.absent.Removed)
 }
 
 // recordRequest records that a gateway requested a grant from this one, if it is listed.
 func (s *gatewaySet) recordRequest(id string, now time.Time) {
 	if slices.Contains(s.gatewayIDs, id) {
-		s.askedAt[id] = now
+		s.requestedAt[id] = now
 	}
 }
 
-// countDelegators returns the number of gateways whose share this gateway has: those that asked it recently,
-// and itself. Gateways that are not listed have no share.
+// countDelegators returns the number of gateways whose share this gateway has: those that recently requested a
+// grant from it, and itself. Gateways that are not listed have no share.
 func (s *gatewaySet) countDelegators(now time.Time) int {
 	n := 0
 	for _, id := range s.gatewayIDs {
-		at, asked := s.askedAt[id]
+		at, asked := s.requestedAt[id]
 		if id == s.self || asked && now.Sub(at) <= delegationTime {
 			n++
 		}
@@ -166,7 +168,7 @@
 	if size == 0 {
 		return 0
 	}
-	listed := float64(max(len(s.gatewayIDs)-s.absence.Awaited, 1)) / size
+	listed := float64(max(len(s.gatewayIDs)-s.absent.Awaited, 1)) / size
 	switch {
 	case now.Before(s.confirmedUntil.Add(t.grace(l))):
 		return listed
--- a/quota/status.go
+++ b/quota/status.go
@@ -2,12 +2,12 @@
 
 // Counts holds a gateway's decisions for one organisation since the process started.
 type Counts struct {
-	// Inside, Over and Unknown are the numbers of requests by outcome.
+	// Inside, Over and Unknown are the numbers of requests with the outcomes WithinLimit, OverLimit and
+	// Unknown.
 	Inside  int64 `json:"inside"`
 	Over    int64 `json:"over"`
 	Unknown int64 `json:"unknown"`
-	// Spent is the amount spent by requests within the limit, without what was given back, in the limit's
-	// unit.
+	// Spent is the amount spent by requests within the limit, less refunds, in the limit's unit.
 	Spent float64 `json:"spent"`
 }
 
