--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -14,19 +14,19 @@
 // clock drift and the time until the request reaches the server.
 const revokeFraction = 0.8
 
-// retryStaleConfig is the Retry-After for a request whose key cannot be checked. By then an update that the leader's
+// retryAfterStaleConfig is the Retry-After for a request whose key cannot be checked. By then an update that the leader's
 // watch delivered late has arrived, and other gateways may already have it.
-const retryStaleConfig = 500 * time.Millisecond
+const retryAfterStaleConfig = 500 * time.Millisecond
 
 // An authenticator authenticates callers by the API keys in the configuration. It accepts a key only while the
 // configuration is known to be recent.
 type authenticator struct {
 	// currentAt returns the latest time at which the configuration in force was known to be the newest.
 	currentAt func() time.Time
-	// revokeTime is the configured time within which a revoked key must stop working; 0 disables the check.
+	// maxRevocationDelay is the configured time within which a revoked key must stop working; 0 disables the check.
 	// unknownKeyMaxAge returns the maximum age of a configuration that may reject a key as unknown.
-	revokeTime       time.Duration
-	unknownKeyMaxAge func() time.Duration
+	maxRevocationDelay time.Duration
+	unknownKeyMaxAge   func() time.Duration
 }
 
 // configAge returns the time since the configuration in force was last known to be the newest.
@@ -45,18 +45,18 @@
 	organisation, err := keyHolder(r, routing)
 	switch {
 	case a.isTooOld(age):
-		return table.Organisation{}, withOrganisation(notRun("keys cannot be checked now", retryStaleConfig), organisation)
+		return table.Organisation{}, withOrganisation(notRun("keys cannot be checked now", retryAfterStaleConfig), organisation)
 	case err == nil:
 		return organisation, nil
 	case age > a.unknownKeyMaxAge():
-		return table.Organisation{}, notRun("the key is not known here yet", retryStaleConfig)
+		return table.Organisation{}, notRun("the key is not known here yet", retryAfterStaleConfig)
 	}
 	return table.Organisation{}, &refusal{status: http.StatusUnauthorized, reason: err.Error(), challenge: true}
 }
 
 // isTooOld reports whether a configuration of the given age may still contain a revoked key.
 func (a *authenticator) isTooOld(age time.Duration) bool {
-	return a.revokeTime > 0 && float64(age) > revokeFraction*float64(a.revokeTime)
+	return a.maxRevocationDelay > 0 && float64(age) > revokeFraction*float64(a.maxRevocationDelay)
 }
 
 // errUnknownKey reports that the key belongs to no organisation.
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -9,12 +9,12 @@
 	"rockcleat/dispatch"
 )
 
-// maxBufferedAnswer is the number of bytes of a non-streaming answer that are buffered before any are forwarded.
+// maxBufferedResponse is the number of bytes of a non-streaming answer that are buffered before any are forwarded.
 // While an answer is buffered, the request can still be retried on another server.
-const maxBufferedAnswer = 256 << 10
+const maxBufferedResponse = 256 << 10
 
-// forwardAnswer forwards a non-streaming answer and reports whether the request is finished.
-func (f *forwarder) forwardAnswer(ctx context.Context, res *dispatch.Reservation, resp *http.Response) bool {
+// forwardResponse forwards a non-streaming answer and reports whether the request is finished.
+func (f *forwarder) forwardResponse(ctx context.Context, res *dispatch.Reservation, resp *http.Response) bool {
 	res.RecordFirstByte()
 	if resp.StatusCode >= http.StatusInternalServerError && f.mayRetry() && f.proxy.budgets.take(f.in) {
 		res.Done(dispatch.Failed)
@@ -22,18 +22,18 @@
 		f.exclude(res)
 		return false
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse))
 	if err != nil {
 		f.noteConnFailure(res, cause(ctx, err))
 		return f.handleLost(res, cause(ctx, err))
 	}
-	f.beginAnswer(resp)
-	if len(body) < maxBufferedAnswer {
+	f.beginResponse(resp)
+	if len(body) < maxBufferedResponse {
 		f.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	f.w.WriteHeader(resp.StatusCode)
 	_, err = f.w.Write(body)
-	if err == nil && len(body) == maxBufferedAnswer {
+	if err == nil && len(body) == maxBufferedResponse {
 		_, err = io.Copy(f.w, resp.Body)
 	}
 	if err != nil {
@@ -57,8 +57,8 @@
 	f.record.outcome = outcomeAnswered
 }
 
-// beginAnswer copies the answer's header to the caller's response.
-func (f *forwarder) beginAnswer(resp *http.Response) {
+// beginResponse copies the answer's header to the caller's response.
+func (f *forwarder) beginResponse(resp *http.Response) {
 	f.headerSent.Store(true)
 	f.record.firstByte = f.proxy.clock.Now()
 	h := f.w.Header()
--- a/internal/gateway/bounded_lines.go
+++ b/internal/gateway/bounded_lines.go
@@ -27,7 +27,7 @@
 		return zap.Skip(), false
 	}
 	if n := l.suppressed.Swap(0); n > 0 {
-		return zap.Uint64(fieldLeftOut, n), true
+		return zap.Uint64(fieldSuppressed, n), true
 	}
 	return zap.Skip(), true
 }
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// unusedConnTime is how long, during a stop, a connection on which nothing was received stays open. noticeTime and
-// unusedConnTime together are shorter than the 3 s within which a stopping gateway still accepts requests.
-const unusedConnTime = 400 * time.Millisecond
+// unusedConnTimeout is how long, during a stop, a connection on which nothing was received stays open. noticeTime and
+// unusedConnTimeout together are shorter than the 3 s within which a stopping gateway still accepts requests.
+const unusedConnTimeout = 400 * time.Millisecond
 
 // drain ends the idle connections, makes the others end after their current answer, and returns the number of open
 // connections.
@@ -101,7 +101,7 @@
 	c.draining.Store(true)
 	list := c.list()
 	for _, caller := range list {
-		caller.endIdle(now, unusedConnTime, 0)
+		caller.endIdle(now, unusedConnTimeout, 0)
 	}
 	return len(list)
 }
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -164,7 +164,7 @@
 			}, rest: request,
 		},
 		"new for long": {
-			follow: func(*testing.T, *conns, *callerConn, net.Conn) {}, after: 2 * unusedConnTime, ended: true,
+			follow: func(*testing.T, *conns, *callerConn, net.Conn) {}, after: 2 * unusedConnTimeout, ended: true,
 		},
 	}
 	for name, test := range tests {
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -13,7 +13,7 @@
 //   - feed: updates of the store view, read from the parent in the tree;
 //   - proxy: request handling, with an inbound (the parsed request), a forwarder (the retry loop) and a record (the
 //     result);
-//   - quarantineRole: requests that repeatedly terminate servers (package quarantine), with a terminationDetector, which
+//   - quarantineRole: requests that repeatedly terminate servers (package quarantine), with a crashDetector, which
 //     detects the termination of a server, and a quarantineStore, which persists the quarantine;
 //   - serverLimits: rate limits that backend servers announce in their answers (package serverlimit);
 //   - fleetStore: the list of gateways that the leader keeps in the store;
--- a/internal/gateway/find_leader_test.go
+++ b/internal/gateway/find_leader_test.go
@@ -23,13 +23,13 @@
 type fakePeers struct {
 	t      *testing.T
 	leader string
-	// asked holds the addresses of the requests, in order.
-	asked []string
+	// requested holds the addresses of the requests, in order.
+	requested []string
 }
 
 // RoundTrip implements http.RoundTripper.
 func (p *fakePeers) RoundTrip(r *http.Request) (*http.Response, error) {
-	p.asked = append(p.asked, r.URL.Host)
+	p.requested = append(p.requested, r.URL.Host)
 	body, err := json.Marshal(replyMessage{Reply: placer.Reply{IsLeader: r.URL.Host == p.leader}})
 	assert.NilError(p.t, err)
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body)), Request: r}, nil
@@ -62,13 +62,13 @@
 	r := p.newReporter(o)
 	for range tries {
 		r.report(t.Context())
-		if peers.asked[len(peers.asked)-1] == peers.leader {
+		if peers.requested[len(peers.requested)-1] == peers.leader {
 			break
 		}
 	}
-	assert.Equal(t, peers.asked[0], "g1:1", "the record is the first guess")
+	assert.Equal(t, peers.requested[0], "g1:1", "the record is the first guess")
 	for range 5 {
 		r.report(t.Context())
-		assert.Equal(t, peers.asked[len(peers.asked)-1], peers.leader, "asked %v", peers.asked)
+		assert.Equal(t, peers.requested[len(peers.requested)-1], peers.leader, "asked %v", peers.requested)
 	}
 }
--- a/internal/gateway/fleet_keeper.go
+++ b/internal/gateway/fleet_keeper.go
@@ -65,10 +65,10 @@
 	term lease.Token
 	// recent holds the time at which each gateway was last on the leader's list.
 	recent map[placer.Gateway]time.Time
-	// seen is the last result of withRecent, unchanged since seenSince. stored is the list last written to the store.
-	seen      []placer.Gateway
-	seenSince time.Time
-	stored    []placer.Gateway
+	// pending is the last result of withRecent, unchanged since pendingSince. stored is the list last written to the store.
+	pending      []placer.Gateway
+	pendingSince time.Time
+	stored       []placer.Gateway
 	// synced says that this gateway knows the previous list of gateways, if there was one. nextLoad is the
 	// earliest time of the next read from the store.
 	synced   bool
@@ -87,7 +87,7 @@
 func (f *fleetStore) step(now time.Time) {
 	token, leads := f.lease.Held()
 	if leads && token != f.term {
-		f.term, f.stored, f.seenSince = token, nil, now
+		f.term, f.stored, f.pendingSince = token, nil, now
 	}
 	list := f.gateways.list()
 	f.synced = f.synced || f.firstStart || len(list) > 0 && !leads
@@ -102,15 +102,15 @@
 // save writes the leader's list, including recently listed gateways, once it has been unchanged for fleetSettleTime.
 func (f *fleetStore) save(list []placer.Gateway, now time.Time) {
 	list = f.withRecent(list, now)
-	if !slices.Equal(list, f.seen) {
-		f.seen, f.seenSince = list, now
+	if !slices.Equal(list, f.pending) {
+		f.pending, f.pendingSince = list, now
 	}
-	if len(list) == 0 || slices.Equal(list, f.stored) || now.Sub(f.seenSince) < fleetSettleTime {
+	if len(list) == 0 || slices.Equal(list, f.stored) || now.Sub(f.pendingSince) < fleetSettleTime {
 		return
 	}
 	if err := f.put(list); err != nil {
 		f.log.Warn("writing the list of gateways failed", telemetry.Error(err))
-		f.seenSince = now
+		f.pendingSince = now
 		return
 	}
 	f.stored = list
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -58,7 +58,7 @@
 			return
 		}
 		f.record.reservation = res
-		if over := f.send(res); over {
+		if finished := f.send(res); finished {
 			return
 		}
 	}
@@ -162,7 +162,7 @@
 	if f.mayRetry() && (f.retryCharged.Load() || f.proxy.budgets.take(f.in)) {
 		f.exclude(res)
 		f.req.MayHaveRun = true
-		f.req.WaitUntil = f.in.deadline.Add(-answerReserve)
+		f.req.WaitUntil = f.in.deadline.Add(-responseReserve)
 		return false
 	}
 	if f.headerSent.Load() {
@@ -210,6 +210,6 @@
 // abort aborts an answer that cannot be completed, so that the caller sees a broken connection, not a complete answer.
 func (f *forwarder) abort(err error) {
 	f.record.outcome = outcomeCut
-	f.proxy.requestLog.answerAborted(f, err)
+	f.proxy.requestLog.responseAborted(f, err)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -52,7 +52,7 @@
 	configAge := p.authenticator.configAge(now)
 	routing := p.config.routing()
 	if routing == nil {
-		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: retryUnready}
+		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: retryAfterUnready}
 	}
 	limits := routing.Limits()
 	if limits.HeaderBytes > 0 && headerBytes(r) > limits.HeaderBytes {
@@ -105,7 +105,7 @@
 	}
 	in.target = backend.ParseAdapter(in.Header.Get(p.names.Model))
 	if !in.isServable() {
-		return notRun("the model is not configured", retryUnknownModel)
+		return notRun("the model is not configured", retryAfterUnknownModel)
 	}
 	in.deadline, ok = deadlineOf(in.arrived, in.route.Timeout, in.Header.Get(p.names.Deadline))
 	if !ok {
@@ -149,7 +149,7 @@
 	}
 	// Setting the deadline fails only on a closed connection, which the read below reports.
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(clock.SystemDeadline(p.bodyTime))
+	_ = rc.SetReadDeadline(clock.SystemDeadline(p.bodyTimeout))
 	var src io.Reader = r.Body
 	if limit > 0 {
 		src = io.LimitReader(src, limit+1)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -53,9 +53,9 @@
 	return list
 }
 
-// retryUnknownLimit is the Retry-After while the state of an organisation's rate limit is unknown. It is about the time
+// retryAfterUnknownLimit is the Retry-After while the state of an organisation's rate limit is unknown. It is about the time
 // until another gateway leads or grants.
-const retryUnknownLimit = 500 * time.Millisecond
+const retryAfterUnknownLimit = 500 * time.Millisecond
 
 // charge charges a request to its organisation's rate limit, or refuses it. It runs before the request takes a
 // server, an admission or part of the model's demand, so that requests over the limit do not displace others.
@@ -75,7 +75,7 @@
 			status: http.StatusTooManyRequests, reason: "over the organisation's limit; not run", retryAfter: retryAfterLimit(d.RetryAfter),
 		}, in.organisation)
 	}
-	return withOrganisation(notRun("the organisation's limit is not known now", retryUnknownLimit), in.organisation)
+	return withOrganisation(notRun("the organisation's limit is not known now", retryAfterUnknownLimit), in.organisation)
 }
 
 // refund returns the charge of a request that has not run.
--- a/internal/gateway/needs.go
+++ b/internal/gateway/needs.go
@@ -19,16 +19,16 @@
 	queueTimeFraction = 0.8
 	// sendByPercent is the percentage of the first-byte objective within which a request must be sent to meet it.
 	sendByPercent = 70
-	// answerReserve is the part of the deadline that is reserved for the answer.
-	answerReserve = 400 * time.Millisecond
+	// responseReserve is the part of the deadline that is reserved for the answer.
+	responseReserve = 400 * time.Millisecond
 )
 
-// waitTime returns how long the request may wait for a server. It is limited by the caller's estimated patience and
-// by the deadline less answerReserve.
-func (in *inbound) waitTime() time.Duration {
+// maxWait returns how long the request may wait for a server. It is limited by the caller's estimated patience and
+// by the deadline less responseReserve.
+func (in *inbound) maxWait() time.Duration {
 	callerWait := max(minCallerWait, callerWaitFactor*in.route.FirstByteObjective, 2*callerWaitFactor*in.route.EventGapObjective)
 	wait := time.Duration(float64(callerWait) * queueTimeFraction)
-	return max(min(wait, in.deadline.Sub(in.arrived)-answerReserve), 0)
+	return max(min(wait, in.deadline.Sub(in.arrived)-responseReserve), 0)
 }
 
 // requirementsOf returns the dispatcher's view of a request. Malformed model headers are logged and ignored; the server
@@ -36,7 +36,7 @@
 func (p *proxy) requirementsOf(in *inbound) dispatch.Request {
 	req := dispatch.Request{
 		Service: in.service.Name, Priority: in.route.Priority,
-		WaitUntil: in.arrived.Add(in.waitTime()), FirstByteObjective: in.route.FirstByteObjective,
+		WaitUntil: in.arrived.Add(in.maxWait()), FirstByteObjective: in.route.FirstByteObjective,
 	}
 	if objective := in.route.FirstByteObjective; objective > 0 {
 		req.SendBy = in.arrived.Add(objective * sendByPercent / 100)
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -74,7 +74,7 @@
 	p.servers = newServerList(o.Decoder, o.Clock, o.Log, p.dispatcher)
 	p.pauses = &pauseDetector{log: o.Log, inProgress: p.lifecycle.requests, lastCheck: o.Clock.Now()}
 	p.quarantine = p.newQuarantineRole(ctx, o)
-	p.breaker = kv.NewBreaker(kv.BreakerOptions{Clock: o.Clock, Cooldown: p.probePause})
+	p.breaker = kv.NewBreaker(kv.BreakerOptions{Clock: o.Clock, Cooldown: p.probeBackoff})
 	p.leader = p.newLeaderRole(o)
 	p.limiter = p.newLimiter(o)
 	p.limiters = limiters{p.limiter, p.serverLimits.limiter}
@@ -85,7 +85,7 @@
 	p.fleetStore = p.newFleetStore(ctx, o)
 	p.configs = configsync.New(configsync.Options{
 		Store: p.breaker.View(o.AllKeys), Key: o.Decoder.ConfigKey(), Applier: p.config, Peers: p.peers,
-		Health: p.health, Clock: o.Clock, Log: o.Log, IsWatcher: p.leader.isHeld, MaxAge: p.configMaxAge(s),
+		Health: p.health, Clock: o.Clock, Log: o.Log, IsWatcher: p.leader.isLeader, MaxAge: p.configMaxAge(s),
 		StartWait: p.gateways.listWait, IsCaughtUp: p.fleetStore.isSettled,
 		OnModeChange: p.requestLog.watchSwitched, OnTransfer: func(from configsync.Origin, bytes int, err error) {
 			o.Metrics.ConfigTransfer(string(from), bytes, err)
@@ -109,7 +109,7 @@
 		AcquireDelay: func() time.Duration { return p.gateways.contentionDelay(p.leaderAddr()) },
 	})}
 	l.fanout = kv.NewFanout(kv.FanoutOptions{
-		Clock: o.Clock, MaxAge: viewMaxAge(s), IsWatcher: l.isHeld,
+		Clock: o.Clock, MaxAge: viewMaxAge(s), IsWatcher: l.isLeader,
 		OnSwitch: p.requestLog.watchSwitched, Digest: p.servers.digest, ListWait: p.gateways.listWait,
 		ExtraAge: p.extraAge(s), PeriodicWriters: serverWriters(o.Decoder),
 	})
@@ -121,8 +121,8 @@
 	return l
 }
 
-// isHeld reports whether this gateway is the leader.
-func (l leaderRole) isHeld() bool {
+// isLeader reports whether this gateway is the leader.
+func (l leaderRole) isLeader() bool {
 	_, held := l.lease.Held()
 	return held
 }
@@ -137,12 +137,12 @@
 	return p.gateways.leaderOr(record)
 }
 
-// probePause returns how long this gateway waits before it calls a failed store again.
-func (p *components) probePause() time.Duration {
-	if p.leader.isHeld() {
+// probeBackoff returns how long this gateway waits before it calls a failed store again.
+func (p *components) probeBackoff() time.Duration {
+	if p.leader.isLeader() {
 		return 0
 	}
-	return p.gateways.probePause(p.leaderAddr())
+	return p.gateways.probeBackoff(p.leaderAddr())
 }
 
 // viewMaxAge returns the maximum age of a store view on the first level of the tree: half the duration of a watch.
@@ -163,7 +163,7 @@
 func (p *components) newFeed(o Options) *feed {
 	return &feed{
 		self: o.Settings.PeerListen, gateways: p.gateways, fanout: p.leader.fanout, configs: p.configs, peers: p.peers,
-		isLeader: p.leader.isHeld, leader: p.leaderAddr, clock: o.Clock, log: o.Log, backoffUntil: make(map[string]time.Time),
+		isLeader: p.leader.isLeader, leader: p.leaderAddr, clock: o.Clock, log: o.Log, backoffUntil: make(map[string]time.Time),
 	}
 }
 
@@ -222,18 +222,18 @@
 	return &proxy{
 		names: o.Names, config: p.config, authenticator: p.newAuthenticator(o.Settings), limiter: p.limiter, dispatcher: p.dispatcher, budgets: p.budgets, requestLog: p.requestLog,
 		lifecycle: p.lifecycle, conns: p.conns, quarantine: p.quarantine.table, detector: p.quarantine.detector, serverLimits: p.serverLimits.Table, clock: o.Clock,
-		transport: wire.NewDirectTransport(o.Settings.IdleTimeout.Std()), bodyTime: o.Settings.BodyTimeout.Std(),
+		transport: wire.NewDirectTransport(o.Settings.IdleTimeout.Std()), bodyTimeout: o.Settings.BodyTimeout.Std(),
 	}
 }
 
 func (p *components) newAuthenticator(s config.Gateway) *authenticator {
-	return &authenticator{currentAt: p.configs.CurrentAt, revokeTime: s.MaxRevocationDelay.Std(), unknownKeyMaxAge: p.configMaxAge(s)}
+	return &authenticator{currentAt: p.configs.CurrentAt, maxRevocationDelay: s.MaxRevocationDelay.Std(), unknownKeyMaxAge: p.configMaxAge(s)}
 }
 
 func (p *components) newPeerServer(c clock.Service) *peerServer {
 	return &peerServer{
 		placer: p.leader.placer, fanout: p.leader.fanout, configs: p.configs, gateways: p.gateways,
-		dispatcher: p.dispatcher, quarantine: p.quarantine.table, limiter: p.limiter, limits: p.limitStatus, serverLimits: p.serverLimits, lapsed: p.limiters.lapsed,
+		dispatcher: p.dispatcher, quarantine: p.quarantine.table, limiter: p.limiter, limits: p.limitStatus, serverLimits: p.serverLimits, removedCount: p.limiters.removedCount,
 		synced: p.quarantine.synced, clock: c, leaseKey: p.leader.lease.Key(),
 	}
 }
--- a/internal/gateway/peer_client.go
+++ b/internal/gateway/peer_client.go
@@ -71,8 +71,8 @@
 	Quarantine *quarantine.Reply `json:"quarantine,omitempty"`
 	// ServerLimits holds what the reporting gateway lacks; nil if it lacks nothing.
 	ServerLimits *serverlimit.Reply `json:"limits,omitempty"`
-	// Lapsed is the number of gateways that recently left the leader's list, for quota.Limiter.
-	Lapsed int `json:"lapsed,omitempty"`
+	// RemovedGateways is the number of gateways that recently left the leader's list, for quota.Limiter.
+	RemovedGateways int `json:"lapsed,omitempty"`
 	// QuarantineKnown says, in reply to an uninformed gateway, that the replying gateway knows the quarantine.
 	QuarantineKnown bool `json:"informed,omitempty"`
 }
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -31,7 +31,7 @@
 	// serverLimits holds the rate limits of backend servers. lapsed returns the number of gateways that recently left
 	// the leader's list.
 	serverLimits *serverLimits
-	lapsed       func() int
+	removedCount func() int
 	// limits returns this gateway's state of all rate limits.
 	limits func() wire.LimitList
 	synced *atomic.Bool
@@ -63,7 +63,7 @@
 	p.configs.HandleVersion(m.ConfigVersion, m.Addr)
 	a := replyMessage{
 		Reply: p.placer.Report(m.Report), Config: p.configs.Announcement(), Quarantine: p.quarantine.Answer(m.Quarantine, quarantine.SharedMinCrashes),
-		QuarantineKnown: m.QuarantineUnknown && p.synced.Load(), Lapsed: p.lapsed(), ServerLimits: p.serverLimits.Answer(m.ServerLimits),
+		QuarantineKnown: m.QuarantineUnknown && p.synced.Load(), RemovedGateways: p.removedCount(), ServerLimits: p.serverLimits.Answer(m.ServerLimits),
 	}
 	if !a.IsLeader {
 		record, _ := p.placer.Leader()
@@ -96,19 +96,19 @@
 		return err
 	}
 	p.configs.HandleVersion(r.ConfigVersion, r.Addr)
-	asked := p.clock.Now()
-	p.awaitChanges(c.Request().Context(), r, asked)
+	requestedAt := p.clock.Now()
+	p.awaitChanges(c.Request().Context(), r, requestedAt)
 	p.markLeaseCurrent()
 	return c.JSON(http.StatusOK, feedReply{
-		Changes: p.fanout.Since(r.Revisions), Config: p.configs.Announcement(), HeldMs: p.clock.Now().Sub(asked).Milliseconds(),
+		Changes: p.fanout.Since(r.Revisions), Config: p.configs.Announcement(), HeldMs: p.clock.Now().Sub(requestedAt).Milliseconds(),
 	})
 }
 
 // awaitChanges waits until there is something new for the polling gateway, for at most the hold time.
-func (p *peerServer) awaitChanges(ctx context.Context, r feedRequest, asked time.Time) {
+func (p *peerServer) awaitChanges(ctx context.Context, r feedRequest, requestedAt time.Time) {
 	before := p.fanout.CurrentTimes(r.Revisions)
 	maxAge := p.fanout.MaxAge()
-	end := asked.Add(feedHold(maxAge))
+	end := requestedAt.Add(feedHold(maxAge))
 	for ctx.Err() == nil {
 		changed := p.fanout.Changed()
 		left := end.Sub(p.clock.Now())
--- a/internal/gateway/position.go
+++ b/internal/gateway/position.go
@@ -30,9 +30,9 @@
 	return time.Duration(levelDelayFraction * float64(levels) * float64(maxAge))
 }
 
-// probePause returns how long this gateway waits before it calls a failed store again. It is 0 for the leader and the
+// probeBackoff returns how long this gateway waits before it calls a failed store again. It is 0 for the leader and the
 // first level.
-func (d *directory) probePause(leader string) time.Duration {
+func (d *directory) probeBackoff(leader string) time.Duration {
 	if d.depth(leader) <= 1 {
 		return 0
 	}
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -26,14 +26,14 @@
 	lifecycle     *lifecycle
 	conns         *conns
 	quarantine    *quarantine.Table
-	detector      *terminationDetector
+	detector      *crashDetector
 	copies        copySerializer
 	// serverLimits receives the rate limit announced in each answer.
 	serverLimits *serverlimit.Table
 	clock        clock.Service
 	transport    http.RoundTripper
-	// bodyTime is the timeout for reading a request body.
-	bodyTime time.Duration
+	// bodyTimeout is the timeout for reading a request body.
+	bodyTimeout time.Duration
 }
 
 // ServeHTTP implements http.Handler.
@@ -49,7 +49,7 @@
 	}
 	if refused != nil {
 		p.write(w, refused)
-		p.requestLog.refusedEarly(r, refused)
+		p.requestLog.requestRefused(r, refused)
 		return
 	}
 	ctx, cancel := clock.WithDeadline(r.Context(), p.clock, in.deadline)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -55,7 +55,7 @@
 	f.refuse(outcomeQuarantined, notRun("servers have ended under copies of this request", left))
 }
 
-// noteConnFailure reports a failed connection to the terminationDetector.
+// noteConnFailure reports a failed connection to the crashDetector.
 func (f *forwarder) noteConnFailure(res *dispatch.Reservation, err error) {
 	if isConnFailure(err) {
 		f.proxy.detector.connFailed(res.Server(), f.in.key)
--- a/internal/gateway/quarantine_failures_test.go
+++ b/internal/gateway/quarantine_failures_test.go
@@ -206,7 +206,7 @@
 // placed in quarantine: its caller is answered, and the connection to the server is closed.
 func TestQuarantineCancelsWaitingCopy(t *testing.T) {
 	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
-	servers.holdsNext.Store(true)
+	servers.holdNext.Store(true)
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	kept := make(chan reply)
 	go func() {
@@ -214,7 +214,7 @@
 		kept <- first.send()
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if servers.holdsNext.Load() {
+		if servers.holdNext.Load() {
 			return poll.Continue("the first copy has not come")
 		}
 		return poll.Success()
--- a/internal/gateway/quarantine_role.go
+++ b/internal/gateway/quarantine_role.go
@@ -14,8 +14,8 @@
 const (
 	// quarantineReadDelay is the time after which the store is read, if no other gateway has sent the quarantine.
 	quarantineReadDelay = 300 * time.Millisecond
-	// maxSyncTime is the time after which the gateway is ready even if it does not know the quarantine.
-	maxSyncTime = time.Second
+	// syncTimeout is the time after which the gateway is ready even if it does not know the quarantine.
+	syncTimeout = time.Second
 )
 
 // A quarantineRole holds the components that a gateway needs to refuse requests under which servers have terminated.
@@ -24,7 +24,7 @@
 	// synced says that the gateway knows the quarantine from before its start. It is set from the beginning if the
 	// whole system is started for the first time.
 	synced    *atomic.Bool
-	detector  *terminationDetector
+	detector  *crashDetector
 	startedAt time.Time
 }
 
@@ -38,17 +38,17 @@
 		synced: &atomic.Bool{}, startedAt: o.Clock.Now(),
 	}
 	r.synced.Store(o.Settings.FirstStart)
-	r.detector = &terminationDetector{
+	r.detector = &crashDetector{
 		ctx: ctx, clock: o.Clock, table: r.table, servers: &p.servers.registry, dial: wire.TryConnect,
-		wasPaused: p.pauses.wasPaused, onTermination: p.urgent.send, log: o.Log, metrics: o.Metrics,
+		wasPaused: p.pauses.wasPaused, onCrash: p.urgent.send, log: o.Log, metrics: o.Metrics,
 		failed: make(map[string]*failedServer),
 	}
 	return r
 }
 
-// isSynced reports whether the gateway knows the quarantine or has waited for it for maxSyncTime.
+// isSynced reports whether the gateway knows the quarantine or has waited for it for syncTimeout.
 func (r *quarantineRole) isSynced(now time.Time) bool {
-	return r.synced.Load() || now.Sub(r.startedAt) > maxSyncTime
+	return r.synced.Load() || now.Sub(r.startedAt) > syncTimeout
 }
 
 // subscribe starts the periodic work and returns the functions that stop it.
--- a/internal/gateway/quarantine_scale_test.go
+++ b/internal/gateway/quarantine_scale_test.go
@@ -18,7 +18,7 @@
 	tables []*quarantine.Table
 }
 
-func newQuarantineFleetOf(gateways int, r *rand.Rand) *quarantineFleet {
+func newSimulatedQuarantineFleet(gateways int, r *rand.Rand) *quarantineFleet {
 	c := clocktest.New(time.Unix(0, 0))
 	table := func() *quarantine.Table {
 		return quarantine.New(quarantine.Options{Clock: c, CrashThreshold: quarantine.DefaultCrashThreshold, Duration: quarantine.DefaultDuration})
@@ -36,8 +36,8 @@
 	return f
 }
 
-// terminate records the termination of a server under requests of one gateway, and schedules an urgent report.
-func (f *quarantineFleet) terminate(server string, gateway int, keys ...quarantine.Key) {
+// crash records the termination of a server under requests of one gateway, and schedules an urgent report.
+func (f *quarantineFleet) crash(server string, gateway int, keys ...quarantine.Key) {
 	f.tables[gateway].RecordCrash(server, keys...)
 	f.reportSoon(gateway)
 }
@@ -63,14 +63,14 @@
 			bytes := 0
 			for seed := range uint64(seeds) {
 				r := rand.New(rand.NewPCG(seed, 0))
-				f := newQuarantineFleetOf(gateways, r)
+				f := newSimulatedQuarantineFleet(gateways, r)
 				poison := quarantine.KeyOf(quarantine.Request{Target: "/poison"})
 				for i := range quarantine.DefaultCrashThreshold {
 					keys := []quarantine.Key{poison}
 					for n := range requests - 1 {
 						keys = append(keys, quarantine.KeyOf(quarantine.Request{Target: fmt.Sprint("/", i, n)}))
 					}
-					f.terminate(fmt.Sprint("s", i), r.IntN(gateways), keys...)
+					f.crash(fmt.Sprint("s", i), r.IntN(gateways), keys...)
 					if i < quarantine.DefaultCrashThreshold-1 {
 						f.step(time.Duration(r.IntN(1000)) * time.Millisecond)
 					}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -30,12 +30,12 @@
 // crashingServers terminate when they receive poison, and restart after restartTime as a new instance at the same
 // address. They answer all other requests.
 type crashingServers struct {
-	t       *testing.T
-	rest    responder
-	crashes atomic.Int64
-	// fixed says that poison is harmless. holdsNext says that the next copy is left unanswered until the gateway
+	t        *testing.T
+	fallback responder
+	crashes  atomic.Int64
+	// fixed says that poison is harmless. holdNext says that the next copy is left unanswered until the gateway
 	// closes its connection.
-	fixed, holdsNext atomic.Bool
+	fixed, holdNext atomic.Bool
 	// env is where restarted servers are listed.
 	env *testEnv
 	// mu guards stopped, which says that no more restarts may be scheduled. restarts counts the pending ones.
@@ -45,8 +45,8 @@
 }
 
 // newCrashingEnv starts a gateway with n crashing servers.
-func newCrashingEnv(t *testing.T, n int, rest responder) (*testEnv, *crashingServers) {
-	f := &crashingServers{t: t, rest: rest}
+func newCrashingEnv(t *testing.T, n int, fallback responder) (*testEnv, *crashingServers) {
+	f := &crashingServers{t: t, fallback: fallback}
 	var list []*fakeServer
 	for i := range n {
 		list = append(list, f.start(fmt.Sprint("s", i), "127.0.0.1:0", 1))
@@ -63,9 +63,9 @@
 	started := make(chan struct{})
 	server = newFakeServerAt(f.t, fmt.Sprintf("%s-%d", name, run), addr, func(c *call) bool {
 		if c.body != poison || f.fixed.Load() {
-			return f.rest(c)
+			return f.fallback(c)
 		}
-		if f.holdsNext.Swap(false) {
+		if f.holdNext.Swap(false) {
 			<-c.gone
 			return false
 		}
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -51,7 +51,7 @@
 	case outcomeTimeout:
 		return 0, true
 	case outcomeAnswered:
-		if r.inTime(in) {
+		if r.meetsObjectives(in) {
 			return 1, true
 		}
 		return lateResult, true
@@ -59,8 +59,8 @@
 	return 0, false
 }
 
-// inTime reports whether the answer met the route's objectives for the first byte and the gap between events.
-func (r *record) inTime(in *inbound) bool {
+// meetsObjectives reports whether the answer met the route's objectives for the first byte and the gap between events.
+func (r *record) meetsObjectives(in *inbound) bool {
 	gap := in.route.EventGapObjective
 	return r.firstByte.Sub(in.arrived) <= in.route.FirstByteObjective && (gap == 0 || r.longestGap <= gap)
 }
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -48,12 +48,12 @@
 const (
 	// minRetryAfter is the shortest Retry-After.
 	minRetryAfter = 200 * time.Millisecond
-	// retryUnready is the Retry-After while the gateway has no configuration, which it normally gets within half a
+	// retryAfterUnready is the Retry-After while the gateway has no configuration, which it normally gets within half a
 	// second of its start.
-	retryUnready = 500 * time.Millisecond
-	// retryUnknownModel is the Retry-After for a model that is not configured. By then, a configuration that another
+	retryAfterUnready = 500 * time.Millisecond
+	// retryAfterUnknownModel is the Retry-After for a model that is not configured. By then, a configuration that another
 	// gateway already has is in force here.
-	retryUnknownModel = 2 * time.Second
+	retryAfterUnknownModel = 2 * time.Second
 	// shedFraction is the fraction of the first-byte objective after which a shed request may be sent again
 	// (docs/design/0010).
 	shedFraction = 0.2
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -111,7 +111,7 @@
 		now := r.clock.Now()
 		reply := r.placer.Report(m)
 		if reply.IsLeader {
-			r.limiters.leaderReplied(now, quota.AbsentGateways{Removed: r.limiters.lapsed(), Awaited: reply.Awaited})
+			r.limiters.leaderReplied(now, quota.AbsentGateways{Removed: r.limiters.removedCount(), Awaited: reply.Awaited})
 		}
 		r.apply(reply, demands)
 		r.placer.Wake()
@@ -136,7 +136,7 @@
 		r.placer.RecordPeerReply(addr, false)
 		return
 	}
-	r.reportAnswered(addr)
+	r.reportSucceeded(addr)
 	r.quarantine.ApplyReply(reply.Quarantine)
 	r.serverLimits.ApplyReply(reply.ServerLimits)
 	if reply.QuarantineKnown {
@@ -144,7 +144,7 @@
 	}
 	r.placer.RecordPeerReply(addr, !reply.IsLeader)
 	if reply.IsLeader {
-		r.limiters.leaderReplied(requested, quota.AbsentGateways{Removed: reply.Lapsed, Awaited: reply.Awaited})
+		r.limiters.leaderReplied(requested, quota.AbsentGateways{Removed: reply.RemovedGateways, Awaited: reply.Awaited})
 	}
 	r.configs.HandleAnnouncement(reply.Config, addr, requested)
 	r.noteLeader(addr, reply)
@@ -208,8 +208,8 @@
 	}
 }
 
-// reportAnswered records that a report was answered.
-func (r *reporter) reportAnswered(addr string) {
+// reportSucceeded records that a report was answered.
+func (r *reporter) reportSucceeded(addr string) {
 	if r.failing {
 		r.failing = false
 		r.log.Info("report answered again", zap.String("addr", addr))
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -17,65 +17,65 @@
 
 // Messages of log lines about requests; docs/OPERATIONS-GATEWAY.md explains them.
 const (
-	msgEnded       = "request ended"
-	msgRefused     = "request refused"
-	msgSendFailed  = "send failed"
-	msgSentAgain   = "sent again"
-	msgCut         = "answer cut"
-	msgOwner       = "owner did not answer"
-	msgLimitOwner  = "limit not granted by its owner"
-	msgPermitOwner = "permit not granted by its owner"
-	msgStalled     = "server stalled, request stays"
-	msgDirect      = "watching the store directly"
-	msgReceiving   = "watching the store through the leader"
-	msgMalformed   = "header malformed, ignored"
-	msgServerEnded = "server ended"
-	msgServerLimit = "server limit"
+	msgRequestEnded       = "request ended"
+	msgRequestRefused     = "request refused"
+	msgSendFailed         = "send failed"
+	msgSentAgain          = "sent again"
+	msgResponseAborted    = "answer cut"
+	msgAdmissionFailed    = "owner did not answer"
+	msgGrantFailed        = "limit not granted by its owner"
+	msgPermitFailed       = "permit not granted by its owner"
+	msgServerStalled      = "server stalled, request stays"
+	msgWatchDirect        = "watching the store directly"
+	msgWatchThroughLeader = "watching the store through the leader"
+	msgMalformedHeader    = "header malformed, ignored"
+	msgServerCrashed      = "server ended"
+	msgServerLimit        = "server limit"
 )
 
 // Fields of these log lines; docs/OPERATIONS-GATEWAY.md lists them with their units.
 const (
-	fieldRequest   = "request"
-	fieldDigest    = "digest"
-	fieldRoute     = "route"
-	fieldService   = "service"
-	fieldModel     = "model"
-	fieldOutcome   = "outcome"
-	fieldStatus    = "status"
-	fieldConfig    = "config"
-	fieldSends     = "sends"
-	fieldUnsent    = "unsent"
-	fieldRuns      = "runs"
-	fieldWaited    = "waited_s"
-	fieldFirst     = "first_s"
-	fieldGap       = "pause_s"
-	fieldEvents    = "events"
-	fieldAsked     = "asked"
-	fieldDenied    = "denied"
-	fieldHeldBack  = "held_back"
-	fieldTotal     = "total_s"
-	fieldLimit     = "limit_s"
-	fieldAge       = "age_s"
-	fieldServer    = "server"
-	fieldAddr      = "addr"
-	fieldReason    = "reason"
-	fieldHost      = "host"
-	fieldTarget    = "target"
-	fieldAmong     = "among"
-	fieldHolders   = "holders"
-	fieldRunning   = "running"
-	fieldAhead     = "reading_ms"
-	fieldPrefill   = "read_ms"
-	fieldOwned     = "own"
-	fieldSameHall  = "near"
-	fieldLastEvent = "last_event"
-	fieldLeftOut   = "left_out"
-	fieldDigests   = "digests"
-	fieldRequests  = "requests"
-	fieldCustomer  = "customer"
-	fieldState     = "state"
-	fieldOrigin    = "origin"
-	fieldPerSecond = "per_second"
+	fieldRequest             = "request"
+	fieldDigest              = "digest"
+	fieldRoute               = "route"
+	fieldService             = "service"
+	fieldModel               = "model"
+	fieldOutcome             = "outcome"
+	fieldStatus              = "status"
+	fieldConfig              = "config"
+	fieldSends               = "sends"
+	fieldUnsent              = "unsent"
+	fieldRuns                = "runs"
+	fieldWaited              = "waited_s"
+	fieldFirstByte           = "first_s"
+	fieldLongestGap          = "pause_s"
+	fieldEvents              = "events"
+	fieldAdmissionsRequested = "asked"
+	fieldAdmissionsDenied    = "denied"
+	fieldPermitsDenied       = "held_back"
+	fieldTotal               = "total_s"
+	fieldLimit               = "limit_s"
+	fieldAge                 = "age_s"
+	fieldServer              = "server"
+	fieldAddr                = "addr"
+	fieldReason              = "reason"
+	fieldHost                = "host"
+	fieldTarget              = "target"
+	fieldCandidates          = "among"
+	fieldHolders             = "holders"
+	fieldRunning             = "running"
+	fieldPrefillAhead        = "reading_ms"
+	fieldPrefillTime         = "read_ms"
+	fieldOwned               = "own"
+	fieldSameHall            = "near"
+	fieldLastEvent           = "last_event"
+	fieldSuppressed          = "left_out"
+	fieldDigests             = "digests"
+	fieldRequests            = "requests"
+	fieldOrganisation        = "customer"
+	fieldState               = "state"
+	fieldOrigin              = "origin"
+	fieldPerSecond           = "per_second"
 )
 
 // Rate limits of log lines, in lines per second, and their bursts, in lines.
@@ -167,8 +167,8 @@
 	now := l.clock.Now()
 	first := r.untilFirstByte(in)
 	l.metrics.RequestEnded(in.route.Name, r.outcome, first.Seconds(), now.Sub(in.arrived).Seconds())
-	if asked := req.AdmissionsRequested; asked > 0 {
-		l.metrics.Admissions(req.AdmissionsGranted, req.AdmissionsDenied, asked-req.AdmissionsGranted-req.AdmissionsDenied)
+	if requested := req.AdmissionsRequested; requested > 0 {
+		l.metrics.Admissions(req.AdmissionsGranted, req.AdmissionsDenied, requested-req.AdmissionsGranted-req.AdmissionsDenied)
 	}
 	if !l.isLogged(r.outcome, now) {
 		l.suppressed.Add(1)
@@ -179,9 +179,9 @@
 		fields = append(fields, zap.Int(fieldHolders, r.holders))
 	}
 	if n := l.suppressed.Swap(0); n > 0 {
-		fields = append(fields, zap.Uint64(fieldLeftOut, n))
+		fields = append(fields, zap.Uint64(fieldSuppressed, n))
 	}
-	l.log.Info(msgEnded, fields...)
+	l.log.Info(msgRequestEnded, fields...)
 }
 
 // isLogged reports whether a line about a request with the given outcome is within the rate limits.
@@ -203,20 +203,20 @@
 		zap.String(fieldModel, in.Header.Get(l.names.Model)), zap.String(fieldOutcome, r.outcome),
 		zap.Int(fieldStatus, r.status), zap.Uint64(fieldConfig, in.configVersion),
 		zap.Int(fieldSends, r.sends), zap.Int(fieldUnsent, r.unsent),
-		zap.Float64(fieldWaited, r.waited.Seconds()), zap.Float64(fieldFirst, r.untilFirstByte(in).Seconds()),
-		zap.Float64(fieldGap, r.longestGap.Seconds()), zap.Int(fieldEvents, r.events),
-		zap.Int(fieldAsked, req.AdmissionsRequested), zap.Int(fieldDenied, req.AdmissionsDenied),
+		zap.Float64(fieldWaited, r.waited.Seconds()), zap.Float64(fieldFirstByte, r.untilFirstByte(in).Seconds()),
+		zap.Float64(fieldLongestGap, r.longestGap.Seconds()), zap.Int(fieldEvents, r.events),
+		zap.Int(fieldAdmissionsRequested, req.AdmissionsRequested), zap.Int(fieldAdmissionsDenied, req.AdmissionsDenied),
 		zap.Float64(fieldTotal, now.Sub(in.arrived).Seconds()),
-		zap.Float64(fieldLimit, in.deadline.Sub(in.arrived).Seconds()), customerField(in.organisation.Name), heldBackField(req),
+		zap.Float64(fieldLimit, in.deadline.Sub(in.arrived).Seconds()), organisationField(in.organisation.Name), permitsDeniedField(req),
 	}
 }
 
-// heldBackField returns a field with the number of times that servers' rate limits delayed the request, if any.
-func heldBackField(req *dispatch.Request) zap.Field {
+// permitsDeniedField returns a field with the number of times that servers' rate limits delayed the request, if any.
+func permitsDeniedField(req *dispatch.Request) zap.Field {
 	if req.PermitsDenied == 0 {
 		return zap.Skip()
 	}
-	return zap.Int(fieldHeldBack, req.PermitsDenied)
+	return zap.Int(fieldPermitsDenied, req.PermitsDenied)
 }
 
 // choiceFields returns fields that describe the last chosen server and the reasons for the choice.
@@ -226,15 +226,15 @@
 	}
 	c, among := res.Choice()
 	return []zap.Field{
-		zap.String(fieldServer, res.Server().ID), zap.Int(fieldAmong, among), zap.Int(fieldRunning, c.Running),
-		zap.Float64(fieldAhead, float64(c.PrefillAhead)), zap.Float64(fieldPrefill, float64(c.PrefillTime)),
+		zap.String(fieldServer, res.Server().ID), zap.Int(fieldCandidates, among), zap.Int(fieldRunning, c.Running),
+		zap.Float64(fieldPrefillAhead, float64(c.PrefillAhead)), zap.Float64(fieldPrefillTime, float64(c.PrefillTime)),
 		zap.Bool(fieldOwned, c.Owned), zap.Bool(fieldSameHall, c.SameHall),
 	}
 }
 
-// refusedEarly logs a request that was refused before it waited for a server. Lines about requests over a rate limit
+// requestRefused logs a request that was refused before it waited for a server. Lines about requests over a rate limit
 // are rate-limited.
-func (l *requestLog) refusedEarly(r *http.Request, f *refusal) {
+func (l *requestLog) requestRefused(r *http.Request, f *refusal) {
 	suppressed := zap.Skip()
 	if f.status == http.StatusTooManyRequests {
 		var ok bool
@@ -242,30 +242,30 @@
 			return
 		}
 	}
-	l.log.Info(msgRefused, zap.String(fieldRequest, r.Header.Get(l.names.RequestID)), zap.String(fieldHost, r.Host),
+	l.log.Info(msgRequestRefused, zap.String(fieldRequest, r.Header.Get(l.names.RequestID)), zap.String(fieldHost, r.Host),
 		zap.String(fieldTarget, r.RequestURI), zap.Int(fieldStatus, f.status), zap.String(fieldReason, f.reason),
-		customerField(f.organisation), suppressed)
+		organisationField(f.organisation), suppressed)
 }
 
-// customerField returns a field with the request's organisation, if it is known.
-func customerField(organisation string) zap.Field {
+// organisationField returns a field with the request's organisation, if it is known.
+func organisationField(organisation string) zap.Field {
 	if organisation == "" {
 		return zap.Skip()
 	}
-	return zap.String(fieldCustomer, organisation)
+	return zap.String(fieldOrganisation, organisation)
 }
 
 // malformedHeader logs a malformed request header that is ignored. The lines are rate-limited.
 func (l *requestLog) malformedHeader(in *inbound, header, value string) {
 	if l.malformed.AllowN(l.clock.Now(), 1) {
-		l.log.Info(msgMalformed, zap.String(fieldRequest, in.id), zap.String("header", header), zap.String("value", value))
+		l.log.Info(msgMalformedHeader, zap.String(fieldRequest, in.id), zap.String("header", header), zap.String("value", value))
 	}
 }
 
 // malformedLimit logs a malformed rate limit in a server's answer. The lines are rate-limited.
 func (l *requestLog) malformedLimit(server, header string, values []string) {
 	if l.malformed.AllowN(l.clock.Now(), 1) {
-		l.log.Info(msgMalformed, zap.String(fieldServer, server), zap.String("header", header), zap.Strings("value", values))
+		l.log.Info(msgMalformedHeader, zap.String(fieldServer, server), zap.String("header", header), zap.Strings("value", values))
 	}
 }
 
@@ -280,8 +280,8 @@
 		zap.Float64(fieldPerSecond, c.PerSecond), zap.String(fieldOrigin, string(c.Origin)), zap.Float64(fieldAge, c.Age.Seconds()), suppressed)
 }
 
-// sending counts a send, and logs it if it is a retry.
-func (l *requestLog) sending(f *forwarder, res *dispatch.Reservation) {
+// recordSend counts a send, and logs it if it is a retry.
+func (l *requestLog) recordSend(f *forwarder, res *dispatch.Reservation) {
 	retry := f.record.sends > 0
 	l.metrics.RequestSent(f.in.service.Name, retry)
 	if !retry {
@@ -303,38 +303,38 @@
 	return zap.Float64(fieldAge, l.clock.Now().Sub(in.arrived).Seconds())
 }
 
-// answerAborted logs an answer that was aborted after it had begun.
-func (l *requestLog) answerAborted(f *forwarder, err error) {
-	l.log.Info(msgCut, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key), f.server(),
+// responseAborted logs an answer that was aborted after it had begun.
+func (l *requestLog) responseAborted(f *forwarder, err error) {
+	l.log.Info(msgResponseAborted, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key), f.server(),
 		zap.String(fieldLastEvent, f.lastEvent), telemetry.Error(err))
 }
 
 // stalled logs that a request stays with a stalled server, because no other server can take it or the retry budget is
 // spent.
 func (l *requestLog) stalled(in *inbound, res *dispatch.Reservation) {
-	l.log.Info(msgStalled, zap.String(fieldRequest, in.id), zap.String(fieldServer, res.Server().ID), l.age(in))
+	l.log.Info(msgServerStalled, zap.String(fieldRequest, in.id), zap.String(fieldServer, res.Server().ID), l.age(in))
 }
 
 // admissionFailed logs a failed admission request to another gateway.
 func (l *requestLog) admissionFailed(owner string, err error) {
-	l.log.Warn(msgOwner, zap.String("owner", owner), telemetry.Error(err))
+	l.log.Warn(msgAdmissionFailed, zap.String("owner", owner), telemetry.Error(err))
 }
 
 // grantFailed logs a failed request for a grant to the owner of an organisation's rate limit.
 func (l *requestLog) grantFailed(organisation, gateway string, err error) {
-	l.log.Warn(msgLimitOwner, customerField(organisation), zap.String("owner", gateway), telemetry.Error(err))
+	l.log.Warn(msgGrantFailed, organisationField(organisation), zap.String("owner", gateway), telemetry.Error(err))
 }
 
 // permitFailed logs a failed request for a permit to the owner of a backend server's rate limit.
 func (l *requestLog) permitFailed(server, gateway string, err error) {
-	l.log.Warn(msgPermitOwner, zap.String(fieldServer, server), zap.String("owner", gateway), telemetry.Error(err))
+	l.log.Warn(msgPermitFailed, zap.String(fieldServer, server), zap.String("owner", gateway), telemetry.Error(err))
 }
 
 // watchSwitched logs whether a prefix is now watched at the store or through the leader.
 func (l *requestLog) watchSwitched(prefix string, direct bool) {
-	msg := msgReceiving
+	msg := msgWatchThroughLeader
 	if direct {
-		msg = msgDirect
+		msg = msgWatchDirect
 	}
 	l.log.Info(msg, zap.String("prefix", prefix))
 }
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -97,8 +97,8 @@
 	assert.Equal(t, env.post(pathUnsafe, "x").status, http.StatusOK)
 }
 
-// eventually waits until a request is answered with status.
-func (env *testEnv) eventually(path string, status int) {
+// awaitPath waits until a request is answered with status.
+func (env *testEnv) awaitPath(path string, status int) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
 		if got := env.get(path); got.status != status {
@@ -117,14 +117,14 @@
 		MaxAttempts: 1, Services: []table.WeightedService{{Service: "app"}},
 	})
 	env.putConfig()
-	env.eventually("/new/x", http.StatusOK)
+	env.awaitPath("/new/x", http.StatusOK)
 	env.routing.Version, env.routing.Routes = 5, routes()
 	env.putConfig()
 	env.routing.Version, env.routing.Routes = 11, append(routes(), env.routing.Routes...)
 	env.routing.Routes[0].Prefix = "/newest/"
 	env.routing.Routes[0].Retry = table.RetryIdempotent
 	env.putConfig()
-	env.eventually("/newest/x", http.StatusOK)
+	env.awaitPath("/newest/x", http.StatusOK)
 	assert.Equal(t, env.get("/new/x").status, http.StatusNotFound, "version 11 has no such route")
 }
 
@@ -146,7 +146,7 @@
 	}
 	assert.Equal(t, a.count(), before, "a leaving server gets nothing new")
 	env.store.Remove(prefix + "b")
-	env.eventually(pathSafe, http.StatusServiceUnavailable)
+	env.awaitPath(pathSafe, http.StatusServiceUnavailable)
 }
 
 func TestDeadlines(t *testing.T) {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -28,11 +28,11 @@
 	if f.record.sends == 0 {
 		f.record.waited = f.proxy.clock.Now().Sub(f.in.arrived)
 	}
-	f.proxy.requestLog.sending(f, res)
+	f.proxy.requestLog.recordSend(f, res)
 	sent := f.proxy.clock.Now()
 	resp, err := f.proxy.transport.RoundTrip(f.serverRequest(ctx, res))
 	if err != nil {
-		return f.handleNoAnswer(res, cause(ctx, err))
+		return f.handleNoResponse(res, cause(ctx, err))
 	}
 	defer resp.Body.Close()
 	f.record.sends++
@@ -47,7 +47,7 @@
 	if f.in.route.Stream && resp.StatusCode == http.StatusOK {
 		return f.forwardStream(ctx, res, resp, stall)
 	}
-	return f.forwardAnswer(ctx, res, resp)
+	return f.forwardResponse(ctx, res, resp)
 }
 
 // cause returns the cause of ctx's cancellation if there is one, and err otherwise.
@@ -58,9 +58,9 @@
 	return err
 }
 
-// handleNoAnswer handles a send that failed before an answer's header arrived. It reports whether the request is
+// handleNoResponse handles a send that failed before an answer's header arrived. It reports whether the request is
 // finished.
-func (f *forwarder) handleNoAnswer(res *dispatch.Reservation, err error) bool {
+func (f *forwarder) handleNoResponse(res *dispatch.Reservation, err error) bool {
 	if f.isCallerGone() {
 		res.Done(dispatch.Canceled)
 		f.record.outcome = outcomeGone
--- a/internal/gateway/server_ends.go
+++ b/internal/gateway/server_ends.go
@@ -22,8 +22,8 @@
 	delistWindow = 6 * time.Second
 	// maxSuspects is the maximum number of requests that the termination of one server is attributed to.
 	maxSuspects = 256
-	// loggedDigests is the maximum number of digests in a log line.
-	loggedDigests = 16
+	// maxLoggedDigests is the maximum number of digests in a log line.
+	maxLoggedDigests = 16
 )
 
 // A failedServer is a server instance to which connections failed during requests.
@@ -32,18 +32,18 @@
 	// at is when the last connection failed.
 	at time.Time
 	// probing says that a probe is running, terminated that the instance has terminated.
-	probing, terminated bool
+	probing, crashed bool
 	// suspects are the requests whose connection failed, possibly because the server terminated.
 	suspects []quarantine.Key
 }
 
-// A terminationDetector detects that a server has terminated, and attributes the termination to all requests whose
+// A crashDetector detects that a server has terminated, and attributes the termination to all requests whose
 // connection failed at that time, since any of them may be the cause. It is safe for concurrent use.
 //
 // A failed connection alone does not count, because network links fail, answers are cut short and gateways are paused.
 // A server has terminated if nothing listens at its address any more or if the platform removes the instance from its
 // list soon afterwards, provided that it had not announced that it is leaving.
-type terminationDetector struct {
+type crashDetector struct {
 	// ctx ends with the gateway and stops the probes.
 	ctx     context.Context
 	clock   clock.Service
@@ -53,17 +53,17 @@
 	dial func(ctx context.Context, addr string) error
 	// wasPaused reports whether this process was recently paused.
 	wasPaused func(now time.Time) bool
-	// onTermination is called after each attributed termination.
-	onTermination func()
-	log           *zap.Logger
-	metrics       Metrics
+	// onCrash is called after each attributed termination.
+	onCrash func()
+	log     *zap.Logger
+	metrics Metrics
 
 	mu     sync.Mutex
 	failed map[string]*failedServer
 }
 
 // connFailed records that the connection to s failed during the request with key k.
-func (d *terminationDetector) connFailed(s *backend.Server, k quarantine.Key) {
+func (d *crashDetector) connFailed(s *backend.Server, k quarantine.Key) {
 	now := d.clock.Now()
 	listed, ok := d.servers.Snapshot().Server(s.ID)
 	if !ok || listed.Leaving || d.wasPaused(now) {
@@ -73,12 +73,12 @@
 		return
 	}
 	d.table.RecordCrash(s.ID, k)
-	d.onTermination()
+	d.onCrash()
 }
 
 // addSuspect adds a request to the suspects of a server, and starts a probe if none is running. It returns false if the
 // server is already known to have terminated.
-func (d *terminationDetector) addSuspect(s *backend.Server, k quarantine.Key, now time.Time) (added bool) {
+func (d *crashDetector) addSuspect(s *backend.Server, k quarantine.Key, now time.Time) (added bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b := d.failed[s.ID]
@@ -86,7 +86,7 @@
 		b = &failedServer{server: s}
 		d.failed[s.ID] = b
 	}
-	if b.terminated {
+	if b.crashed {
 		return false
 	}
 	b.at = now
@@ -102,13 +102,13 @@
 
 // probe tests whether a server is alive. If the server accepts a connection, the requests that failed before the
 // attempt failed for other reasons; those that failed later need another attempt.
-func (d *terminationDetector) probe(b *failedServer) {
+func (d *crashDetector) probe(b *failedServer) {
 	before := 0
 	p := wire.Probe{Clock: d.clock, Connect: d.dial, BeforeAttempt: func() { before = d.suspectCount(b) }}
 	for {
 		result := p.Run(d.ctx, b.server.Addr)
 		if result == wire.ServerEnded {
-			d.terminated(b)
+			d.recordCrash(b)
 			return
 		}
 		if !d.applyProbe(b, before, result) {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (d *terminationDetector) suspectCount(b *failedServer) int {
+func (d *crashDetector) suspectCount(b *failedServer) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(b.suspects)
@@ -125,10 +125,10 @@
 
 // applyProbe applies the result of a connection attempt. before is the number of suspects when the attempt began. It
 // reports whether another attempt is needed for later suspects.
-func (d *terminationDetector) applyProbe(b *failedServer, before int, result wire.ProbeResult) bool {
+func (d *crashDetector) applyProbe(b *failedServer, before int, result wire.ProbeResult) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if result == wire.ServerAlive && !b.terminated {
+	if result == wire.ServerAlive && !b.crashed {
 		b.suspects = b.suspects[before:]
 	}
 	b.probing = result == wire.ServerAlive && len(b.suspects) > 0
@@ -136,40 +136,40 @@
 }
 
 // terminated attributes a server's termination to its suspects. It does nothing if that has been done before.
-func (d *terminationDetector) terminated(b *failedServer) {
+func (d *crashDetector) recordCrash(b *failedServer) {
 	suspects, first := d.takeSuspects(b)
 	if !first {
 		return
 	}
 	d.metrics.ServerCrashed(b.server.Service)
-	d.log.Info(msgServerEnded, zap.String(fieldServer, b.server.ID), zap.String(fieldAddr, b.server.Addr),
-		zap.Int(fieldRequests, len(suspects)), zap.Stringers(fieldDigests, suspects[:min(len(suspects), loggedDigests)]))
+	d.log.Info(msgServerCrashed, zap.String(fieldServer, b.server.ID), zap.String(fieldAddr, b.server.Addr),
+		zap.Int(fieldRequests, len(suspects)), zap.Stringers(fieldDigests, suspects[:min(len(suspects), maxLoggedDigests)]))
 	d.table.RecordCrash(b.server.ID, suspects...)
-	d.onTermination()
+	d.onCrash()
 }
 
 // takeSuspects marks a server as terminated and removes its suspects; first is false if it was marked before.
-func (d *terminationDetector) takeSuspects(b *failedServer) (suspects []quarantine.Key, first bool) {
+func (d *crashDetector) takeSuspects(b *failedServer) (suspects []quarantine.Key, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if b.terminated {
+	if b.crashed {
 		return nil, false
 	}
-	b.terminated = true
+	b.crashed = true
 	suspects, b.suspects = b.suspects, nil
 	return suspects, true
 }
 
 // check handles servers that have left the list since a connection failed, and removes old entries. It is called every
 // expireInterval.
-func (d *terminationDetector) check(now time.Time) {
+func (d *crashDetector) check(now time.Time) {
 	snapshot := d.servers.Snapshot()
 	var gone []*failedServer
 	d.mu.Lock()
 	for id, b := range d.failed {
 		s, listed := snapshot.Server(id)
 		switch {
-		case now.Sub(b.at) > delistWindow, listed && s.Leaving && !b.terminated:
+		case now.Sub(b.at) > delistWindow, listed && s.Leaving && !b.crashed:
 			delete(d.failed, id)
 		case !listed && len(b.suspects) > 0:
 			gone = append(gone, b)
@@ -177,7 +177,7 @@
 	}
 	d.mu.Unlock()
 	for _, b := range gone {
-		d.terminated(b)
+		d.recordCrash(b)
 	}
 }
 
--- a/internal/gateway/server_ends_test.go
+++ b/internal/gateway/server_ends_test.go
@@ -62,9 +62,9 @@
 				test.before(registry, c.Now())
 			}
 			dialed := make(chan struct{}, wire.ConnectAttempts)
-			d := &terminationDetector{
+			d := &crashDetector{
 				ctx: t.Context(), clock: clocktest.Real{}, table: quarantine.New(quarantine.Options{Clock: c, CrashThreshold: 3, Duration: time.Minute}),
-				servers: registry, wasPaused: func(time.Time) bool { return test.paused }, onTermination: func() {},
+				servers: registry, wasPaused: func(time.Time) bool { return test.paused }, onCrash: func() {},
 				log: zap.NewNop(), metrics: noMetrics{}, failed: make(map[string]*failedServer),
 				dial: func(context.Context, string) error {
 					dialed <- struct{}{}
@@ -99,9 +99,9 @@
 	registry.Replace([]backend.Server{server}, time.Now())
 	var ended atomic.Bool
 	dialed := make(chan struct{}, 3*wire.ConnectAttempts)
-	d := &terminationDetector{
+	d := &crashDetector{
 		ctx: t.Context(), clock: clocktest.Real{}, servers: registry, wasPaused: func(time.Time) bool { return false },
-		table: quarantine.New(quarantine.Options{Clock: clocktest.Real{}, CrashThreshold: 3, Duration: time.Minute}), onTermination: func() {},
+		table: quarantine.New(quarantine.Options{Clock: clocktest.Real{}, CrashThreshold: 3, Duration: time.Minute}), onCrash: func() {},
 		log: zap.NewNop(), metrics: noMetrics{}, failed: make(map[string]*failedServer),
 		dial: func(context.Context, string) error {
 			dialed <- struct{}{}
--- a/internal/gateway/server_limit_scale_test.go
+++ b/internal/gateway/server_limit_scale_test.go
@@ -31,8 +31,8 @@
 	return f
 }
 
-// answers simulates one answer with a rate limit from each server, received by a random gateway.
-func (f *limitFleet) answers(servers int, r *rand.Rand) {
+// announce simulates one answer with a rate limit from each server, received by a random gateway.
+func (f *limitFleet) announce(servers int, r *rand.Rand) {
 	for i := range servers {
 		g := r.IntN(len(f.tables))
 		f.tables[g].Observe(fmt.Sprint("i-0123456", i), serverlimit.HeaderLimit{Kind: serverlimit.Limited, PerSecond: 1.8}, f.clock.Now())
@@ -66,14 +66,14 @@
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(1, 0))
 			f := newLimitFleet(gateways, r)
-			f.answers(servers, r)
+			f.announce(servers, r)
 			for !f.allKnow(servers) {
 				f.step(step)
 			}
 			known := f.clock.Now().Sub(time.Unix(0, 0))
 			f.bytes = 0
 			for range int(stands / pace) {
-				f.answers(servers, r)
+				f.announce(servers, r)
 				for range int(pace / step) {
 					f.step(step)
 				}
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -118,9 +118,9 @@
 }
 
 // run sends one request per pace to the gateways in turn, for a duration.
-func (c *loadGenerator) run(pace, during time.Duration) {
+func (c *loadGenerator) run(interval, during time.Duration) {
 	began := time.Now()
-	ticker := time.NewTicker(pace)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for i := 0; time.Since(began) < during; i++ {
 		c.wait.Add(1)
--- a/internal/gateway/server_limits.go
+++ b/internal/gateway/server_limits.go
@@ -38,7 +38,7 @@
 		}
 	}})
 	l.limiter = quota.New(quota.Options{
-		Self: o.Settings.ID, Clock: o.Clock, GrantClient: &permitAsker{peers: p.peers, limits: l.Table},
+		Self: o.Settings.ID, Clock: o.Clock, GrantClient: &permitRequester{peers: p.peers, limits: l.Table},
 		Tolerance: serverlimit.Tolerance(), Limit: l.quota, OnOwnerUnresponsive: p.requestLog.permitFailed,
 	})
 	return l
@@ -109,14 +109,14 @@
 	Limit serverlimit.Record `json:"limit"`
 }
 
-// A permitAsker requests permits from the owners of servers' rate limits. It implements quota.GrantClient.
-type permitAsker struct {
+// A permitRequester requests permits from the owners of servers' rate limits. It implements quota.GrantClient.
+type permitRequester struct {
 	peers  *peerClient
 	limits *serverlimit.Table
 }
 
 // AskGrant implements quota.GrantClient.
-func (a *permitAsker) RequestGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
+func (a *permitRequester) RequestGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	m := permitMessage{Request: r}
 	m.Limit, _ = a.limits.Record(r.Key)
 	reply, err := a.peers.requestPermit(ctx, gateway, m)
@@ -138,9 +138,9 @@
 type limiters []*quota.Limiter
 
 // leaderReplied calls quota.Limiter.RecordLeaderReply on each limiter.
-func (q limiters) leaderReplied(asked time.Time, a quota.AbsentGateways) {
+func (q limiters) leaderReplied(requestedAt time.Time, a quota.AbsentGateways) {
 	for _, l := range q {
-		l.RecordLeaderReply(asked, a)
+		l.RecordLeaderReply(requestedAt, a)
 	}
 }
 
@@ -157,5 +157,5 @@
 	}
 }
 
-// lapsed returns the number of gateways that recently left the leader's list.
-func (q limiters) lapsed() int { return q[0].CountRemoved() }
+// removedCount returns the number of gateways that recently left the leader's list.
+func (q limiters) removedCount() int { return q[0].CountRemoved() }
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -16,17 +16,17 @@
 const (
 	// stallFraction is the fraction of the first-byte objective after which a non-streaming request is stalled.
 	stallFraction = 0.5
-	// minStallTime is the minimum stall time of a non-streaming request.
-	minStallTime = 250 * time.Millisecond
-	// streamStallTime is the minimum stall time of a stream before its first event, and its stall time between events.
-	streamStallTime = 1500 * time.Millisecond
+	// minStallTimeout is the minimum stall time of a non-streaming request.
+	minStallTimeout = 250 * time.Millisecond
+	// streamStallTimeout is the minimum stall time of a stream before its first event, and its stall time between events.
+	streamStallTimeout = 1500 * time.Millisecond
 )
 
-// stallTime returns how long a server may take to send its first byte.
-func stallTime(route table.Route) time.Duration {
-	d := max(time.Duration(float64(route.FirstByteObjective)*stallFraction), minStallTime)
+// stallTimeout returns how long a server may take to send its first byte.
+func stallTimeout(route table.Route) time.Duration {
+	d := max(time.Duration(float64(route.FirstByteObjective)*stallFraction), minStallTimeout)
 	if route.Stream {
-		d = max(d, streamStallTime)
+		d = max(d, streamStallTimeout)
 	}
 	return d
 }
@@ -50,7 +50,7 @@
 	}
 	s := &stallTimer{f: f, reservation: res, cancel: cancel, retryRequest: f.req}
 	s.retryRequest.Exclude = append(slices.Clone(f.req.Exclude), res.Server().ID)
-	s.timer = f.proxy.clock.AfterFunc(stallTime(f.in.route), s.timedOut)
+	s.timer = f.proxy.clock.AfterFunc(stallTimeout(f.in.route), s.timedOut)
 	return s
 }
 
@@ -66,13 +66,13 @@
 		return
 	}
 	p.requestLog.stalled(s.f.in, s.reservation)
-	s.timer.Reset(streamStallTime)
+	s.timer.Reset(streamStallTimeout)
 }
 
 // restart restarts the timer.
 func (s *stallTimer) restart() {
 	if s != nil {
-		s.timer.Reset(streamStallTime)
+		s.timer.Reset(streamStallTimeout)
 	}
 }
 
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -8,9 +8,9 @@
 	"rockcleat/kv"
 )
 
-// serverWriteTime is the time within which each live backend server writes its record again after the store was
+// serverWriteInterval is the time within which each live backend server writes its record again after the store was
 // restored from a backup. Servers normally need about 2 s.
-const serverWriteTime = 3 * time.Second
+const serverWriteInterval = 3 * time.Second
 
 // serverRecords implements kv.PeriodicWriters for the records that backend servers write periodically.
 type serverRecords struct{ decoder Decoder }
@@ -21,7 +21,7 @@
 }
 
 // WriteTime implements kv.PeriodicWriters.
-func (serverRecords) MaxWriteInterval() time.Duration { return serverWriteTime }
+func (serverRecords) MaxWriteInterval() time.Duration { return serverWriteInterval }
 
 // serverWriters returns a function that returns the writers of a prefix, or nil if it is not the prefix of servers.
 func serverWriters(d Decoder) func(prefix string) kv.PeriodicWriters {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -86,7 +86,7 @@
 		}
 	}
 	if !f.headerSent.Load() {
-		f.beginAnswer(resp)
+		f.beginResponse(resp)
 		f.w.WriteHeader(resp.StatusCode)
 	}
 	f.finish(res, resp.StatusCode)
@@ -97,7 +97,7 @@
 // has disconnected.
 func (f *forwarder) forwardEvent(resp *http.Response, event []byte) error {
 	if !f.headerSent.Load() {
-		f.beginAnswer(resp)
+		f.beginResponse(resp)
 		f.w.Header().Del("Content-Length")
 		f.w.WriteHeader(resp.StatusCode)
 	}
