--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -14,8 +14,8 @@
 // clock drift and the time until the request reaches the server.
 const revokeFraction = 0.8
 
-// retryAfterStaleConfig is the Retry-After for a request whose key cannot be checked. By then an update that the leader's
-// watch delivered late has arrived, and other gateways may already have it.
+// retryAfterStaleConfig is the Retry-After for a request whose key cannot be checked. By then an update that the
+// leader's watch delivered late has arrived, and other gateways may already have it.
 const retryAfterStaleConfig = 500 * time.Millisecond
 
 // An authenticator authenticates callers by the API keys in the configuration. It accepts a key only while the
@@ -35,9 +35,9 @@
 // authenticate returns the organisation that owns the request's key, or the zero Organisation if the request needs no
 // key. age is that of the configuration, as configAge returns it.
 //
-// If the configuration is too old, the key may have been revoked and the answer is 503. An unknown key is
-// answered with 401 only if the configuration is recent enough; otherwise the key may be newer than the
-// configuration, and the answer is 503 too.
+// If the configuration is too old, the key may have been revoked, and the request is refused with 503. An unknown key
+// is refused with 401 only if the configuration is recent enough; otherwise the key may be newer than the
+// configuration, and the status is 503 too.
 func (a *authenticator) authenticate(r *http.Request, routing *table.Routing, route table.Route, age time.Duration) (table.Organisation, *refusal) {
 	if !routing.RequiresKeys() || route.Public {
 		return table.Organisation{}, nil
--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -157,7 +157,7 @@
 	assert.Equal(t, server.call(before).Header.Get(names.Organisation), desk)
 }
 
-// awaitStatus waits until a request with key is answered with status.
+// awaitStatus waits until a request with key gets a response with status.
 func (env *testEnv) awaitStatus(status int, key string) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -9,11 +9,11 @@
 	"rockcleat/dispatch"
 )
 
-// maxBufferedResponse is the number of bytes of a non-streaming answer that are buffered before any are forwarded.
-// While an answer is buffered, the request can still be retried on another server.
+// maxBufferedResponse is the number of bytes of a non-streaming response that are buffered before any are forwarded.
+// While a response is buffered, the request can still be retried on another server.
 const maxBufferedResponse = 256 << 10
 
-// forwardResponse forwards a non-streaming answer and reports whether the request is finished.
+// forwardResponse forwards a non-streaming response and reports whether the request is finished.
 func (f *forwarder) forwardResponse(ctx context.Context, res *dispatch.Reservation, resp *http.Response) bool {
 	res.RecordFirstByte()
 	if resp.StatusCode >= http.StatusInternalServerError && f.mayRetry() && f.proxy.budgets.take(f.in) {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// finish records the result of a request whose answer was forwarded completely.
+// finish records the result of a request whose response was forwarded completely.
 func (f *forwarder) finish(res *dispatch.Reservation, status int) {
 	f.record.status = status
 	if status >= http.StatusInternalServerError {
@@ -57,7 +57,7 @@
 	f.record.outcome = outcomeAnswered
 }
 
-// beginResponse copies the answer's header to the caller's response.
+// beginResponse copies the header of the server's response to the caller's response.
 func (f *forwarder) beginResponse(resp *http.Response) {
 	f.headerSent.Store(true)
 	f.record.firstByte = f.proxy.clock.Now()
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -45,7 +45,7 @@
 	tests := map[string]struct {
 		script responder
 		path   string
-		// status is the expected status; 0 means that the answer must be incomplete.
+		// status is the expected status; 0 means that the response must be incomplete.
 		status int
 		// runs is the maximum number of times that the request may reach a server.
 		runs int
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestUnsolicitedAnswers checks that a second, unsolicited answer on a connection is never returned for a later
+// TestUnsolicitedAnswers checks that a second, unsolicited response on a connection is never returned for a later
 // request.
 func TestUnsolicitedAnswers(t *testing.T) {
 	for name, late := range map[string]bool{"at once": false, "when the first one is delivered": true} {
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -11,7 +11,7 @@
 )
 
 // A configuration holds the operators' configuration in force. Its version never decreases. Only one goroutine may
-// call Offer; all other methods are safe for concurrent use.
+// call Apply; all other methods are safe for concurrent use.
 type configuration struct {
 	decoder Decoder
 	log     *zap.Logger
@@ -27,7 +27,7 @@
 // routing returns the configuration in force, or nil if none has been received yet.
 func (c *configuration) routing() *table.Routing { return c.current.Load() }
 
-// Offer implements configsync.Applier.
+// Apply implements configsync.Applier.
 func (c *configuration) Apply(value []byte, from configsync.Origin) (uint64, error) {
 	r, err := c.decoder.Routing(value)
 	if err != nil {
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -23,7 +23,7 @@
 	connNew connState = iota
 	// connReadingHeader: a request header has been received in part.
 	connReadingHeader
-	// connActive: a request is being answered.
+	// connActive: a request is being served.
 	connActive
 	// connIdle: the connection is idle between two requests.
 	connIdle
@@ -153,7 +153,7 @@
 	return true
 }
 
-// becomeIdle records that an answer is complete and the connection is idle. If last is set, the connection is ended.
+// becomeIdle records that a response is complete and the connection is idle. If last is set, the connection is ended.
 func (c *callerConn) becomeIdle(last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +187,7 @@
 // expiredDeadline is a deadline that makes a read return immediately.
 var expiredDeadline = time.Unix(1, 0)
 
-// refuseSlowHeader answers 408 and closes the connection if its header has been incomplete for at least limit.
+// refuseSlowHeader sends a 408 and closes the connection if its header has been incomplete for at least limit.
 func (c *callerConn) refuseSlowHeader(now time.Time, limit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,7 +202,7 @@
 	_ = c.TCPConn.Close()
 }
 
-// refusalWriteTimeout is the write timeout of a 408 answer.
+// refusalWriteTimeout is the timeout for writing a 408 response.
 const refusalWriteTimeout = 50 * time.Millisecond
 
 // hasUnread reports whether the socket's receive buffer holds unread bytes. It returns false if the socket cannot
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -25,7 +25,7 @@
 	// limits returns the idle timeout and the header timeout; 0 means no limit.
 	limits func() (idle, header time.Duration)
 
-	// draining says that each connection is ended after its current answer.
+	// draining says that each connection is ended after its current response.
 	draining atomic.Bool
 
 	mu   sync.Mutex
@@ -91,11 +91,11 @@
 	}
 }
 
-// unusedConnTimeout is how long, during a stop, a connection on which nothing was received stays open. noticeTime and
-// unusedConnTimeout together are shorter than the 3 s within which a stopping gateway still accepts requests.
+// unusedConnTimeout is how long, during a stop, a connection on which nothing was received stays open. The sum of
+// noticeTime and unusedConnTimeout is less than the 3 s during which a stopping gateway still accepts requests.
 const unusedConnTimeout = 400 * time.Millisecond
 
-// drain ends the idle connections, makes the others end after their current answer, and returns the number of open
+// drain ends the idle connections, makes the others end after their current response, and returns the number of open
 // connections.
 func (c *conns) drain(now time.Time) int {
 	c.draining.Store(true)
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -62,7 +62,7 @@
 	tests := map[string]struct {
 		follow func(t *testing.T, c *conns, server *callerConn, client net.Conn)
 		after  time.Duration
-		// status is the status of the answer to the client; 0 means that the connection ends without one. open means
+		// status is the status of the response to the client; 0 means that the connection ends without one. open means
 		// that the connection stays open.
 		status int
 		open   bool
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -31,7 +31,7 @@
 	// name this gateway.
 	seeds  []string
 	isSeed bool
-	// firstStart says that the whole system is started for the first time.
+	// firstStart says that the whole system is being started for the first time.
 	firstStart bool
 }
 
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -13,17 +13,17 @@
 //   - feed: updates of the store view, read from the parent in the tree;
 //   - proxy: request handling, with an inbound (the parsed request), a forwarder (the retry loop) and a record (the
 //     result);
-//   - quarantineRole: requests that repeatedly terminate servers (package quarantine), with a crashDetector, which
-//     detects the termination of a server, and a quarantineStore, which persists the quarantine;
-//   - serverLimits: rate limits that backend servers announce in their answers (package serverlimit);
+//   - quarantineRole: requests that repeatedly make servers crash (package quarantine), with a crashDetector, which
+//     detects crashes of servers, and a quarantineStore, which persists the quarantine;
+//   - serverLimits: rate limits that backend servers announce in their responses (package serverlimit);
 //   - fleetStore: the list of gateways that the leader keeps in the store;
 //   - retryBudgets: the number of retries allowed;
 //   - requestLog: log lines and metrics.
 //
-// While the store and the leader are unreachable, a gateway serves from its last view. Only the quarantine and the
-// list of gateways outlast the process; the leader writes both to the store. Header names and record formats are
-// defined by the platform's adapter, through wire.HeaderNames and Decoder.
+// While the store and the leader are unreachable, a gateway serves requests from its last view of the store. Only the
+// quarantine and the list of gateways outlast the process; the leader writes both to the store. Header names and
+// record formats are defined by the platform's adapter, through wire.HeaderNames and Decoder.
 //
-// Callers receive HTTP answers, never errors of this package. Log fields and message fields carry their unit in
+// Callers receive HTTP responses, never errors of this package. Log fields and message fields carry their unit in
 // their name, as in waited_s and read_ms.
 package gateway
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -14,22 +14,22 @@
 )
 
 // Timing of the feed, which distributes the leader's view of the store down the tree of gateways. A gateway sends a
-// long poll to its parent, which answers as soon as there is a change, so that an update takes one network hop
+// long poll to its parent, which responds as soon as there is a change, so that an update takes one network hop
 // per level.
 const (
 	// feedAgeSteps is the number of steps into which the maximum age of a view is divided. A view that is one step
-	// newer is sent even without changes. It is larger than the number of watches that the leader makes within the
-	// maximum age, so that the end of each watch propagates at once.
+	// newer is sent even without changes. The number of steps is larger than the number of watches that the leader makes
+	// within the maximum age, so that the end of each watch propagates immediately.
 	feedAgeSteps = 4
 	// feedHoldFraction is the fraction of a view's maximum age for which a poll waits for a change.
 	feedHoldFraction = 0.6
-	// feedTimeoutMargin is added to the hold time to get a poll's timeout, which applies to the start of the answer
+	// feedTimeoutMargin is added to the hold time to get a poll's timeout, which applies to the start of the response
 	// and to each read of its body.
 	feedTimeoutMargin = 500 * time.Millisecond
 	// feedMinInterval is the minimum time between two polls; changes within it are sent together.
 	feedMinInterval = 100 * time.Millisecond
-	// feedBackoff is the mean time for which a gateway that did not answer, or had a stale view, is not polled. The
-	// actual time varies between half and one and a half of it.
+	// feedBackoff is the mean time for which a gateway that did not respond, or had a stale view, is not polled. The
+	// actual time varies between 0.5 and 1.5 times the mean.
 	feedBackoff = time.Second
 )
 
@@ -48,7 +48,7 @@
 	Addr          string `json:"addr"`
 }
 
-// A feedReply answers a feedRequest.
+// A feedReply is the reply to a feedRequest.
 type feedReply struct {
 	Changes map[string]kv.Batch     `json:"changes,omitempty"`
 	Config  configsync.Announcement `json:"news"`
@@ -101,7 +101,7 @@
 	return ""
 }
 
-// poll sends a poll to the gateway at addr and applies its answer. A gateway that does not answer, or whose view is
+// poll sends a poll to the gateway at addr and applies its reply. A gateway that does not respond, or whose view is
 // stale, is not polled again for a while.
 func (f *feed) poll(ctx context.Context, addr string) {
 	requested := f.clock.Now()
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -66,7 +66,7 @@
 	return m
 }
 
-// await waits until a request to the gateway is answered with status.
+// await waits until a request to the gateway gets a response with status.
 func (m *fleetMember) await(t *testing.T, env *testEnv, path string, status int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/internal/gateway/fleet_keeper.go
+++ b/internal/gateway/fleet_keeper.go
@@ -29,7 +29,7 @@
 	// cause one write, and a store restored from a backup has by then received the operators' later writes again.
 	fleetSettleTime = 3 * time.Second
 	// fleetRetention is how long a gateway that left the leader's list stays on the stored one. It exceeds the time for
-	// which such a gateway may use its share of rate limits. Restarting gateways one after another costs no writes.
+	// which such a gateway may use its share of rate limits, and avoids writes when gateways restart one after another.
 	fleetRetention = quota.LeaderlessTTL + 2*time.Second
 	// fleetLoadDelay is how long after its start a gateway without a list reads it from the store. A running leader
 	// has sent its list by then.
@@ -39,7 +39,7 @@
 )
 
 // A fleetStore persists the list of gateways in the store, so that it survives the loss of all gateways. The leader
-// writes it after a change. A gateway reads it if it has started and found no leader, or has become the leader without
+// writes it after a change. A gateway reads it if it found no leader after its start, or became the leader without
 // having received a list.
 //
 // Without the stored list, gateways that restart together do not know of one another until one becomes the leader.
@@ -65,7 +65,8 @@
 	term lease.Token
 	// recent holds the time at which each gateway was last on the leader's list.
 	recent map[placer.Gateway]time.Time
-	// pending is the last result of withRecent, unchanged since pendingSince. stored is the list last written to the store.
+	// pending is the last result of withRecent, unchanged since pendingSince. stored is the list last written to the
+	// store.
 	pending      []placer.Gateway
 	pendingSince time.Time
 	stored       []placer.Gateway
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -68,7 +68,7 @@
 	f.servers.replace(list)
 }
 
-// logMissing logs the previously known servers that are not in the new list.
+// logMissing logs the known servers that are not in the new list.
 func (f *serverFollower) logMissing(list []backend.Server) {
 	listed := make(map[string]bool, len(list))
 	for _, s := range list {
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -15,7 +15,7 @@
 	"rockcleat/dispatch"
 )
 
-// A forwarder sends one request to servers until it is answered or abandoned.
+// A forwarder sends one request to servers until it is finished.
 type forwarder struct {
 	proxy *proxy
 	in    *inbound
@@ -26,7 +26,7 @@
 	// req is in.requirements, updated with the servers to exclude and other results of earlier sends.
 	req    dispatch.Request
 	record record
-	// headerSent says that the header of an answer has been sent to the caller.
+	// headerSent says that the header of a response has been sent to the caller.
 	headerSent atomic.Bool
 	// retryCharged says that the retry after the current send is already charged to the retry budget.
 	retryCharged atomic.Bool
@@ -116,7 +116,7 @@
 	return true
 }
 
-// handleRefusal handles an answer in which the server says that it did not run the request. It reports whether the
+// handleRefusal handles a response in which the server says that it did not run the request. It reports whether the
 // request is finished.
 func (f *forwarder) handleRefusal(res *dispatch.Reservation, resp *http.Response) bool {
 	res.Done(refusalResult(resp))
@@ -150,7 +150,7 @@
 	return dispatch.Refused
 }
 
-// handleLost handles a send that may have run but returned no usable answer. It reports whether the request is
+// handleLost handles a send that may have run but returned no usable response. It reports whether the request is
 // finished.
 func (f *forwarder) handleLost(res *dispatch.Reservation, err error) bool {
 	res.Done(dispatch.Failed)
@@ -201,13 +201,14 @@
 	f.req.Exclude = append(f.req.Exclude, res.Server().ID)
 }
 
-// refuse ends the request with an answer made by the gateway.
+// refuse ends the request with a response made by the gateway.
 func (f *forwarder) refuse(outcome string, r *refusal) {
 	f.record.outcome, f.record.status = outcome, r.status
 	f.proxy.write(f.w, r)
 }
 
-// abort aborts an answer that cannot be completed, so that the caller sees a broken connection, not a complete answer.
+// abort aborts a response that cannot be completed, so that the caller sees a broken connection, not a complete
+// response.
 func (f *forwarder) abort(err error) {
 	f.record.outcome = outcomeCut
 	f.proxy.requestLog.responseAborted(f, err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,7 +28,7 @@
 	Server(key string, value []byte) (backend.Server, error)
 	// ServerID returns the server id in the key of a backend server.
 	ServerID(key string) string
-	// IsOlderServer reports whether value is an older record of the same server instance than another one. known is
+	// IsOlderServerEntry reports whether value is an older record of the same server instance than another one. known is
 	// false if the records are of different instances.
 	IsOlderServerEntry(value, than []byte) (older, known bool)
 }
@@ -53,7 +53,7 @@
 	// AllKeys gives access to all keys of the store, ProductKeys only to those that the product writes.
 	AllKeys     kv.PrefixStore
 	ProductKeys kv.PrefixStore
-	// EraNotifier, if not nil, reports when the store was restored from a backup.
+	// Eras, if not nil, reports when the store was restored from a backup.
 	Eras    EraNotifier
 	Decoder Decoder
 	Engines backend.EngineClient
@@ -89,7 +89,7 @@
 	// serverLimits holds the rate limits that backend servers announce.
 	serverLimits *serverLimits
 	fleetStore   *fleetStore
-	// stops unsubscribes from the clock.
+	// stops holds the functions that end the clock subscriptions.
 	stops []func()
 	// ctx ends when the gateway stops, after its last request.
 	ctx    context.Context
@@ -124,7 +124,7 @@
 	return g
 }
 
-// expireInterval is the interval at which outdated state is removed.
+// expireInterval is the interval at which outdated servers are removed and failed connections are checked for crashes.
 const expireInterval = 200 * time.Millisecond
 
 // sweepInterval is the interval at which connections, quarantine entries and server limits are checked for expiry.
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -62,7 +62,7 @@
 
 func (decoder) ServerID(key string) string { return strings.TrimPrefix(key, prefix) }
 
-// IsOlderServer reports whether value is not leaving and than is: the tests' records have no sequence number.
+// IsOlderServerEntry reports whether value is not leaving and than is: the tests' records have no sequence number.
 func (decoder) IsOlderServerEntry(value, than []byte) (older, known bool) {
 	var s, other backend.Server
 	known = json.Unmarshal(value, &s) == nil && json.Unmarshal(than, &other) == nil
@@ -284,14 +284,14 @@
 	return req
 }
 
-// A reply is the answer that a caller received.
+// A reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// closes says that the answer closes its connection.
+	// closes says that the connection is closed after the response.
 	closes bool
-	// err is not nil if the answer is incomplete.
+	// err is not nil if there is no response or it is incomplete.
 	err error
 }
 
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -28,7 +28,7 @@
 	service table.Service
 	// organisation owns the key that the request came with; the zero Organisation if none is needed.
 	organisation table.Organisation
-	// dropsKey says that the API key is not forwarded to servers.
+	// dropsKey says that the API key must not be forwarded to servers.
 	dropsKey bool
 	// target is the requested model and adapter; empty for services without engines.
 	target backend.Adapter
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// isServable reports whether the service can ever serve the request's model: engines load only configured models.
+// isServable reports whether the service may be able to serve the request's model: engines load only configured models.
 // Adapters are not checked, since the configuration contains only their number. A service without servers is
 // accepted, since it may get some while the request waits.
 func (in *inbound) isServable() bool {
@@ -190,8 +190,8 @@
 // defaultTimeout applies to requests for which neither the route nor the caller sets a timeout.
 const defaultTimeout = time.Minute
 
-// deadlineOf returns the deadline of a request: its arrival plus the shorter of the route's timeout and the caller's,
-// a number of milliseconds in header. It returns false if header is not such a number.
+// deadlineOf returns the deadline of a request: its arrival plus the shorter of the route's timeout and the caller's.
+// header holds the caller's timeout in milliseconds; it may be empty. deadlineOf returns false if it is malformed.
 func deadlineOf(arrived time.Time, timeout time.Duration, header string) (time.Time, bool) {
 	if header != "" {
 		ms, err := strconv.ParseInt(strings.TrimSpace(header), 10, 64)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -21,7 +21,7 @@
 	})
 }
 
-// limit returns the rate limit of an organisation, and whether it has one.
+// limit returns the rate limit of an organisation and reports whether it has one.
 func (c *configuration) limit(organisation string) (quota.Limit, bool) {
 	r := c.current.Load()
 	if r == nil {
@@ -53,8 +53,8 @@
 	return list
 }
 
-// retryAfterUnknownLimit is the Retry-After while the state of an organisation's rate limit is unknown. It is about the time
-// until another gateway leads or grants.
+// retryAfterUnknownLimit is the Retry-After while the state of an organisation's rate limit is unknown. It is about the
+// time until there is a new leader or a new owner grants quota.
 const retryAfterUnknownLimit = 500 * time.Millisecond
 
 // charge charges a request to its organisation's rate limit, or refuses it. It runs before the request takes a
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -25,7 +25,8 @@
 	return env
 }
 
-// awaitLimit waits until a request of the limited organisation with the given token counts is answered with status.
+// awaitLimit waits until a request of the limited organisation with the given token counts gets a response
+// with status.
 func (env *testEnv) awaitLimit(status int, tokens string) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
--- a/internal/gateway/outgoing.go
+++ b/internal/gateway/outgoing.go
@@ -23,8 +23,8 @@
 // serverRequestHeader returns the header of a request to a server. It is used for first sends, retries and resumed
 // streams, to engines and other servers alike.
 //
-// It forwards the caller's headers except hop-by-hop headers and those in wire.HeaderNames.Reserved, which only the system
-// may set: engines obey them whoever the sender is.
+// It forwards the caller's headers except hop-by-hop headers and those in wire.HeaderNames.Reserved. Only the system
+// may set the reserved ones, because engines obey them regardless of the sender.
 func (f *forwarder) serverRequestHeader(server string) http.Header {
 	names := f.proxy.names
 	h := f.in.Header.Clone()
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -48,7 +48,7 @@
 	// limiters holds all limiters, which depend on the leader and its list of gateways.
 	limiters   limiters
 	fleetStore *fleetStore
-	// listMu is held while a list of gateways is applied, so that all components see the same list.
+	// listMu is held while a list of gateways is applied, so that all components get the same list.
 	listMu sync.Mutex
 	// urgent triggers an immediate report to the leader.
 	urgent signal
--- a/internal/gateway/peer_client.go
+++ b/internal/gateway/peer_client.go
@@ -37,9 +37,9 @@
 
 // Timeouts of calls between gateways.
 const (
-	// reportTimeout is the timeout for the answer to a report, and for each read of its body.
+	// reportTimeout is the timeout for the response to a report, and for each read of its body.
 	reportTimeout = 700 * time.Millisecond
-	// configTimeout is the same for a request for the configuration. The store is read instead after it.
+	// configTimeout is the same for a request for the configuration, after which the store is read instead.
 	configTimeout = 700 * time.Millisecond
 	// admissionTimeout is the timeout of an admission request (docs/design/0009).
 	admissionTimeout = 150 * time.Millisecond
@@ -52,7 +52,7 @@
 	placer.Report
 	// ConfigVersion is the version of the configuration in force.
 	ConfigVersion uint64 `json:"config"`
-	// Quarantine holds new information on requests under which servers have terminated.
+	// Quarantine holds new information on requests under which servers have crashed.
 	Quarantine quarantine.Message `json:"quarantine,omitzero"`
 	// ServerLimits holds new information on the rate limits that backend servers announced.
 	ServerLimits serverlimit.Message `json:"limits,omitzero"`
@@ -60,7 +60,7 @@
 	QuarantineUnknown bool `json:"uninformed,omitempty"`
 }
 
-// A replyMessage answers a report.
+// A replyMessage is the reply to a report.
 type replyMessage struct {
 	placer.Reply
 	// Leader is the leader's peer address if the replying gateway is not the leader; empty if it is not known.
@@ -73,7 +73,7 @@
 	ServerLimits *serverlimit.Reply `json:"limits,omitempty"`
 	// RemovedGateways is the number of gateways that recently left the leader's list, for quota.Limiter.
 	RemovedGateways int `json:"lapsed,omitempty"`
-	// QuarantineKnown says, in reply to an uninformed gateway, that the replying gateway knows the quarantine.
+	// QuarantineKnown says, in reply to a report with QuarantineUnknown, that the replying gateway knows the quarantine.
 	QuarantineKnown bool `json:"informed,omitempty"`
 }
 
@@ -94,7 +94,7 @@
 	return reply, err
 }
 
-// feed polls the gateway at addr for changes in the store. timeout applies to the start of the answer and to each
+// feed polls the gateway at addr for changes in the store. timeout applies to the start of the response and to each
 // read of its body.
 func (p *peerClient) feed(ctx context.Context, addr string, timeout time.Duration, r feedRequest) (feedReply, error) {
 	var reply feedReply
@@ -116,7 +116,7 @@
 	return reply, err
 }
 
-// AskGrant implements quota.GrantClient.
+// RequestGrant implements quota.GrantClient.
 func (p *peerClient) RequestGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	var reply quota.Reply
 	err := p.postTo(ctx, grantTimeout, gateway, pathGrant, r, &reply)
@@ -138,7 +138,7 @@
 	return err
 }
 
-// postTo posts a message to the gateway with the given id and decodes the answer into out.
+// postTo posts a message to the gateway with the given id and decodes the response into out.
 func (p *peerClient) postTo(ctx context.Context, timeout time.Duration, gateway, path string, in, out any) error {
 	addr := p.gateways.addr(gateway)
 	if addr == "" {
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -28,12 +28,13 @@
 	dispatcher *dispatch.Dispatcher
 	quarantine *quarantine.Table
 	limiter    *quota.Limiter
-	// serverLimits holds the rate limits of backend servers. lapsed returns the number of gateways that recently left
-	// the leader's list.
+	// serverLimits holds the rate limits of backend servers. removedCount returns the number of gateways that recently
+	// left the leader's list.
 	serverLimits *serverLimits
 	removedCount func() int
 	// limits returns this gateway's state of all rate limits.
 	limits func() wire.LimitList
+	// synced says that this gateway knows the quarantine from before its start.
 	synced *atomic.Bool
 	clock  clock.Service
 	// leaseKey is the store key of the leader's lease.
@@ -88,7 +89,7 @@
 	return c.JSON(http.StatusOK, t)
 }
 
-// handleFeed handles a poll for changes in the store. It answers as soon as there is a change or a newer view, and
+// handleFeed handles a poll for changes in the store. It responds as soon as there is a change or a newer view, and
 // after the hold time at the latest.
 func (p *peerServer) handleFeed(c echo.Context) error {
 	var r feedRequest
--- a/internal/gateway/position.go
+++ b/internal/gateway/position.go
@@ -11,14 +11,14 @@
 	// one above before it reads the store itself. The level above has then read the store and passes on the result.
 	levelDelayFraction = 0.25
 	// listWaitTime is how long a starting gateway waits to get the servers and the configuration from other gateways
-	// before it reads the store. It is short because, after a restart of all gateways, none can answer and callers
+	// before it reads the store. It is short because, after a restart of all gateways, none can respond and callers
 	// wait. firstListWaitTime applies when the whole system is started for the first time and has no callers yet.
 	listWaitTime      = 150 * time.Millisecond
 	firstListWaitTime = 600 * time.Millisecond
 	// contentionDelayStep is the additional delay, per level of the tree, before a gateway contends for a free lease. A
 	// random delay of up to the same amount is added. It is long enough to write the record and distribute it.
 	contentionDelayStep = 300 * time.Millisecond
-	// fleetProbesPerSecond is the number of calls per second that all gateways below the first level together make to a
+	// fleetProbesPerSecond is the total number of calls per second that the gateways below the first level make to a
 	// failed store.
 	fleetProbesPerSecond = 8
 )
--- a/internal/gateway/process_pause.go
+++ b/internal/gateway/process_pause.go
@@ -13,7 +13,7 @@
 	pauseCheckInterval = 500 * time.Millisecond
 	// maxCheckInterval is the time between two checks above which the process is considered to have been paused.
 	maxCheckInterval = 1500 * time.Millisecond
-	// pauseEffectTime is how long after a pause failures are still attributed to it.
+	// pauseEffectTime is how long after a pause a failure is still attributed to it.
 	pauseEffectTime = time.Second
 )
 
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -14,7 +14,7 @@
 )
 
 // A proxy is the HTTP handler for callers' requests. It reads each request completely, forwards it to a server and
-// forwards the answer.
+// forwards the response.
 type proxy struct {
 	names         wire.HeaderNames
 	config        *configuration
@@ -28,7 +28,7 @@
 	quarantine    *quarantine.Table
 	detector      *crashDetector
 	copies        copySerializer
-	// serverLimits receives the rate limit announced in each answer.
+	// serverLimits receives the rate limit announced in each response.
 	serverLimits *serverlimit.Table
 	clock        clock.Service
 	transport    http.RoundTripper
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -20,8 +20,8 @@
 	server.LogQuarantine(l.log, c, l.clock.Now())
 }
 
-// watchQuarantine cancels the request if it is placed in quarantine before its answer begins, so that copies that no
-// server has started never run. An answer that has begun continues.
+// watchQuarantine cancels the request if it is placed in quarantine before its response begins, so that copies that no
+// server has started never run. A response that has begun continues.
 func (f *forwarder) watchQuarantine() (stop func()) {
 	return f.proxy.quarantine.Watch(f.in.key, func() {
 		if !f.headerSent.Load() {
@@ -40,8 +40,8 @@
 	return errors.Is(context.Cause(f.ctx), errQuarantined)
 }
 
-// refuseQuarantined refuses a request in quarantine. If it has not run, the answer is 503 with the remaining time of
-// the quarantine, during which no gateway sends it. If it may have run, the answer is 502 without a Retry-After.
+// refuseQuarantined refuses a request in quarantine. If it has not run, the response is 503 with the remaining time of
+// the quarantine, during which no gateway sends it. If it may have run, the response is 502 without a Retry-After.
 func (f *forwarder) refuseQuarantined() {
 	if f.headerSent.Load() {
 		f.abort(errQuarantined)
--- a/internal/gateway/quarantine_failures_test.go
+++ b/internal/gateway/quarantine_failures_test.go
@@ -166,7 +166,7 @@
 }
 
 // TestConcurrentCopies checks that, with copies sent to all gateways concurrently, only copies already in flight at
-// the third termination can terminate further servers.
+// the third crash can make further servers crash.
 func TestConcurrentCopies(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	atOnce := 2 * len(caller.fronts)
@@ -179,14 +179,14 @@
 		copies.Wait()
 	}
 	caller.env.waitLines("request quarantined", 3)
-	// Two servers may terminate before the last batch, and one under each copy of that batch.
+	// Two servers may crash before the last batch, and one under each copy of that batch.
 	most := quarantine.DefaultCrashThreshold - 1 + atOnce
 	assert.Assert(t, servers.crashes.Load() <= int64(most), "%d servers ended", servers.crashes.Load())
 	caller.checkRefused(servers)
 }
 
-// TestQuarantineStopsRetries checks that a request in quarantine is neither retried nor resumed, and is answered with
-// the status of one that may have run.
+// TestQuarantineStopsRetries checks that a request in quarantine is neither retried nor resumed, and gets a response
+// with the status of one that may have run.
 func TestQuarantineStopsRetries(t *testing.T) {
 	for name, path := range map[string]string{"repeated": pathSafe, "resumed": pathResume} {
 		t.Run(name, func(t *testing.T) {
@@ -203,7 +203,7 @@
 }
 
 // TestQuarantineCancelsWaitingCopy checks that a copy still waiting at a server is cancelled when its request is
-// placed in quarantine: its caller is answered, and the connection to the server is closed.
+// placed in quarantine: its caller gets a response, and the connection to the server is closed.
 func TestQuarantineCancelsWaitingCopy(t *testing.T) {
 	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
 	servers.holdNext.Store(true)
@@ -227,8 +227,8 @@
 	caller.checkRefused(servers)
 }
 
-// TestConnFailuresAreNoTerminations checks that broken connections and invalid answers do not count as terminations
-// of a server.
+// TestConnFailuresAreNoTerminations checks that broken connections and invalid responses do not count as crashes of a
+// server.
 func TestConnFailuresAreNoTerminations(t *testing.T) {
 	tests := map[string]responder{
 		"the connection is closed": func(*call) bool { return false },
@@ -258,9 +258,9 @@
 	}
 }
 
-// TestCopiesAreSentOneAtATime checks that copies of a request under which a server has terminated are sent one at a
-// time, so that concurrent copies cannot terminate more servers before the quarantine begins. Two more servers
-// terminate, and the other copies are refused.
+// TestCopiesAreSentOneAtATime checks that copies of a request under which a server has crashed are sent one at a time,
+// so that concurrent copies cannot make more servers crash before the quarantine begins. Two more servers crash, and
+// the other copies are refused.
 func TestCopiesAreSentOneAtATime(t *testing.T) {
 	const copies = 6
 	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
--- a/internal/gateway/quarantine_role.go
+++ b/internal/gateway/quarantine_role.go
@@ -10,7 +10,7 @@
 	"rockcleat/quarantine"
 )
 
-// Timing of how a starting gateway learns the quarantine.
+// Timing of the initial synchronisation of the quarantine in a starting gateway.
 const (
 	// quarantineReadDelay is the time after which the store is read, if no other gateway has sent the quarantine.
 	quarantineReadDelay = 300 * time.Millisecond
@@ -18,17 +18,17 @@
 	syncTimeout = time.Second
 )
 
-// A quarantineRole holds the components that a gateway needs to refuse requests under which servers have terminated.
+// A quarantineRole holds the components that a gateway needs to refuse requests under which servers have crashed.
 type quarantineRole struct {
 	table *quarantine.Table
 	// synced says that the gateway knows the quarantine from before its start. It is set from the beginning if the
-	// whole system is started for the first time.
+	// whole system is being started for the first time.
 	synced    *atomic.Bool
 	detector  *crashDetector
 	startedAt time.Time
 }
 
-// newQuarantineRole returns the role. The termination of a server triggers an immediate report to the leader.
+// newQuarantineRole returns the role. The crash of a server triggers an immediate report to the leader.
 func (p *components) newQuarantineRole(ctx context.Context, o Options) quarantineRole {
 	s := o.Settings.Quarantine
 	r := quarantineRole{
--- a/internal/gateway/quarantine_scale_test.go
+++ b/internal/gateway/quarantine_scale_test.go
@@ -36,7 +36,7 @@
 	return f
 }
 
-// crash records the termination of a server under requests of one gateway, and schedules an urgent report.
+// crash records the crash of a server under requests of one gateway, and schedules an urgent report.
 func (f *quarantineFleet) crash(server string, gateway int, keys ...quarantine.Key) {
 	f.tables[gateway].RecordCrash(server, keys...)
 	f.reportSoon(gateway)
@@ -53,8 +53,8 @@
 }
 
 // TestQuarantineIsKnownInTime checks that all gateways have a request in quarantine within 2 s of the third
-// termination. Each termination is observed by a random gateway, together with other requests on the same server.
-// Network latency is not simulated.
+// crash. Each crash is observed by a random gateway, together with other requests on the same server. Network latency
+// is not simulated.
 func TestQuarantineIsKnownInTime(t *testing.T) {
 	const seeds, requests, step = 20, 24, 10 * time.Millisecond
 	for _, gateways := range []int{6, 24, 103, 340} {
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -24,7 +24,7 @@
 // A storedQuarantine is the stored value of a request in quarantine.
 type storedQuarantine struct {
 	quarantine.Record
-	// EndedAtMs is when the last server terminated, in Unix milliseconds. The age in Record is relative to the time of
+	// EndedAtMs is when the last server crashed, in Unix milliseconds. The age in Record is relative to the time of
 	// writing.
 	EndedAtMs int64 `json:"at"`
 }
@@ -47,7 +47,7 @@
 
 	// term is the leader token under which the store was last read.
 	term lease.Token
-	// stored maps the requests in the store to their number of terminated servers.
+	// stored maps the requests in the store to their number of crashed servers.
 	stored map[quarantine.Key]int
 	// failing says that the last call to the store failed.
 	failing bool
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -14,21 +14,21 @@
 	"rockcleat/relay"
 )
 
-// poison is the body of a request that terminates the server running it.
+// poison is the body of a request that makes the server running it crash.
 const poison = "ends whoever runs it"
 
-// propagationTime is the maximum time until all gateways know of the third termination. maxLateSends is the number of
+// propagationTime is the maximum time until all gateways know of the third crash. maxLateSends is the number of
 // sends allowed after it. Both are requirements of the platform.
 const (
 	propagationTime = 3 * time.Second
 	maxLateSends    = 3
 )
 
-// restartTime is the time from the termination of a crashing server to its restart.
+// restartTime is the time from the crash of a server to its restart.
 const restartTime = 300 * time.Millisecond
 
-// crashingServers terminate when they receive poison, and restart after restartTime as a new instance at the same
-// address. They answer all other requests.
+// crashingServers crash when they receive poison, and restart after restartTime as a new instance at the same address.
+// They handle all other requests with fallback.
 type crashingServers struct {
 	t        *testing.T
 	fallback responder
@@ -125,9 +125,9 @@
 	return doWith(&http.Client{Transport: transport}, req)
 }
 
-// TestRequestThatTerminatesServers checks that a request that terminates servers is quarantined at all gateways.
-// Without that, a caller that resends the request under a new id, to a different gateway each time, terminates one
-// server after another.
+// TestRequestThatTerminatesServers checks that a request that makes servers crash is quarantined at all gateways.
+// Without that, a caller that resends the request under a new id, to a different gateway each time, makes one server
+// after another crash.
 func TestRequestThatTerminatesServers(t *testing.T) {
 	const pace = 100 * time.Millisecond
 	env, servers := newCrashingEnv(t, 12, answer(http.StatusOK, "fine"))
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -15,7 +15,7 @@
 	outcomeTimeout  = "timeout"
 	outcomeCut      = "cut"
 	outcomeGone     = "caller_gone"
-	// outcomeQuarantined: servers have terminated under copies of the request.
+	// outcomeQuarantined: servers have crashed under copies of the request.
 	outcomeQuarantined = "quarantined"
 )
 
@@ -28,7 +28,7 @@
 	waited time.Duration
 	// reservation is the last one; nil if no server was acquired.
 	reservation *dispatch.Reservation
-	// firstByte is when the answer's header was sent to the caller.
+	// firstByte is when the response's header was sent to the caller.
 	firstByte time.Time
 	// events counts the events of a stream that were forwarded. longestGap is the longest time between two of them.
 	events     int
@@ -39,7 +39,7 @@
 	holders int
 }
 
-// lateResult is the result of a late answer, for load shedding. A late answer still has some value to its caller.
+// lateResult is the result of a late response, for load shedding. A late response still has some value to the caller.
 const lateResult = 0.3
 
 // result returns how well the request was served, from 0 (not at all) to 1 (in time). ok is false if the outcome does
@@ -59,7 +59,7 @@
 	return 0, false
 }
 
-// meetsObjectives reports whether the answer met the route's objectives for the first byte and the gap between events.
+// meetsObjectives reports whether the response met the route's objectives for the first byte and the gap between events.
 func (r *record) meetsObjectives(in *inbound) bool {
 	gap := in.route.EventGapObjective
 	return r.firstByte.Sub(in.arrived) <= in.route.FirstByteObjective && (gap == 0 || r.longestGap <= gap)
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -10,15 +10,15 @@
 	"rockcleat/apikey"
 )
 
-// A refusal is an answer that the gateway makes itself, without a server.
+// A refusal is a response that the gateway makes itself, without a server.
 type refusal struct {
 	status int
 	reason string
 	// retryAfter is the value of the Retry-After header; 0 omits the header.
 	retryAfter time.Duration
-	// closeConn closes the connection after the answer.
+	// closeConn says that the connection is closed after the response.
 	closeConn bool
-	// challenge adds a WWW-Authenticate header.
+	// challenge says that the response has a WWW-Authenticate header.
 	challenge bool
 	// organisation owns the key that the request came with; empty if it is not known.
 	organisation string
@@ -81,7 +81,7 @@
 	return &refusal{status: http.StatusServiceUnavailable, reason: reason + "; not run", retryAfter: retryAfter}
 }
 
-// mayHaveRun returns the refusal of a request that may have run but has no answer.
+// mayHaveRun returns the refusal of a request that may have run but has no response.
 func mayHaveRun(reason string) *refusal {
 	return &refusal{status: http.StatusBadGateway, reason: reason}
 }
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -57,7 +57,7 @@
 	// synced says that this gateway knows the quarantine from before its start.
 	synced *atomic.Bool
 	// urgent triggers an immediate report: a request waits for a model that no server has loaded, a server has
-	// terminated, or one has announced a changed rate limit.
+	// crashed, or one has announced a changed rate limit.
 	urgent signal
 
 	// failing says that the last report failed.
@@ -208,7 +208,7 @@
 	}
 }
 
-// reportSucceeded records that a report was answered.
+// reportSucceeded records that a gateway replied to a report.
 func (r *reporter) reportSucceeded(addr string) {
 	if r.failing {
 		r.failing = false
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -94,7 +94,7 @@
 	malformedRate  = 1
 	malformedBurst = 5
 	// serverLimitRate and serverLimitBurst limit lines about servers' rate limits, which can change with each
-	// answer.
+	// response.
 	serverLimitRate  = 5
 	serverLimitBurst = 60 // covers all servers of a data hall
 )
@@ -103,21 +103,21 @@
 type Metrics interface {
 	// Handler serves the metrics in text format.
 	Handler() http.Handler
-	// RequestEnded counts a request of a route by its outcome. first and total are the times to the first byte and to the end,
-	// in seconds; first is 0 if there was no first byte.
+	// RequestEnded counts a request of a route by its outcome. first and total are the times from its arrival to the
+	// first byte and to the end, in seconds; first is 0 if there was no first byte.
 	RequestEnded(route, outcome string, first, total float64)
-	// RequestSent counts a send to a backend server; retry says that it was not the request's first.
+	// RequestSent counts a send to a backend server; retry says that it is not the request's first.
 	RequestSent(service string, retry bool)
-	// Admissions counts the answers of other gateways to admission requests; silent ones did not answer.
+	// Admissions counts admission requests to other gateways by result; silent is the number without a reply.
 	Admissions(granted, denied, silent int)
-	// QuotaCharged counts a request charged to an organisation's rate limit, with its cost in the limit's unit. outcome is
-	// "inside", "over" or "unknown".
+	// QuotaCharged counts a request that was checked against an organisation's rate limit, with its cost in the limit's
+	// unit. outcome is "inside", "over" or "unknown".
 	QuotaCharged(organisation, outcome string, cost float64)
-	// ServerLimitChanged counts changes of the rate limits that servers announce, by state.
+	// ServerLimitChanged counts a change of a rate limit that a server announces, by state.
 	ServerLimitChanged(state string)
-	// PermitRequested counts requests for a permit at a server with a rate limit. outcome is "inside", "over" or "unknown".
+	// PermitRequested counts a request for a permit of a server's rate limit. outcome is "inside", "over" or "unknown".
 	PermitRequested(outcome string)
-	// ServerCrashed counts terminations of servers under requests, by service.
+	// ServerCrashed counts a crash of a server under requests, by service.
 	ServerCrashed(service string)
 	// ConfigTransfer counts a transfer of the configuration and its size on the wire; err is not nil if it failed.
 	ConfigTransfer(from string, bytes int, err error)
@@ -262,7 +262,7 @@
 	}
 }
 
-// malformedLimit logs a malformed rate limit in a server's answer. The lines are rate-limited.
+// malformedLimit logs a malformed rate limit in a server's response. The lines are rate-limited.
 func (l *requestLog) malformedLimit(server, header string, values []string) {
 	if l.malformed.AllowN(l.clock.Now(), 1) {
 		l.log.Info(msgMalformedHeader, zap.String(fieldServer, server), zap.String("header", header), zap.Strings("value", values))
@@ -291,7 +291,7 @@
 		zap.String(fieldLastEvent, f.lastEvent))
 }
 
-// sendFailed logs a send without a usable answer.
+// sendFailed logs a send without a usable response.
 func (l *requestLog) sendFailed(f *forwarder, res *dispatch.Reservation, reason string, err error) {
 	l.log.Info(msgSendFailed, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key),
 		zap.String(fieldServer, res.Server().ID), zap.String(fieldAddr, res.Server().Addr), zap.String(fieldReason, reason), zap.Int(fieldRuns, f.record.runs),
@@ -303,7 +303,7 @@
 	return zap.Float64(fieldAge, l.clock.Now().Sub(in.arrived).Seconds())
 }
 
-// responseAborted logs an answer that was aborted after it had begun.
+// responseAborted logs a response that was aborted after it had begun.
 func (l *requestLog) responseAborted(f *forwarder, err error) {
 	l.log.Info(msgResponseAborted, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key), f.server(),
 		zap.String(fieldLastEvent, f.lastEvent), telemetry.Error(err))
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -97,7 +97,7 @@
 	assert.Equal(t, env.post(pathUnsafe, "x").status, http.StatusOK)
 }
 
-// awaitPath waits until a request is answered with status.
+// awaitPath waits until a request for path gets a response with status.
 func (env *testEnv) awaitPath(path string, status int) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -23,7 +23,7 @@
 	mu        sync.Mutex
 	settings  config.Retry
 	byService map[string]*retry.Window
-	// firstStart says that the whole system is started for the first time. shareFrom is the end of the first window
+	// firstStart says that the whole system is being started for the first time. shareFrom is the end of the first window
 	// after a restart, before which the share of the fixed number is 0.
 	firstStart bool
 	shareFrom  time.Time
@@ -32,7 +32,7 @@
 	maxGatewaysAt time.Time
 }
 
-// newRetryBudgets returns the budgets of a gateway. firstStart says that no budget was used before.
+// newRetryBudgets returns the budgets of a gateway. firstStart says that no gateway has used a budget before.
 func newRetryBudgets(s config.Retry, firstStart bool, c clock.Service, gateways *directory) *retryBudgets {
 	b := &retryBudgets{
 		settings: s, clock: c, gateways: gateways, byService: make(map[string]*retry.Window),
@@ -103,7 +103,7 @@
 }
 
 // mayRetry reports whether the request may be sent again after a send that may have run. The route must allow another
-// run, and the rest of the answer must be available: either nothing was sent to the caller, or the stream can resume.
+// run, and the rest of the response must be available: either nothing was sent to the caller, or the stream can resume.
 func (f *forwarder) mayRetry() bool {
 	if f.record.runs >= f.in.route.MaxAttempts {
 		return false
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -58,7 +58,7 @@
 	return err
 }
 
-// handleNoResponse handles a send that failed before an answer's header arrived. It reports whether the request is
+// handleNoResponse handles a send that failed before a response's header arrived. It reports whether the request is
 // finished.
 func (f *forwarder) handleNoResponse(res *dispatch.Reservation, err error) bool {
 	if f.isCallerGone() {
@@ -75,22 +75,22 @@
 	return f.handleLost(res, err)
 }
 
-// validate returns an error if resp does not answer this request, or cannot continue an answer that was begun.
+// validate returns an error if resp does not belong to this request, or cannot continue a response that has begun.
 func (f *forwarder) validate(resp *http.Response) error {
 	if id := resp.Header.Get(f.proxy.names.RequestID); id != f.in.id {
-		return eris.Errorf("gateway: answer to another request %q", id)
+		return eris.Errorf("gateway: response to another request %q", id)
 	}
 	if resp.StatusCode < 300 && resp.Header.Get(f.proxy.names.Signature) == "" {
-		return eris.New("gateway: answer without a signature")
+		return eris.New("gateway: response without a signature")
 	}
 	if f.headerSent.Load() && resp.StatusCode != http.StatusOK {
-		return eris.Errorf("gateway: status %d in answer to a resumed stream", resp.StatusCode)
+		return eris.Errorf("gateway: status %d in response to a resumed stream", resp.StatusCode)
 	}
 	return nil
 }
 
-// noteServerLimit records the rate limit in an answer. It ignores answers to other requests and answers of a
-// misdirected server, which belong to another server. sent is when the request was sent.
+// noteServerLimit records the rate limit in a response. It ignores responses to other requests, and responses with
+// status 421, which come from a server other than the intended one. sent is when the request was sent.
 func (f *forwarder) noteServerLimit(res *dispatch.Reservation, resp *http.Response, sent time.Time) {
 	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(f.proxy.names.RequestID) != f.in.id {
 		return
--- a/internal/gateway/server_ends.go
+++ b/internal/gateway/server_ends.go
@@ -15,12 +15,12 @@
 	"rockcleat/quarantine"
 )
 
-// Parameters of the detection of terminated servers.
+// Parameters of the detection of crashed servers.
 const (
-	// delistWindow is how long after a connection failed the server counts as terminated if it leaves the list. It
-	// covers three heartbeats of 1.2 s and the time to notice the change.
+	// delistWindow is how long after a failed connection the server counts as crashed if the platform removes it from
+	// the list. It covers three heartbeats of 1.2 s and the time to notice the change.
 	delistWindow = 6 * time.Second
-	// maxSuspects is the maximum number of requests that the termination of one server is attributed to.
+	// maxSuspects is the maximum number of requests to which the crash of one server is attributed.
 	maxSuspects = 256
 	// maxLoggedDigests is the maximum number of digests in a log line.
 	maxLoggedDigests = 16
@@ -31,18 +31,18 @@
 	server *backend.Server
 	// at is when the last connection failed.
 	at time.Time
-	// probing says that a probe is running, terminated that the instance has terminated.
+	// probing says that a probe is running, crashed that the instance has crashed.
 	probing, crashed bool
-	// suspects are the requests whose connection failed, possibly because the server terminated.
+	// suspects are the requests whose connection failed, possibly because the server crashed.
 	suspects []quarantine.Key
 }
 
-// A crashDetector detects that a server has terminated, and attributes the termination to all requests whose
-// connection failed at that time, since any of them may be the cause. It is safe for concurrent use.
+// A crashDetector detects that a server has crashed, and attributes the crash to all requests whose connection failed
+// at that time, since any of them may be the cause. It is safe for concurrent use.
 //
-// A failed connection alone does not count, because network links fail, answers are cut short and gateways are paused.
-// A server has terminated if nothing listens at its address any more or if the platform removes the instance from its
-// list soon afterwards, provided that it had not announced that it is leaving.
+// A failed connection alone does not count, because network links fail, responses are truncated and gateways are
+// paused. A server has crashed if nothing listens at its address any more or if the platform removes the instance from
+// its list soon afterwards, provided that it had not announced that it is leaving.
 type crashDetector struct {
 	// ctx ends with the gateway and stops the probes.
 	ctx     context.Context
@@ -53,7 +53,7 @@
 	dial func(ctx context.Context, addr string) error
 	// wasPaused reports whether this process was recently paused.
 	wasPaused func(now time.Time) bool
-	// onCrash is called after each attributed termination.
+	// onCrash is called after each crash that was attributed to requests.
 	onCrash func()
 	log     *zap.Logger
 	metrics Metrics
@@ -77,7 +77,7 @@
 }
 
 // addSuspect adds a request to the suspects of a server, and starts a probe if none is running. It returns false if the
-// server is already known to have terminated.
+// server is already known to have crashed.
 func (d *crashDetector) addSuspect(s *backend.Server, k quarantine.Key, now time.Time) (added bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,7 +135,7 @@
 	return b.probing
 }
 
-// terminated attributes a server's termination to its suspects. It does nothing if that has been done before.
+// recordCrash attributes a server's crash to its suspects. It does nothing if that has been done before.
 func (d *crashDetector) recordCrash(b *failedServer) {
 	suspects, first := d.takeSuspects(b)
 	if !first {
@@ -148,7 +148,7 @@
 	d.onCrash()
 }
 
-// takeSuspects marks a server as terminated and removes its suspects; first is false if it was marked before.
+// takeSuspects marks a server as crashed and removes its suspects; first is false if it was marked before.
 func (d *crashDetector) takeSuspects(b *failedServer) (suspects []quarantine.Key, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -182,7 +182,7 @@
 }
 
 // isConnFailure reports whether a send failed because its connection did, and not because of a timeout, a
-// cancellation or an invalid answer.
+// cancellation or an invalid response.
 func isConnFailure(err error) bool {
 	var timeout net.Error
 	switch {
--- a/internal/gateway/server_ends_test.go
+++ b/internal/gateway/server_ends_test.go
@@ -19,7 +19,7 @@
 	"rockcleat/quarantine"
 )
 
-// TestTerminationDetector checks whether a failed connection is counted as the termination of its server.
+// TestTerminationDetector checks whether a failed connection is counted as a crash of its server.
 func TestTerminationDetector(t *testing.T) {
 	key := quarantine.KeyOf(quarantine.Request{Target: "/t"})
 	server := backend.Server{ID: "s", Service: "app", Addr: "10.0.0.1:1"}
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestTerminationAfterConnFailure checks that a termination is attributed only to requests whose connection failed
+// TestTerminationAfterConnFailure checks that a crash is attributed only to requests whose connection failed
 // after the last successful probe.
 func TestTerminationAfterConnFailure(t *testing.T) {
 	first, second := quarantine.KeyOf(quarantine.Request{Target: "/1"}), quarantine.KeyOf(quarantine.Request{Target: "/2"})
--- a/internal/gateway/server_limit_scale_test.go
+++ b/internal/gateway/server_limit_scale_test.go
@@ -31,7 +31,7 @@
 	return f
 }
 
-// announce simulates one answer with a rate limit from each server, received by a random gateway.
+// announce simulates one response with a rate limit from each server, received by a random gateway.
 func (f *limitFleet) announce(servers int, r *rand.Rand) {
 	for i := range servers {
 		g := r.IntN(len(f.tables))
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -21,7 +21,7 @@
 	limitSlack  = 5
 )
 
-// A throttledServer is a backend server that announces a rate limit in its answers while one is set.
+// A throttledServer is a backend server that announces a rate limit in its responses while one is set.
 type throttledServer struct {
 	*fakeServer
 	mu          sync.Mutex
@@ -30,7 +30,7 @@
 	arrivals    []time.Time
 }
 
-// newThrottledServer starts a server that answers each request with its current rate limit.
+// newThrottledServer starts a server that announces its current rate limit, if any, in each response.
 func newThrottledServer(t *testing.T, id string, isEngine bool) *throttledServer {
 	s := &throttledServer{}
 	s.fakeServer = newFakeServer(t, id, func(c *call) bool {
@@ -117,7 +117,7 @@
 	sent, took time.Duration
 }
 
-// run sends one request per pace to the gateways in turn, for a duration.
+// run sends one request per interval to the gateways in turn, for a duration.
 func (c *loadGenerator) run(interval, during time.Duration) {
 	began := time.Now()
 	ticker := time.NewTicker(interval)
@@ -172,7 +172,7 @@
 }
 
 // TestServerLimitIsKept checks that all gateways together respect a rate limit that a server announces. A server
-// announces its limit in an answer to one gateway, which has to inform the others.
+// announces its limit in a response to one gateway, which has to inform the others.
 func TestServerLimitIsKept(t *testing.T) {
 	const (
 		perSecond  = 2.0
@@ -234,7 +234,7 @@
 		}
 	}
 	if isEngine {
-		// Fleet members are considered ready when the plain service answers.
+		// Fleet members are considered ready when the plain service responds.
 		env.putServer(newFakeServer(t, "plain", answer(http.StatusOK, "ok")), false)
 	}
 	env.putConfig()
--- a/internal/gateway/server_limits.go
+++ b/internal/gateway/server_limits.go
@@ -10,14 +10,14 @@
 	"rockcleat/serverlimit"
 )
 
-// permitRetryDelay is how long to wait before the owner of a server's rate limit is asked again, after it did not
-// answer or did not know how much it may grant.
+// permitRetryDelay is how long to wait before a permit is requested again from the owner of a server's rate limit,
+// after the owner did not reply or did not know how much it may grant.
 const permitRetryDelay = 200 * time.Millisecond
 
 // serverLimits enforces the rate limits that backend servers announce, together with the other gateways. It implements
 // dispatch.Permits.
 //
-// A server announces its limit in an answer to one gateway, but the limit applies to all gateways. The table
+// A server announces its limit in a response to one gateway, but the limit applies to all gateways. The table
 // distributes it with each report to the leader and each request for a permit. The limiter assigns each limit an
 // owner, a gateway that grants permits to all others.
 type serverLimits struct {
@@ -44,7 +44,7 @@
 	return l
 }
 
-// isThrottled reports whether a server's rate limit has, for some time, been too low to use its slots.
+// isThrottled reports whether a server's rate limit has been too low to use its slots for some time.
 func (l *serverLimits) isThrottled(s *backend.Server) bool {
 	status, ok := l.Status(s.ID)
 	return ok && serverlimit.IsThrottled(status, s.Slots)
@@ -75,7 +75,7 @@
 	case d.Outcome == quota.WithinLimit:
 		granted = true
 	case !limited:
-		// The owner knows that the limit has ended.
+		// The owner has replied that the limit has ended.
 		granted = true
 	case d.Outcome == quota.OverLimit:
 		wait = d.RetryAfter
@@ -86,7 +86,7 @@
 	return granted, wait
 }
 
-// GiveBack implements dispatch.Permits.
+// Release implements dispatch.Permits.
 func (l *serverLimits) Release(server string) { l.limiter.Refund(server, 1) }
 
 // subscribe starts the periodic work and returns the function that stops it.
@@ -97,13 +97,14 @@
 	})
 }
 
-// A permitMessage asks the owner of a server's rate limit for a permit, and contains the sender's record of that limit.
+// A permitMessage requests a permit from the owner of a server's rate limit, and contains the sender's record of that
+// limit.
 type permitMessage struct {
 	quota.Request
 	Limit serverlimit.Record `json:"limit"`
 }
 
-// A permitReply answers a permitMessage, and contains the owner's record of the limit.
+// A permitReply is the reply to a permitMessage, and contains the owner's record of the limit.
 type permitReply struct {
 	quota.Reply
 	Limit serverlimit.Record `json:"limit"`
@@ -115,7 +116,7 @@
 	limits *serverlimit.Table
 }
 
-// AskGrant implements quota.GrantClient.
+// RequestGrant implements quota.GrantClient.
 func (a *permitRequester) RequestGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	m := permitMessage{Request: r}
 	m.Limit, _ = a.limits.Record(r.Key)
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -31,8 +31,8 @@
 	return d
 }
 
-// A stallTimer cancels a send whose server has stalled, if another server can take the request now and the retry budget
-// allows it. Otherwise the send continues, since the server may still answer. A nil stallTimer does nothing.
+// A stallTimer cancels a send whose server has stalled, if another server can take the request immediately and the retry
+// budget allows it. Otherwise the send continues, since the server may still respond. A nil stallTimer does nothing.
 type stallTimer struct {
 	f           *forwarder
 	reservation *dispatch.Reservation
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -12,11 +12,11 @@
 )
 
 // Timing of a stop. New requests are accepted for at most 3 s after the signal, so that requests that the load balancer
-// still sends are answered.
+// still sends are served.
 const (
 	// noticeTime is how long a stopping gateway accepts new connections, so that the load balancer can notice the stop.
 	noticeTime = 2500 * time.Millisecond
-	// refusalReserve is the part of the time to stop that is reserved for refusing requests without an answer.
+	// refusalReserve is the part of the time to stop that is reserved for refusing requests without a response.
 	refusalReserve = 400 * time.Millisecond
 	// drainPollInterval is the time between two checks for open connections.
 	drainPollInterval = 10 * time.Millisecond
@@ -28,7 +28,7 @@
 type lifecycle struct {
 	inProgress atomic.Int64
 	stopping   atomic.Bool
-	// unansweredCtx ends when requests without an answer are cancelled.
+	// unansweredCtx ends when requests without a response are cancelled.
 	unansweredCtx    context.Context
 	cancelUnanswered context.CancelFunc
 }
@@ -51,7 +51,7 @@
 // Stop makes the gateway unready, keeps accepting requests until the load balancer has noticed, waits for requests to
 // finish until ctx ends, and closes all listeners.
 //
-// Streams continue until they finish or ctx ends; each connection is closed after its answer. Stop returns an error if
+// Streams continue until they finish or ctx ends; each connection is closed after its response. Stop returns an error if
 // connections were still open when ctx ended.
 func (g *Gateway) Stop(ctx context.Context) error {
 	g.lifecycle.stopping.Store(true)
@@ -89,7 +89,7 @@
 	}
 }
 
-// unansweredTime returns the time until requests without an answer are cancelled.
+// unansweredTime returns the time until requests without a response are cancelled.
 func (g *Gateway) unansweredTime(ctx context.Context) time.Duration {
 	end, ok := ctx.Deadline()
 	if !ok {
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -23,7 +23,7 @@
 	return done
 }
 
-// TestStop checks that a stop makes the gateway unready, aborts no answer, and still serves requests that arrive
+// TestStop checks that a stop makes the gateway unready, aborts no response, and still serves requests that arrive
 // before the load balancer has noticed.
 func TestStop(t *testing.T) {
 	release := make(chan struct{})
@@ -75,7 +75,7 @@
 	assert.NilError(t, <-done)
 }
 
-// TestStopTakesNoRequestAfterALongAnswer checks that a request pipelined behind a long answer is not served once the
+// TestStopTakesNoRequestAfterALongAnswer checks that a request pipelined behind a long response is not served once the
 // gateway has closed idle connections, since the gateway would not wait for it to finish.
 func TestStopTakesNoRequestAfterALongAnswer(t *testing.T) {
 	release := make(chan struct{})
@@ -109,7 +109,7 @@
 	assert.Equal(t, server.count(), before+1)
 }
 
-// idleConn returns a connection on which one request has been answered.
+// idleConn returns a connection on which one request has been served.
 func (env *testEnv) idleConn() net.Conn {
 	conn, err := net.Dial("tcp", env.front)
 	assert.NilError(env.t, err)
@@ -123,8 +123,8 @@
 	return conn
 }
 
-// TestStopAnswersWaitingRequests checks that requests waiting for a server or for an answer are answered before the
-// process ends.
+// TestStopAnswersWaitingRequests checks that requests waiting for a server or for its response get a response before
+// the process ends.
 func TestStopAnswersWaitingRequests(t *testing.T) {
 	server := newFakeServer(t, "a", func(c *call) bool { <-c.gone; return false })
 	env := newTestEnv(t, server)
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -20,7 +20,7 @@
 	return r.decoder.IsOlderServerEntry(e.Value, than.Value)
 }
 
-// WriteTime implements kv.PeriodicWriters.
+// MaxWriteInterval implements kv.PeriodicWriters.
 func (serverRecords) MaxWriteInterval() time.Duration { return serverWriteInterval }
 
 // serverWriters returns a function that returns the writers of a prefix, or nil if it is not the prefix of servers.
@@ -33,7 +33,8 @@
 	}
 }
 
-// storeRestored handles the restoration of the store from a backup: writes since the backup, such as the lease, are lost.
+// storeRestored handles the restoration of the store from a backup. Writes made since the backup, such as the lease's
+// record, are lost.
 func (g *Gateway) storeRestored(era int64) {
 	g.log.Warn("store came back from a copy", zap.Int64("era", era))
 	g.lease.ExpireBeforeEra(era)
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -8,8 +8,8 @@
 	"rockcleat/quarantine"
 )
 
-// A copySerializer serialises the copies of a request under which a server has terminated: only one copy is sent at a
-// time, so that copies sent together cannot terminate several servers before the first termination is detected.
+// A copySerializer serialises the copies of a request under which a server has crashed: only one copy is sent at a
+// time, so that copies sent together cannot make several servers crash before the first crash is detected.
 //
 // Its zero value is ready to use. It is safe for concurrent use.
 type copySerializer struct {
@@ -55,8 +55,8 @@
 	delete(s.active, key)
 }
 
-// copyDelay is how long the next copy is delayed after one that was not answered. By then it is known whether the
-// server has terminated.
+// copyDelay is how long the next copy is delayed after one without a response. By then it is known whether the server
+// has crashed.
 const copyDelay = 500 * time.Millisecond
 
 // releaseCopy lets the next copy proceed: immediately if this one was answered or has not run, else after copyDelay.
--- a/internal/gateway/worker_test.go
+++ b/internal/gateway/worker_test.go
@@ -25,10 +25,10 @@
 	gone chan struct{}
 }
 
-// A responder answers a call on the raw connection and reports whether the connection stays open.
+// A responder responds to a call on the raw connection and reports whether the connection stays open.
 type responder func(c *call) bool
 
-// A fakeServer is a backend server whose answers are scripted byte by byte.
+// A fakeServer is a backend server whose responses are scripted byte by byte.
 type fakeServer struct {
 	t  *testing.T
 	id string
@@ -119,7 +119,7 @@
 	return server.calls[i]
 }
 
-// head returns the status line and header of an answer to the call.
+// head returns the status line and header of a response to the call.
 func (c *call) head(status int, more ...string) string {
 	lines := append([]string{
 		fmt.Sprintf("HTTP/1.1 %d %s", status, http.StatusText(status)),
@@ -130,7 +130,7 @@
 
 func (c *call) write(parts ...string) { _, _ = io.WriteString(c.conn, strings.Join(parts, "")) }
 
-// answer returns a responder that sends a complete, valid answer.
+// answer returns a responder that sends a complete, valid response.
 func answer(status int, body string) responder {
 	return func(c *call) bool {
 		c.write(c.head(status, fmt.Sprintf("Content-Length: %d", len(body)), "X-More: kept"), body)
@@ -149,7 +149,7 @@
 	}
 }
 
-// refuse answers that the request was not run.
+// refuse responds that the request was not run.
 func refuse(c *call) bool {
 	c.write(c.head(503, names.NotRun+": 1", "Content-Length: 0"))
 	return true
