--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -76,7 +76,7 @@
 }
 
 // withOrganisation sets the organisation that the refusal's log line names, and returns the refusal.
-func withOrganisation(f *refusal, o table.Organisation) *refusal {
-	f.organisation = o.Name
-	return f
+func withOrganisation(r *refusal, o table.Organisation) *refusal {
+	r.organisation = o.Name
+	return r
 }
--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -220,7 +220,7 @@
 func TestRevokedDuringSuspension(t *testing.T) {
 	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
 	machine := clocktest.NewSource()
-	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(s *config.Gateway) { s.MaxRevocationDelay = config.Duration(5 * time.Second) }, server)
+	env := prepareTestEnvWithClock(t, clock.NewSystemFrom(machine), func(s *config.Gateway) { s.MaxRevocationDelay = config.Duration(5 * time.Second) }, server)
 	useKeys(env)
 	env.putConfig()
 	env.waitReady(http.StatusOK)
@@ -237,7 +237,7 @@
 func TestUnboundedRevocation(t *testing.T) {
 	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
 	machine := clocktest.NewSource()
-	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, server)
+	env := prepareTestEnvWithClock(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, server)
 	useKeys(env)
 	env.putConfig()
 	env.waitReady(http.StatusOK)
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -51,12 +51,12 @@
 	addrs := make(map[string]string, len(gateways))
 	members := make([]relay.Member, len(gateways))
 	var others []string
-	for i, x := range gateways {
-		list[i] = x.Gateway
-		addrs[x.ID] = x.Addr
-		members[i] = relay.Member{ID: x.ID, Addr: x.Addr}
-		if x.Addr != d.self {
-			others = append(others, x.Addr)
+	for i, g := range gateways {
+		list[i] = g.Gateway
+		addrs[g.ID] = g.Addr
+		members[i] = relay.Member{ID: g.ID, Addr: g.Addr}
+		if g.Addr != d.self {
+			others = append(others, g.Addr)
 		}
 	}
 	d.mu.Lock()
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -69,7 +69,7 @@
 	var limited *dispatch.RateLimitError
 	switch {
 	case f.isCallerGone():
-		f.record.outcome = outcomeGone
+		f.record.outcome = outcomeCallerGone
 	case f.isCancelledByQuarantine():
 		f.refuseQuarantined()
 	case f.headerSent.Load():
@@ -175,7 +175,7 @@
 // handleExpired ends a request whose context ended after it was sent.
 func (f *forwarder) handleExpired() {
 	if f.isCallerGone() {
-		f.record.outcome = outcomeGone
+		f.record.outcome = outcomeCallerGone
 		return
 	}
 	if f.isCancelledByQuarantine() {
@@ -188,8 +188,8 @@
 	f.refuse(outcomeTimeout, &refusal{status: http.StatusGatewayTimeout, reason: "no answer in time"})
 }
 
-// server returns a log field with the server of the last send.
-func (f *forwarder) server() zap.Field {
+// serverField returns a log field with the server of the last send.
+func (f *forwarder) serverField() zap.Field {
 	if f.record.reservation == nil {
 		return zap.Skip()
 	}
@@ -210,7 +210,7 @@
 // abort aborts a response that cannot be completed, so that the caller sees a broken connection, not a complete
 // response.
 func (f *forwarder) abort(err error) {
-	f.record.outcome = outcomeCut
+	f.record.outcome = outcomeAborted
 	f.proxy.requestLog.responseAborted(f, err)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -124,9 +124,9 @@
 )
 
 func routes() []table.Route {
-	r := func(prefix string, repeat table.RetryPolicy, streams bool, service string) table.Route {
+	r := func(prefix string, policy table.RetryPolicy, streams bool, service string) table.Route {
 		return table.Route{
-			Name: prefix, Host: host, Prefix: prefix, Retry: repeat, Stream: streams, Timeout: 5 * time.Second,
+			Name: prefix, Host: host, Prefix: prefix, Retry: policy, Stream: streams, Timeout: 5 * time.Second,
 			FirstByteObjective: 400 * time.Millisecond, MaxAttempts: 2, Priority: 1, Services: []table.WeightedService{{Service: service, Weight: 1}},
 		}
 	}
@@ -172,11 +172,11 @@
 
 // prepareTestEnv starts a gateway that has no configuration yet.
 func prepareTestEnv(t *testing.T, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
-	return prepareTestEnvOn(t, clocktest.Real{}, change, servers...)
+	return prepareTestEnvWithClock(t, clocktest.Real{}, change, servers...)
 }
 
-// prepareTestEnvOn is prepareTestEnv with a given clock for the gateways.
-func prepareTestEnvOn(t *testing.T, c clock.Service, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
+// prepareTestEnvWithClock is prepareTestEnv with a given clock for the gateways.
+func prepareTestEnvWithClock(t *testing.T, c clock.Service, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
 	core, logs := observer.New(zap.InfoLevel)
 	env := &testEnv{t: t, clock: c, log: zap.New(core), logs: logs, store: kvtest.New(clocktest.Real{}), client: &http.Client{Transport: &http.Transport{}}}
 	env.routing = routingFile{
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -62,18 +62,18 @@
 		return err
 	}
 	p.configs.HandleVersion(m.ConfigVersion, m.Addr)
-	a := replyMessage{
+	reply := replyMessage{
 		Reply: p.placer.Report(m.Report), Config: p.configs.Announcement(), Quarantine: p.quarantine.Answer(m.Quarantine, quarantine.SharedMinCrashes),
 		QuarantineKnown: m.QuarantineUnknown && p.synced.Load(), RemovedGateways: p.removedCount(), ServerLimits: p.serverLimits.Answer(m.ServerLimits),
 	}
-	if !a.IsLeader {
+	if !reply.IsLeader {
 		record, _ := p.placer.Leader()
-		a.Leader = p.gateways.leaderOr(record)
+		reply.Leader = p.gateways.leaderOr(record)
 	}
-	if a.IsLeader && hasWaiting(m.Report) {
+	if reply.IsLeader && hasWaiting(m.Report) {
 		p.placer.Wake()
 	}
-	return c.JSON(http.StatusOK, a)
+	return c.JSON(http.StatusOK, reply)
 }
 
 // handleConfig handles a request for the configuration.
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -65,9 +65,9 @@
 }
 
 // write sends a refusal. While the gateway is stopping, it also closes the connection.
-func (p *proxy) write(w http.ResponseWriter, f *refusal) {
-	f.closeConn = f.closeConn || p.lifecycle.isStopping()
-	f.write(w)
+func (p *proxy) write(w http.ResponseWriter, r *refusal) {
+	r.closeConn = r.closeConn || p.lifecycle.isStopping()
+	r.write(w)
 }
 
 // finish records the result of a request in the dispatcher, the log and the metrics.
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -106,9 +106,9 @@
 
 // save writes new and changed entries and deletes expired ones. After an error, the next step continues.
 func (q *quarantineStore) save(ctx context.Context, now time.Time) error {
-	held := make(map[quarantine.Key]bool)
+	quarantined := make(map[quarantine.Key]bool)
 	for _, r := range q.role.table.Quarantined() {
-		held[r.Key] = true
+		quarantined[r.Key] = true
 		if q.stored[r.Key] == len(r.Servers) {
 			continue
 		}
@@ -117,7 +117,7 @@
 		}
 	}
 	for key := range q.stored {
-		if held[key] {
+		if quarantined[key] {
 			continue
 		}
 		if err := q.store.Delete(ctx, quarantinePrefix+key.String(), kv.Any); err != nil {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -129,25 +129,25 @@
 // Without that, a caller that resends the request under a new id, to a different gateway each time, makes one server
 // after another crash.
 func TestRequestThatTerminatesServers(t *testing.T) {
-	const pace = 100 * time.Millisecond
+	const interval = 100 * time.Millisecond
 	env, servers := newCrashingEnv(t, 12, answer(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	for _, m := range startFleet(t, env, relay.Fanout+1) {
 		caller.fronts = append(caller.fronts, m.front)
 	}
-	var third time.Time
+	var thirdCrash time.Time
 	var late int64
-	ticker := time.NewTicker(pace)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	for third.IsZero() || time.Since(third) < propagationTime+2*time.Second {
+	for thirdCrash.IsZero() || time.Since(thirdCrash) < propagationTime+2*time.Second {
 		before := servers.crashes.Load()
 		got := caller.send()
 		assert.NilError(t, got.err)
 		reached := servers.crashes.Load() > before
-		if third.IsZero() && servers.crashes.Load() >= 3 {
-			third = time.Now()
+		if thirdCrash.IsZero() && servers.crashes.Load() >= 3 {
+			thirdCrash = time.Now()
 		}
-		if reached && !third.IsZero() && time.Since(third) > propagationTime {
+		if reached && !thirdCrash.IsZero() && time.Since(thirdCrash) > propagationTime {
 			late++
 		}
 		if !reached {
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -8,13 +8,13 @@
 
 // Outcomes of requests, as used in log lines and metrics.
 const (
-	outcomeAnswered = "answered"
-	outcomeFailed   = "failed"
-	outcomeRefused  = "refused"
-	outcomeUnknown  = "unknown"
-	outcomeTimeout  = "timeout"
-	outcomeCut      = "cut"
-	outcomeGone     = "caller_gone"
+	outcomeAnswered   = "answered"
+	outcomeFailed     = "failed"
+	outcomeRefused    = "refused"
+	outcomeUnknown    = "unknown"
+	outcomeTimeout    = "timeout"
+	outcomeAborted    = "cut"
+	outcomeCallerGone = "caller_gone"
 	// outcomeQuarantined: servers have crashed under copies of the request.
 	outcomeQuarantined = "quarantined"
 )
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -25,21 +25,21 @@
 }
 
 // write sends the refusal. Write errors are ignored, since they mean that the caller has disconnected.
-func (f *refusal) write(w http.ResponseWriter) {
+func (r *refusal) write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	if f.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 2, 64))
+	if r.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 2, 64))
 	}
-	if f.challenge {
+	if r.challenge {
 		h.Set("WWW-Authenticate", apikey.Scheme)
 	}
-	if f.closeConn {
+	if r.closeConn {
 		h.Set("Connection", "close")
 	}
-	text := f.reason + "\n"
+	text := r.reason + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	w.WriteHeader(f.status)
+	w.WriteHeader(r.status)
 	_, _ = io.WriteString(w, text)
 }
 
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -223,9 +223,9 @@
 		r.residencyVersion = 0
 	}
 	changed := make(map[string]dispatch.Demand)
-	for name, x := range demands {
-		if r.reported[name] != x {
-			changed[name] = x
+	for name, demand := range demands {
+		if r.reported[name] != demand {
+			changed[name] = demand
 		}
 	}
 	return placer.Report{
@@ -236,28 +236,28 @@
 }
 
 // apply applies the leader's reply. demands is the demand at the time of the report.
-func (r *reporter) apply(a placer.Reply, demands map[string]dispatch.Demand) {
-	if !a.IsLeader {
+func (r *reporter) apply(reply placer.Reply, demands map[string]dispatch.Demand) {
+	if !reply.IsLeader {
 		return
 	}
-	r.servers.setResidency(a.Residency, a.Full)
-	r.recordSent(a, demands)
-	if a.Gateways != nil {
-		r.applyGateways(a.Gateways)
+	r.servers.setResidency(reply.Residency, reply.Full)
+	r.recordSent(reply, demands)
+	if reply.Gateways != nil {
+		r.applyGateways(reply.Gateways)
 	}
 	r.servers.refresh()
-	r.dispatcher.SetPrefillSpeeds(a.Speeds)
-	r.dispatcher.SetRemoteLoads(a.Loads, a.BusiestOnly)
+	r.dispatcher.SetPrefillSpeeds(reply.Speeds)
+	r.dispatcher.SetRemoteLoads(reply.Loads, reply.BusiestOnly)
 }
 
 // recordSent records what the leader now knows. A new leader has received only changes relative to its predecessor's
 // last reply, so the next report is complete.
-func (r *reporter) recordSent(a placer.Reply, demands map[string]dispatch.Demand) {
-	r.residencyVersion = a.ResidencyVersion
-	r.gatewaysVersion = a.GatewaysVersion
-	r.speedsVersion = a.SpeedsVersion
+func (r *reporter) recordSent(reply placer.Reply, demands map[string]dispatch.Demand) {
+	r.residencyVersion = reply.ResidencyVersion
+	r.gatewaysVersion = reply.GatewaysVersion
+	r.speedsVersion = reply.SpeedsVersion
 	r.reported = demands
-	if a.Term != r.term {
-		r.term, r.reported = a.Term, nil
+	if reply.Term != r.term {
+		r.term, r.reported = reply.Term, nil
 	}
 }
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -234,17 +234,17 @@
 
 // requestRefused logs a request that was refused before it waited for a server. Lines about requests over a rate limit
 // are rate-limited.
-func (l *requestLog) requestRefused(r *http.Request, f *refusal) {
+func (l *requestLog) requestRefused(r *http.Request, refused *refusal) {
 	suppressed := zap.Skip()
-	if f.status == http.StatusTooManyRequests {
+	if refused.status == http.StatusTooManyRequests {
 		var ok bool
 		if suppressed, ok = l.overLimit.allow(l.clock.Now()); !ok {
 			return
 		}
 	}
 	l.log.Info(msgRequestRefused, zap.String(fieldRequest, r.Header.Get(l.names.RequestID)), zap.String(fieldHost, r.Host),
-		zap.String(fieldTarget, r.RequestURI), zap.Int(fieldStatus, f.status), zap.String(fieldReason, f.reason),
-		organisationField(f.organisation), suppressed)
+		zap.String(fieldTarget, r.RequestURI), zap.Int(fieldStatus, refused.status), zap.String(fieldReason, refused.reason),
+		organisationField(refused.organisation), suppressed)
 }
 
 // organisationField returns a field with the request's organisation, if it is known.
@@ -295,24 +295,24 @@
 func (l *requestLog) sendFailed(f *forwarder, res *dispatch.Reservation, reason string, err error) {
 	l.log.Info(msgSendFailed, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key),
 		zap.String(fieldServer, res.Server().ID), zap.String(fieldAddr, res.Server().Addr), zap.String(fieldReason, reason), zap.Int(fieldRuns, f.record.runs),
-		l.age(f.in), telemetry.Error(err))
+		l.ageField(f.in), telemetry.Error(err))
 }
 
-// age returns a field with the time since the request's arrival.
-func (l *requestLog) age(in *inbound) zap.Field {
+// ageField returns a field with the time since the request's arrival.
+func (l *requestLog) ageField(in *inbound) zap.Field {
 	return zap.Float64(fieldAge, l.clock.Now().Sub(in.arrived).Seconds())
 }
 
 // responseAborted logs a response that was aborted after it had begun.
 func (l *requestLog) responseAborted(f *forwarder, err error) {
-	l.log.Info(msgResponseAborted, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key), f.server(),
+	l.log.Info(msgResponseAborted, zap.String(fieldRequest, f.in.id), zap.Stringer(fieldDigest, f.in.key), f.serverField(),
 		zap.String(fieldLastEvent, f.lastEvent), telemetry.Error(err))
 }
 
 // stalled logs that a request stays with a stalled server, because no other server can take it or the retry budget is
 // spent.
 func (l *requestLog) stalled(in *inbound, res *dispatch.Reservation) {
-	l.log.Info(msgServerStalled, zap.String(fieldRequest, in.id), zap.String(fieldServer, res.Server().ID), l.age(in))
+	l.log.Info(msgServerStalled, zap.String(fieldRequest, in.id), zap.String(fieldServer, res.Server().ID), l.ageField(in))
 }
 
 // admissionFailed logs a failed admission request to another gateway.
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -36,7 +36,7 @@
 		fleet[i] = start(i, true)
 	}
 	in := &inbound{service: table.Service{Name: "llm"}}
-	repeat := func() (n int) {
+	retryAll := func() (n int) {
 		for _, b := range fleet {
 			for b.take(in) {
 				n++
@@ -44,24 +44,24 @@
 		}
 		return n
 	}
-	repeated := repeat()
-	assert.Assert(t, repeated >= gateways, "each has a part")
+	retries := retryAll()
+	assert.Assert(t, retries >= gateways, "each has a part")
 	for i := range restarted {
 		fleet[i] = start(i, false)
 	}
-	repeated += repeat()
+	retries += retryAll()
 	for range 5 {
 		c.Advance(time.Second)
 		fleet[0] = start(0, false)
-		repeated += repeat()
+		retries += retryAll()
 	}
-	assert.Assert(t, float64(repeated) <= settings.Fixed, "%d in a window", repeated)
+	assert.Assert(t, float64(retries) <= settings.Fixed, "%d in a window", retries)
 	c.Advance(settings.Window.Std() + time.Second)
-	assert.Equal(t, repeat(), gateways-restarted, "those that know of no others have no part")
+	assert.Equal(t, retryAll(), gateways-restarted, "those that know of no others have no part")
 	for _, b := range fleet[:restarted] {
 		b.gateways.set(list)
 	}
-	assert.Equal(t, repeat(), restarted, "then they have theirs again")
+	assert.Equal(t, retryAll(), restarted, "then they have theirs again")
 }
 
 // TestShareDoesNotGrowAtOnce checks that a gateway's share does not grow immediately when the list of gateways
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -63,7 +63,7 @@
 func (f *forwarder) handleNoResponse(res *dispatch.Reservation, err error) bool {
 	if f.isCallerGone() {
 		res.Done(dispatch.Canceled)
-		f.record.outcome = outcomeGone
+		f.record.outcome = outcomeCallerGone
 		return true
 	}
 	if wire.IsNotSent(err) {
--- a/internal/gateway/server_ends.go
+++ b/internal/gateway/server_ends.go
@@ -81,82 +81,82 @@
 func (d *crashDetector) addSuspect(s *backend.Server, k quarantine.Key, now time.Time) (added bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b := d.failed[s.ID]
-	if b == nil {
-		b = &failedServer{server: s}
-		d.failed[s.ID] = b
+	failed := d.failed[s.ID]
+	if failed == nil {
+		failed = &failedServer{server: s}
+		d.failed[s.ID] = failed
 	}
-	if b.crashed {
+	if failed.crashed {
 		return false
 	}
-	b.at = now
-	if len(b.suspects) < maxSuspects {
-		b.suspects = append(b.suspects, k)
+	failed.at = now
+	if len(failed.suspects) < maxSuspects {
+		failed.suspects = append(failed.suspects, k)
 	}
-	if !b.probing {
-		b.probing = true
-		go d.probe(b)
+	if !failed.probing {
+		failed.probing = true
+		go d.probe(failed)
 	}
 	return true
 }
 
 // probe tests whether a server is alive. If the server accepts a connection, the requests that failed before the
 // attempt failed for other reasons; those that failed later need another attempt.
-func (d *crashDetector) probe(b *failedServer) {
+func (d *crashDetector) probe(failed *failedServer) {
 	before := 0
-	p := wire.Probe{Clock: d.clock, Connect: d.dial, BeforeAttempt: func() { before = d.suspectCount(b) }}
+	p := wire.Probe{Clock: d.clock, Connect: d.dial, BeforeAttempt: func() { before = d.suspectCount(failed) }}
 	for {
-		result := p.Run(d.ctx, b.server.Addr)
+		result := p.Run(d.ctx, failed.server.Addr)
 		if result == wire.ServerEnded {
-			d.recordCrash(b)
+			d.recordCrash(failed)
 			return
 		}
-		if !d.applyProbe(b, before, result) {
+		if !d.applyProbe(failed, before, result) {
 			return
 		}
 	}
 }
 
-func (d *crashDetector) suspectCount(b *failedServer) int {
+func (d *crashDetector) suspectCount(failed *failedServer) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(b.suspects)
+	return len(failed.suspects)
 }
 
 // applyProbe applies the result of a connection attempt. before is the number of suspects when the attempt began. It
 // reports whether another attempt is needed for later suspects.
-func (d *crashDetector) applyProbe(b *failedServer, before int, result wire.ProbeResult) bool {
+func (d *crashDetector) applyProbe(failed *failedServer, before int, result wire.ProbeResult) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if result == wire.ServerAlive && !b.crashed {
-		b.suspects = b.suspects[before:]
+	if result == wire.ServerAlive && !failed.crashed {
+		failed.suspects = failed.suspects[before:]
 	}
-	b.probing = result == wire.ServerAlive && len(b.suspects) > 0
-	return b.probing
+	failed.probing = result == wire.ServerAlive && len(failed.suspects) > 0
+	return failed.probing
 }
 
 // recordCrash attributes a server's crash to its suspects. It does nothing if that has been done before.
-func (d *crashDetector) recordCrash(b *failedServer) {
-	suspects, first := d.takeSuspects(b)
+func (d *crashDetector) recordCrash(failed *failedServer) {
+	suspects, first := d.takeSuspects(failed)
 	if !first {
 		return
 	}
-	d.metrics.ServerCrashed(b.server.Service)
-	d.log.Info(msgServerCrashed, zap.String(fieldServer, b.server.ID), zap.String(fieldAddr, b.server.Addr),
+	d.metrics.ServerCrashed(failed.server.Service)
+	d.log.Info(msgServerCrashed, zap.String(fieldServer, failed.server.ID), zap.String(fieldAddr, failed.server.Addr),
 		zap.Int(fieldRequests, len(suspects)), zap.Stringers(fieldDigests, suspects[:min(len(suspects), maxLoggedDigests)]))
-	d.table.RecordCrash(b.server.ID, suspects...)
+	d.table.RecordCrash(failed.server.ID, suspects...)
 	d.onCrash()
 }
 
 // takeSuspects marks a server as crashed and removes its suspects; first is false if it was marked before.
-func (d *crashDetector) takeSuspects(b *failedServer) (suspects []quarantine.Key, first bool) {
+func (d *crashDetector) takeSuspects(failed *failedServer) (suspects []quarantine.Key, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if b.crashed {
+	if failed.crashed {
 		return nil, false
 	}
-	b.crashed = true
-	suspects, b.suspects = b.suspects, nil
+	failed.crashed = true
+	suspects, failed.suspects = failed.suspects, nil
 	return suspects, true
 }
 
@@ -166,18 +166,18 @@
 	snapshot := d.servers.Snapshot()
 	var gone []*failedServer
 	d.mu.Lock()
-	for id, b := range d.failed {
+	for id, failed := range d.failed {
 		s, listed := snapshot.Server(id)
 		switch {
-		case now.Sub(b.at) > delistWindow, listed && s.Leaving && !b.crashed:
+		case now.Sub(failed.at) > delistWindow, listed && s.Leaving && !failed.crashed:
 			delete(d.failed, id)
-		case !listed && len(b.suspects) > 0:
-			gone = append(gone, b)
+		case !listed && len(failed.suspects) > 0:
+			gone = append(gone, failed)
 		}
 	}
 	d.mu.Unlock()
-	for _, b := range gone {
-		d.recordCrash(b)
+	for _, failed := range gone {
+		d.recordCrash(failed)
 	}
 }
 
--- a/internal/gateway/server_limit_failures_test.go
+++ b/internal/gateway/server_limit_failures_test.go
@@ -13,9 +13,9 @@
 // and that they are fully used again after a recoverable one.
 func TestServerLimitUnderFailures(t *testing.T) {
 	const (
-		pace   = 25 * time.Millisecond
-		before = 4 * time.Second
-		after  = 9 * time.Second
+		interval = 25 * time.Millisecond
+		before   = 4 * time.Second
+		after    = 9 * time.Second
 		// last is the final part of after, by which the system has recovered.
 		last = 4 * time.Second
 	)
@@ -46,12 +46,12 @@
 			for _, s := range servers {
 				s.setLimit("2")
 			}
-			c.run(pace, before)
+			c.run(interval, before)
 			left := test.fails(c.env)
 			c.fronts = c.fronts[len(c.fronts)-left:]
-			c.run(pace, after)
+			c.run(interval, after)
 			for _, s := range servers {
-				got := s.mostInWindow()
+				got := s.maxInWindow()
 				assert.Assert(t, got <= 17, "%d requests in %s", got, limitWindow)
 				taken := s.countSince(time.Now().Add(-last))
 				assert.Assert(t, !test.recovers || taken >= 5, "%d requests in the last %s, the server takes 8", taken, last)
--- a/internal/gateway/server_limit_scale_test.go
+++ b/internal/gateway/server_limit_scale_test.go
@@ -55,10 +55,10 @@
 // checks the traffic per gateway while the limits stay in force.
 func TestServerLimitsAreKnownInTime(t *testing.T) {
 	const (
-		servers = 146
-		step    = 10 * time.Millisecond
-		stands  = 20 * time.Second
-		pace    = time.Second
+		servers  = 146
+		step     = 10 * time.Millisecond
+		duration = 20 * time.Second
+		interval = time.Second
 		// budget is the maximum control traffic of a gateway, in bytes per second.
 		budget = 5000
 	)
@@ -72,13 +72,13 @@
 			}
 			known := f.clock.Now().Sub(time.Unix(0, 0))
 			f.bytes = 0
-			for range int(stands / pace) {
+			for range int(duration / interval) {
 				f.announce(servers, r)
-				for range int(pace / step) {
+				for range int(interval / step) {
 					f.step(step)
 				}
 			}
-			rate := f.bytes / gateways / int(stands.Seconds())
+			rate := f.bytes / gateways / int(duration.Seconds())
 			t.Logf("known after %v, then %d bytes a second and gateway", known, rate)
 			assert.Assert(t, known <= 2*time.Second, "known after %v", known)
 			assert.Assert(t, rate <= budget, "%d bytes a second", rate)
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -82,9 +82,9 @@
 // countSince returns the number of requests received since a time.
 func (s *throttledServer) countSince(from time.Time) int { return s.countBetween(from, time.Now()) }
 
-// mostInWindow returns the largest number of requests in any limitWindow, starting propagationTime after the limit
+// maxInWindow returns the largest number of requests in any limitWindow, starting propagationTime after the limit
 // was first announced.
-func (s *throttledServer) mostInWindow() int {
+func (s *throttledServer) maxInWindow() int {
 	s.mu.Lock()
 	from := s.announcedAt.Add(propagationTime - limitWindow)
 	arrivals := s.arrivals
@@ -175,9 +175,9 @@
 // announces its limit in a response to one gateway, which has to inform the others.
 func TestServerLimitIsKept(t *testing.T) {
 	const (
-		perSecond  = 2.0
-		plainPace  = 25 * time.Millisecond
-		enginePace = 80 * time.Millisecond
+		perSecond      = 2.0
+		plainInterval  = 25 * time.Millisecond
+		engineInterval = 80 * time.Millisecond
 		// during covers propagationTime and one window after it.
 		during = propagationTime + limitWindow + time.Second
 	)
@@ -188,12 +188,12 @@
 		// needy is the number of servers with a rate limit, fronts the number of gateways that receive requests.
 		needy, fronts int
 	}{
-		"plain service, one of two in need":                 {pace: plainPace, needy: 1, fronts: 3},
-		"plain service, all in need":                        {pace: plainPace, needy: 2, fronts: 3},
-		"plain service, all in need, callers at a gateway":  {pace: plainPace, needy: 2, fronts: 1},
-		"engines, one of two in need":                       {isEngine: true, pace: enginePace, needy: 1, fronts: 3},
-		"engines, all in need":                              {isEngine: true, pace: enginePace, needy: 2, fronts: 3},
-		"engines, all in need, callers at a single gateway": {isEngine: true, pace: enginePace, needy: 2, fronts: 1},
+		"plain service, one of two in need":                 {pace: plainInterval, needy: 1, fronts: 3},
+		"plain service, all in need":                        {pace: plainInterval, needy: 2, fronts: 3},
+		"plain service, all in need, callers at a gateway":  {pace: plainInterval, needy: 2, fronts: 1},
+		"engines, one of two in need":                       {isEngine: true, pace: engineInterval, needy: 1, fronts: 3},
+		"engines, all in need":                              {isEngine: true, pace: engineInterval, needy: 2, fronts: 3},
+		"engines, all in need, callers at a single gateway": {isEngine: true, pace: engineInterval, needy: 2, fronts: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -207,7 +207,7 @@
 			c.run(test.pace, during)
 			most := limitFactor*perSecond*limitWindow.Seconds() + limitSlack
 			for _, s := range servers[:test.needy] {
-				got := s.mostInWindow()
+				got := s.maxInWindow()
 				assert.Assert(t, float64(got) <= most, "%d requests in %s, allowed are %v", got, limitWindow, most)
 				took := s.countSince(s.announcedAt.Add(propagationTime))
 				least := int(0.7 * perSecond * (during - propagationTime - time.Second).Seconds())
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -128,8 +128,8 @@
 func TestStopAnswersWaitingRequests(t *testing.T) {
 	server := newFakeServer(t, "a", func(c *call) bool { <-c.gone; return false })
 	env := newTestEnv(t, server)
-	silent, waiting := make(chan reply, 1), make(chan reply, 1)
-	go func() { silent <- env.post(pathUnsafe, "x") }()
+	unanswered, waiting := make(chan reply, 1), make(chan reply, 1)
+	go func() { unanswered <- env.post(pathUnsafe, "x") }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if server.count() == 0 {
 			return poll.Continue("not sent yet")
@@ -138,7 +138,7 @@
 	})
 	done := env.stop(time.Second)
 	go func() { waiting <- env.post(pathModel, "x", names.Model, "m1") }()
-	got := <-silent
+	got := <-unanswered
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusGatewayTimeout, "it may have run")
 	got = <-waiting
--- a/internal/gateway/store_calls_test.go
+++ b/internal/gateway/store_calls_test.go
@@ -17,8 +17,8 @@
 // second, for 24 gateways.
 func TestStoreCallRate(t *testing.T) {
 	const (
-		during     = 600 * time.Millisecond
-		mostPerSec = 83
+		during       = 600 * time.Millisecond
+		maxPerSecond = 83
 	)
 	outcomes := map[string]error{
 		"not found": kv.ErrNotFound, "conflict": kv.ErrConflict, "lease gone": kv.ErrLeaseGone, "rate limited": kv.ErrRateLimited,
@@ -37,18 +37,18 @@
 				env := newTestEnvWithoutConfig(t, newFakeServer(t, "a", answer(200, "ok")))
 				env.store.Fail(fail)
 				env.putConfig()
-				env.checkCallRate(during, mostPerSec)
+				env.checkCallRate(during, maxPerSecond)
 				env.store.Fail(nil)
 				env.waitLines("leadership gained", 1)
 				env.store.Fail(fail)
-				env.checkCallRate(during, mostPerSec)
+				env.checkCallRate(during, maxPerSecond)
 			})
 		}
 	}
 }
 
 // checkCallRate checks that the store gets at most the given number of calls per second.
-func (env *testEnv) checkCallRate(during time.Duration, most int) {
+func (env *testEnv) checkCallRate(during time.Duration, maxPerSecond int) {
 	env.t.Helper()
 	before := env.storeCalls()
 	<-time.After(during)
@@ -57,5 +57,5 @@
 	for _, c := range storeCalls {
 		kinds[c] = env.store.Calls(c)
 	}
-	assert.Assert(env.t, perSecond <= float64(most), "%.0f calls a second: %v", perSecond, kinds)
+	assert.Assert(env.t, perSecond <= float64(maxPerSecond), "%.0f calls a second: %v", perSecond, kinds)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -78,7 +78,7 @@
 		last = now
 		if err := f.forwardEvent(resp, buf.Bytes()); err != nil {
 			res.Done(dispatch.Canceled)
-			f.record.outcome = outcomeGone
+			f.record.outcome = outcomeCallerGone
 			return true
 		}
 		if id != "" {
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -15,7 +15,7 @@
 // newSuspendableEnv starts a gateway that leads, on a simulated machine that can be suspended.
 func newSuspendableEnv(t *testing.T, servers ...*fakeServer) (*testEnv, *clocktest.Source) {
 	machine := clocktest.NewSource()
-	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, servers...)
+	env := prepareTestEnvWithClock(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, servers...)
 	env.putConfig()
 	env.waitReady(http.StatusOK)
 	env.waitLines("leadership gained", 1)
