--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -9,10 +9,10 @@
 	"rockcleat/table"
 )
 
-// revokeFraction is the fraction of the revocation time after which a gateway that cannot confirm its
+// revocationDelayFraction is the fraction of maxRevocationDelay after which a gateway that cannot confirm its
 // configuration stops accepting keys. A request is checked once its header has been read; the remainder covers
 // clock drift and the time until the request reaches the server.
-const revokeFraction = 0.8
+const revocationDelayFraction = 0.8
 
 // retryAfterStaleConfig is the Retry-After for a request whose key cannot be checked. By then an update that the
 // leader's watch delivered late has arrived, and other gateways may already have it.
@@ -56,7 +56,7 @@
 
 // isTooOld reports whether a configuration of the given age may still contain a revoked key.
 func (a *authenticator) isTooOld(age time.Duration) bool {
-	return a.maxRevocationDelay > 0 && float64(age) > revokeFraction*float64(a.maxRevocationDelay)
+	return a.maxRevocationDelay > 0 && float64(age) > revocationDelayFraction*float64(a.maxRevocationDelay)
 }
 
 // errUnknownKey reports that the key belongs to no organisation.
--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -45,7 +45,7 @@
 	env := prepareTestEnv(t, change, servers...)
 	useKeys(env)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	return env
 }
 
@@ -223,11 +223,11 @@
 	env := prepareTestEnvWithClock(t, clock.NewSystemFrom(machine), func(s *config.Gateway) { s.MaxRevocationDelay = config.Duration(5 * time.Second) }, server)
 	useKeys(env)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	env.awaitStatus(http.StatusOK, guildKey)
 	env.store.Fail(func(string) error { return errors.New("down") })
 	machine.Suspend(5 * time.Second)
-	env.waitLines("process paused", 1)
+	env.awaitLines("process paused", 1)
 	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusServiceUnavailable)
 	env.store.Fail(nil)
 	env.awaitStatus(http.StatusOK, guildKey)
@@ -240,11 +240,11 @@
 	env := prepareTestEnvWithClock(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, server)
 	useKeys(env)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	env.awaitStatus(http.StatusOK, guildKey)
 	env.store.Fail(func(string) error { return errors.New("down") })
 	machine.Suspend(time.Minute)
-	env.waitLines("process paused", 1)
+	env.awaitLines("process paused", 1)
 	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusOK)
 	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(unknownKey)).status, http.StatusServiceUnavailable, "it may be new")
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -24,7 +24,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse))
 	if err != nil {
-		f.noteConnFailure(res, cause(ctx, err))
+		f.reportConnFailure(res, cause(ctx, err))
 		return f.handleLost(res, cause(ctx, err))
 	}
 	f.beginResponse(resp)
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -262,7 +262,7 @@
 			env := newTestEnvWith(t, test.change, servers...)
 			done := make(chan reply, 1)
 			go func() { done <- env.post(pathResume, "x") }()
-			env.waitLine("server stalled, request stays")
+			env.awaitLine("server stalled, request stays")
 			close(release)
 			got := <-done
 			assert.NilError(t, got.err)
@@ -271,8 +271,8 @@
 	}
 }
 
-// waitLine waits until a log line with the given message exists.
-func (env *testEnv) waitLine(msg string) {
+// awaitLine waits until a log line with the given message exists.
+func (env *testEnv) awaitLine(msg string) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
 		if env.logs.FilterMessage(msg).Len() == 0 {
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -71,8 +71,8 @@
 	return d.gateways
 }
 
-// noteLeader records whether the gateway at an address replied as the leader.
-func (d *directory) noteLeader(addr string, leads bool) {
+// updateLeader records whether the gateway at an address replied as the leader.
+func (d *directory) recordLeader(addr string, leads bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -123,7 +123,7 @@
 	m.await(t, env, pathSafe, http.StatusOK)
 }
 
-// TestFleetWithoutItsLeader checks that a change reaches all other gateways after the leader was stopped.
+// TestFleetWithoutItsLeader checks that a change reaches all other gateways after the leader has stopped.
 func TestFleetWithoutItsLeader(t *testing.T) {
 	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
 	members := startFleet(t, env, relay.Fanout+4)
--- a/internal/gateway/followers_test.go
+++ b/internal/gateway/followers_test.go
@@ -28,7 +28,7 @@
 
 func (plainDecoder) Server(key string, value []byte) (backend.Server, error) {
 	if string(value) == undecodable {
-		return backend.Server{}, errors.New("spoiled")
+		return backend.Server{}, errors.New("undecodable value")
 	}
 	return backend.Server{ID: key, Service: "app"}, nil
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -162,7 +162,7 @@
 func newTestEnvWith(t *testing.T, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
 	env := prepareTestEnv(t, change, servers...)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	return env
 }
 
@@ -242,8 +242,8 @@
 	env.store.Set(prefix+s.Name(), value)
 }
 
-// waitReady waits until the readiness endpoint returns status.
-func (env *testEnv) waitReady(status int) {
+// awaitReady waits until the readiness endpoint returns status.
+func (env *testEnv) awaitReady(status int) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
 		resp, err := http.Get("http://" + env.ready + readyPath)
@@ -258,8 +258,8 @@
 	})
 }
 
-// waitServers waits until the gateway knows at least n servers.
-func (env *testEnv) waitServers(n int) {
+// awaitServers waits until the gateway knows at least n servers.
+func (env *testEnv) awaitServers(n int) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
 		known := int64(env.logs.FilterMessage("server seen").Len())
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -20,8 +20,8 @@
 	useKeys(env)
 	env.routing.Organisations[0].RateLimit = limit
 	env.putConfig()
-	env.waitReady(http.StatusOK)
-	env.waitLines("leadership gained", 1)
+	env.awaitReady(http.StatusOK)
+	env.awaitLines("leadership gained", 1)
 	return env
 }
 
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// closeFront stops accepting callers' connections; open connections stay.
+// closeFront stops accepting callers' connections; open connections stay open.
 func (l *listeners) closeFront() { l.logClose(l.front.Close()) }
 
 // close closes all servers and their connections.
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -30,7 +30,7 @@
 			early := env.logs.FilterMessage("request refused")
 			if !test.atOnce {
 				assert.Equal(t, early.Len(), 0)
-				env.waitLine("request ended")
+				env.awaitLine("request ended")
 				return
 			}
 			assert.Equal(t, early.Len(), 1, "it waited")
--- a/internal/gateway/needs.go
+++ b/internal/gateway/needs.go
@@ -15,7 +15,8 @@
 	// callerWaitFactor is multiplied by the objective for the first byte, or by twice the objective for the gap between
 	// events, to estimate how long a caller waits.
 	callerWaitFactor = 4
-	// queueTimeFraction is the fraction of the caller's estimated wait that may be spent waiting for a server.
+	// queueTimeFraction is the fraction of the time that the caller is assumed to wait for the first byte during which
+	// the request may wait for a server.
 	queueTimeFraction = 0.8
 	// sendByPercent is the percentage of the first-byte objective within which a request must be sent to meet it.
 	sendByPercent = 70
@@ -23,8 +24,8 @@
 	responseReserve = 400 * time.Millisecond
 )
 
-// maxWait returns how long the request may wait for a server. It is limited by the caller's estimated wait and by
-// the deadline less responseReserve.
+// maxWait returns how long the request may wait for a server. It is limited by the time that the caller is assumed to
+// wait and by the deadline less responseReserve.
 func (in *inbound) maxWait() time.Duration {
 	callerWait := max(minCallerWait, callerWaitFactor*in.route.FirstByteObjective, 2*callerWaitFactor*in.route.EventGapObjective)
 	wait := time.Duration(float64(callerWait) * queueTimeFraction)
--- a/internal/gateway/outgoing_test.go
+++ b/internal/gateway/outgoing_test.go
@@ -38,8 +38,8 @@
 				}
 			}
 			env.putConfig()
-			env.waitReady(http.StatusOK)
-			env.waitServers(len(servers))
+			env.awaitReady(http.StatusOK)
+			env.awaitServers(len(servers))
 			got := env.post(test.path, "x",
 				names.Model, "m1", names.Tokens, "100,10", names.Priority, "0", names.Expect, "z",
 				"X-Hold", "h-1", "x-pin", "4000", "Keep-Alive", "timeout=5", "Connection", "X-Once", "X-Once", "1",
--- a/internal/gateway/peer_client.go
+++ b/internal/gateway/peer_client.go
@@ -21,7 +21,7 @@
 
 // Paths of the endpoints between gateways.
 const (
-	// pathReport takes reports to the leader.
+	// pathReport receives reports to the leader.
 	pathReport = "/v1/gateway"
 	// pathFeed returns changes in the store.
 	pathFeed = "/v1/feed"
@@ -120,18 +120,19 @@
 func (p *peerClient) RequestGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	var reply quota.Reply
 	err := p.postTo(ctx, grantTimeout, gateway, pathGrant, r, &reply)
-	return reply, wrapEnded(err)
+	return reply, wrapNotRunning(err)
 }
 
 // requestPermit requests a permit of a backend server's rate limit from another gateway.
 func (p *peerClient) requestPermit(ctx context.Context, gateway string, m permitMessage) (permitReply, error) {
 	var reply permitReply
 	err := p.postTo(ctx, grantTimeout, gateway, pathPermit, m, &reply)
-	return reply, wrapEnded(err)
+	return reply, wrapNotRunning(err)
 }
 
-// wrapEnded adds quota.ErrNotRunning to the error of a refused connection, which shows that the other process has ended.
-func wrapEnded(err error) error {
+// wrapNotRunning adds quota.ErrNotRunning to the error of a refused connection, which shows that the other process is
+// not running.
+func wrapNotRunning(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("%w: %w", quota.ErrNotRunning, err)
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -55,8 +55,8 @@
 	f.refuse(outcomeQuarantined, notRun("servers have ended under copies of this request", left))
 }
 
-// noteConnFailure reports a failed connection to the crashDetector.
-func (f *forwarder) noteConnFailure(res *dispatch.Reservation, err error) {
+// reportConnFailure reports a failed connection to the crashDetector.
+func (f *forwarder) reportConnFailure(res *dispatch.Reservation, err error) {
 	if isConnFailure(err) {
 		f.proxy.detector.connFailed(res.Server(), f.in.key)
 	}
--- a/internal/gateway/quarantine_failures_test.go
+++ b/internal/gateway/quarantine_failures_test.go
@@ -24,7 +24,7 @@
 	for range quarantine.DefaultCrashThreshold {
 		assert.Equal(p.env.t, p.send().status, http.StatusBadGateway)
 	}
-	p.env.waitLines("request quarantined", gateways)
+	p.env.awaitLines("request quarantined", gateways)
 }
 
 // stopNow stops env's gateway without a grace period.
@@ -35,8 +35,8 @@
 	_ = env.gateway.Stop(ctx)
 }
 
-// waitLines waits until at least n log lines have the given message.
-func (env *testEnv) waitLines(message string, n int) {
+// awaitLines waits until at least n log lines have the given message.
+func (env *testEnv) awaitLines(message string, n int) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
 		if got := env.logs.FilterMessage(message).Len(); got < n {
@@ -110,7 +110,7 @@
 	caller.awaitQuarantine(3)
 	stopNow(caller.env)
 	caller.fronts = caller.fronts[1:]
-	caller.env.waitLines("leadership gained", 2)
+	caller.env.awaitLines("leadership gained", 2)
 	caller.checkRefused(servers)
 }
 
@@ -131,7 +131,7 @@
 	s := gatewaySettings(t, "next")
 	s.FirstStart = false
 	env.startGateway(s, env.store)
-	env.waitLines("request quarantined", 2)
+	env.awaitLines("request quarantined", 2)
 	caller.fronts = []string{s.Listen}
 	caller.checkRefused(servers)
 }
@@ -140,8 +140,8 @@
 // is no leader.
 func TestQuarantineWithoutTheStore(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
-	caller.env.store.Fail(func(string) error { return errors.New("away") })
-	caller.env.waitLines("leadership lost", 1)
+	caller.env.store.Fail(func(string) error { return errors.New("store unreachable") })
+	caller.env.awaitLines("leadership lost", 1)
 	caller.awaitQuarantine(3)
 	caller.checkRefused(servers)
 }
@@ -155,7 +155,7 @@
 	digest := list[0].ContextMap()["digest"].(string)
 	code, out := caller.env.command("quarantine", "lift", "-gateway", caller.env.peer, digest)
 	assert.Equal(t, code, 0, out)
-	caller.env.waitLines("quarantine ended", 3)
+	caller.env.awaitLines("quarantine ended", 3)
 	for range caller.fronts {
 		assert.Equal(t, caller.send().status, http.StatusOK)
 	}
@@ -178,7 +178,7 @@
 		}
 		copies.Wait()
 	}
-	caller.env.waitLines("request quarantined", 3)
+	caller.env.awaitLines("request quarantined", 3)
 	// Two servers may crash before the last batch, and one under each copy of that batch.
 	most := quarantine.DefaultCrashThreshold - 1 + atOnce
 	assert.Assert(t, servers.crashes.Load() <= int64(most), "%d servers ended", servers.crashes.Load())
@@ -195,7 +195,7 @@
 			for range quarantine.DefaultCrashThreshold {
 				caller.send()
 			}
-			env.waitLines("request quarantined", 1)
+			env.awaitLines("request quarantined", 1)
 			assert.Assert(t, servers.crashes.Load() <= quarantine.DefaultCrashThreshold+1, "%d servers ended", servers.crashes.Load())
 			caller.checkRefused(servers)
 		})
@@ -266,7 +266,7 @@
 	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	assert.Equal(t, caller.send().status, http.StatusBadGateway)
-	env.waitLines("server ended", 1)
+	env.awaitLines("server ended", 1)
 	statuses := make(chan int, copies)
 	for i := range copies {
 		go func() {
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -60,7 +60,7 @@
 )
 
 // retryAfterLoad returns the Retry-After for a request that no server could take. It is randomised, so that
-// requests refused together do not return together.
+// requests refused together are not retried together.
 func retryAfterLoad() time.Duration { return minRetryAfter + rand.N(2*minRetryAfter) }
 
 // retryAfterShed returns the randomised Retry-After for a request that was shed.
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -147,18 +147,18 @@
 		r.limiters.leaderReplied(requested, quota.AbsentGateways{Removed: reply.RemovedGateways, Awaited: reply.Awaited})
 	}
 	r.configs.HandleAnnouncement(reply.Config, addr, requested)
-	r.noteLeader(addr, reply)
+	r.updateLeader(addr, reply)
 	if !reply.IsLeader && r.gateways.depth(r.leader) <= 1 {
-		// The followed gateway is no longer the leader. The first level looks for the new leader in the store; the
+		// The gateway at addr is no longer the leader. The first level looks for the new leader in the store; the
 		// other levels learn of it from the first.
 		r.fanout.Invalidate()
 	}
 	r.apply(reply.Reply, demands)
 }
 
-// noteLeader updates the known leader from the reply of the gateway at addr.
-func (r *reporter) noteLeader(addr string, reply replyMessage) {
-	r.gateways.noteLeader(addr, reply.IsLeader)
+// updateLeader updates the known leader from the reply of the gateway at addr.
+func (r *reporter) updateLeader(addr string, reply replyMessage) {
+	r.gateways.recordLeader(addr, reply.IsLeader)
 	switch {
 	case reply.IsLeader:
 		r.leader, r.staleLeaseAddr = addr, ""
@@ -186,8 +186,8 @@
 	if addr := r.gateways.random(r.staleLeaseAddr); addr != "" {
 		return addr
 	}
-	// No other gateway is known. The gateway in the record may have become the leader since it was last asked, so it
-	// is asked again.
+	// No other gateway is known. The gateway in the record may have become the leader since its last reply, so it is
+	// tried again.
 	if r.leaseAddr != r.self.addr {
 		return r.leaseAddr
 	}
@@ -195,13 +195,13 @@
 }
 
 // reportFailed forgets a leader that did not reply. With probability 1/2 it selects a random other gateway as the
-// next target, because the store's record may not show a new leader yet.
+// next target, because the lease's record may not show a new leader yet.
 func (r *reporter) reportFailed(addr string, err error) {
 	if !r.failing {
 		r.failing = true
 		r.log.Warn("report unanswered", zap.String("addr", addr), telemetry.Error(err))
 	}
-	r.gateways.noteLeader(addr, false)
+	r.gateways.recordLeader(addr, false)
 	r.leader = ""
 	if rand.IntN(2) == 0 {
 		r.leader = r.gateways.random(addr)
--- a/internal/gateway/reporter_test.go
+++ b/internal/gateway/reporter_test.go
@@ -20,7 +20,7 @@
 	disconnected atomic.Bool
 }
 
-var errDisconnected = errors.New("store cut off")
+var errDisconnected = errors.New("store disconnected")
 
 // ListPrefix implements kv.PrefixStore.
 func (s *disconnectableStore) ListPrefix(ctx context.Context, prefix string) ([]kv.Entry, kv.Revision, error) {
@@ -51,7 +51,7 @@
 	s := gatewaySettings(t, "g2")
 	env.startGateway(s, store)
 	env.front, env.ready = s.Listen, s.ReadyListen
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	return store
 }
 
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -96,7 +96,7 @@
 	// serverLimitRate and serverLimitBurst limit lines about servers' rate limits, which can change with each
 	// response.
 	serverLimitRate  = 5
-	serverLimitBurst = 60 // covers all servers of a data hall
+	serverLimitBurst = 60
 )
 
 // Metrics records metrics of a gateway.
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -87,13 +87,13 @@
 func TestNoConfigurationYet(t *testing.T) {
 	server := newFakeServer(t, "a", answer(200, "ok"))
 	env := newTestEnvWithoutConfig(t, server)
-	env.waitReady(http.StatusServiceUnavailable)
+	env.awaitReady(http.StatusServiceUnavailable)
 	got := env.post(pathUnsafe, "x")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	assert.Equal(t, env.post(pathUnsafe, "x").status, http.StatusOK)
 }
 
@@ -168,7 +168,7 @@
 				env.routing.Routes[i].Timeout = test.timeout
 			}
 			env.putConfig()
-			env.waitReady(http.StatusOK)
+			env.awaitReady(http.StatusOK)
 			start := time.Now()
 			got := env.post(pathUnsafe, "x", test.headers...)
 			assert.NilError(t, got.err)
@@ -228,7 +228,7 @@
 	env.putEngine(a, "m1")
 	env.putEngine(b, "m2")
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	got := env.post(pathModel, "x", names.Model, "m2", names.Tokens, "100,10", names.Prefix, "ab:60,cd:40")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
@@ -245,7 +245,7 @@
 	env := newTestEnvWithoutConfig(t)
 	env.putEngine(a)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	replies := make(chan reply, 1)
 	go func() { replies <- env.post(pathModel, "x", names.Model, "m1", names.Tokens, "100,10") }()
 	time.AfterFunc(50*time.Millisecond, func() { env.putEngine(a, "m1") })
@@ -257,7 +257,7 @@
 func TestNoServerBeforeDeadline(t *testing.T) {
 	env := newTestEnvWithoutConfig(t)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	got := env.post(pathModel, "x", names.Model, "m1", names.Deadline, "700")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -36,7 +36,7 @@
 	}
 	defer resp.Body.Close()
 	f.record.sends++
-	f.noteServerLimit(res, resp, sent)
+	f.recordServerLimit(res, resp, sent)
 	if resp.Header.Get(f.proxy.names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest {
 		return f.handleRefusal(res, resp)
 	}
@@ -71,7 +71,7 @@
 	}
 	f.record.sends++
 	f.record.runs++
-	f.noteConnFailure(res, err)
+	f.reportConnFailure(res, err)
 	return f.handleLost(res, err)
 }
 
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// noteServerLimit records the rate limit in a response. It ignores responses to other requests, and responses with
+// recordServerLimit records the rate limit in a response. It ignores responses to other requests, and responses with
 // status 421, which come from a server other than the intended one. sent is when the request was sent.
-func (f *forwarder) noteServerLimit(res *dispatch.Reservation, resp *http.Response, sent time.Time) {
+func (f *forwarder) recordServerLimit(res *dispatch.Reservation, resp *http.Response, sent time.Time) {
 	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(f.proxy.names.RequestID) != f.in.id {
 		return
 	}
--- a/internal/gateway/server_limit_failures_test.go
+++ b/internal/gateway/server_limit_failures_test.go
@@ -30,7 +30,7 @@
 			return 2
 		}, recovers: true},
 		"the store is away": {fails: func(env *testEnv) int {
-			env.store.Fail(func(string) error { return errors.New("away") })
+			env.store.Fail(func(string) error { return errors.New("store unreachable") })
 			return 3
 		}},
 		"the store comes back from a copy": {fails: func(env *testEnv) int {
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -238,7 +238,7 @@
 		env.putServer(newFakeServer(t, "plain", answer(http.StatusOK, "ok")), false)
 	}
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	c := &loadGenerator{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	if isEngine {
 		c.path, c.headers = pathModel, []string{names.Model, "m1", names.Tokens, "10,10", names.Deadline, "1000"}
@@ -246,6 +246,6 @@
 	for _, m := range startFleet(t, env, 2) {
 		c.fronts = append(c.fronts, m.front)
 	}
-	env.waitLines("leadership gained", 1)
+	env.awaitLines("leadership gained", 1)
 	return c
 }
--- a/internal/gateway/server_limits.go
+++ b/internal/gateway/server_limits.go
@@ -26,8 +26,8 @@
 	metrics Metrics
 }
 
-// newServerLimits returns the limits of backend servers. An announcement received by this gateway triggers an immediate
-// report to the leader.
+// newServerLimits returns the rate limits of backend servers. A change that a server announces to this gateway triggers
+// an immediate report to the leader.
 func (p *components) newServerLimits(o Options) *serverLimits {
 	l := &serverLimits{metrics: o.Metrics}
 	l.Table = serverlimit.New(serverlimit.Options{Clock: o.Clock, OnChange: func(c serverlimit.Change) {
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -16,9 +16,10 @@
 const (
 	// stallFraction is the fraction of the first-byte objective after which a non-streaming request is stalled.
 	stallFraction = 0.5
-	// minStallTimeout is the minimum stall time of a non-streaming request.
+	// minStallTimeout is the minimum stall timeout of a non-streaming request.
 	minStallTimeout = 250 * time.Millisecond
-	// streamStallTimeout is the minimum stall time of a stream before its first event, and its stall time between events.
+	// streamStallTimeout is the minimum stall timeout of a stream before its first event, and its stall timeout between
+	// events.
 	streamStallTimeout = 1500 * time.Millisecond
 )
 
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -41,7 +41,7 @@
 	assert.NilError(t, err)
 	defer resp.Body.Close()
 	done := env.stop(20 * time.Second)
-	env.waitReady(http.StatusServiceUnavailable)
+	env.awaitReady(http.StatusServiceUnavailable)
 	got := env.get(pathSafe)
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
--- a/internal/gateway/store_calls_test.go
+++ b/internal/gateway/store_calls_test.go
@@ -39,7 +39,7 @@
 				env.putConfig()
 				env.checkCallRate(during, maxPerSecond)
 				env.store.Fail(nil)
-				env.waitLines("leadership gained", 1)
+				env.awaitLines("leadership gained", 1)
 				env.store.Fail(fail)
 				env.checkCallRate(during, maxPerSecond)
 			})
--- a/internal/gateway/store_copy_test.go
+++ b/internal/gateway/store_copy_test.go
@@ -30,7 +30,7 @@
 	for _, m := range members {
 		m.await(t, env, pathStream, http.StatusNotFound)
 	}
-	env.waitLines("leadership gained", 1)
+	env.awaitLines("leadership gained", 1)
 	first := env.lastToken()
 
 	env.store.Restore(backup)
@@ -48,11 +48,11 @@
 		assert.Assert(t, line.ContextMap()["server"] != added.id, "it was known before")
 	}
 	assert.Assert(t, env.storeCalls()-calls < 150, "%d calls in 3 s", env.storeCalls()-calls)
-	env.waitLines("store came back from a copy", 3)
+	env.awaitLines("store came back from a copy", 3)
 
 	env.putServer(added, false)
 	env.putConfig()
-	env.waitLines("leadership gained", 2)
+	env.awaitLines("leadership gained", 2)
 	assert.Assert(t, env.lastToken() > first, "%d after %d", env.lastToken(), first)
 	newest := newFakeServer(t, "later", answer(http.StatusOK, "yes"))
 	env.putServer(newest, false)
@@ -73,7 +73,7 @@
 // TestStoreCallsAfterRestore checks that a restore of the store causes at most twice as many calls to it as the loss
 // of the leader.
 func TestStoreCallsAfterRestore(t *testing.T) {
-	// after covers the time without a leader and the first round of the next one.
+	// after covers the time without a leader and the new leader's first calls to the store.
 	const after = 6 * time.Second
 	disturbances := map[string]func(env *testEnv){
 		"leader stops": func(env *testEnv) { stopNow(env) },
@@ -91,11 +91,11 @@
 				server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
 				env := newTestEnv(t, server)
 				startFleet(t, env, gateways-1)
-				env.waitLines("leadership gained", 1)
+				env.awaitLines("leadership gained", 1)
 				before := env.storeCalls()
 				disturb(env)
 				<-time.After(after)
-				env.waitLines("leadership gained", 2)
+				env.awaitLines("leadership gained", 2)
 				calls[name] = env.storeCalls() - before
 			}
 			t.Logf("calls in %s: %v", after, calls)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -66,7 +66,7 @@
 			break
 		}
 		if err != nil {
-			f.noteConnFailure(res, cause(ctx, err))
+			f.reportConnFailure(res, cause(ctx, err))
 			return f.handleLost(res, cause(ctx, err))
 		}
 		res.RecordFirstByte()
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -17,8 +17,8 @@
 	machine := clocktest.NewSource()
 	env := prepareTestEnvWithClock(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, servers...)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
-	env.waitLines("leadership gained", 1)
+	env.awaitReady(http.StatusOK)
+	env.awaitLines("leadership gained", 1)
 	return env, machine
 }
 
@@ -27,8 +27,8 @@
 func TestSuspendedGatewayNoLongerLeads(t *testing.T) {
 	env, machine := newSuspendableEnv(t)
 	machine.Suspend(10 * time.Second)
-	env.waitLines("leadership lost", 1)
-	env.waitLines("process paused", 1)
+	env.awaitLines("leadership lost", 1)
+	env.awaitLines("process paused", 1)
 }
 
 // TestDeadlineCountsSuspension checks that a request whose deadline passed during a suspension is ended on resume.
--- a/internal/gateway/target_test.go
+++ b/internal/gateway/target_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestReportTarget checks which gateway is reported to, depending on what is known. In particular, the gateway in the
-// lease's record must be asked again if no other is known, since it may have become the leader again after a restart.
+// lease's record must be tried again if no other is known, since it may have become the leader again after a restart.
 func TestReportTarget(t *testing.T) {
 	const self, record, seed = "self", "record", "seed"
 	tests := map[string]struct {
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := &reporter{self: sender{addr: self}, gateways: newDirectory(self, 6, test.seeds, false), leaseAddr: test.record}
 			for addr, reply := range test.replies {
-				r.noteLeader(addr, reply)
+				r.updateLeader(addr, reply)
 			}
 			assert.Equal(t, r.target(), test.want)
 		})
