--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -53,7 +53,7 @@
 
 // TestKeys checks which requests are authorised, and that servers receive the organisation instead of the key.
 func TestKeys(t *testing.T) {
-	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	server := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 	env := newKeyEnv(t, func(*config.Gateway) {}, server)
 	tests := map[string]struct {
 		path    string
@@ -100,9 +100,9 @@
 	checkNoKeyLogged(t, env)
 }
 
-// TestTwoKeys checks that a request with two Authorization headers is rejected, since it is ambiguous which one counts.
+// TestTwoKeys checks that a request with two Authorization headers is rejected as ambiguous.
 func TestTwoKeys(t *testing.T) {
-	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	server := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 	env := newKeyEnv(t, func(*config.Gateway) {}, server)
 	req := env.request(http.MethodGet, pathSafe, "", apikey.Header, bearer(guildKey))
 	req.Header.Add(apikey.Header, bearer(deskKey))
@@ -113,7 +113,7 @@
 // TestWithoutOrganisationsKeysPass checks that the callers' headers are forwarded unchanged if the configuration has no
 // organisations.
 func TestWithoutOrganisationsKeysPass(t *testing.T) {
-	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	server := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 	env := newTestEnv(t, server)
 	r := env.get(pathSafe, apikey.Header, bearer(unknownKey), names.Organisation, "any")
 	assert.Equal(t, r.status, http.StatusOK)
@@ -145,7 +145,7 @@
 
 // TestMovedKey checks that a key can be moved from one organisation to another, and that a removed key is rejected.
 func TestMovedKey(t *testing.T) {
-	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	server := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 	env := newKeyEnv(t, func(*config.Gateway) {}, server)
 	assert.Equal(t, env.get(pathSafe, apikey.Header, bearer(guildKey)).status, http.StatusOK)
 	env.routing.Version++
@@ -169,8 +169,8 @@
 }
 
 // TestRevokedDuringStoreOutage checks that a gateway without access to the store rejects requests with a key before
-// the revocation time has passed, but serves those that need none. When the store is back, revoked keys are unknown and
-// the others work.
+// the maximum revocation delay has passed, but serves those that need none. When the store is reachable again, revoked
+// keys are unknown and the others are accepted.
 func TestRevokedDuringStoreOutage(t *testing.T) {
 	const revokeTime = 2 * time.Second
 	outages := map[string]func(env *testEnv) (reconnect func()){
@@ -190,7 +190,7 @@
 	}
 	for name, disconnect := range outages {
 		t.Run(name, func(t *testing.T) {
-			server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+			server := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 			env := newKeyEnv(t, func(s *config.Gateway) {
 				s.MaxRevocationDelay = config.Duration(revokeTime)
 				s.StoreTimeout = config.Duration(200 * time.Millisecond)
@@ -218,7 +218,7 @@
 // TestRevokedDuringSuspension checks that keys that may have been revoked during a suspension of the machine are
 // rejected once the suspension is detected.
 func TestRevokedDuringSuspension(t *testing.T) {
-	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	server := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 	machine := clocktest.NewSource()
 	env := prepareTestEnvWithClock(t, clock.NewSystemFrom(machine), func(s *config.Gateway) { s.MaxRevocationDelay = config.Duration(5 * time.Second) }, server)
 	useKeys(env)
@@ -233,9 +233,10 @@
 	env.awaitStatus(http.StatusOK, guildKey)
 }
 
-// TestUnboundedRevocation checks that keys stay valid during a store outage if no revocation time is configured.
+// TestUnboundedRevocation checks that keys stay valid during a store outage if no maximum revocation delay is
+// configured.
 func TestUnboundedRevocation(t *testing.T) {
-	server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+	server := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 	machine := clocktest.NewSource()
 	env := prepareTestEnvWithClock(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, server)
 	useKeys(env)
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -16,7 +16,7 @@
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
 	for _, status := range []int{200, 404, 500, 504} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
-			server := newFakeServer(t, "a", answer(status, "the body"))
+			server := newFakeServer(t, "a", respond(status, "the body"))
 			env := newTestEnv(t, server)
 			got := env.post(pathUnsafe+"a%2Fb//c?q=%20&q", "sent", "X-Own", "1", names.Deadline, "900")
 			assert.NilError(t, got.err)
@@ -76,7 +76,7 @@
 			path:   pathUnsafe, status: http.StatusOK, runs: 1,
 		},
 		"answer to another request": {
-			script: func(c *call) bool { c.Header.Set(names.RequestID, "id-other"); return answer(200, "secret")(c) },
+			script: func(c *call) bool { c.Header.Set(names.RequestID, "id-other"); return respond(200, "secret")(c) },
 			path:   pathUnsafe, status: http.StatusBadGateway, runs: 1,
 		},
 		"success without a signature": {
@@ -92,10 +92,10 @@
 		},
 		"full": {script: refuse, path: pathUnsafe, status: http.StatusServiceUnavailable, runs: 5},
 		"error of a request that may be repeated": {
-			script: answer(500, "sorry"), path: pathSafe, status: http.StatusInternalServerError, runs: 2,
+			script: respond(500, "sorry"), path: pathSafe, status: http.StatusInternalServerError, runs: 2,
 		},
 		"error of one that may not": {
-			script: answer(500, "sorry"), path: pathUnsafe, status: http.StatusInternalServerError, runs: 1,
+			script: respond(500, "sorry"), path: pathUnsafe, status: http.StatusInternalServerError, runs: 1,
 		},
 		"stream cut inside an event": {
 			script: func(c *call) bool { c.write(c.streamHead(), event(1), "a\r\nid: 2\ndata"); return false },
@@ -177,7 +177,7 @@
 	}
 	for name, s := range tests {
 		t.Run(name, func(t *testing.T) {
-			a, b := newFakeServer(t, "a", s), newFakeServer(t, "b", answer(200, "ok"))
+			a, b := newFakeServer(t, "a", s), newFakeServer(t, "b", respond(200, "ok"))
 			env := newTestEnv(t, a, b)
 			for range 6 {
 				got := env.post(pathUnsafe, "x")
@@ -189,7 +189,7 @@
 }
 
 func TestServerThatCannotBeReached(t *testing.T) {
-	b := newFakeServer(t, "b", answer(200, "ok"))
+	b := newFakeServer(t, "b", respond(200, "ok"))
 	env := newTestEnv(t, &fakeServer{id: "dead", addr: freeAddr()}, b)
 	for range 6 {
 		got := env.post(pathUnsafe, "x")
@@ -224,7 +224,7 @@
 
 // TestFailedResumptionAbortsStream checks that a stream whose resumption fails does not look complete to the caller.
 func TestFailedResumptionAbortsStream(t *testing.T) {
-	responders := firstThen(func(c *call) bool { c.write(c.streamHead(), event(1)); return false }, answer(500, "sorry"))
+	responders := firstThen(func(c *call) bool { c.write(c.streamHead(), event(1)); return false }, respond(500, "sorry"))
 	env := newTestEnv(t, newFakeServer(t, "a", responders), newFakeServer(t, "b", responders))
 	got := env.post(pathResume, "x")
 	assert.Assert(t, got.err != nil, "%+v", got)
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -15,8 +15,8 @@
 	"rockcleat/clock/clocktest"
 )
 
-// connected returns both ends of a connection that c tracks.
-func connected(t *testing.T, c *conns) (server *callerConn, client net.Conn) {
+// newConnPair returns both ends of a connection that c tracks.
+func newConnPair(t *testing.T, c *conns) (server *callerConn, client net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -95,7 +95,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newConns(clocktest.Real{}, func() (time.Duration, time.Duration) { return idle, header })
-			server, client := connected(t, c)
+			server, client := newConnPair(t, c)
 			test.follow(t, c, server, client)
 			c.sweep(time.Now().Add(test.after))
 			if test.open {
@@ -123,7 +123,7 @@
 // refused as too slow.
 func TestRefusedConnectionServesNothing(t *testing.T) {
 	c := newConns(clocktest.Real{}, nil)
-	server, client := connected(t, c)
+	server, client := newConnPair(t, c)
 	send(t, server, client, "GET")
 	receive(t, server, "GET")
 	server.refuseSlowHeader(time.Now().Add(time.Minute), time.Second)
@@ -170,7 +170,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newConns(clocktest.Real{}, nil)
-			server, client := connected(t, c)
+			server, client := newConnPair(t, c)
 			test.follow(t, c, server, client)
 			assert.Equal(t, c.drain(time.Now().Add(test.after)), 1)
 			if test.ended {
@@ -189,7 +189,7 @@
 // was to be ended stays open.
 func TestServerDeadlineIsRestored(t *testing.T) {
 	c := newConns(clocktest.Real{}, nil)
-	server, client := connected(t, c)
+	server, client := newConnPair(t, c)
 	c.stateChanged(server, http.StateIdle)
 	send(t, server, client, "GE")
 	c.drain(time.Now())
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -84,7 +84,7 @@
 // TestFleetFollowsTheStoreThroughOneGateway checks that changes reach all gateways of a fleet with more than one tree
 // level, while gateways that do not lead make almost no calls to the store.
 func TestFleetFollowsTheStoreThroughOneGateway(t *testing.T) {
-	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
+	env := newTestEnv(t, newFakeServer(t, "s1", respond(http.StatusOK, "one")))
 	members := startFleet(t, env, relay.Fanout+4)
 	calls := func() (sum int64) {
 		for _, m := range members {
@@ -113,7 +113,7 @@
 // TestGatewayStartsWithoutTheStore checks that a gateway without access to the store gets its state from another
 // gateway.
 func TestGatewayStartsWithoutTheStore(t *testing.T) {
-	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
+	env := newTestEnv(t, newFakeServer(t, "s1", respond(http.StatusOK, "one")))
 	s := gatewaySettings(t, "late")
 	s.Seeds = []string{env.peer}
 	m := &fleetMember{front: s.Listen}
@@ -125,7 +125,7 @@
 
 // TestFleetWithoutItsLeader checks that a change reaches all other gateways after the leader has stopped.
 func TestFleetWithoutItsLeader(t *testing.T) {
-	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
+	env := newTestEnv(t, newFakeServer(t, "s1", respond(http.StatusOK, "one")))
 	members := startFleet(t, env, relay.Fanout+4)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/gateway/find_leader_test.go
+++ b/internal/gateway/find_leader_test.go
@@ -19,7 +19,7 @@
 	"rockcleat/lease"
 )
 
-// fakePeers is a transport to gateways of which one leads. The others reply without the leader's address.
+// fakePeers is a transport to simulated gateways, one of which is the leader. The others reply without its address.
 type fakePeers struct {
 	t      *testing.T
 	leader string
--- a/internal/gateway/fleet_keeper_test.go
+++ b/internal/gateway/fleet_keeper_test.go
@@ -36,7 +36,7 @@
 
 // TestListOfGatewaysIsKept checks that the leader writes the list of gateways to the store.
 func TestListOfGatewaysIsKept(t *testing.T) {
-	env := newTestEnv(t, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
+	env := newTestEnv(t, newFakeServer(t, "s1", respond(http.StatusOK, "one")))
 	startFleet(t, env, 3)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if n := len(env.storedGateways()); n != 4 {
@@ -49,7 +49,7 @@
 // TestLimitAfterTheLossOfAllGateways checks that a gateway started after the loss of all gateways, while the former
 // leader's lease is still valid, gets its share of a rate limit from the stored list.
 func TestLimitAfterTheLossOfAllGateways(t *testing.T) {
-	env := newKeyEnv(t, func(*config.Gateway) {}, newFakeServer(t, "s1", answer(http.StatusOK, "one")))
+	env := newKeyEnv(t, func(*config.Gateway) {}, newFakeServer(t, "s1", respond(http.StatusOK, "one")))
 	env.routing.Organisations[0].RateLimit = table.RateLimit{Unit: table.UnitRequests, PerSecond: 10, Burst: 10}
 	env.putConfig()
 	s := gatewaySettings(t, "again")
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -146,12 +146,12 @@
 // firstPort is the first port that tests listen on. It is below the kernel's range of ephemeral ports.
 const firstPort = 20000
 
-// lastPort counts the ports allocated by freeAddr.
-var lastPort atomic.Int64
+// allocatedPorts counts the ports allocated by freeAddr.
+var allocatedPorts atomic.Int64
 
 // freeAddr returns an address that no other call in this process returns. Asking the kernel for a free port would not
 // guarantee that, since it may return the same port again.
-func freeAddr() string { return fmt.Sprintf("%s:%d", ownHost(), firstPort+lastPort.Add(1)) }
+func freeAddr() string { return fmt.Sprintf("%s:%d", ownHost(), firstPort+allocatedPorts.Add(1)) }
 
 // newTestEnv starts a gateway with default settings for the given servers.
 func newTestEnv(t *testing.T, servers ...*fakeServer) *testEnv {
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -53,7 +53,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+			x := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 			env := newLimitEnv(t, test.limit, x)
 			env.awaitLimit(http.StatusOK, test.tokens)
 			before := x.count()
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -14,8 +14,8 @@
 	"rockcleat/quarantine"
 )
 
-// TestMessagesBetweenGateways pins the wire format between gateways, since two versions run side by side during an
-// upgrade.
+// TestMessagesBetweenGateways checks that the wire format between gateways does not change, since two versions run side
+// by side during an upgrade.
 func TestMessagesBetweenGateways(t *testing.T) {
 	load := dispatch.Load{Running: 1, PrefillMs: 2, UsedTokens: 3}
 	tests := map[string]struct {
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -22,7 +22,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			server := newFakeServer(t, "a", answer(http.StatusOK, "ok"))
+			server := newFakeServer(t, "a", respond(http.StatusOK, "ok"))
 			env := newTestEnv(t, server)
 			got := env.post(pathModel, "x", names.Model, test.model, names.Deadline, "600")
 			assert.NilError(t, got.err)
--- a/internal/gateway/outgoing_test.go
+++ b/internal/gateway/outgoing_test.go
@@ -20,8 +20,8 @@
 		priority   string
 		lastEvents []string
 	}{
-		"plain server":         {path: pathUnsafe, play: answer(http.StatusOK, "x"), lastEvents: []string{"7"}},
-		"plain server, again":  {path: pathSafe, play: firstThen(reset, answer(http.StatusOK, "x")), lastEvents: []string{"7", "7"}},
+		"plain server":         {path: pathUnsafe, play: respond(http.StatusOK, "x"), lastEvents: []string{"7"}},
+		"plain server, again":  {path: pathSafe, play: firstThen(reset, respond(http.StatusOK, "x")), lastEvents: []string{"7", "7"}},
 		"resumed stream":       {path: pathResume, play: firstThen(cutAfterFirst, stream(2)), lastEvents: []string{"1", "7"}},
 		"engine":               {path: pathModel, play: stream(2), priority: "1", lastEvents: []string{"7"}},
 		"engine, refused once": {path: pathModel, play: firstThen(refuse, stream(2)), priority: "1", lastEvents: []string{"7", "7"}},
--- a/internal/gateway/quarantine_failures_test.go
+++ b/internal/gateway/quarantine_failures_test.go
@@ -60,7 +60,7 @@
 
 // newQuarantineFleet starts three gateways with crashing servers.
 func newQuarantineFleet(t *testing.T) (*copySender, *crashingServers) {
-	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
+	env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	for _, m := range startFleet(t, env, 2) {
 		caller.fronts = append(caller.fronts, m.front)
@@ -117,7 +117,7 @@
 // TestQuarantineOutlastsAllGateways checks that a gateway started after the loss of all gateways reads the quarantine
 // from the store.
 func TestQuarantineOutlastsAllGateways(t *testing.T) {
-	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
+	env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	caller.awaitQuarantine(1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -190,7 +190,7 @@
 func TestQuarantineStopsRetries(t *testing.T) {
 	for name, path := range map[string]string{"repeated": pathSafe, "resumed": pathResume} {
 		t.Run(name, func(t *testing.T) {
-			env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
+			env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
 			caller := &copySender{env: env, path: path, fronts: []string{env.front}}
 			for range quarantine.DefaultCrashThreshold {
 				caller.send()
@@ -205,7 +205,7 @@
 // TestQuarantineCancelsWaitingCopy checks that a copy still waiting at a server is cancelled when its request is
 // placed in quarantine: its caller gets a response, and the connection to the server is closed.
 func TestQuarantineCancelsWaitingCopy(t *testing.T) {
-	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
+	env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
 	servers.holdNext.Store(true)
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	kept := make(chan reply)
@@ -242,11 +242,11 @@
 			return false
 		},
 	}
-	for name, answer := range tests {
+	for name, serve := range tests {
 		t.Run(name, func(t *testing.T) {
 			var list []*fakeServer
 			for i := range 6 {
-				list = append(list, newFakeServer(t, fmt.Sprint("s", i), answer))
+				list = append(list, newFakeServer(t, fmt.Sprint("s", i), serve))
 			}
 			env := newTestEnv(t, list...)
 			for range 6 {
@@ -263,7 +263,7 @@
 // the other copies are refused.
 func TestCopiesAreSentOneAtATime(t *testing.T) {
 	const copies = 6
-	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
+	env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	assert.Equal(t, caller.send().status, http.StatusBadGateway)
 	env.awaitLines("server ended", 1)
--- a/internal/gateway/quarantine_scale_test.go
+++ b/internal/gateway/quarantine_scale_test.go
@@ -31,8 +31,8 @@
 		links = append(links, quarantine.NewLink(t, quarantine.AllRecords))
 	}
 	leader := table()
-	answer := func(m quarantine.Message) *quarantine.Reply { return leader.Answer(m, quarantine.SharedMinCrashes) }
-	f.simulatedFleet = newSimulatedFleet(c, answer, links, r)
+	handleReport := func(m quarantine.Message) *quarantine.Reply { return leader.Answer(m, quarantine.SharedMinCrashes) }
+	f.simulatedFleet = newSimulatedFleet(c, handleReport, links, r)
 	return f
 }
 
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -38,7 +38,7 @@
 	fixed, holdNext atomic.Bool
 	// env is where restarted servers are listed.
 	env *testEnv
-	// mu guards stopped, which says that no more restarts may be scheduled. restarts counts the pending ones.
+	// mu guards stopped, which says that restarts must no longer be scheduled. restarts counts the pending ones.
 	mu       sync.Mutex
 	stopped  bool
 	restarts sync.WaitGroup
@@ -130,7 +130,7 @@
 // after another crash.
 func TestRequestThatTerminatesServers(t *testing.T) {
 	const interval = 100 * time.Millisecond
-	env, servers := newCrashingEnv(t, 12, answer(http.StatusOK, "fine"))
+	env, servers := newCrashingEnv(t, 12, respond(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	for _, m := range startFleet(t, env, relay.Fanout+1) {
 		caller.fronts = append(caller.fronts, m.front)
--- a/internal/gateway/reporter_test.go
+++ b/internal/gateway/reporter_test.go
@@ -58,7 +58,7 @@
 // TestGatewayCutFromTheStoreLearnsOfChanges checks that a gateway without access to the store receives changes of
 // servers and of the configuration from the leader.
 func TestGatewayCutFromTheStoreLearnsOfChanges(t *testing.T) {
-	first, second := newFakeServer(t, "s1", answer(http.StatusOK, "one")), newFakeServer(t, "s2", answer(http.StatusOK, "two"))
+	first, second := newFakeServer(t, "s1", respond(http.StatusOK, "one")), newFakeServer(t, "s2", respond(http.StatusOK, "two"))
 	env := newTestEnv(t, first)
 	store := secondGateway(t, env)
 	assert.Equal(t, env.get(pathSafe).status, http.StatusOK)
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -47,7 +47,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			server := newFakeServer(t, "a", answer(200, "ok"))
+			server := newFakeServer(t, "a", respond(200, "ok"))
 			env := newTestEnv(t, server)
 			conn, err := net.Dial("tcp", env.front)
 			assert.NilError(t, err)
@@ -66,7 +66,7 @@
 // TestRequestSmuggling checks that a request with both Content-Length and chunked encoding cannot smuggle a second
 // request.
 func TestRequestSmuggling(t *testing.T) {
-	server := newFakeServer(t, "a", answer(200, "ok"))
+	server := newFakeServer(t, "a", respond(200, "ok"))
 	env := newTestEnv(t, server)
 	conn, err := net.Dial("tcp", env.front)
 	assert.NilError(t, err)
@@ -85,7 +85,7 @@
 }
 
 func TestNoConfigurationYet(t *testing.T) {
-	server := newFakeServer(t, "a", answer(200, "ok"))
+	server := newFakeServer(t, "a", respond(200, "ok"))
 	env := newTestEnvWithoutConfig(t, server)
 	env.awaitReady(http.StatusServiceUnavailable)
 	got := env.post(pathUnsafe, "x")
@@ -109,7 +109,7 @@
 }
 
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
-	server := newFakeServer(t, "a", answer(200, "ok"))
+	server := newFakeServer(t, "a", respond(200, "ok"))
 	env := newTestEnv(t, server)
 	env.routing.Version = 9
 	env.routing.Routes = append(routes(), table.Route{
@@ -129,7 +129,7 @@
 }
 
 func TestServiceChanges(t *testing.T) {
-	a, b := newFakeServer(t, "a", answer(200, "from a")), newFakeServer(t, "b", answer(200, "from b"))
+	a, b := newFakeServer(t, "a", respond(200, "from a")), newFakeServer(t, "b", respond(200, "from b"))
 	env := newTestEnv(t, a)
 	assert.Equal(t, env.get(pathSafe).body, "from a")
 	env.putServer(a, true)
--- a/internal/gateway/server_limit_failures_test.go
+++ b/internal/gateway/server_limit_failures_test.go
@@ -16,7 +16,7 @@
 		interval = 25 * time.Millisecond
 		before   = 4 * time.Second
 		after    = 9 * time.Second
-		// last is the final part of after, by which the system has recovered.
+		// last is the final part of after, in which the system must have recovered.
 		last = 4 * time.Second
 	)
 	tests := map[string]struct {
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -142,9 +142,9 @@
 	c.results = append(c.results, result{reply: got, sent: sent.Sub(began), took: time.Since(sent)})
 }
 
-// checkRefusals checks that all requests that were not served were refused with a Retry-After. It also checks that,
-// of the requests sent later than after the start by after, no more waited before their refusal than were served in
-// total. It returns the number of refusals among them.
+// checkRefusals checks that all requests that were not served were refused with a Retry-After. For the requests sent
+// more than after from the start of the run, it also checks that the number of those refused only after a wait does
+// not exceed the number of all requests served. It returns the number of refusals among these later requests.
 func (c *loadGenerator) checkRefusals(t *testing.T, after time.Duration) int {
 	t.Helper()
 	const atOnce = 150 * time.Millisecond
@@ -235,7 +235,7 @@
 	}
 	if isEngine {
 		// Fleet members are considered ready when the plain service responds.
-		env.putServer(newFakeServer(t, "plain", answer(http.StatusOK, "ok")), false)
+		env.putServer(newFakeServer(t, "plain", respond(http.StatusOK, "ok")), false)
 	}
 	env.putConfig()
 	env.awaitReady(http.StatusOK)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -34,7 +34,7 @@
 			c.write(event(2), lastChunk)
 			return true
 		}
-		return answer(200, "ok")(c)
+		return respond(200, "ok")(c)
 	})
 	env := newTestEnv(t, server)
 	resp, err := env.client.Do(env.request(http.MethodPost, pathStream, "x"))
@@ -56,7 +56,7 @@
 // TestStopAnswersRequestBeingRead checks that a stop serves a request that has been read in part, while it closes idle
 // connections.
 func TestStopAnswersRequestBeingRead(t *testing.T) {
-	server := newFakeServer(t, "a", answer(200, "ok"))
+	server := newFakeServer(t, "a", respond(200, "ok"))
 	env := newTestEnv(t, server)
 	idle, reading := env.idleConn(), env.idleConn()
 	const request = "GET " + pathSafe + " HTTP/1.1\r\nHost: " + host + "\r\nX-Id: id-2\r\n\r\n"
@@ -81,7 +81,7 @@
 	release := make(chan struct{})
 	server := newFakeServer(t, "a", func(c *call) bool {
 		if c.RequestURI != pathStream {
-			return answer(200, "ok")(c)
+			return respond(200, "ok")(c)
 		}
 		c.write(c.streamHead(), event(1))
 		<-release
--- a/internal/gateway/store_calls_test.go
+++ b/internal/gateway/store_calls_test.go
@@ -34,7 +34,7 @@
 					}
 					return nil
 				}
-				env := newTestEnvWithoutConfig(t, newFakeServer(t, "a", answer(200, "ok")))
+				env := newTestEnvWithoutConfig(t, newFakeServer(t, "a", respond(200, "ok")))
 				env.store.Fail(fail)
 				env.putConfig()
 				env.checkCallRate(during, maxPerSecond)
--- a/internal/gateway/store_copy_test.go
+++ b/internal/gateway/store_copy_test.go
@@ -14,7 +14,7 @@
 // No gateway may use the old configuration or the removed server, the new server must be used, the next leader must get
 // a higher token, and the number of calls to the store must stay bounded.
 func TestStoreRestore(t *testing.T) {
-	kept, removed := newFakeServer(t, "stays", answer(http.StatusOK, "yes")), newFakeServer(t, "gone", answer(http.StatusOK, "yes"))
+	kept, removed := newFakeServer(t, "stays", respond(http.StatusOK, "yes")), newFakeServer(t, "gone", respond(http.StatusOK, "yes"))
 	env := newTestEnv(t, kept, removed)
 	members := startFleet(t, env, 2)
 	backup := env.store.Backup()
@@ -22,7 +22,7 @@
 		env.store.Set("other", nil)
 	}
 	env.store.Remove(prefix + removed.id)
-	added := newFakeServer(t, "comes", answer(http.StatusOK, "yes"))
+	added := newFakeServer(t, "comes", respond(http.StatusOK, "yes"))
 	env.putServer(added, false)
 	env.routing.Version++
 	env.routing.Routes = env.routing.Routes[:2]
@@ -54,7 +54,7 @@
 	env.putConfig()
 	env.awaitLines("leadership gained", 2)
 	assert.Assert(t, env.lastToken() > first, "%d after %d", env.lastToken(), first)
-	newest := newFakeServer(t, "later", answer(http.StatusOK, "yes"))
+	newest := newFakeServer(t, "later", respond(http.StatusOK, "yes"))
 	env.putServer(newest, false)
 	env.putServer(kept, true)
 	env.putServer(added, true)
@@ -70,8 +70,8 @@
 	}, poll.WithTimeout(5*time.Second))
 }
 
-// TestStoreCallsAfterRestore checks that a restore of the store causes at most twice as many calls to it as the loss
-// of the leader.
+// TestStoreCallsAfterRestore checks that a restore of the store causes at most twice as many calls to it as a stop of
+// the leader.
 func TestStoreCallsAfterRestore(t *testing.T) {
 	// after covers the time without a leader and the new leader's first calls to the store.
 	const after = 6 * time.Second
@@ -88,7 +88,7 @@
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			calls := make(map[string]int)
 			for name, disturb := range disturbances {
-				server := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+				server := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 				env := newTestEnv(t, server)
 				startFleet(t, env, gateways-1)
 				env.awaitLines("leadership gained", 1)
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestSuspendedGatewayNoLongerLeads checks that a leader suspended for longer than its lease stops leading when it
-// resumes, without having to ask the store.
+// resumes, without a call to the store.
 func TestSuspendedGatewayNoLongerLeads(t *testing.T) {
 	env, machine := newSuspendableEnv(t)
 	machine.Suspend(10 * time.Second)
--- a/internal/gateway/worker_test.go
+++ b/internal/gateway/worker_test.go
@@ -130,8 +130,8 @@
 
 func (c *call) write(parts ...string) { _, _ = io.WriteString(c.conn, strings.Join(parts, "")) }
 
-// answer returns a responder that sends a complete, valid response.
-func answer(status int, body string) responder {
+// respond returns a responder that sends a complete, valid response.
+func respond(status int, body string) responder {
 	return func(c *call) bool {
 		c.write(c.head(status, fmt.Sprintf("Content-Length: %d", len(body)), "X-More: kept"), body)
 		return true
