--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -196,9 +196,9 @@
 	}
 	c.setState(connTimedOut)
 	// Errors are ignored: the connection is closed in any case.
-	answer := http.Response{StatusCode: http.StatusRequestTimeout, ProtoMajor: 1, ProtoMinor: 1, Close: true}
+	response := http.Response{StatusCode: http.StatusRequestTimeout, ProtoMajor: 1, ProtoMinor: 1, Close: true}
 	_ = c.SetWriteDeadline(clock.SystemDeadline(refusalWriteTimeout))
-	_ = answer.Write(c.TCPConn)
+	_ = response.Write(c.TCPConn)
 	_ = c.TCPConn.Close()
 }
 
