--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -9,24 +9,24 @@
 	"rockcleat/table"
 )
 
-// revokeFraction is the fraction of the revocation time after which a gateway that cannot confirm its
+// revocationDelayFraction is the fraction of maxRevocationDelay after which a gateway that cannot confirm its
 // configuration stops accepting keys. A request is checked once its header has been read; the remainder covers
 // clock drift and the time until the request reaches the server.
-const revokeFraction = 0.8
+const revocationDelayFraction = 0.8
 
-// retryStaleConfig is the Retry-After for a request whose key cannot be checked. By then an update that the leader's
-// watch delivered late has arrived, and other gateways may already have it.
-const retryStaleConfig = 500 * time.Millisecond
+// retryAfterStaleConfig is the Retry-After for a request whose key cannot be checked. By then an update that the
+// leader's watch delivered late has arrived, and other gateways may already have it.
+const retryAfterStaleConfig = 500 * time.Millisecond
 
 // An authenticator authenticates callers by the API keys in the configuration. It accepts a key only while the
 // configuration is known to be recent.
 type authenticator struct {
 	// currentAt returns the latest time at which the configuration in force was known to be the newest.
 	currentAt func() time.Time
-	// revokeTime is the configured time within which a revoked key must stop working; 0 disables the check.
+	// maxRevocationDelay is the configured time within which a revoked key must stop working; 0 disables the check.
 	// unknownKeyMaxAge returns the maximum age of a configuration that may reject a key as unknown.
-	revokeTime       time.Duration
-	unknownKeyMaxAge func() time.Duration
+	maxRevocationDelay time.Duration
+	unknownKeyMaxAge   func() time.Duration
 }
 
 // configAge returns the time since the configuration in force was last known to be the newest.
@@ -35,9 +35,9 @@
 // authenticate returns the organisation that owns the request's key, or the zero Organisation if the request needs no
 // key. age is that of the configuration, as configAge returns it.
 //
-// If the configuration is too old, the key may have been revoked and the answer is 503. An unknown key is
-// answered with 401 only if the configuration is recent enough; otherwise the key may be newer than the
-// configuration, and the answer is 503 too.
+// If the configuration is too old, the key may have been revoked, and the request is refused with 503. An unknown key
+// is refused with 401 only if the configuration is recent enough; otherwise the key may be newer than the
+// configuration, and the status is 503 too.
 func (a *authenticator) authenticate(r *http.Request, routing *table.Routing, route table.Route, age time.Duration) (table.Organisation, *refusal) {
 	if !routing.RequiresKeys() || route.Public {
 		return table.Organisation{}, nil
@@ -45,18 +45,18 @@
 	organisation, err := keyHolder(r, routing)
 	switch {
 	case a.isTooOld(age):
-		return table.Organisation{}, withOrganisation(notRun("keys cannot be checked now", retryStaleConfig), organisation)
+		return table.Organisation{}, withOrganisation(notRun("keys cannot be checked now", retryAfterStaleConfig), organisation)
 	case err == nil:
 		return organisation, nil
 	case age > a.unknownKeyMaxAge():
-		return table.Organisation{}, notRun("the key is not known here yet", retryStaleConfig)
+		return table.Organisation{}, notRun("the key is not known here yet", retryAfterStaleConfig)
 	}
 	return table.Organisation{}, &refusal{status: http.StatusUnauthorized, reason: err.Error(), challenge: true}
 }
 
 // isTooOld reports whether a configuration of the given age may still contain a revoked key.
 func (a *authenticator) isTooOld(age time.Duration) bool {
-	return a.revokeTime > 0 && float64(age) > revokeFraction*float64(a.revokeTime)
+	return a.maxRevocationDelay > 0 && float64(age) > revocationDelayFraction*float64(a.maxRevocationDelay)
 }
 
 // errUnknownKey reports that the key belongs to no organisation.
@@ -76,7 +76,7 @@
 }
 
 // withOrganisation sets the organisation that the refusal's log line names, and returns the refusal.
-func withOrganisation(f *refusal, o table.Organisation) *refusal {
-	f.organisation = o.Name
-	return f
+func withOrganisation(r *refusal, o table.Organisation) *refusal {
+	r.organisation = o.Name
+	return r
 }
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -31,7 +31,7 @@
 	// name this gateway.
 	seeds  []string
 	isSeed bool
-	// firstStart says that the whole system is started for the first time.
+	// firstStart says that the whole system is being started for the first time.
 	firstStart bool
 }
 
@@ -51,12 +51,12 @@
 	addrs := make(map[string]string, len(gateways))
 	members := make([]relay.Member, len(gateways))
 	var others []string
-	for i, x := range gateways {
-		list[i] = x.Gateway
-		addrs[x.ID] = x.Addr
-		members[i] = relay.Member{ID: x.ID, Addr: x.Addr}
-		if x.Addr != d.self {
-			others = append(others, x.Addr)
+	for i, g := range gateways {
+		list[i] = g.Gateway
+		addrs[g.ID] = g.Addr
+		members[i] = relay.Member{ID: g.ID, Addr: g.Addr}
+		if g.Addr != d.self {
+			others = append(others, g.Addr)
 		}
 	}
 	d.mu.Lock()
@@ -71,8 +71,8 @@
 	return d.gateways
 }
 
-// noteLeader records whether the gateway at an address replied as the leader.
-func (d *directory) noteLeader(addr string, leads bool) {
+// updateLeader records whether the gateway at an address replied as the leader.
+func (d *directory) recordLeader(addr string, leads bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
--- a/internal/gateway/fleet_keeper.go
+++ b/internal/gateway/fleet_keeper.go
@@ -29,7 +29,7 @@
 	// cause one write, and a store restored from a backup has by then received the operators' later writes again.
 	fleetSettleTime = 3 * time.Second
 	// fleetRetention is how long a gateway that left the leader's list stays on the stored one. It exceeds the time for
-	// which such a gateway may use its share of rate limits. Restarting gateways one after another costs no writes.
+	// which such a gateway may use its share of rate limits, and avoids writes when gateways restart one after another.
 	fleetRetention = quota.LeaderlessTTL + 2*time.Second
 	// fleetLoadDelay is how long after its start a gateway without a list reads it from the store. A running leader
 	// has sent its list by then.
@@ -39,7 +39,7 @@
 )
 
 // A fleetStore persists the list of gateways in the store, so that it survives the loss of all gateways. The leader
-// writes it after a change. A gateway reads it if it has started and found no leader, or has become the leader without
+// writes it after a change. A gateway reads it if it found no leader after its start, or became the leader without
 // having received a list.
 //
 // Without the stored list, gateways that restart together do not know of one another until one becomes the leader.
@@ -65,10 +65,11 @@
 	term lease.Token
 	// recent holds the time at which each gateway was last on the leader's list.
 	recent map[placer.Gateway]time.Time
-	// seen is the last result of withRecent, unchanged since seenSince. stored is the list last written to the store.
-	seen      []placer.Gateway
-	seenSince time.Time
-	stored    []placer.Gateway
+	// pending is the last result of withRecent, unchanged since pendingSince. stored is the list last written to the
+	// store.
+	pending      []placer.Gateway
+	pendingSince time.Time
+	stored       []placer.Gateway
 	// synced says that this gateway knows the previous list of gateways, if there was one. nextLoad is the
 	// earliest time of the next read from the store.
 	synced   bool
@@ -87,7 +88,7 @@
 func (f *fleetStore) step(now time.Time) {
 	token, leads := f.lease.Held()
 	if leads && token != f.term {
-		f.term, f.stored, f.seenSince = token, nil, now
+		f.term, f.stored, f.pendingSince = token, nil, now
 	}
 	list := f.gateways.list()
 	f.synced = f.synced || f.firstStart || len(list) > 0 && !leads
@@ -102,15 +103,15 @@
 // save writes the leader's list, including recently listed gateways, once it has been unchanged for fleetSettleTime.
 func (f *fleetStore) save(list []placer.Gateway, now time.Time) {
 	list = f.withRecent(list, now)
-	if !slices.Equal(list, f.seen) {
-		f.seen, f.seenSince = list, now
+	if !slices.Equal(list, f.pending) {
+		f.pending, f.pendingSince = list, now
 	}
-	if len(list) == 0 || slices.Equal(list, f.stored) || now.Sub(f.seenSince) < fleetSettleTime {
+	if len(list) == 0 || slices.Equal(list, f.stored) || now.Sub(f.pendingSince) < fleetSettleTime {
 		return
 	}
 	if err := f.put(list); err != nil {
 		f.log.Warn("writing the list of gateways failed", telemetry.Error(err))
-		f.seenSince = now
+		f.pendingSince = now
 		return
 	}
 	f.stored = list
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -15,7 +15,7 @@
 	"rockcleat/dispatch"
 )
 
-// A forwarder sends one request to servers until it is answered or abandoned.
+// A forwarder sends one request to servers until it is finished.
 type forwarder struct {
 	proxy *proxy
 	in    *inbound
@@ -26,7 +26,7 @@
 	// req is in.requirements, updated with the servers to exclude and other results of earlier sends.
 	req    dispatch.Request
 	record record
-	// headerSent says that the header of an answer has been sent to the caller.
+	// headerSent says that the header of a response has been sent to the caller.
 	headerSent atomic.Bool
 	// retryCharged says that the retry after the current send is already charged to the retry budget.
 	retryCharged atomic.Bool
@@ -58,7 +58,7 @@
 			return
 		}
 		f.record.reservation = res
-		if over := f.send(res); over {
+		if finished := f.send(res); finished {
 			return
 		}
 	}
@@ -69,7 +69,7 @@
 	var limited *dispatch.RateLimitError
 	switch {
 	case f.isCallerGone():
-		f.record.outcome = outcomeGone
+		f.record.outcome = outcomeCallerGone
 	case f.isCancelledByQuarantine():
 		f.refuseQuarantined()
 	case f.headerSent.Load():
@@ -116,7 +116,7 @@
 	return true
 }
 
-// handleRefusal handles an answer in which the server says that it did not run the request. It reports whether the
+// handleRefusal handles a response in which the server says that it did not run the request. It reports whether the
 // request is finished.
 func (f *forwarder) handleRefusal(res *dispatch.Reservation, resp *http.Response) bool {
 	res.Done(refusalResult(resp))
@@ -150,7 +150,7 @@
 	return dispatch.Refused
 }
 
-// handleLost handles a send that may have run but returned no usable answer. It reports whether the request is
+// handleLost handles a send that may have run but returned no usable response. It reports whether the request is
 // finished.
 func (f *forwarder) handleLost(res *dispatch.Reservation, err error) bool {
 	res.Done(dispatch.Failed)
@@ -162,7 +162,7 @@
 	if f.mayRetry() && (f.retryCharged.Load() || f.proxy.budgets.take(f.in)) {
 		f.exclude(res)
 		f.req.MayHaveRun = true
-		f.req.WaitUntil = f.in.deadline.Add(-answerReserve)
+		f.req.WaitUntil = f.in.deadline.Add(-responseReserve)
 		return false
 	}
 	if f.headerSent.Load() {
@@ -175,7 +175,7 @@
 // handleExpired ends a request whose context ended after it was sent.
 func (f *forwarder) handleExpired() {
 	if f.isCallerGone() {
-		f.record.outcome = outcomeGone
+		f.record.outcome = outcomeCallerGone
 		return
 	}
 	if f.isCancelledByQuarantine() {
@@ -188,8 +188,8 @@
 	f.refuse(outcomeTimeout, &refusal{status: http.StatusGatewayTimeout, reason: "no answer in time"})
 }
 
-// server returns a log field with the server of the last send.
-func (f *forwarder) server() zap.Field {
+// serverField returns a log field with the server of the last send.
+func (f *forwarder) serverField() zap.Field {
 	if f.record.reservation == nil {
 		return zap.Skip()
 	}
@@ -201,15 +201,16 @@
 	f.req.Exclude = append(f.req.Exclude, res.Server().ID)
 }
 
-// refuse ends the request with an answer made by the gateway.
+// refuse ends the request with a response made by the gateway.
 func (f *forwarder) refuse(outcome string, r *refusal) {
 	f.record.outcome, f.record.status = outcome, r.status
 	f.proxy.write(f.w, r)
 }
 
-// abort aborts an answer that cannot be completed, so that the caller sees a broken connection, not a complete answer.
+// abort aborts a response that cannot be completed, so that the caller sees a broken connection, not a complete
+// response.
 func (f *forwarder) abort(err error) {
-	f.record.outcome = outcomeCut
-	f.proxy.requestLog.answerAborted(f, err)
+	f.record.outcome = outcomeAborted
+	f.proxy.requestLog.responseAborted(f, err)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -62,7 +62,7 @@
 
 func (decoder) ServerID(key string) string { return strings.TrimPrefix(key, prefix) }
 
-// IsOlderServer reports whether value is not leaving and than is: the tests' records have no sequence number.
+// IsOlderServerEntry reports whether value is not leaving and than is: the tests' records have no sequence number.
 func (decoder) IsOlderServerEntry(value, than []byte) (older, known bool) {
 	var s, other backend.Server
 	known = json.Unmarshal(value, &s) == nil && json.Unmarshal(than, &other) == nil
@@ -124,9 +124,9 @@
 )
 
 func routes() []table.Route {
-	r := func(prefix string, repeat table.RetryPolicy, streams bool, service string) table.Route {
+	r := func(prefix string, policy table.RetryPolicy, streams bool, service string) table.Route {
 		return table.Route{
-			Name: prefix, Host: host, Prefix: prefix, Retry: repeat, Stream: streams, Timeout: 5 * time.Second,
+			Name: prefix, Host: host, Prefix: prefix, Retry: policy, Stream: streams, Timeout: 5 * time.Second,
 			FirstByteObjective: 400 * time.Millisecond, MaxAttempts: 2, Priority: 1, Services: []table.WeightedService{{Service: service, Weight: 1}},
 		}
 	}
@@ -146,12 +146,12 @@
 // firstPort is the first port that tests listen on. It is below the kernel's range of ephemeral ports.
 const firstPort = 20000
 
-// lastPort counts the ports allocated by freeAddr.
-var lastPort atomic.Int64
+// allocatedPorts counts the ports allocated by freeAddr.
+var allocatedPorts atomic.Int64
 
 // freeAddr returns an address that no other call in this process returns. Asking the kernel for a free port would not
 // guarantee that, since it may return the same port again.
-func freeAddr() string { return fmt.Sprintf("%s:%d", ownHost(), firstPort+lastPort.Add(1)) }
+func freeAddr() string { return fmt.Sprintf("%s:%d", ownHost(), firstPort+allocatedPorts.Add(1)) }
 
 // newTestEnv starts a gateway with default settings for the given servers.
 func newTestEnv(t *testing.T, servers ...*fakeServer) *testEnv {
@@ -162,7 +162,7 @@
 func newTestEnvWith(t *testing.T, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
 	env := prepareTestEnv(t, change, servers...)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	return env
 }
 
@@ -172,11 +172,11 @@
 
 // prepareTestEnv starts a gateway that has no configuration yet.
 func prepareTestEnv(t *testing.T, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
-	return prepareTestEnvOn(t, clocktest.Real{}, change, servers...)
+	return prepareTestEnvWithClock(t, clocktest.Real{}, change, servers...)
 }
 
-// prepareTestEnvOn is prepareTestEnv with a given clock for the gateways.
-func prepareTestEnvOn(t *testing.T, c clock.Service, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
+// prepareTestEnvWithClock is prepareTestEnv with a given clock for the gateways.
+func prepareTestEnvWithClock(t *testing.T, c clock.Service, change func(*config.Gateway), servers ...*fakeServer) *testEnv {
 	core, logs := observer.New(zap.InfoLevel)
 	env := &testEnv{t: t, clock: c, log: zap.New(core), logs: logs, store: kvtest.New(clocktest.Real{}), client: &http.Client{Transport: &http.Transport{}}}
 	env.routing = routingFile{
@@ -242,8 +242,8 @@
 	env.store.Set(prefix+s.Name(), value)
 }
 
-// waitReady waits until the readiness endpoint returns status.
-func (env *testEnv) waitReady(status int) {
+// awaitReady waits until the readiness endpoint returns status.
+func (env *testEnv) awaitReady(status int) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
 		resp, err := http.Get("http://" + env.ready + readyPath)
@@ -258,8 +258,8 @@
 	})
 }
 
-// waitServers waits until the gateway knows at least n servers.
-func (env *testEnv) waitServers(n int) {
+// awaitServers waits until the gateway knows at least n servers.
+func (env *testEnv) awaitServers(n int) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
 		known := int64(env.logs.FilterMessage("server seen").Len())
@@ -284,14 +284,14 @@
 	return req
 }
 
-// A reply is the answer that a caller received.
+// A reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// closes says that the answer closes its connection.
+	// closes says that the connection is closed after the response.
 	closes bool
-	// err is not nil if the answer is incomplete.
+	// err is not nil if there is no response or it is incomplete.
 	err error
 }
 
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -28,7 +28,7 @@
 	service table.Service
 	// organisation owns the key that the request came with; the zero Organisation if none is needed.
 	organisation table.Organisation
-	// dropsKey says that the API key is not forwarded to servers.
+	// dropsKey says that the API key must not be forwarded to servers.
 	dropsKey bool
 	// target is the requested model and adapter; empty for services without engines.
 	target backend.Adapter
@@ -52,7 +52,7 @@
 	configAge := p.authenticator.configAge(now)
 	routing := p.config.routing()
 	if routing == nil {
-		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: retryUnready}
+		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: retryAfterUnready}
 	}
 	limits := routing.Limits()
 	if limits.HeaderBytes > 0 && headerBytes(r) > limits.HeaderBytes {
@@ -105,7 +105,7 @@
 	}
 	in.target = backend.ParseAdapter(in.Header.Get(p.names.Model))
 	if !in.isServable() {
-		return notRun("the model is not configured", retryUnknownModel)
+		return notRun("the model is not configured", retryAfterUnknownModel)
 	}
 	in.deadline, ok = deadlineOf(in.arrived, in.route.Timeout, in.Header.Get(p.names.Deadline))
 	if !ok {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// isServable reports whether the service can ever serve the request's model: engines load only configured models.
+// isServable reports whether the service may be able to serve the request's model: engines load only configured models.
 // Adapters are not checked, since the configuration contains only their number. A service without servers is
 // accepted, since it may get some while the request waits.
 func (in *inbound) isServable() bool {
@@ -149,7 +149,7 @@
 	}
 	// Setting the deadline fails only on a closed connection, which the read below reports.
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(clock.SystemDeadline(p.bodyTime))
+	_ = rc.SetReadDeadline(clock.SystemDeadline(p.bodyTimeout))
 	var src io.Reader = r.Body
 	if limit > 0 {
 		src = io.LimitReader(src, limit+1)
@@ -190,8 +190,8 @@
 // defaultTimeout applies to requests for which neither the route nor the caller sets a timeout.
 const defaultTimeout = time.Minute
 
-// deadlineOf returns the deadline of a request: its arrival plus the shorter of the route's timeout and the caller's,
-// a number of milliseconds in header. It returns false if header is not such a number.
+// deadlineOf returns the deadline of a request: its arrival plus the shorter of the route's timeout and the caller's.
+// header holds the caller's timeout in milliseconds; it may be empty. deadlineOf returns false if it is malformed.
 func deadlineOf(arrived time.Time, timeout time.Duration, header string) (time.Time, bool) {
 	if header != "" {
 		ms, err := strconv.ParseInt(strings.TrimSpace(header), 10, 64)
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -20,12 +20,13 @@
 	useKeys(env)
 	env.routing.Organisations[0].RateLimit = limit
 	env.putConfig()
-	env.waitReady(http.StatusOK)
-	env.waitLines("leadership gained", 1)
+	env.awaitReady(http.StatusOK)
+	env.awaitLines("leadership gained", 1)
 	return env
 }
 
-// awaitLimit waits until a request of the limited organisation with the given token counts is answered with status.
+// awaitLimit waits until a request of the limited organisation with the given token counts gets a response
+// with status.
 func (env *testEnv) awaitLimit(status int, tokens string) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
@@ -52,7 +53,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newFakeServer(t, "a", answer(http.StatusOK, "yes"))
+			x := newFakeServer(t, "a", respond(http.StatusOK, "yes"))
 			env := newLimitEnv(t, test.limit, x)
 			env.awaitLimit(http.StatusOK, test.tokens)
 			before := x.count()
--- a/internal/gateway/peer_server.go
+++ b/internal/gateway/peer_server.go
@@ -28,12 +28,13 @@
 	dispatcher *dispatch.Dispatcher
 	quarantine *quarantine.Table
 	limiter    *quota.Limiter
-	// serverLimits holds the rate limits of backend servers. lapsed returns the number of gateways that recently left
-	// the leader's list.
+	// serverLimits holds the rate limits of backend servers. removedCount returns the number of gateways that recently
+	// left the leader's list.
 	serverLimits *serverLimits
-	lapsed       func() int
+	removedCount func() int
 	// limits returns this gateway's state of all rate limits.
 	limits func() wire.LimitList
+	// synced says that this gateway knows the quarantine from before its start.
 	synced *atomic.Bool
 	clock  clock.Service
 	// leaseKey is the store key of the leader's lease.
@@ -61,18 +62,18 @@
 		return err
 	}
 	p.configs.HandleVersion(m.ConfigVersion, m.Addr)
-	a := replyMessage{
+	reply := replyMessage{
 		Reply: p.placer.Report(m.Report), Config: p.configs.Announcement(), Quarantine: p.quarantine.Answer(m.Quarantine, quarantine.SharedMinCrashes),
-		QuarantineKnown: m.QuarantineUnknown && p.synced.Load(), Lapsed: p.lapsed(), ServerLimits: p.serverLimits.Answer(m.ServerLimits),
+		QuarantineKnown: m.QuarantineUnknown && p.synced.Load(), RemovedGateways: p.removedCount(), ServerLimits: p.serverLimits.Answer(m.ServerLimits),
 	}
-	if !a.IsLeader {
+	if !reply.IsLeader {
 		record, _ := p.placer.Leader()
-		a.Leader = p.gateways.leaderOr(record)
+		reply.Leader = p.gateways.leaderOr(record)
 	}
-	if a.IsLeader && hasWaiting(m.Report) {
+	if reply.IsLeader && hasWaiting(m.Report) {
 		p.placer.Wake()
 	}
-	return c.JSON(http.StatusOK, a)
+	return c.JSON(http.StatusOK, reply)
 }
 
 // handleConfig handles a request for the configuration.
@@ -88,7 +89,7 @@
 	return c.JSON(http.StatusOK, t)
 }
 
-// handleFeed handles a poll for changes in the store. It answers as soon as there is a change or a newer view, and
+// handleFeed handles a poll for changes in the store. It responds as soon as there is a change or a newer view, and
 // after the hold time at the latest.
 func (p *peerServer) handleFeed(c echo.Context) error {
 	var r feedRequest
@@ -96,19 +97,19 @@
 		return err
 	}
 	p.configs.HandleVersion(r.ConfigVersion, r.Addr)
-	asked := p.clock.Now()
-	p.awaitChanges(c.Request().Context(), r, asked)
+	requestedAt := p.clock.Now()
+	p.awaitChanges(c.Request().Context(), r, requestedAt)
 	p.markLeaseCurrent()
 	return c.JSON(http.StatusOK, feedReply{
-		Changes: p.fanout.Since(r.Revisions), Config: p.configs.Announcement(), HeldMs: p.clock.Now().Sub(asked).Milliseconds(),
+		Changes: p.fanout.Since(r.Revisions), Config: p.configs.Announcement(), HeldMs: p.clock.Now().Sub(requestedAt).Milliseconds(),
 	})
 }
 
 // awaitChanges waits until there is something new for the polling gateway, for at most the hold time.
-func (p *peerServer) awaitChanges(ctx context.Context, r feedRequest, asked time.Time) {
+func (p *peerServer) awaitChanges(ctx context.Context, r feedRequest, requestedAt time.Time) {
 	before := p.fanout.CurrentTimes(r.Revisions)
 	maxAge := p.fanout.MaxAge()
-	end := asked.Add(feedHold(maxAge))
+	end := requestedAt.Add(feedHold(maxAge))
 	for ctx.Err() == nil {
 		changed := p.fanout.Changed()
 		left := end.Sub(p.clock.Now())
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -14,7 +14,7 @@
 )
 
 // A proxy is the HTTP handler for callers' requests. It reads each request completely, forwards it to a server and
-// forwards the answer.
+// forwards the response.
 type proxy struct {
 	names         wire.HeaderNames
 	config        *configuration
@@ -26,14 +26,14 @@
 	lifecycle     *lifecycle
 	conns         *conns
 	quarantine    *quarantine.Table
-	detector      *terminationDetector
+	detector      *crashDetector
 	copies        copySerializer
-	// serverLimits receives the rate limit announced in each answer.
+	// serverLimits receives the rate limit announced in each response.
 	serverLimits *serverlimit.Table
 	clock        clock.Service
 	transport    http.RoundTripper
-	// bodyTime is the timeout for reading a request body.
-	bodyTime time.Duration
+	// bodyTimeout is the timeout for reading a request body.
+	bodyTimeout time.Duration
 }
 
 // ServeHTTP implements http.Handler.
@@ -49,7 +49,7 @@
 	}
 	if refused != nil {
 		p.write(w, refused)
-		p.requestLog.refusedEarly(r, refused)
+		p.requestLog.requestRefused(r, refused)
 		return
 	}
 	ctx, cancel := clock.WithDeadline(r.Context(), p.clock, in.deadline)
@@ -65,9 +65,9 @@
 }
 
 // write sends a refusal. While the gateway is stopping, it also closes the connection.
-func (p *proxy) write(w http.ResponseWriter, f *refusal) {
-	f.closeConn = f.closeConn || p.lifecycle.isStopping()
-	f.write(w)
+func (p *proxy) write(w http.ResponseWriter, r *refusal) {
+	r.closeConn = r.closeConn || p.lifecycle.isStopping()
+	r.write(w)
 }
 
 // finish records the result of a request in the dispatcher, the log and the metrics.
--- a/internal/gateway/quarantine_failures_test.go
+++ b/internal/gateway/quarantine_failures_test.go
@@ -24,7 +24,7 @@
 	for range quarantine.DefaultCrashThreshold {
 		assert.Equal(p.env.t, p.send().status, http.StatusBadGateway)
 	}
-	p.env.waitLines("request quarantined", gateways)
+	p.env.awaitLines("request quarantined", gateways)
 }
 
 // stopNow stops env's gateway without a grace period.
@@ -35,8 +35,8 @@
 	_ = env.gateway.Stop(ctx)
 }
 
-// waitLines waits until at least n log lines have the given message.
-func (env *testEnv) waitLines(message string, n int) {
+// awaitLines waits until at least n log lines have the given message.
+func (env *testEnv) awaitLines(message string, n int) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
 		if got := env.logs.FilterMessage(message).Len(); got < n {
@@ -60,7 +60,7 @@
 
 // newQuarantineFleet starts three gateways with crashing servers.
 func newQuarantineFleet(t *testing.T) (*copySender, *crashingServers) {
-	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
+	env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	for _, m := range startFleet(t, env, 2) {
 		caller.fronts = append(caller.fronts, m.front)
@@ -110,14 +110,14 @@
 	caller.awaitQuarantine(3)
 	stopNow(caller.env)
 	caller.fronts = caller.fronts[1:]
-	caller.env.waitLines("leadership gained", 2)
+	caller.env.awaitLines("leadership gained", 2)
 	caller.checkRefused(servers)
 }
 
 // TestQuarantineOutlastsAllGateways checks that a gateway started after the loss of all gateways reads the quarantine
 // from the store.
 func TestQuarantineOutlastsAllGateways(t *testing.T) {
-	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
+	env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	caller.awaitQuarantine(1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -131,7 +131,7 @@
 	s := gatewaySettings(t, "next")
 	s.FirstStart = false
 	env.startGateway(s, env.store)
-	env.waitLines("request quarantined", 2)
+	env.awaitLines("request quarantined", 2)
 	caller.fronts = []string{s.Listen}
 	caller.checkRefused(servers)
 }
@@ -140,8 +140,8 @@
 // is no leader.
 func TestQuarantineWithoutTheStore(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
-	caller.env.store.Fail(func(string) error { return errors.New("away") })
-	caller.env.waitLines("leadership lost", 1)
+	caller.env.store.Fail(func(string) error { return errors.New("store unreachable") })
+	caller.env.awaitLines("leadership lost", 1)
 	caller.awaitQuarantine(3)
 	caller.checkRefused(servers)
 }
@@ -155,7 +155,7 @@
 	digest := list[0].ContextMap()["digest"].(string)
 	code, out := caller.env.command("quarantine", "lift", "-gateway", caller.env.peer, digest)
 	assert.Equal(t, code, 0, out)
-	caller.env.waitLines("quarantine ended", 3)
+	caller.env.awaitLines("quarantine ended", 3)
 	for range caller.fronts {
 		assert.Equal(t, caller.send().status, http.StatusOK)
 	}
@@ -166,7 +166,7 @@
 }
 
 // TestConcurrentCopies checks that, with copies sent to all gateways concurrently, only copies already in flight at
-// the third termination can terminate further servers.
+// the third crash can make further servers crash.
 func TestConcurrentCopies(t *testing.T) {
 	caller, servers := newQuarantineFleet(t)
 	atOnce := 2 * len(caller.fronts)
@@ -178,24 +178,24 @@
 		}
 		copies.Wait()
 	}
-	caller.env.waitLines("request quarantined", 3)
-	// Two servers may terminate before the last batch, and one under each copy of that batch.
+	caller.env.awaitLines("request quarantined", 3)
+	// Two servers may crash before the last batch, and one under each copy of that batch.
 	most := quarantine.DefaultCrashThreshold - 1 + atOnce
 	assert.Assert(t, servers.crashes.Load() <= int64(most), "%d servers ended", servers.crashes.Load())
 	caller.checkRefused(servers)
 }
 
-// TestQuarantineStopsRetries checks that a request in quarantine is neither retried nor resumed, and is answered with
-// the status of one that may have run.
+// TestQuarantineStopsRetries checks that a request in quarantine is neither retried nor resumed, and gets a response
+// with the status of one that may have run.
 func TestQuarantineStopsRetries(t *testing.T) {
 	for name, path := range map[string]string{"repeated": pathSafe, "resumed": pathResume} {
 		t.Run(name, func(t *testing.T) {
-			env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
+			env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
 			caller := &copySender{env: env, path: path, fronts: []string{env.front}}
 			for range quarantine.DefaultCrashThreshold {
 				caller.send()
 			}
-			env.waitLines("request quarantined", 1)
+			env.awaitLines("request quarantined", 1)
 			assert.Assert(t, servers.crashes.Load() <= quarantine.DefaultCrashThreshold+1, "%d servers ended", servers.crashes.Load())
 			caller.checkRefused(servers)
 		})
@@ -203,10 +203,10 @@
 }
 
 // TestQuarantineCancelsWaitingCopy checks that a copy still waiting at a server is cancelled when its request is
-// placed in quarantine: its caller is answered, and the connection to the server is closed.
+// placed in quarantine: its caller gets a response, and the connection to the server is closed.
 func TestQuarantineCancelsWaitingCopy(t *testing.T) {
-	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
-	servers.holdsNext.Store(true)
+	env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
+	servers.holdNext.Store(true)
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	kept := make(chan reply)
 	go func() {
@@ -214,7 +214,7 @@
 		kept <- first.send()
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if servers.holdsNext.Load() {
+		if servers.holdNext.Load() {
 			return poll.Continue("the first copy has not come")
 		}
 		return poll.Success()
@@ -227,8 +227,8 @@
 	caller.checkRefused(servers)
 }
 
-// TestConnFailuresAreNoTerminations checks that broken connections and invalid answers do not count as terminations
-// of a server.
+// TestConnFailuresAreNoTerminations checks that broken connections and invalid responses do not count as crashes of a
+// server.
 func TestConnFailuresAreNoTerminations(t *testing.T) {
 	tests := map[string]responder{
 		"the connection is closed": func(*call) bool { return false },
@@ -242,11 +242,11 @@
 			return false
 		},
 	}
-	for name, answer := range tests {
+	for name, serve := range tests {
 		t.Run(name, func(t *testing.T) {
 			var list []*fakeServer
 			for i := range 6 {
-				list = append(list, newFakeServer(t, fmt.Sprint("s", i), answer))
+				list = append(list, newFakeServer(t, fmt.Sprint("s", i), serve))
 			}
 			env := newTestEnv(t, list...)
 			for range 6 {
@@ -258,15 +258,15 @@
 	}
 }
 
-// TestCopiesAreSentOneAtATime checks that copies of a request under which a server has terminated are sent one at a
-// time, so that concurrent copies cannot terminate more servers before the quarantine begins. Two more servers
-// terminate, and the other copies are refused.
+// TestCopiesAreSentOneAtATime checks that copies of a request under which a server has crashed are sent one at a time,
+// so that concurrent copies cannot make more servers crash before the quarantine begins. Two more servers crash, and
+// the other copies are refused.
 func TestCopiesAreSentOneAtATime(t *testing.T) {
 	const copies = 6
-	env, servers := newCrashingEnv(t, 8, answer(http.StatusOK, "fine"))
+	env, servers := newCrashingEnv(t, 8, respond(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	assert.Equal(t, caller.send().status, http.StatusBadGateway)
-	env.waitLines("server ended", 1)
+	env.awaitLines("server ended", 1)
 	statuses := make(chan int, copies)
 	for i := range copies {
 		go func() {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -14,39 +14,39 @@
 	"rockcleat/relay"
 )
 
-// poison is the body of a request that terminates the server running it.
+// poison is the body of a request that makes the server running it crash.
 const poison = "ends whoever runs it"
 
-// propagationTime is the maximum time until all gateways know of the third termination. maxLateSends is the number of
+// propagationTime is the maximum time until all gateways know of the third crash. maxLateSends is the number of
 // sends allowed after it. Both are requirements of the platform.
 const (
 	propagationTime = 3 * time.Second
 	maxLateSends    = 3
 )
 
-// restartTime is the time from the termination of a crashing server to its restart.
+// restartTime is the time from the crash of a server to its restart.
 const restartTime = 300 * time.Millisecond
 
-// crashingServers terminate when they receive poison, and restart after restartTime as a new instance at the same
-// address. They answer all other requests.
+// crashingServers crash when they receive poison, and restart after restartTime as a new instance at the same address.
+// They handle all other requests with fallback.
 type crashingServers struct {
-	t       *testing.T
-	rest    responder
-	crashes atomic.Int64
-	// fixed says that poison is harmless. holdsNext says that the next copy is left unanswered until the gateway
+	t        *testing.T
+	fallback responder
+	crashes  atomic.Int64
+	// fixed says that poison is harmless. holdNext says that the next copy is left unanswered until the gateway
 	// closes its connection.
-	fixed, holdsNext atomic.Bool
+	fixed, holdNext atomic.Bool
 	// env is where restarted servers are listed.
 	env *testEnv
-	// mu guards stopped, which says that no more restarts may be scheduled. restarts counts the pending ones.
+	// mu guards stopped, which says that restarts must no longer be scheduled. restarts counts the pending ones.
 	mu       sync.Mutex
 	stopped  bool
 	restarts sync.WaitGroup
 }
 
 // newCrashingEnv starts a gateway with n crashing servers.
-func newCrashingEnv(t *testing.T, n int, rest responder) (*testEnv, *crashingServers) {
-	f := &crashingServers{t: t, rest: rest}
+func newCrashingEnv(t *testing.T, n int, fallback responder) (*testEnv, *crashingServers) {
+	f := &crashingServers{t: t, fallback: fallback}
 	var list []*fakeServer
 	for i := range n {
 		list = append(list, f.start(fmt.Sprint("s", i), "127.0.0.1:0", 1))
@@ -63,9 +63,9 @@
 	started := make(chan struct{})
 	server = newFakeServerAt(f.t, fmt.Sprintf("%s-%d", name, run), addr, func(c *call) bool {
 		if c.body != poison || f.fixed.Load() {
-			return f.rest(c)
+			return f.fallback(c)
 		}
-		if f.holdsNext.Swap(false) {
+		if f.holdNext.Swap(false) {
 			<-c.gone
 			return false
 		}
@@ -125,29 +125,29 @@
 	return doWith(&http.Client{Transport: transport}, req)
 }
 
-// TestRequestThatTerminatesServers checks that a request that terminates servers is quarantined at all gateways.
-// Without that, a caller that resends the request under a new id, to a different gateway each time, terminates one
-// server after another.
+// TestRequestThatTerminatesServers checks that a request that makes servers crash is quarantined at all gateways.
+// Without that, a caller that resends the request under a new id, to a different gateway each time, makes one server
+// after another crash.
 func TestRequestThatTerminatesServers(t *testing.T) {
-	const pace = 100 * time.Millisecond
-	env, servers := newCrashingEnv(t, 12, answer(http.StatusOK, "fine"))
+	const interval = 100 * time.Millisecond
+	env, servers := newCrashingEnv(t, 12, respond(http.StatusOK, "fine"))
 	caller := &copySender{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	for _, m := range startFleet(t, env, relay.Fanout+1) {
 		caller.fronts = append(caller.fronts, m.front)
 	}
-	var third time.Time
+	var thirdCrash time.Time
 	var late int64
-	ticker := time.NewTicker(pace)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	for third.IsZero() || time.Since(third) < propagationTime+2*time.Second {
+	for thirdCrash.IsZero() || time.Since(thirdCrash) < propagationTime+2*time.Second {
 		before := servers.crashes.Load()
 		got := caller.send()
 		assert.NilError(t, got.err)
 		reached := servers.crashes.Load() > before
-		if third.IsZero() && servers.crashes.Load() >= 3 {
-			third = time.Now()
+		if thirdCrash.IsZero() && servers.crashes.Load() >= 3 {
+			thirdCrash = time.Now()
 		}
-		if reached && !third.IsZero() && time.Since(third) > propagationTime {
+		if reached && !thirdCrash.IsZero() && time.Since(thirdCrash) > propagationTime {
 			late++
 		}
 		if !reached {
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -10,36 +10,36 @@
 	"rockcleat/apikey"
 )
 
-// A refusal is an answer that the gateway makes itself, without a server.
+// A refusal is a response that the gateway makes itself, without a server.
 type refusal struct {
 	status int
 	reason string
 	// retryAfter is the value of the Retry-After header; 0 omits the header.
 	retryAfter time.Duration
-	// closeConn closes the connection after the answer.
+	// closeConn says that the connection is closed after the response.
 	closeConn bool
-	// challenge adds a WWW-Authenticate header.
+	// challenge says that the response has a WWW-Authenticate header.
 	challenge bool
 	// organisation owns the key that the request came with; empty if it is not known.
 	organisation string
 }
 
 // write sends the refusal. Write errors are ignored, since they mean that the caller has disconnected.
-func (f *refusal) write(w http.ResponseWriter) {
+func (r *refusal) write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	if f.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 2, 64))
+	if r.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 2, 64))
 	}
-	if f.challenge {
+	if r.challenge {
 		h.Set("WWW-Authenticate", apikey.Scheme)
 	}
-	if f.closeConn {
+	if r.closeConn {
 		h.Set("Connection", "close")
 	}
-	text := f.reason + "\n"
+	text := r.reason + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	w.WriteHeader(f.status)
+	w.WriteHeader(r.status)
 	_, _ = io.WriteString(w, text)
 }
 
@@ -48,19 +48,19 @@
 const (
 	// minRetryAfter is the shortest Retry-After.
 	minRetryAfter = 200 * time.Millisecond
-	// retryUnready is the Retry-After while the gateway has no configuration, which it normally gets within half a
+	// retryAfterUnready is the Retry-After while the gateway has no configuration, which it normally gets within half a
 	// second of its start.
-	retryUnready = 500 * time.Millisecond
-	// retryUnknownModel is the Retry-After for a model that is not configured. By then, a configuration that another
+	retryAfterUnready = 500 * time.Millisecond
+	// retryAfterUnknownModel is the Retry-After for a model that is not configured. By then, a configuration that another
 	// gateway already has is in force here.
-	retryUnknownModel = 2 * time.Second
+	retryAfterUnknownModel = 2 * time.Second
 	// shedFraction is the fraction of the first-byte objective after which a shed request may be sent again
 	// (docs/design/0010).
 	shedFraction = 0.2
 )
 
 // retryAfterLoad returns the Retry-After for a request that no server could take. It is randomised, so that
-// requests refused together do not return together.
+// requests refused together are not retried together.
 func retryAfterLoad() time.Duration { return minRetryAfter + rand.N(2*minRetryAfter) }
 
 // retryAfterShed returns the randomised Retry-After for a request that was shed.
@@ -81,7 +81,7 @@
 	return &refusal{status: http.StatusServiceUnavailable, reason: reason + "; not run", retryAfter: retryAfter}
 }
 
-// mayHaveRun returns the refusal of a request that may have run but has no answer.
+// mayHaveRun returns the refusal of a request that may have run but has no response.
 func mayHaveRun(reason string) *refusal {
 	return &refusal{status: http.StatusBadGateway, reason: reason}
 }
--- a/internal/gateway/reporter.go
+++ b/internal/gateway/reporter.go
@@ -57,7 +57,7 @@
 	// synced says that this gateway knows the quarantine from before its start.
 	synced *atomic.Bool
 	// urgent triggers an immediate report: a request waits for a model that no server has loaded, a server has
-	// terminated, or one has announced a changed rate limit.
+	// crashed, or one has announced a changed rate limit.
 	urgent signal
 
 	// failing says that the last report failed.
@@ -111,7 +111,7 @@
 		now := r.clock.Now()
 		reply := r.placer.Report(m)
 		if reply.IsLeader {
-			r.limiters.leaderReplied(now, quota.AbsentGateways{Removed: r.limiters.lapsed(), Awaited: reply.Awaited})
+			r.limiters.leaderReplied(now, quota.AbsentGateways{Removed: r.limiters.removedCount(), Awaited: reply.Awaited})
 		}
 		r.apply(reply, demands)
 		r.placer.Wake()
@@ -136,7 +136,7 @@
 		r.placer.RecordPeerReply(addr, false)
 		return
 	}
-	r.reportAnswered(addr)
+	r.reportSucceeded(addr)
 	r.quarantine.ApplyReply(reply.Quarantine)
 	r.serverLimits.ApplyReply(reply.ServerLimits)
 	if reply.QuarantineKnown {
@@ -144,21 +144,21 @@
 	}
 	r.placer.RecordPeerReply(addr, !reply.IsLeader)
 	if reply.IsLeader {
-		r.limiters.leaderReplied(requested, quota.AbsentGateways{Removed: reply.Lapsed, Awaited: reply.Awaited})
+		r.limiters.leaderReplied(requested, quota.AbsentGateways{Removed: reply.RemovedGateways, Awaited: reply.Awaited})
 	}
 	r.configs.HandleAnnouncement(reply.Config, addr, requested)
-	r.noteLeader(addr, reply)
+	r.updateLeader(addr, reply)
 	if !reply.IsLeader && r.gateways.depth(r.leader) <= 1 {
-		// The followed gateway is no longer the leader. The first level looks for the new leader in the store; the
+		// The gateway at addr is no longer the leader. The first level looks for the new leader in the store; the
 		// other levels learn of it from the first.
 		r.fanout.Invalidate()
 	}
 	r.apply(reply.Reply, demands)
 }
 
-// noteLeader updates the known leader from the reply of the gateway at addr.
-func (r *reporter) noteLeader(addr string, reply replyMessage) {
-	r.gateways.noteLeader(addr, reply.IsLeader)
+// updateLeader updates the known leader from the reply of the gateway at addr.
+func (r *reporter) updateLeader(addr string, reply replyMessage) {
+	r.gateways.recordLeader(addr, reply.IsLeader)
 	switch {
 	case reply.IsLeader:
 		r.leader, r.staleLeaseAddr = addr, ""
@@ -186,8 +186,8 @@
 	if addr := r.gateways.random(r.staleLeaseAddr); addr != "" {
 		return addr
 	}
-	// No other gateway is known. The gateway in the record may have become the leader since it was last asked, so it
-	// is asked again.
+	// No other gateway is known. The gateway in the record may have become the leader since its last reply, so it is
+	// tried again.
 	if r.leaseAddr != r.self.addr {
 		return r.leaseAddr
 	}
@@ -195,21 +195,21 @@
 }
 
 // reportFailed forgets a leader that did not reply. With probability 1/2 it selects a random other gateway as the
-// next target, because the store's record may not show a new leader yet.
+// next target, because the lease's record may not show a new leader yet.
 func (r *reporter) reportFailed(addr string, err error) {
 	if !r.failing {
 		r.failing = true
 		r.log.Warn("report unanswered", zap.String("addr", addr), telemetry.Error(err))
 	}
-	r.gateways.noteLeader(addr, false)
+	r.gateways.recordLeader(addr, false)
 	r.leader = ""
 	if rand.IntN(2) == 0 {
 		r.leader = r.gateways.random(addr)
 	}
 }
 
-// reportAnswered records that a report was answered.
-func (r *reporter) reportAnswered(addr string) {
+// reportSucceeded records that a gateway replied to a report.
+func (r *reporter) reportSucceeded(addr string) {
 	if r.failing {
 		r.failing = false
 		r.log.Info("report answered again", zap.String("addr", addr))
@@ -223,9 +223,9 @@
 		r.residencyVersion = 0
 	}
 	changed := make(map[string]dispatch.Demand)
-	for name, x := range demands {
-		if r.reported[name] != x {
-			changed[name] = x
+	for name, demand := range demands {
+		if r.reported[name] != demand {
+			changed[name] = demand
 		}
 	}
 	return placer.Report{
@@ -236,28 +236,28 @@
 }
 
 // apply applies the leader's reply. demands is the demand at the time of the report.
-func (r *reporter) apply(a placer.Reply, demands map[string]dispatch.Demand) {
-	if !a.IsLeader {
+func (r *reporter) apply(reply placer.Reply, demands map[string]dispatch.Demand) {
+	if !reply.IsLeader {
 		return
 	}
-	r.servers.setResidency(a.Residency, a.Full)
-	r.recordSent(a, demands)
-	if a.Gateways != nil {
-		r.applyGateways(a.Gateways)
+	r.servers.setResidency(reply.Residency, reply.Full)
+	r.recordSent(reply, demands)
+	if reply.Gateways != nil {
+		r.applyGateways(reply.Gateways)
 	}
 	r.servers.refresh()
-	r.dispatcher.SetPrefillSpeeds(a.Speeds)
-	r.dispatcher.SetRemoteLoads(a.Loads, a.BusiestOnly)
+	r.dispatcher.SetPrefillSpeeds(reply.Speeds)
+	r.dispatcher.SetRemoteLoads(reply.Loads, reply.BusiestOnly)
 }
 
 // recordSent records what the leader now knows. A new leader has received only changes relative to its predecessor's
 // last reply, so the next report is complete.
-func (r *reporter) recordSent(a placer.Reply, demands map[string]dispatch.Demand) {
-	r.residencyVersion = a.ResidencyVersion
-	r.gatewaysVersion = a.GatewaysVersion
-	r.speedsVersion = a.SpeedsVersion
+func (r *reporter) recordSent(reply placer.Reply, demands map[string]dispatch.Demand) {
+	r.residencyVersion = reply.ResidencyVersion
+	r.gatewaysVersion = reply.GatewaysVersion
+	r.speedsVersion = reply.SpeedsVersion
 	r.reported = demands
-	if a.Term != r.term {
-		r.term, r.reported = a.Term, nil
+	if reply.Term != r.term {
+		r.term, r.reported = reply.Term, nil
 	}
 }
--- a/internal/gateway/reporter_test.go
+++ b/internal/gateway/reporter_test.go
@@ -20,7 +20,7 @@
 	disconnected atomic.Bool
 }
 
-var errDisconnected = errors.New("store cut off")
+var errDisconnected = errors.New("store disconnected")
 
 // ListPrefix implements kv.PrefixStore.
 func (s *disconnectableStore) ListPrefix(ctx context.Context, prefix string) ([]kv.Entry, kv.Revision, error) {
@@ -51,14 +51,14 @@
 	s := gatewaySettings(t, "g2")
 	env.startGateway(s, store)
 	env.front, env.ready = s.Listen, s.ReadyListen
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	return store
 }
 
 // TestGatewayCutFromTheStoreLearnsOfChanges checks that a gateway without access to the store receives changes of
 // servers and of the configuration from the leader.
 func TestGatewayCutFromTheStoreLearnsOfChanges(t *testing.T) {
-	first, second := newFakeServer(t, "s1", answer(http.StatusOK, "one")), newFakeServer(t, "s2", answer(http.StatusOK, "two"))
+	first, second := newFakeServer(t, "s1", respond(http.StatusOK, "one")), newFakeServer(t, "s2", respond(http.StatusOK, "two"))
 	env := newTestEnv(t, first)
 	store := secondGateway(t, env)
 	assert.Equal(t, env.get(pathSafe).status, http.StatusOK)
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -47,7 +47,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			server := newFakeServer(t, "a", answer(200, "ok"))
+			server := newFakeServer(t, "a", respond(200, "ok"))
 			env := newTestEnv(t, server)
 			conn, err := net.Dial("tcp", env.front)
 			assert.NilError(t, err)
@@ -66,7 +66,7 @@
 // TestRequestSmuggling checks that a request with both Content-Length and chunked encoding cannot smuggle a second
 // request.
 func TestRequestSmuggling(t *testing.T) {
-	server := newFakeServer(t, "a", answer(200, "ok"))
+	server := newFakeServer(t, "a", respond(200, "ok"))
 	env := newTestEnv(t, server)
 	conn, err := net.Dial("tcp", env.front)
 	assert.NilError(t, err)
@@ -85,20 +85,20 @@
 }
 
 func TestNoConfigurationYet(t *testing.T) {
-	server := newFakeServer(t, "a", answer(200, "ok"))
+	server := newFakeServer(t, "a", respond(200, "ok"))
 	env := newTestEnvWithoutConfig(t, server)
-	env.waitReady(http.StatusServiceUnavailable)
+	env.awaitReady(http.StatusServiceUnavailable)
 	got := env.post(pathUnsafe, "x")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	assert.Equal(t, env.post(pathUnsafe, "x").status, http.StatusOK)
 }
 
-// eventually waits until a request is answered with status.
-func (env *testEnv) eventually(path string, status int) {
+// awaitPath waits until a request for path gets a response with status.
+func (env *testEnv) awaitPath(path string, status int) {
 	env.t.Helper()
 	poll.WaitOn(env.t, func(poll.LogT) poll.Result {
 		if got := env.get(path); got.status != status {
@@ -109,7 +109,7 @@
 }
 
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
-	server := newFakeServer(t, "a", answer(200, "ok"))
+	server := newFakeServer(t, "a", respond(200, "ok"))
 	env := newTestEnv(t, server)
 	env.routing.Version = 9
 	env.routing.Routes = append(routes(), table.Route{
@@ -117,19 +117,19 @@
 		MaxAttempts: 1, Services: []table.WeightedService{{Service: "app"}},
 	})
 	env.putConfig()
-	env.eventually("/new/x", http.StatusOK)
+	env.awaitPath("/new/x", http.StatusOK)
 	env.routing.Version, env.routing.Routes = 5, routes()
 	env.putConfig()
 	env.routing.Version, env.routing.Routes = 11, append(routes(), env.routing.Routes...)
 	env.routing.Routes[0].Prefix = "/newest/"
 	env.routing.Routes[0].Retry = table.RetryIdempotent
 	env.putConfig()
-	env.eventually("/newest/x", http.StatusOK)
+	env.awaitPath("/newest/x", http.StatusOK)
 	assert.Equal(t, env.get("/new/x").status, http.StatusNotFound, "version 11 has no such route")
 }
 
 func TestServiceChanges(t *testing.T) {
-	a, b := newFakeServer(t, "a", answer(200, "from a")), newFakeServer(t, "b", answer(200, "from b"))
+	a, b := newFakeServer(t, "a", respond(200, "from a")), newFakeServer(t, "b", respond(200, "from b"))
 	env := newTestEnv(t, a)
 	assert.Equal(t, env.get(pathSafe).body, "from a")
 	env.putServer(a, true)
@@ -146,11 +146,11 @@
 	}
 	assert.Equal(t, a.count(), before, "a leaving server gets nothing new")
 	env.store.Remove(prefix + "b")
-	env.eventually(pathSafe, http.StatusServiceUnavailable)
+	env.awaitPath(pathSafe, http.StatusServiceUnavailable)
 }
 
 func TestDeadlines(t *testing.T) {
-	silent := func(c *call) bool { <-c.gone; return false }
+	unresponsive := func(c *call) bool { <-c.gone; return false }
 	tests := map[string]struct {
 		headers []string
 		timeout time.Duration
@@ -162,13 +162,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			server := newFakeServer(t, "a", silent)
+			server := newFakeServer(t, "a", unresponsive)
 			env := newTestEnvWithoutConfig(t, server)
 			for i := range env.routing.Routes {
 				env.routing.Routes[i].Timeout = test.timeout
 			}
 			env.putConfig()
-			env.waitReady(http.StatusOK)
+			env.awaitReady(http.StatusOK)
 			start := time.Now()
 			got := env.post(pathUnsafe, "x", test.headers...)
 			assert.NilError(t, got.err)
@@ -228,7 +228,7 @@
 	env.putEngine(a, "m1")
 	env.putEngine(b, "m2")
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	got := env.post(pathModel, "x", names.Model, "m2", names.Tokens, "100,10", names.Prefix, "ab:60,cd:40")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
@@ -245,7 +245,7 @@
 	env := newTestEnvWithoutConfig(t)
 	env.putEngine(a)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	replies := make(chan reply, 1)
 	go func() { replies <- env.post(pathModel, "x", names.Model, "m1", names.Tokens, "100,10") }()
 	time.AfterFunc(50*time.Millisecond, func() { env.putEngine(a, "m1") })
@@ -257,7 +257,7 @@
 func TestNoServerBeforeDeadline(t *testing.T) {
 	env := newTestEnvWithoutConfig(t)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	got := env.post(pathModel, "x", names.Model, "m1", names.Deadline, "700")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -28,15 +28,15 @@
 	if f.record.sends == 0 {
 		f.record.waited = f.proxy.clock.Now().Sub(f.in.arrived)
 	}
-	f.proxy.requestLog.sending(f, res)
+	f.proxy.requestLog.recordSend(f, res)
 	sent := f.proxy.clock.Now()
 	resp, err := f.proxy.transport.RoundTrip(f.serverRequest(ctx, res))
 	if err != nil {
-		return f.handleNoAnswer(res, cause(ctx, err))
+		return f.handleNoResponse(res, cause(ctx, err))
 	}
 	defer resp.Body.Close()
 	f.record.sends++
-	f.noteServerLimit(res, resp, sent)
+	f.recordServerLimit(res, resp, sent)
 	if resp.Header.Get(f.proxy.names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest {
 		return f.handleRefusal(res, resp)
 	}
@@ -47,7 +47,7 @@
 	if f.in.route.Stream && resp.StatusCode == http.StatusOK {
 		return f.forwardStream(ctx, res, resp, stall)
 	}
-	return f.forwardAnswer(ctx, res, resp)
+	return f.forwardResponse(ctx, res, resp)
 }
 
 // cause returns the cause of ctx's cancellation if there is one, and err otherwise.
@@ -58,12 +58,12 @@
 	return err
 }
 
-// handleNoAnswer handles a send that failed before an answer's header arrived. It reports whether the request is
+// handleNoResponse handles a send that failed before a response's header arrived. It reports whether the request is
 // finished.
-func (f *forwarder) handleNoAnswer(res *dispatch.Reservation, err error) bool {
+func (f *forwarder) handleNoResponse(res *dispatch.Reservation, err error) bool {
 	if f.isCallerGone() {
 		res.Done(dispatch.Canceled)
-		f.record.outcome = outcomeGone
+		f.record.outcome = outcomeCallerGone
 		return true
 	}
 	if wire.IsNotSent(err) {
@@ -71,27 +71,27 @@
 	}
 	f.record.sends++
 	f.record.runs++
-	f.noteConnFailure(res, err)
+	f.reportConnFailure(res, err)
 	return f.handleLost(res, err)
 }
 
-// validate returns an error if resp does not answer this request, or cannot continue an answer that was begun.
+// validate returns an error if resp does not belong to this request, or cannot continue a response that has begun.
 func (f *forwarder) validate(resp *http.Response) error {
 	if id := resp.Header.Get(f.proxy.names.RequestID); id != f.in.id {
-		return eris.Errorf("gateway: answer to another request %q", id)
+		return eris.Errorf("gateway: response to another request %q", id)
 	}
 	if resp.StatusCode < 300 && resp.Header.Get(f.proxy.names.Signature) == "" {
-		return eris.New("gateway: answer without a signature")
+		return eris.New("gateway: response without a signature")
 	}
 	if f.headerSent.Load() && resp.StatusCode != http.StatusOK {
-		return eris.Errorf("gateway: status %d in answer to a resumed stream", resp.StatusCode)
+		return eris.Errorf("gateway: status %d in response to a resumed stream", resp.StatusCode)
 	}
 	return nil
 }
 
-// noteServerLimit records the rate limit in an answer. It ignores answers to other requests and answers of a
-// misdirected server, which belong to another server. sent is when the request was sent.
-func (f *forwarder) noteServerLimit(res *dispatch.Reservation, resp *http.Response, sent time.Time) {
+// recordServerLimit records the rate limit in a response. It ignores responses to other requests, and responses with
+// status 421, which come from a server other than the intended one. sent is when the request was sent.
+func (f *forwarder) recordServerLimit(res *dispatch.Reservation, resp *http.Response, sent time.Time) {
 	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(f.proxy.names.RequestID) != f.in.id {
 		return
 	}
--- a/internal/gateway/server_ends.go
+++ b/internal/gateway/server_ends.go
@@ -15,15 +15,15 @@
 	"rockcleat/quarantine"
 )
 
-// Parameters of the detection of terminated servers.
+// Parameters of the detection of crashed servers.
 const (
-	// delistWindow is how long after a connection failed the server counts as terminated if it leaves the list. It
-	// covers three heartbeats of 1.2 s and the time to notice the change.
+	// delistWindow is how long after a failed connection the server counts as crashed if the platform removes it from
+	// the list. It covers three heartbeats of 1.2 s and the time to notice the change.
 	delistWindow = 6 * time.Second
-	// maxSuspects is the maximum number of requests that the termination of one server is attributed to.
+	// maxSuspects is the maximum number of requests to which the crash of one server is attributed.
 	maxSuspects = 256
-	// loggedDigests is the maximum number of digests in a log line.
-	loggedDigests = 16
+	// maxLoggedDigests is the maximum number of digests in a log line.
+	maxLoggedDigests = 16
 )
 
 // A failedServer is a server instance to which connections failed during requests.
@@ -31,19 +31,19 @@
 	server *backend.Server
 	// at is when the last connection failed.
 	at time.Time
-	// probing says that a probe is running, terminated that the instance has terminated.
-	probing, terminated bool
-	// suspects are the requests whose connection failed, possibly because the server terminated.
+	// probing says that a probe is running, crashed that the instance has crashed.
+	probing, crashed bool
+	// suspects are the requests whose connection failed, possibly because the server crashed.
 	suspects []quarantine.Key
 }
 
-// A terminationDetector detects that a server has terminated, and attributes the termination to all requests whose
-// connection failed at that time, since any of them may be the cause. It is safe for concurrent use.
+// A crashDetector detects that a server has crashed, and attributes the crash to all requests whose connection failed
+// at that time, since any of them may be the cause. It is safe for concurrent use.
 //
-// A failed connection alone does not count, because network links fail, answers are cut short and gateways are paused.
-// A server has terminated if nothing listens at its address any more or if the platform removes the instance from its
-// list soon afterwards, provided that it had not announced that it is leaving.
-type terminationDetector struct {
+// A failed connection alone does not count, because network links fail, responses are truncated and gateways are
+// paused. A server has crashed if nothing listens at its address any more or if the platform removes the instance from
+// its list soon afterwards, provided that it had not announced that it is leaving.
+type crashDetector struct {
 	// ctx ends with the gateway and stops the probes.
 	ctx     context.Context
 	clock   clock.Service
@@ -53,17 +53,17 @@
 	dial func(ctx context.Context, addr string) error
 	// wasPaused reports whether this process was recently paused.
 	wasPaused func(now time.Time) bool
-	// onTermination is called after each attributed termination.
-	onTermination func()
-	log           *zap.Logger
-	metrics       Metrics
+	// onCrash is called after each crash that was attributed to requests.
+	onCrash func()
+	log     *zap.Logger
+	metrics Metrics
 
 	mu     sync.Mutex
 	failed map[string]*failedServer
 }
 
 // connFailed records that the connection to s failed during the request with key k.
-func (d *terminationDetector) connFailed(s *backend.Server, k quarantine.Key) {
+func (d *crashDetector) connFailed(s *backend.Server, k quarantine.Key) {
 	now := d.clock.Now()
 	listed, ok := d.servers.Snapshot().Server(s.ID)
 	if !ok || listed.Leaving || d.wasPaused(now) {
@@ -73,116 +73,116 @@
 		return
 	}
 	d.table.RecordCrash(s.ID, k)
-	d.onTermination()
+	d.onCrash()
 }
 
 // addSuspect adds a request to the suspects of a server, and starts a probe if none is running. It returns false if the
-// server is already known to have terminated.
-func (d *terminationDetector) addSuspect(s *backend.Server, k quarantine.Key, now time.Time) (added bool) {
+// server is already known to have crashed.
+func (d *crashDetector) addSuspect(s *backend.Server, k quarantine.Key, now time.Time) (added bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b := d.failed[s.ID]
-	if b == nil {
-		b = &failedServer{server: s}
-		d.failed[s.ID] = b
+	failed := d.failed[s.ID]
+	if failed == nil {
+		failed = &failedServer{server: s}
+		d.failed[s.ID] = failed
 	}
-	if b.terminated {
+	if failed.crashed {
 		return false
 	}
-	b.at = now
-	if len(b.suspects) < maxSuspects {
-		b.suspects = append(b.suspects, k)
+	failed.at = now
+	if len(failed.suspects) < maxSuspects {
+		failed.suspects = append(failed.suspects, k)
 	}
-	if !b.probing {
-		b.probing = true
-		go d.probe(b)
+	if !failed.probing {
+		failed.probing = true
+		go d.probe(failed)
 	}
 	return true
 }
 
 // probe tests whether a server is alive. If the server accepts a connection, the requests that failed before the
 // attempt failed for other reasons; those that failed later need another attempt.
-func (d *terminationDetector) probe(b *failedServer) {
+func (d *crashDetector) probe(failed *failedServer) {
 	before := 0
-	p := wire.Probe{Clock: d.clock, Connect: d.dial, BeforeAttempt: func() { before = d.suspectCount(b) }}
+	p := wire.Probe{Clock: d.clock, Connect: d.dial, BeforeAttempt: func() { before = d.suspectCount(failed) }}
 	for {
-		result := p.Run(d.ctx, b.server.Addr)
+		result := p.Run(d.ctx, failed.server.Addr)
 		if result == wire.ServerEnded {
-			d.terminated(b)
+			d.recordCrash(failed)
 			return
 		}
-		if !d.applyProbe(b, before, result) {
+		if !d.applyProbe(failed, before, result) {
 			return
 		}
 	}
 }
 
-func (d *terminationDetector) suspectCount(b *failedServer) int {
+func (d *crashDetector) suspectCount(failed *failedServer) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(b.suspects)
+	return len(failed.suspects)
 }
 
 // applyProbe applies the result of a connection attempt. before is the number of suspects when the attempt began. It
 // reports whether another attempt is needed for later suspects.
-func (d *terminationDetector) applyProbe(b *failedServer, before int, result wire.ProbeResult) bool {
+func (d *crashDetector) applyProbe(failed *failedServer, before int, result wire.ProbeResult) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if result == wire.ServerAlive && !b.terminated {
-		b.suspects = b.suspects[before:]
+	if result == wire.ServerAlive && !failed.crashed {
+		failed.suspects = failed.suspects[before:]
 	}
-	b.probing = result == wire.ServerAlive && len(b.suspects) > 0
-	return b.probing
+	failed.probing = result == wire.ServerAlive && len(failed.suspects) > 0
+	return failed.probing
 }
 
-// terminated attributes a server's termination to its suspects. It does nothing if that has been done before.
-func (d *terminationDetector) terminated(b *failedServer) {
-	suspects, first := d.takeSuspects(b)
+// recordCrash attributes a server's crash to its suspects. It does nothing if that has been done before.
+func (d *crashDetector) recordCrash(failed *failedServer) {
+	suspects, first := d.takeSuspects(failed)
 	if !first {
 		return
 	}
-	d.metrics.ServerCrashed(b.server.Service)
-	d.log.Info(msgServerEnded, zap.String(fieldServer, b.server.ID), zap.String(fieldAddr, b.server.Addr),
-		zap.Int(fieldRequests, len(suspects)), zap.Stringers(fieldDigests, suspects[:min(len(suspects), loggedDigests)]))
-	d.table.RecordCrash(b.server.ID, suspects...)
-	d.onTermination()
+	d.metrics.ServerCrashed(failed.server.Service)
+	d.log.Info(msgServerCrashed, zap.String(fieldServer, failed.server.ID), zap.String(fieldAddr, failed.server.Addr),
+		zap.Int(fieldRequests, len(suspects)), zap.Stringers(fieldDigests, suspects[:min(len(suspects), maxLoggedDigests)]))
+	d.table.RecordCrash(failed.server.ID, suspects...)
+	d.onCrash()
 }
 
-// takeSuspects marks a server as terminated and removes its suspects; first is false if it was marked before.
-func (d *terminationDetector) takeSuspects(b *failedServer) (suspects []quarantine.Key, first bool) {
+// takeSuspects marks a server as crashed and removes its suspects; first is false if it was marked before.
+func (d *crashDetector) takeSuspects(failed *failedServer) (suspects []quarantine.Key, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if b.terminated {
+	if failed.crashed {
 		return nil, false
 	}
-	b.terminated = true
-	suspects, b.suspects = b.suspects, nil
+	failed.crashed = true
+	suspects, failed.suspects = failed.suspects, nil
 	return suspects, true
 }
 
 // check handles servers that have left the list since a connection failed, and removes old entries. It is called every
 // expireInterval.
-func (d *terminationDetector) check(now time.Time) {
+func (d *crashDetector) check(now time.Time) {
 	snapshot := d.servers.Snapshot()
 	var gone []*failedServer
 	d.mu.Lock()
-	for id, b := range d.failed {
+	for id, failed := range d.failed {
 		s, listed := snapshot.Server(id)
 		switch {
-		case now.Sub(b.at) > delistWindow, listed && s.Leaving && !b.terminated:
+		case now.Sub(failed.at) > delistWindow, listed && s.Leaving && !failed.crashed:
 			delete(d.failed, id)
-		case !listed && len(b.suspects) > 0:
-			gone = append(gone, b)
+		case !listed && len(failed.suspects) > 0:
+			gone = append(gone, failed)
 		}
 	}
 	d.mu.Unlock()
-	for _, b := range gone {
-		d.terminated(b)
+	for _, failed := range gone {
+		d.recordCrash(failed)
 	}
 }
 
 // isConnFailure reports whether a send failed because its connection did, and not because of a timeout, a
-// cancellation or an invalid answer.
+// cancellation or an invalid response.
 func isConnFailure(err error) bool {
 	var timeout net.Error
 	switch {
--- a/internal/gateway/server_limit_scale_test.go
+++ b/internal/gateway/server_limit_scale_test.go
@@ -31,8 +31,8 @@
 	return f
 }
 
-// answers simulates one answer with a rate limit from each server, received by a random gateway.
-func (f *limitFleet) answers(servers int, r *rand.Rand) {
+// announce simulates one response with a rate limit from each server, received by a random gateway.
+func (f *limitFleet) announce(servers int, r *rand.Rand) {
 	for i := range servers {
 		g := r.IntN(len(f.tables))
 		f.tables[g].Observe(fmt.Sprint("i-0123456", i), serverlimit.HeaderLimit{Kind: serverlimit.Limited, PerSecond: 1.8}, f.clock.Now())
@@ -55,10 +55,10 @@
 // checks the traffic per gateway while the limits stay in force.
 func TestServerLimitsAreKnownInTime(t *testing.T) {
 	const (
-		servers = 146
-		step    = 10 * time.Millisecond
-		stands  = 20 * time.Second
-		pace    = time.Second
+		servers  = 146
+		step     = 10 * time.Millisecond
+		duration = 20 * time.Second
+		interval = time.Second
 		// budget is the maximum control traffic of a gateway, in bytes per second.
 		budget = 5000
 	)
@@ -66,19 +66,19 @@
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(1, 0))
 			f := newLimitFleet(gateways, r)
-			f.answers(servers, r)
+			f.announce(servers, r)
 			for !f.allKnow(servers) {
 				f.step(step)
 			}
 			known := f.clock.Now().Sub(time.Unix(0, 0))
 			f.bytes = 0
-			for range int(stands / pace) {
-				f.answers(servers, r)
-				for range int(pace / step) {
+			for range int(duration / interval) {
+				f.announce(servers, r)
+				for range int(interval / step) {
 					f.step(step)
 				}
 			}
-			rate := f.bytes / gateways / int(stands.Seconds())
+			rate := f.bytes / gateways / int(duration.Seconds())
 			t.Logf("known after %v, then %d bytes a second and gateway", known, rate)
 			assert.Assert(t, known <= 2*time.Second, "known after %v", known)
 			assert.Assert(t, rate <= budget, "%d bytes a second", rate)
--- a/internal/gateway/server_limit_test.go
+++ b/internal/gateway/server_limit_test.go
@@ -21,7 +21,7 @@
 	limitSlack  = 5
 )
 
-// A throttledServer is a backend server that announces a rate limit in its answers while one is set.
+// A throttledServer is a backend server that announces a rate limit in its responses while one is set.
 type throttledServer struct {
 	*fakeServer
 	mu          sync.Mutex
@@ -30,7 +30,7 @@
 	arrivals    []time.Time
 }
 
-// newThrottledServer starts a server that answers each request with its current rate limit.
+// newThrottledServer starts a server that announces its current rate limit, if any, in each response.
 func newThrottledServer(t *testing.T, id string, isEngine bool) *throttledServer {
 	s := &throttledServer{}
 	s.fakeServer = newFakeServer(t, id, func(c *call) bool {
@@ -82,9 +82,9 @@
 // countSince returns the number of requests received since a time.
 func (s *throttledServer) countSince(from time.Time) int { return s.countBetween(from, time.Now()) }
 
-// mostInWindow returns the largest number of requests in any limitWindow, starting propagationTime after the limit
+// maxInWindow returns the largest number of requests in any limitWindow, starting propagationTime after the limit
 // was first announced.
-func (s *throttledServer) mostInWindow() int {
+func (s *throttledServer) maxInWindow() int {
 	s.mu.Lock()
 	from := s.announcedAt.Add(propagationTime - limitWindow)
 	arrivals := s.arrivals
@@ -117,10 +117,10 @@
 	sent, took time.Duration
 }
 
-// run sends one request per pace to the gateways in turn, for a duration.
-func (c *loadGenerator) run(pace, during time.Duration) {
+// run sends one request per interval to the gateways in turn, for a duration.
+func (c *loadGenerator) run(interval, during time.Duration) {
 	began := time.Now()
-	ticker := time.NewTicker(pace)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for i := 0; time.Since(began) < during; i++ {
 		c.wait.Add(1)
@@ -142,9 +142,9 @@
 	c.results = append(c.results, result{reply: got, sent: sent.Sub(began), took: time.Since(sent)})
 }
 
-// checkRefusals checks that all requests that were not served were refused with a Retry-After. It also checks that,
-// of the requests sent later than after the start by after, no more waited before their refusal than were served in
-// total. It returns the number of refusals among them.
+// checkRefusals checks that all requests that were not served were refused with a Retry-After. For the requests sent
+// more than after from the start of the run, it also checks that the number of those refused only after a wait does
+// not exceed the number of all requests served. It returns the number of refusals among these later requests.
 func (c *loadGenerator) checkRefusals(t *testing.T, after time.Duration) int {
 	t.Helper()
 	const atOnce = 150 * time.Millisecond
@@ -172,12 +172,12 @@
 }
 
 // TestServerLimitIsKept checks that all gateways together respect a rate limit that a server announces. A server
-// announces its limit in an answer to one gateway, which has to inform the others.
+// announces its limit in a response to one gateway, which has to inform the others.
 func TestServerLimitIsKept(t *testing.T) {
 	const (
-		perSecond  = 2.0
-		plainPace  = 25 * time.Millisecond
-		enginePace = 80 * time.Millisecond
+		perSecond      = 2.0
+		plainInterval  = 25 * time.Millisecond
+		engineInterval = 80 * time.Millisecond
 		// during covers propagationTime and one window after it.
 		during = propagationTime + limitWindow + time.Second
 	)
@@ -188,12 +188,12 @@
 		// needy is the number of servers with a rate limit, fronts the number of gateways that receive requests.
 		needy, fronts int
 	}{
-		"plain service, one of two in need":                 {pace: plainPace, needy: 1, fronts: 3},
-		"plain service, all in need":                        {pace: plainPace, needy: 2, fronts: 3},
-		"plain service, all in need, callers at a gateway":  {pace: plainPace, needy: 2, fronts: 1},
-		"engines, one of two in need":                       {isEngine: true, pace: enginePace, needy: 1, fronts: 3},
-		"engines, all in need":                              {isEngine: true, pace: enginePace, needy: 2, fronts: 3},
-		"engines, all in need, callers at a single gateway": {isEngine: true, pace: enginePace, needy: 2, fronts: 1},
+		"plain service, one of two in need":                 {pace: plainInterval, needy: 1, fronts: 3},
+		"plain service, all in need":                        {pace: plainInterval, needy: 2, fronts: 3},
+		"plain service, all in need, callers at a gateway":  {pace: plainInterval, needy: 2, fronts: 1},
+		"engines, one of two in need":                       {isEngine: true, pace: engineInterval, needy: 1, fronts: 3},
+		"engines, all in need":                              {isEngine: true, pace: engineInterval, needy: 2, fronts: 3},
+		"engines, all in need, callers at a single gateway": {isEngine: true, pace: engineInterval, needy: 2, fronts: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -207,7 +207,7 @@
 			c.run(test.pace, during)
 			most := limitFactor*perSecond*limitWindow.Seconds() + limitSlack
 			for _, s := range servers[:test.needy] {
-				got := s.mostInWindow()
+				got := s.maxInWindow()
 				assert.Assert(t, float64(got) <= most, "%d requests in %s, allowed are %v", got, limitWindow, most)
 				took := s.countSince(s.announcedAt.Add(propagationTime))
 				least := int(0.7 * perSecond * (during - propagationTime - time.Second).Seconds())
@@ -234,11 +234,11 @@
 		}
 	}
 	if isEngine {
-		// Fleet members are considered ready when the plain service answers.
-		env.putServer(newFakeServer(t, "plain", answer(http.StatusOK, "ok")), false)
+		// Fleet members are considered ready when the plain service responds.
+		env.putServer(newFakeServer(t, "plain", respond(http.StatusOK, "ok")), false)
 	}
 	env.putConfig()
-	env.waitReady(http.StatusOK)
+	env.awaitReady(http.StatusOK)
 	c := &loadGenerator{env: env, path: pathUnsafe, fronts: []string{env.front}}
 	if isEngine {
 		c.path, c.headers = pathModel, []string{names.Model, "m1", names.Tokens, "10,10", names.Deadline, "1000"}
@@ -246,6 +246,6 @@
 	for _, m := range startFleet(t, env, 2) {
 		c.fronts = append(c.fronts, m.front)
 	}
-	env.waitLines("leadership gained", 1)
+	env.awaitLines("leadership gained", 1)
 	return c
 }
--- a/internal/gateway/server_limits.go
+++ b/internal/gateway/server_limits.go
@@ -10,14 +10,14 @@
 	"rockcleat/serverlimit"
 )
 
-// permitRetryDelay is how long to wait before the owner of a server's rate limit is asked again, after it did not
-// answer or did not know how much it may grant.
+// permitRetryDelay is how long to wait before a permit is requested again from the owner of a server's rate limit,
+// after the owner did not reply or did not know how much it may grant.
 const permitRetryDelay = 200 * time.Millisecond
 
 // serverLimits enforces the rate limits that backend servers announce, together with the other gateways. It implements
 // dispatch.Permits.
 //
-// A server announces its limit in an answer to one gateway, but the limit applies to all gateways. The table
+// A server announces its limit in a response to one gateway, but the limit applies to all gateways. The table
 // distributes it with each report to the leader and each request for a permit. The limiter assigns each limit an
 // owner, a gateway that grants permits to all others.
 type serverLimits struct {
@@ -26,8 +26,8 @@
 	metrics Metrics
 }
 
-// newServerLimits returns the limits of backend servers. An announcement received by this gateway triggers an immediate
-// report to the leader.
+// newServerLimits returns the rate limits of backend servers. A change that a server announces to this gateway triggers
+// an immediate report to the leader.
 func (p *components) newServerLimits(o Options) *serverLimits {
 	l := &serverLimits{metrics: o.Metrics}
 	l.Table = serverlimit.New(serverlimit.Options{Clock: o.Clock, OnChange: func(c serverlimit.Change) {
@@ -38,13 +38,13 @@
 		}
 	}})
 	l.limiter = quota.New(quota.Options{
-		Self: o.Settings.ID, Clock: o.Clock, GrantClient: &permitAsker{peers: p.peers, limits: l.Table},
+		Self: o.Settings.ID, Clock: o.Clock, GrantClient: &permitRequester{peers: p.peers, limits: l.Table},
 		Tolerance: serverlimit.Tolerance(), Limit: l.quota, OnOwnerUnresponsive: p.requestLog.permitFailed,
 	})
 	return l
 }
 
-// isThrottled reports whether a server's rate limit has, for some time, been too low to use its slots.
+// isThrottled reports whether a server's rate limit has been too low to use its slots for some time.
 func (l *serverLimits) isThrottled(s *backend.Server) bool {
 	status, ok := l.Status(s.ID)
 	return ok && serverlimit.IsThrottled(status, s.Slots)
@@ -75,7 +75,7 @@
 	case d.Outcome == quota.WithinLimit:
 		granted = true
 	case !limited:
-		// The owner knows that the limit has ended.
+		// The owner has replied that the limit has ended.
 		granted = true
 	case d.Outcome == quota.OverLimit:
 		wait = d.RetryAfter
@@ -86,7 +86,7 @@
 	return granted, wait
 }
 
-// GiveBack implements dispatch.Permits.
+// Release implements dispatch.Permits.
 func (l *serverLimits) Release(server string) { l.limiter.Refund(server, 1) }
 
 // subscribe starts the periodic work and returns the function that stops it.
@@ -97,26 +97,27 @@
 	})
 }
 
-// A permitMessage asks the owner of a server's rate limit for a permit, and contains the sender's record of that limit.
+// A permitMessage requests a permit from the owner of a server's rate limit, and contains the sender's record of that
+// limit.
 type permitMessage struct {
 	quota.Request
 	Limit serverlimit.Record `json:"limit"`
 }
 
-// A permitReply answers a permitMessage, and contains the owner's record of the limit.
+// A permitReply is the reply to a permitMessage, and contains the owner's record of the limit.
 type permitReply struct {
 	quota.Reply
 	Limit serverlimit.Record `json:"limit"`
 }
 
-// A permitAsker requests permits from the owners of servers' rate limits. It implements quota.GrantClient.
-type permitAsker struct {
+// A permitRequester requests permits from the owners of servers' rate limits. It implements quota.GrantClient.
+type permitRequester struct {
 	peers  *peerClient
 	limits *serverlimit.Table
 }
 
-// AskGrant implements quota.GrantClient.
-func (a *permitAsker) RequestGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
+// RequestGrant implements quota.GrantClient.
+func (a *permitRequester) RequestGrant(ctx context.Context, gateway string, r quota.Request) (quota.Reply, error) {
 	m := permitMessage{Request: r}
 	m.Limit, _ = a.limits.Record(r.Key)
 	reply, err := a.peers.requestPermit(ctx, gateway, m)
@@ -138,9 +139,9 @@
 type limiters []*quota.Limiter
 
 // leaderReplied calls quota.Limiter.RecordLeaderReply on each limiter.
-func (q limiters) leaderReplied(asked time.Time, a quota.AbsentGateways) {
+func (q limiters) leaderReplied(requestedAt time.Time, a quota.AbsentGateways) {
 	for _, l := range q {
-		l.RecordLeaderReply(asked, a)
+		l.RecordLeaderReply(requestedAt, a)
 	}
 }
 
@@ -157,5 +158,5 @@
 	}
 }
 
-// lapsed returns the number of gateways that recently left the leader's list.
-func (q limiters) lapsed() int { return q[0].CountRemoved() }
+// removedCount returns the number of gateways that recently left the leader's list.
+func (q limiters) removedCount() int { return q[0].CountRemoved() }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -23,7 +23,7 @@
 	return done
 }
 
-// TestStop checks that a stop makes the gateway unready, aborts no answer, and still serves requests that arrive
+// TestStop checks that a stop makes the gateway unready, aborts no response, and still serves requests that arrive
 // before the load balancer has noticed.
 func TestStop(t *testing.T) {
 	release := make(chan struct{})
@@ -34,14 +34,14 @@
 			c.write(event(2), lastChunk)
 			return true
 		}
-		return answer(200, "ok")(c)
+		return respond(200, "ok")(c)
 	})
 	env := newTestEnv(t, server)
 	resp, err := env.client.Do(env.request(http.MethodPost, pathStream, "x"))
 	assert.NilError(t, err)
 	defer resp.Body.Close()
 	done := env.stop(20 * time.Second)
-	env.waitReady(http.StatusServiceUnavailable)
+	env.awaitReady(http.StatusServiceUnavailable)
 	got := env.get(pathSafe)
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
@@ -56,7 +56,7 @@
 // TestStopAnswersRequestBeingRead checks that a stop serves a request that has been read in part, while it closes idle
 // connections.
 func TestStopAnswersRequestBeingRead(t *testing.T) {
-	server := newFakeServer(t, "a", answer(200, "ok"))
+	server := newFakeServer(t, "a", respond(200, "ok"))
 	env := newTestEnv(t, server)
 	idle, reading := env.idleConn(), env.idleConn()
 	const request = "GET " + pathSafe + " HTTP/1.1\r\nHost: " + host + "\r\nX-Id: id-2\r\n\r\n"
@@ -75,13 +75,13 @@
 	assert.NilError(t, <-done)
 }
 
-// TestStopTakesNoRequestAfterALongAnswer checks that a request pipelined behind a long answer is not served once the
+// TestStopTakesNoRequestAfterALongAnswer checks that a request pipelined behind a long response is not served once the
 // gateway has closed idle connections, since the gateway would not wait for it to finish.
 func TestStopTakesNoRequestAfterALongAnswer(t *testing.T) {
 	release := make(chan struct{})
 	server := newFakeServer(t, "a", func(c *call) bool {
 		if c.RequestURI != pathStream {
-			return answer(200, "ok")(c)
+			return respond(200, "ok")(c)
 		}
 		c.write(c.streamHead(), event(1))
 		<-release
@@ -109,7 +109,7 @@
 	assert.Equal(t, server.count(), before+1)
 }
 
-// idleConn returns a connection on which one request has been answered.
+// idleConn returns a connection on which one request has been served.
 func (env *testEnv) idleConn() net.Conn {
 	conn, err := net.Dial("tcp", env.front)
 	assert.NilError(env.t, err)
@@ -123,13 +123,13 @@
 	return conn
 }
 
-// TestStopAnswersWaitingRequests checks that requests waiting for a server or for an answer are answered before the
-// process ends.
+// TestStopAnswersWaitingRequests checks that requests waiting for a server or for its response get a response before
+// the process ends.
 func TestStopAnswersWaitingRequests(t *testing.T) {
 	server := newFakeServer(t, "a", func(c *call) bool { <-c.gone; return false })
 	env := newTestEnv(t, server)
-	silent, waiting := make(chan reply, 1), make(chan reply, 1)
-	go func() { silent <- env.post(pathUnsafe, "x") }()
+	unanswered, waiting := make(chan reply, 1), make(chan reply, 1)
+	go func() { unanswered <- env.post(pathUnsafe, "x") }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if server.count() == 0 {
 			return poll.Continue("not sent yet")
@@ -138,7 +138,7 @@
 	})
 	done := env.stop(time.Second)
 	go func() { waiting <- env.post(pathModel, "x", names.Model, "m1") }()
-	got := <-silent
+	got := <-unanswered
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusGatewayTimeout, "it may have run")
 	got = <-waiting
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -66,7 +66,7 @@
 			break
 		}
 		if err != nil {
-			f.noteConnFailure(res, cause(ctx, err))
+			f.reportConnFailure(res, cause(ctx, err))
 			return f.handleLost(res, cause(ctx, err))
 		}
 		res.RecordFirstByte()
@@ -78,7 +78,7 @@
 		last = now
 		if err := f.forwardEvent(resp, buf.Bytes()); err != nil {
 			res.Done(dispatch.Canceled)
-			f.record.outcome = outcomeGone
+			f.record.outcome = outcomeCallerGone
 			return true
 		}
 		if id != "" {
@@ -86,7 +86,7 @@
 		}
 	}
 	if !f.headerSent.Load() {
-		f.beginAnswer(resp)
+		f.beginResponse(resp)
 		f.w.WriteHeader(resp.StatusCode)
 	}
 	f.finish(res, resp.StatusCode)
@@ -97,7 +97,7 @@
 // has disconnected.
 func (f *forwarder) forwardEvent(resp *http.Response, event []byte) error {
 	if !f.headerSent.Load() {
-		f.beginAnswer(resp)
+		f.beginResponse(resp)
 		f.w.Header().Del("Content-Length")
 		f.w.WriteHeader(resp.StatusCode)
 	}
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -15,20 +15,20 @@
 // newSuspendableEnv starts a gateway that leads, on a simulated machine that can be suspended.
 func newSuspendableEnv(t *testing.T, servers ...*fakeServer) (*testEnv, *clocktest.Source) {
 	machine := clocktest.NewSource()
-	env := prepareTestEnvOn(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, servers...)
+	env := prepareTestEnvWithClock(t, clock.NewSystemFrom(machine), func(*config.Gateway) {}, servers...)
 	env.putConfig()
-	env.waitReady(http.StatusOK)
-	env.waitLines("leadership gained", 1)
+	env.awaitReady(http.StatusOK)
+	env.awaitLines("leadership gained", 1)
 	return env, machine
 }
 
 // TestSuspendedGatewayNoLongerLeads checks that a leader suspended for longer than its lease stops leading when it
-// resumes, without having to ask the store.
+// resumes, without a call to the store.
 func TestSuspendedGatewayNoLongerLeads(t *testing.T) {
 	env, machine := newSuspendableEnv(t)
 	machine.Suspend(10 * time.Second)
-	env.waitLines("leadership lost", 1)
-	env.waitLines("process paused", 1)
+	env.awaitLines("leadership lost", 1)
+	env.awaitLines("process paused", 1)
 }
 
 // TestDeadlineCountsSuspension checks that a request whose deadline passed during a suspension is ended on resume.
