--- a/clock/system_test.go
+++ b/clock/system_test.go
@@ -10,44 +10,44 @@
 	"gotest.tools/v3/assert"
 )
 
-// A sleepyMachine is a source whose clocks a test moves.
-type sleepyMachine struct {
+// A fakeSource is a Source whose clocks a test advances.
+type fakeSource struct {
 	mu   sync.Mutex
 	now  time.Time
 	boot time.Duration
-	// looks counts the readings of the boot clock.
-	looks int
-	err   error
+	// bootReads is the number of readings of the boot clock.
+	bootReads int
+	err       error
 }
 
-func newSleepyMachine() *sleepyMachine { return &sleepyMachine{now: time.Now(), boot: time.Hour} }
+func newFakeSource() *fakeSource { return &fakeSource{now: time.Now(), boot: time.Hour} }
 
 // Now implements Source.
-func (m *sleepyMachine) Now() time.Time {
+func (m *fakeSource) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
 // Boot implements Source.
-func (m *sleepyMachine) Boot() (time.Duration, error) {
+func (m *fakeSource) Boot() (time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.looks++
+	m.bootReads++
 	return m.boot, m.err
 }
 
-// run lets time pass on all clocks.
-func (m *sleepyMachine) run(d time.Duration) {
+// run advances all clocks.
+func (m *fakeSource) run(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now = m.now.Add(d)
 	m.boot += d
 }
 
-// suspend lets time pass on all clocks but the steady one: both readings of a time.Time move together,
-// so that the test leaves the time of day to set.
-func (m *sleepyMachine) suspend(d time.Duration) {
+// suspend advances the boot clock only. The wall clock should advance too, but a time.Time cannot
+// be moved without its monotonic reading.
+func (m *fakeSource) suspend(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.boot += d
@@ -55,14 +55,14 @@
 
 func TestSystemCountsSuspensions(t *testing.T) {
 	tests := map[string]struct {
-		do   func(m *sleepyMachine)
+		do   func(m *fakeSource)
 		want time.Duration
 	}{
-		"none":              {do: func(m *sleepyMachine) { m.run(time.Second) }, want: time.Second},
-		"one":               {do: func(m *sleepyMachine) { m.run(time.Second); m.suspend(5 * time.Second) }, want: 6 * time.Second},
-		"one, and then on":  {do: func(m *sleepyMachine) { m.suspend(5 * time.Second); m.run(time.Second) }, want: 6 * time.Second},
-		"too short to tell": {do: func(m *sleepyMachine) { m.run(time.Second); m.suspend(time.Millisecond) }, want: time.Second},
-		"no boot clock": {do: func(m *sleepyMachine) {
+		"none":              {do: func(m *fakeSource) { m.run(time.Second) }, want: time.Second},
+		"one":               {do: func(m *fakeSource) { m.run(time.Second); m.suspend(5 * time.Second) }, want: 6 * time.Second},
+		"one, and then on":  {do: func(m *fakeSource) { m.suspend(5 * time.Second); m.run(time.Second) }, want: 6 * time.Second},
+		"too short to tell": {do: func(m *fakeSource) { m.run(time.Second); m.suspend(time.Millisecond) }, want: time.Second},
+		"no boot clock": {do: func(m *fakeSource) {
 			m.err = errors.New("none")
 			m.run(time.Second)
 			m.suspend(5 * time.Second)
@@ -70,7 +70,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			m := newSleepyMachine()
+			m := newFakeSource()
 			c := NewSystemFrom(m)
 			start := c.Now()
 			test.do(m)
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestSystemAddsUpSuspensions suspends a machine again and again: no time is counted twice or lost.
-func TestSystemAddsUpSuspensions(t *testing.T) {
-	m := newSleepyMachine()
+// TestSystemRepeatedSuspensions checks that repeated suspensions are each counted exactly once.
+func TestSystemRepeatedSuspensions(t *testing.T) {
+	m := newFakeSource()
 	c := NewSystemFrom(m)
 	start := c.Now()
 	for range 5 {
@@ -94,42 +94,43 @@
 	assert.Equal(t, c.Now().Sub(start), 21*time.Second)
 }
 
-// TestSystemLooksSeldom checks how often the boot clock is read while nothing happens.
-func TestSystemLooksSeldom(t *testing.T) {
-	m := newSleepyMachine()
+// TestSystemBootClockReads bounds the readings of the boot clock without suspensions.
+func TestSystemBootClockReads(t *testing.T) {
+	m := newFakeSource()
 	c := NewSystemFrom(m)
-	m.looks = 0
+	m.bootReads = 0
 	for range 1000 {
 		m.run(time.Millisecond)
 		c.Now()
 	}
-	assert.Assert(t, m.looks <= 4, "%d readings in a second", m.looks)
+	assert.Assert(t, m.bootReads <= 4, "%d readings in a second", m.bootReads)
 }
 
-// TestSystemNoticesBySetTime sets the time of day, as a suspension moves it: the boot clock is looked at
-// at once, and the time that the System tells does not move.
-func TestSystemNoticesBySetTime(t *testing.T) {
+// TestSystemDetectsClockStep changes the wall clock relative to the monotonic one: the boot clock
+// must be read immediately, and the System's time must not change.
+func TestSystemDetectsClockStep(t *testing.T) {
 	c := NewSystem()
 	start := c.Now()
 	now := time.Now()
-	steady := now.Sub(c.start)
-	assert.Assert(t, !c.isLookDue(now, steady))
+	monotonic := now.Sub(c.start)
+	assert.Assert(t, !c.isCheckDue(now, monotonic))
 	c.drift.Store(int64(time.Hour))
-	assert.Assert(t, c.isLookDue(now, steady))
+	assert.Assert(t, c.isCheckDue(now, monotonic))
 	assert.Assert(t, c.Now().Sub(start) < time.Minute)
-	assert.Assert(t, !c.isLookDue(time.Now(), time.Since(c.start)))
+	assert.Assert(t, !c.isCheckDue(time.Now(), time.Since(c.start)))
 }
 
-// TestSystemCallsWhatIsOverdue suspends a machine beyond the time of one call and not of another.
-func TestSystemCallsWhatIsOverdue(t *testing.T) {
-	m := newSleepyMachine()
+// TestSystemFiresOverdueTimers checks that a suspension fires the timers that it made overdue, and
+// no others.
+func TestSystemFiresOverdueTimers(t *testing.T) {
+	m := newFakeSource()
 	c := NewSystemFrom(m)
 	due := make(chan struct{})
 	c.AfterFunc(time.Minute, func() { close(due) })
-	later := c.AfterFunc(time.Hour, func() { t.Error("not due yet") })
-	stopped := c.AfterFunc(time.Minute, func() { t.Error("it was stopped") })
+	later := c.AfterFunc(time.Hour, func() { t.Error("timer fired before it was due") })
+	stopped := c.AfterFunc(time.Minute, func() { t.Error("stopped timer fired") })
 	assert.Assert(t, stopped.Stop())
-	moved := c.AfterFunc(time.Minute, func() { t.Error("it was moved") })
+	moved := c.AfterFunc(time.Minute, func() { t.Error("reset timer fired at its former time") })
 	assert.Assert(t, moved.Reset(time.Hour))
 	ctx, cancel := WithDeadline(t.Context(), c, c.Now().Add(30*time.Second))
 	defer cancel(nil)
@@ -144,8 +145,7 @@
 	assert.Equal(t, len(c.timers), 0)
 }
 
-// BenchmarkNow states what the time costs: 64 ns before, of the steady clock alone, 79 ns with
-// suspensions counted; the look at the boot clock takes 0.32 µs.
+// BenchmarkNow compares System.Now with time.Now and measures a reading of the boot clock.
 func BenchmarkNow(b *testing.B) {
 	b.Run("steady", func(b *testing.B) {
 		for b.Loop() {
@@ -161,7 +161,7 @@
 	b.Run("look", func(b *testing.B) {
 		c := NewSystem()
 		for b.Loop() {
-			c.look()
+			c.checkBootClock()
 		}
 	})
 }
--- a/dispatch/prefix_cache.go
+++ b/dispatch/prefix_cache.go
@@ -2,32 +2,31 @@
 
 import "container/list"
 
-// A PrefixBlock is one block of a prompt's beginning; blocks are shared between requests.
+// A PrefixBlock is one block of a prompt's prefix. Requests whose prompts begin alike share blocks.
 type PrefixBlock struct {
 	ID     string `json:"i"`
 	Tokens int    `json:"t"`
 }
 
-// maxCachedBlocks bounds the blocks remembered for one server.
+// maxCachedBlocks is the maximum number of blocks kept per server.
 const maxCachedBlocks = 512
 
-// A prefixCache remembers which prompt blocks were last sent to a server, as an estimate
-// of what the server has cached.
+// A prefixCache is an LRU list of the prompt blocks sent to a server. It estimates the contents of
+// the server's own prefix cache.
 //
 // Its zero value is empty.
 type prefixCache struct {
-	order *list.List
-	index map[string]*list.Element
+	lru   *list.List
+	byKey map[string]*list.Element
 }
 
-// blockKey names a block as cached for one model or adapter.
 func blockKey(target string, b PrefixBlock) string { return target + "\x00" + b.ID }
 
-// cachedTokens returns how many tokens of the prompt's beginning the server has cached.
+// cachedTokens returns the length of the longest cached prefix, in tokens.
 func (c *prefixCache) cachedTokens(target string, blocks []PrefixBlock) int {
 	tokens := 0
 	for _, b := range blocks {
-		if _, ok := c.index[blockKey(target, b)]; !ok {
+		if _, ok := c.byKey[blockKey(target, b)]; !ok {
 			break
 		}
 		tokens += b.Tokens
@@ -35,23 +34,24 @@
 	return tokens
 }
 
-// touch remembers the blocks as the ones used last.
+// touch marks the blocks as the most recently used ones and evicts the least recently used beyond
+// maxCachedBlocks.
 func (c *prefixCache) touch(target string, blocks []PrefixBlock) {
-	if c.index == nil {
-		c.index = make(map[string]*list.Element)
-		c.order = list.New()
+	if c.byKey == nil {
+		c.byKey = make(map[string]*list.Element)
+		c.lru = list.New()
 	}
 	for _, b := range blocks {
 		key := blockKey(target, b)
-		if e, ok := c.index[key]; ok {
-			c.order.MoveToFront(e)
+		if e, ok := c.byKey[key]; ok {
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.index[key] = c.order.PushFront(key)
+		c.byKey[key] = c.lru.PushFront(key)
 	}
-	for c.order.Len() > maxCachedBlocks {
-		last := c.order.Back()
-		delete(c.index, last.Value.(string))
-		c.order.Remove(last)
+	for c.lru.Len() > maxCachedBlocks {
+		last := c.lru.Back()
+		delete(c.byKey, last.Value.(string))
+		c.lru.Remove(last)
 	}
 }
--- a/dispatch/speed_book.go
+++ b/dispatch/speed_book.go
@@ -1,61 +1,64 @@
 package dispatch
 
-// maxSamples bounds the samples that are kept until they are taken: some ten times what one gateway
-// sees between two reports.
-const maxSamples = 128
+// maxPendingSamples is the maximum number of samples kept between two calls of TakePrefillSamples.
+// Further samples are dropped.
+const maxPendingSamples = 128
 
-// A speedBook holds the speeds that one gateway reckons with: those that were learned from all
-// gateways' samples, and its own as long as there are none.
-type speedBook struct {
+// speedEstimates holds the prefill speeds that this gateway uses: for each model the speed
+// estimated from all gateways' samples, or else the one estimated from its own.
+type speedEstimates struct {
 	PrefillSpeeds
-	// shared names the models whose speeds were learned from all gateways.
+	// shared contains the models whose speeds were estimated from all gateways' samples.
 	shared map[string]bool
-	// samples are those that have not been taken yet.
-	samples []PrefillSample
+	// pendingSamples holds this gateway's samples since the last call of TakePrefillSamples.
+	pendingSamples []PrefillSample
 }
 
-// note counts a sample of this gateway's own.
-func (b *speedBook) note(x PrefillSample) {
-	if len(b.samples) < maxSamples {
-		b.samples = append(b.samples, x)
+// addSample records a sample of this gateway. It updates the model's speed only if no shared one is
+// known.
+func (e *speedEstimates) addSample(x PrefillSample) {
+	if len(e.pendingSamples) < maxPendingSamples {
+		e.pendingSamples = append(e.pendingSamples, x)
 	}
-	if !b.shared[x.Model] {
-		b.Observe(x)
+	if !e.shared[x.Model] {
+		e.Observe(x)
 	}
 }
 
-// share sets speeds that were learned from all gateways.
-func (b *speedBook) share(speeds map[string]float64) {
-	if b.shared == nil {
-		b.shared = make(map[string]bool)
+// setShared sets speeds that were estimated from all gateways' samples.
+func (e *speedEstimates) setShared(speeds map[string]float64) {
+	if e.shared == nil {
+		e.shared = make(map[string]bool)
 	}
 	for model, speed := range speeds {
-		b.shared[model] = true
-		b.Set(model, speed)
+		e.shared[model] = true
+		e.Set(model, speed)
 	}
 }
 
-// TakePrefillSamples returns the samples since the last call. What its caller loses only makes the
-// speeds follow more slowly.
+// TakePrefillSamples returns the samples recorded since the last call. Losing them only makes the
+// estimates follow more slowly.
 func (d *Dispatcher) TakePrefillSamples() []PrefillSample {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	samples := d.speeds.samples
-	d.speeds.samples = nil
+	samples := d.speeds.pendingSamples
+	d.speeds.pendingSamples = nil
 	return samples
 }
 
-// SetPrefillSpeeds sets the speeds of models that were learned from all gateways' samples.
+// SetPrefillSpeeds sets the speeds estimated from all gateways' samples, by model, in milliseconds
+// per token.
 func (d *Dispatcher) SetPrefillSpeeds(speeds map[string]float64) {
 	if len(speeds) == 0 {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.speeds.share(speeds)
+	d.speeds.setShared(speeds)
 }
 
-// PrefillSpeeds returns the speeds that this gateway reckons with.
+// PrefillSpeeds returns the prefill speeds that this gateway uses, by model, in milliseconds per
+// token.
 func (d *Dispatcher) PrefillSpeeds() map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/configsync/fleet_bench_test.go
+++ b/internal/configsync/fleet_bench_test.go
@@ -8,23 +8,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkHandOn measures what handing changes on to all gateways costs, without decoding them:
-// bytes that each gateway receives, bytes that the leader sends, and processor time of all.
-// Without patches each gateway receives the value as base64 at least once a change: 1.2 MB at 4,400
-// routes, 14 MB for twelve changes; with them 0.6 KB and 7 KB.
-func BenchmarkHandOn(b *testing.B) {
-	const storm = 12
+// BenchmarkDistribute reports the cost of distributing changes to all gateways, without decoding them:
+// the CPU time of all gateways, the bytes that the leader sends and the bytes that each gateway receives.
+func BenchmarkDistribute(b *testing.B) {
+	const burst = 12
 	for _, routes := range []int{400, 4400} {
-		versions := make([][]byte, storm+1)
+		versions := make([][]byte, burst+1)
 		for i := range versions {
 			versions[i] = config(i+1, routes, i)
 		}
 		for _, gateways := range []int{24, 340} {
-			for name, changes := range map[string]int{"one change": 1, "a storm of twelve": storm} {
+			for name, changes := range map[string]int{"one change": 1, "a storm of twelve": burst} {
 				b.Run(fmt.Sprintf("%s/%d routes/%d gateways", name, routes, gateways), func(b *testing.B) {
 					sent := 0
 					for b.Loop() {
-						sent = handOn(b, versions[:changes+1], gateways)
+						sent = distribute(b, versions[:changes+1], gateways)
 					}
 					b.ReportMetric(float64(sent), "bytes_sent")
 					b.ReportMetric(float64(sent)/float64(gateways), "bytes_received")
@@ -34,9 +32,9 @@
 	}
 }
 
-// handOn hands all versions but the first, which all hold, on to a number of gateways, one after
-// the other, and returns the bytes sent.
-func handOn(b *testing.B, versions [][]byte, gateways int) int {
+// distribute transfers each version after the first, which all gateways hold, to a number of gateways in
+// turn, and returns the bytes sent.
+func distribute(b *testing.B, versions [][]byte, gateways int) int {
 	var leader, other history
 	leader.add(1, versions[0])
 	other.add(1, versions[0])
@@ -50,7 +48,7 @@
 			message, err := json.Marshal(t)
 			assert.NilError(b, err)
 			sent += len(message)
-			restored, err := other.restore(t)
+			restored, err := other.apply(t)
 			assert.NilError(b, err)
 			assert.Equal(b, len(restored), len(value))
 		}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -16,54 +16,54 @@
 	"rockcleat/table"
 )
 
-// Pace of the placer's steps.
+// Intervals between steps.
 const (
-	// tick is the time between two steps.
-	tick = 100 * time.Millisecond
-	// minStepInterval is the least time between two steps that reports cause.
+	// stepInterval is the interval of the periodic steps.
+	stepInterval = 100 * time.Millisecond
+	// minStepInterval is the minimum time between a step and the next one that Wake triggers.
 	minStepInterval = 25 * time.Millisecond
 )
 
-// A Lease decides which process leads; lease.Holder is one.
+// A Lease elects the leader. It is implemented by lease.Holder.
 type Lease interface {
-	// Held returns the fencing token and whether the lease is surely still held.
+	// Held returns the fencing token and reports whether the lease is certainly still held.
 	Held() (lease.Token, bool)
-	// OtherHolder returns the record of the holder seen last, HasSeenOther whether there
-	// ever was one.
+	// OtherHolder returns the record of the last other holder that was observed. HasSeenOther reports whether
+	// any was.
 	OtherHolder() lease.Record
 	HasSeenOther() bool
-	// Campaign contends for the lease until ctx ends; Release gives it back.
+	// Campaign tries to acquire and keep the lease until ctx is done. Release gives up the lease.
 	Campaign(ctx context.Context, keys kv.PrefixStore)
 	Release(ctx context.Context) error
 }
 
-// Options are what a Placer is made of.
+// Options configure a Placer.
 type Options struct {
 	Lease Lease
-	// Keys is where the lease's key is watched.
+	// Keys is the store in which the lease's key is watched.
 	Keys     kv.PrefixStore
 	Engines  backend.EngineClient
 	Registry *backend.Registry
-	// Routing returns the configuration in force, or nil.
+	// Routing returns the configuration in force, or nil if there is none yet.
 	Routing func() *table.Routing
-	// SettleTime is how long a new leader waits before its first order, so that the last
-	// one's orders are over.
+	// SettleTime is how long a new leader waits before its first order. By then no order of the previous
+	// leader is in progress any more.
 	SettleTime time.Duration
-	// FirstStart says that the whole system starts for the first time, so that there was
-	// no leader before.
+	// FirstStart is set when the whole system starts for the first time, so that there was no earlier leader.
 	FirstStart bool
-	// Gateways, if not nil, returns the gateways that this process knows, for a new leader to begin with.
+	// Gateways, if not nil, returns the gateways known to this process. A new leader starts with them.
 	Gateways func() []Gateway
-	// PrefillSpeeds, if not nil, returns the prefill speeds that this process reckons with, for a
-	// new leader to begin with.
+	// PrefillSpeeds, if not nil, returns the prefill speeds known to this process, in milliseconds per token
+	// by model. A new leader starts with them.
 	PrefillSpeeds func() map[string]float64
-	// IsInNeed, if not nil, reports whether a backend server takes few requests for now.
+	// IsInNeed, if not nil, reports whether a backend server currently accepts so few requests that no
+	// adapter should be placed on it.
 	IsInNeed func(*backend.Server) bool
 	Clock    clock.Service
 	Log      *zap.Logger
 }
 
-// A Placer issues orders to engines while it holds the lease; it is safe for concurrent use.
+// A Placer issues orders to engines while it holds the lease. It is safe for concurrent use.
 type Placer struct {
 	opts Options
 
@@ -71,47 +71,49 @@
 	leadership leadership
 	engines    engineTable
 	demand     *demand
-	// adapterWaitedSince is since when adapters that no engine holds have been waited for.
-	adapterWaitedSince map[backend.Adapter]time.Time
-	// plannedAt is when each service's models were last planned.
+	// adapterWaitingSince holds the times since which requests have been waiting for adapters that no usable
+	// engine holds.
+	adapterWaitingSince map[backend.Adapter]time.Time
+	// plannedAt holds the time of the last model plan of each service.
 	plannedAt map[string]time.Time
-	// successions holds what each service's demand has shown of its order in this term.
-	successions map[string]*residency.Succession
-	storeLoads  storeLoads
-	speeds      speedTable
-	residency   publishedResidency
-	// reportsRequested counts the reports that engines were asked for in this step.
+	// successions holds, by service, the order observed in this term in which demand moves between models.
+	successions      map[string]*residency.Succession
+	storeLoadLimiter storeLoadLimiter
+	speeds           speedTable
+	residency        publishedResidency
+	// reportsRequested is the number of engine reports requested in this step.
 	reportsRequested int
-	stepped          time.Time
+	lastStep         time.Time
 
 	stop   func()
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// New returns a Placer that does nothing until Start.
+// New returns a Placer. It does nothing until Start.
 func New(o Options) *Placer {
 	p := &Placer{opts: o, demand: newDemand()}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
-// Start contends for the lease and begins to tick.
+// Start begins to campaign for the lease and to run the periodic steps.
 func (p *Placer) Start() {
 	go p.opts.Lease.Campaign(p.ctx, p.opts.Keys)
-	p.stop = p.opts.Clock.Subscribe(tick, p.step)
+	p.stop = p.opts.Clock.Subscribe(stepInterval, p.step)
 }
 
-// Stop releases the lease and ends the placer.
+// Stop releases the lease and stops the placer.
 func (p *Placer) Stop(ctx context.Context) {
 	p.cancel()
 	p.stop()
 	if err := p.opts.Lease.Release(ctx); err != nil {
-		p.opts.Log.Warn("lease not released, it ends by its ttl", telemetry.Error(err))
+		p.opts.Log.Warn("lease not released; it expires after its TTL", telemetry.Error(err))
 	}
 }
 
-// Leader returns where the leader takes messages and whether it is this process.
+// Leader returns the address at which the leader accepts messages, and whether the leader is this process. If
+// it is, the address is empty.
 func (p *Placer) Leader() (addr string, own bool) {
 	if _, held := p.opts.Lease.Held(); held {
 		return "", true
@@ -119,17 +121,17 @@
 	return p.opts.Lease.OtherHolder().Addr, false
 }
 
-// Report applies a gateway's report and returns the reply to it.
+// Report applies a gateway's report and returns the reply. The reply is empty if this process does not lead.
 func (p *Placer) Report(r Report) Reply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held, ok := p.opts.Lease.Held()
+	heldToken, ok := p.opts.Lease.Held()
 	if !ok {
 		return Reply{}
 	}
 	now := p.opts.Clock.Now()
-	if held != p.leadership.token {
-		p.becomeLeader(held, now)
+	if heldToken != p.leadership.token {
+		p.becomeLeader(heldToken, now)
 	}
 	p.demand.apply(r, now)
 	p.speeds.observe(r.Samples)
@@ -137,64 +139,63 @@
 		p.publish(now)
 	}
 	token := int64(p.leadership.token)
-	a := Reply{IsLeader: true, Term: token, ResidencyVersion: p.residency.version}
-	a.Loads, a.BusiestOnly = p.demand.loads.excluding(r.Loads, now)
-	a.Awaited = len(p.demand.former)
-	gateways, version := p.demand.list()
-	a.GatewaysVersion = version
+	reply := Reply{IsLeader: true, Term: token, ResidencyVersion: p.residency.version}
+	reply.Loads, reply.BusiestOnly = p.demand.loads.excluding(r.Loads, now)
+	reply.Awaited = len(p.demand.awaited)
+	gateways, version := p.demand.listGateways()
+	reply.GatewaysVersion = version
 	if r.GatewaysVersion != version {
-		a.Gateways = gateways
+		reply.Gateways = gateways
 	}
-	a.Full = !isSameTerm(r.ResidencyVersion, p.residency.version)
-	a.Residency = p.residency.changedSince(r.ResidencyVersion, a.Full)
-	a.SpeedsVersion, a.Speeds = p.speeds.version, p.speeds.changedSince(r.SpeedsVersion)
-	return a
+	reply.Full = !isSameTerm(r.ResidencyVersion, p.residency.version)
+	reply.Residency = p.residency.changedSince(r.ResidencyVersion, reply.Full)
+	reply.SpeedsVersion, reply.Speeds = p.speeds.version, p.speeds.changedSince(r.SpeedsVersion)
+	return reply
 }
 
-// Wake makes the placer act soon on what has been reported; calls that come close together
-// cost one step.
+// Wake runs a step to act on new reports, unless the last step was less than minStepInterval ago.
 func (p *Placer) Wake() {
 	now := p.opts.Clock.Now()
-	if p.steppedLately(now) {
+	if p.steppedRecently(now) {
 		return
 	}
 	p.step(now)
 }
 
-func (p *Placer) steppedLately(now time.Time) bool {
+func (p *Placer) steppedRecently(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.stepped) < minStepInterval
+	return now.Sub(p.lastStep) < minStepInterval
 }
 
-// step does whatever is due: it follows the lease and the demand, plans, and calls engines.
+// step checks the lease, updates the demand, plans, and makes the calls to engines that are due.
 func (p *Placer) step(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	token, held := p.opts.Lease.Held()
 	if !held {
-		p.resign()
+		p.loseLeadership()
 		return
 	}
 	if token != p.leadership.token {
 		p.becomeLeader(token, now)
 	}
-	elapsed := now.Sub(p.stepped)
+	elapsed := now.Sub(p.lastStep)
 	if elapsed <= 0 {
 		return
 	}
-	previous := p.stepped
-	p.stepped = now
+	previous := p.lastStep
+	p.lastStep = now
 	p.reportsRequested = 0
 	p.demand.step(elapsed)
-	p.demand.forget(now, gatewayTimeoutFor(len(p.demand.gateways)))
+	p.demand.removeSilent(now, gatewayTimeoutFor(len(p.demand.gateways)))
 	routing := p.opts.Routing()
-	if routing == nil || !p.leadership.mayOrder(now) {
+	if routing == nil || !p.leadership.canIssueOrders(now) {
 		return
 	}
 	p.engines.sync(p.opts.Registry.Snapshot(), routing)
 	services := routing.Services()
-	p.storeLoads.setRate(services, previous, now)
+	p.storeLoadLimiter.setRate(services, previous, now)
 	for _, s := range services {
 		if s.Engine != nil {
 			p.runService(s, now)
@@ -203,24 +204,24 @@
 	p.publish(now)
 }
 
-// becomeLeader begins a term with nothing known of engines and no loads allowed yet, but
-// for the first leader: nobody has loaded anything before it.
+// becomeLeader starts a term. The limiter of store loads starts empty, unless there was no earlier leader
+// that could have started loads.
 func (p *Placer) becomeLeader(token lease.Token, now time.Time) {
 	p.leadership.settleTime = p.settleTime(now)
 	p.opts.Log.Info("leadership gained", zap.Int64("token", int64(token)), zap.Duration("settle", p.leadership.settleTime))
-	p.leadership.token, p.leadership.since, p.stepped = token, now, now
-	p.storeLoads = storeLoads{startFull: p.isFirst()}
+	p.leadership.token, p.leadership.since, p.lastStep = token, now, now
+	p.storeLoadLimiter = storeLoadLimiter{startFull: p.isFirst()}
 	p.residency.beginTerm(token)
-	p.speeds.beginTerm(token, p.knownSpeeds())
+	p.speeds.beginTerm(token, p.initialSpeeds())
 	if p.opts.Gateways != nil {
-		p.demand.remember(p.opts.Gateways(), now)
+		p.demand.addAwaited(p.opts.Gateways(), now)
 	}
 	p.plannedAt = make(map[string]time.Time)
 	p.successions = make(map[string]*residency.Succession)
 }
 
-// resign forgets what only a leader may act on.
-func (p *Placer) resign() {
+// loseLeadership discards the state that only a leader may act on.
+func (p *Placer) loseLeadership() {
 	if p.leadership.token == 0 {
 		return
 	}
@@ -231,8 +232,8 @@
 	p.residency.published = nil
 }
 
-// knownSpeeds returns the prefill speeds to begin a term with.
-func (p *Placer) knownSpeeds() map[string]float64 {
+// initialSpeeds returns the prefill speeds that a new term starts with.
+func (p *Placer) initialSpeeds() map[string]float64 {
 	if p.opts.PrefillSpeeds == nil {
 		return nil
 	}
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -8,62 +8,64 @@
 	"rockcleat/lease"
 )
 
-// publishEvery is the least time between two looks at what engines hold, for gateways.
-const publishEvery = 25 * time.Millisecond
+// publishInterval is the minimum interval between two updates of the published residency that gateways'
+// reports trigger.
+const publishInterval = 25 * time.Millisecond
 
-// versionBits is the part of a residency's version that counts changes; the rest is of the
-// leader's token, so that versions of two leaders differ. A million changes in a term are
-// more than a leader makes in days.
-const versionBits = 20
+// changeBits is the number of low bits of a version that count the changes in a term. The other bits hold
+// the leader's token, so that versions of different terms differ.
+const changeBits = 20
 
-// termBits is how much of a token a version has room for: two leaders have the same only if their terms began at
-// the same count of writes in eras of the store that are eight apart.
-const termBits = 63 - versionBits
+// termBits is the number of a token's low bits that a version holds. Tokens of two leaders agree in them only
+// if the terms began at the same write count of the store in store eras that are a multiple of eight apart.
+const termBits = 63 - changeBits
 
-// firstVersion returns the first version of the term with a token.
-func firstVersion(token int64) int64 { return token & (1<<termBits - 1) << versionBits }
+// firstVersion returns the first version in the term with a token.
+func firstVersion(token int64) int64 { return token & (1<<termBits - 1) << changeBits }
 
-// isSameTerm reports whether two versions were made in the same term.
-func isSameTerm(a, b int64) bool { return a>>versionBits == b>>versionBits }
+// isSameTerm reports whether two versions belong to the same term.
+func isSameTerm(a, b int64) bool { return a>>changeBits == b>>changeBits }
 
-// A publishedResidency holds what engines hold, as published to gateways, with the version
-// in which that last changed for each engine.
+// A publishedResidency is what the engines hold, as sent to gateways. changedIn holds the version in which
+// each engine last changed.
 type publishedResidency struct {
 	version   int64
 	published map[string]backend.Residency
 	changedIn map[string]int64
-	at        time.Time
+	checkedAt time.Time
 }
 
-// beginTerm starts the versions of a new leader's term. What was published stands until
-// the engines are known again.
+// beginTerm starts the versions of a new term. Engines keep their published residency until they are known
+// again.
 func (r *publishedResidency) beginTerm(token lease.Token) {
 	r.version = firstVersion(int64(token))
 	r.changedIn = make(map[string]int64)
 }
 
-// isDue reports whether the last look is older than publishEvery.
-func (r *publishedResidency) isDue(now time.Time) bool { return now.Sub(r.at) >= publishEvery }
+// isDue reports whether the last update is at least publishInterval ago.
+func (r *publishedResidency) isDue(now time.Time) bool {
+	return now.Sub(r.checkedAt) >= publishInterval
+}
 
-// publish makes a new version of what engines hold, if it differs. Of an engine whose state
-// is not known, for a report is due, what was published before stands.
+// publish updates the published residency and assigns a new version if it has changed. An engine that is not
+// known keeps its last published residency.
 func (p *Placer) publish(now time.Time) {
 	r := &p.residency
-	r.at = now
-	next := r.version + 1
+	r.checkedAt = now
+	nextVersion := r.version + 1
 	published := make(map[string]backend.Residency, len(p.engines.byID))
 	for id, e := range p.engines.byID {
-		before, ok := r.published[id]
-		if !e.known && !e.otherRun {
+		previous, ok := r.published[id]
+		if !e.known && !e.otherIncarnation {
 			if ok {
-				published[id] = before
+				published[id] = previous
 			}
 			continue
 		}
 		published[id] = backend.Residency{Residents: e.servable(now)}
-		if !ok || !slices.EqualFunc(before.Residents, published[id].Residents, sameResident) {
-			r.changedIn[id] = next
-			r.version = next
+		if !ok || !slices.EqualFunc(previous.Residents, published[id].Residents, sameResident) {
+			r.changedIn[id] = nextVersion
+			r.version = nextVersion
 		}
 	}
 	r.published = published
@@ -73,12 +75,12 @@
 	return a.Model == b.Model && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// changedSince returns what has changed since a version, or everything.
-func (r *publishedResidency) changedSince(version int64, everything bool) map[string]backend.Residency {
+// changedSince returns the engines that have changed since a version, or all engines.
+func (r *publishedResidency) changedSince(version int64, all bool) map[string]backend.Residency {
 	out := make(map[string]backend.Residency)
-	for id, held := range r.published {
-		if everything || r.changedIn[id] > version {
-			out[id] = held
+	for id, residency := range r.published {
+		if all || r.changedIn[id] > version {
+			out[id] = residency
 		}
 	}
 	return out
--- a/internal/placer/speeds_test.go
+++ b/internal/placer/speeds_test.go
@@ -12,39 +12,38 @@
 	"rockcleat/internal/placer"
 )
 
-// TestSpeedsAreLearnedOnce checks that a speed which many gateways have each seen little of is sent to
-// all, that gateways are sent only what has changed, and that the next leader begins with what it
-// knows itself.
+// TestSpeedsAreLearnedOnce checks that samples of many gateways add up to one published speed, that only
+// changes are sent, and that the next leader starts with the speeds that it knows.
 func TestSpeedsAreLearnedOnce(t *testing.T) { synctest.Test(t, testSpeedsAreLearnedOnce) }
 
 func testSpeedsAreLearnedOnce(t *testing.T) {
 	const speed = 0.0057
-	w := newWorld(t, 2, []string{"m0", "m1"})
-	p := w.start(true)
-	w.pass(5 * time.Second)
+	f := newFixture(t, 2, []string{"m0", "m1"})
+	p := f.start(true)
+	f.advance(5 * time.Second)
 	for i := range 100 {
 		p.Report(placer.Report{GatewayID: string(rune('a' + i%20)), Samples: []dispatch.PrefillSample{{Model: "m0", MsPerToken: speed}}})
 	}
-	a := p.Report(placer.Report{GatewayID: "new"})
-	assert.Assert(t, math.Abs(a.Speeds["m0"]-speed) < 0.15*speed, "%v", a.Speeds)
-	a = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: a.SpeedsVersion})
-	assert.Equal(t, len(a.Speeds), 0)
-	w.lease.set(9)
-	w.pass(5 * time.Second)
-	a = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: a.SpeedsVersion})
-	assert.Equal(t, len(a.Speeds), 1, "another term begins with all that it knows")
+	reply := p.Report(placer.Report{GatewayID: "new"})
+	assert.Assert(t, math.Abs(reply.Speeds["m0"]-speed) < 0.15*speed, "%v", reply.Speeds)
+	reply = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: reply.SpeedsVersion})
+	assert.Equal(t, len(reply.Speeds), 0)
+	f.lease.set(9)
+	f.advance(5 * time.Second)
+	reply = p.Report(placer.Report{GatewayID: "new", SpeedsVersion: reply.SpeedsVersion})
+	assert.Equal(t, len(reply.Speeds), 1, "another term begins with all that it knows")
 }
 
-// TestSamplesBeforeTheTerm reports samples to a process that holds the lease and has not made its first
-// step as the leader yet. All gateways had restarted and the leader ended with each such report.
+// TestSamplesBeforeTheTerm guards against a panic on samples that arrive after the lease was acquired and
+// before the first step of the term.
 func TestSamplesBeforeTheTerm(t *testing.T) { synctest.Test(t, testSamplesBeforeTheTerm) }
 
 func testSamplesBeforeTheTerm(t *testing.T) {
-	w := newWorld(t, 2, []string{"m0", "m1"})
-	p := w.start(true)
-	a := p.Report(placer.Report{GatewayID: "g", Samples: []dispatch.PrefillSample{{Model: "m0", MsPerToken: 0.01}}})
-	assert.Assert(t, a.IsLeader)
-	w.pass(5 * time.Second)
-	a = p.Report(placer.Report{GatewayID: "g"})
-	assert.Equal(t, len(a.Speeds), 1)
+	f := newFixture(t, 2, []string{"m0", "m1"})
+	p := f.start(true)
+	reply := p.Report(placer.Report{GatewayID: "g", Samples: []dispatch.PrefillSample{{Model: "m0", MsPerToken: 0.01}}})
+	assert.Assert(t, reply.IsLeader)
+	f.advance(5 * time.Second)
+	reply = p.Report(placer.Report{GatewayID: "g"})
+	assert.Equal(t, len(reply.Speeds), 1)
 }
--- a/internal/transfer/reader.go
+++ b/internal/transfer/reader.go
@@ -2,22 +2,22 @@
 
 import "io"
 
-// A Reader tells of each read that brings something.
+// A Reader calls a function after each read that returned data.
 type Reader struct {
-	from     io.Reader
-	progress func()
+	source     io.Reader
+	onProgress func()
 }
 
-// NewReader returns a Reader of from that calls progress.
-func NewReader(from io.Reader, progress func()) *Reader {
-	return &Reader{from: from, progress: progress}
+// NewReader returns a Reader that reads from source.
+func NewReader(source io.Reader, onProgress func()) *Reader {
+	return &Reader{source: source, onProgress: onProgress}
 }
 
 // Read implements io.Reader.
 func (r *Reader) Read(b []byte) (int, error) {
-	n, err := r.from.Read(b)
+	n, err := r.source.Read(b)
 	if n > 0 {
-		r.progress()
+		r.onProgress()
 	}
 	return n, err
 }
--- a/internal/transfer/watch_test.go
+++ b/internal/transfer/watch_test.go
@@ -16,7 +16,7 @@
 	"rockcleat/internal/transfer"
 )
 
-// A pacedBody brings one byte after each pause, until its context ends.
+// A pacedBody returns one byte after each of its pauses until ctx ends.
 type pacedBody struct {
 	ctx    context.Context
 	pauses []time.Duration
@@ -35,7 +35,7 @@
 	return copy(p[:1], "x"), nil
 }
 
-// repeat returns n times the same pause.
+// repeat returns a slice of n times d.
 func repeat(d time.Duration, n int) []time.Duration {
 	list := make([]time.Duration, n)
 	for i := range list {
@@ -44,14 +44,15 @@
 	return list
 }
 
-// TestCallsEndByProgress checks that an answer which goes on arriving is read to its end,
-// however long it takes up to a bound, and that one that stops is given up.
-func TestCallsEndByProgress(t *testing.T) {
+// TestStalledCallsAreCanceled checks that a slow response is read completely, and that a response is
+// canceled if it stalls or exceeds the total time.
+func TestStalledCallsAreCanceled(t *testing.T) {
 	const begin, stall = time.Second, 200 * time.Millisecond
 	tests := map[string]struct {
 		pauses []time.Duration
-		// took is when the call ends, read what had arrived.
+		// took is the duration of the call.
 		took time.Duration
+		// read is the number of bytes received.
 		read int
 		done bool
 	}{
@@ -63,11 +64,11 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began := time.Now()
+				start := time.Now()
 				ctx, watch := transfer.Start(t.Context(), begin, stall)
 				defer watch.Stop()
 				data, err := watch.ReadAll(ctx, &pacedBody{ctx: ctx, pauses: test.pauses}, 1<<20)
-				assert.Equal(t, time.Since(began), test.took)
+				assert.Equal(t, time.Since(start), test.took)
 				assert.Equal(t, len(data), test.read)
 				assert.Equal(t, err == nil, test.done, "%v", err)
 				if !test.done {
@@ -79,14 +80,14 @@
 	}
 }
 
-// TestCallEndsWhenNoAnswerBegins checks the bound of the time until an answer begins.
-func TestCallEndsWhenNoAnswerBegins(t *testing.T) {
+// TestCallIsCanceledWithoutResponse guards against a call that waits forever for a response.
+func TestCallIsCanceledWithoutResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		ctx, watch := transfer.Start(t.Context(), time.Second, time.Minute)
 		defer watch.Stop()
 		<-ctx.Done()
-		assert.Equal(t, time.Since(began), time.Second)
+		assert.Equal(t, time.Since(start), time.Second)
 		assert.Assert(t, errors.Is(transfer.Cause(ctx, ctx.Err()), context.DeadlineExceeded))
 	})
 }
--- a/kv/fanout_test.go
+++ b/kv/fanout_test.go
@@ -16,28 +16,27 @@
 	"rockcleat/kv/kvtest"
 )
 
-// A fanoutPair is a process that watches the service and one that receives what the
-// first one sees.
+// A fanoutPair is a watcher (source) and a process that it forwards changes to (other).
 type fanoutPair struct {
 	store *kvtest.Store
-	// direct is the service as the second process reaches it.
+	// direct is the service as other reaches it.
 	direct *watchCounter
-	// cut says that nothing is handed on.
-	mu             sync.Mutex
-	cut            bool
-	source, other  *kv.Fanout
-	sourceSees     *mirror
-	otherSees      *mirror
-	sourceIsSource atomic.Bool
-	// alone is whether the second process last began to watch by itself.
-	alone atomic.Bool
+	// cut stops forwarding.
+	mu              sync.Mutex
+	cut             bool
+	source, other   *kv.Fanout
+	sourceSees      *mirror
+	otherSees       *mirror
+	sourceIsWatcher atomic.Bool
+	// watchesDirectly reports whether other watches the service itself.
+	watchesDirectly atomic.Bool
 }
 
-// watchCounter counts the watches that reach the service.
+// A watchCounter counts the watches that reach the service.
 type watchCounter struct {
 	kv.PrefixStore
 	watches atomic.Int64
-	// closed lets no watch reach the service.
+	// closed makes watches fail with kv.ErrUnavailable.
 	closed atomic.Bool
 }
 
@@ -52,27 +51,27 @@
 	return c.PrefixStore.WatchPrefix(ctx, prefix, after, wait)
 }
 
-// Ages: so long that it is not reached in a test, and short.
+// Values of MaxAge: one that no test reaches, and a short one.
 const (
 	longMaxAge  = time.Minute
 	shortMaxAge = 300 * time.Millisecond
 )
 
-func newFanoutPair(ctx context.Context, t *testing.T, trust time.Duration) *fanoutPair {
+func newFanoutPair(ctx context.Context, t *testing.T, maxAge time.Duration) *fanoutPair {
 	t.Helper()
-	return newFanoutPairWith(ctx, t, trust, 0)
+	return newFanoutPairWith(ctx, t, maxAge, 0)
 }
 
-// newFanoutPairWith is newFanoutPair with extra patience of the second process.
-func newFanoutPairWith(ctx context.Context, t *testing.T, trust, extra time.Duration) *fanoutPair {
+// newFanoutPairWith is newFanoutPair with an ExtraAge for other.
+func newFanoutPairWith(ctx context.Context, t *testing.T, maxAge, extraAge time.Duration) *fanoutPair {
 	t.Helper()
 	p := &fanoutPair{store: kvtest.New(clocktest.Real{}), sourceSees: &mirror{}, otherSees: &mirror{}}
-	p.sourceIsSource.Store(true)
-	p.alone.Store(true)
-	p.source = kv.NewFanout(kv.FanoutOptions{Clock: clocktest.Real{}, MaxAge: trust, IsWatcher: p.sourceIsSource.Load})
-	p.other = kv.NewFanout(kv.FanoutOptions{Clock: clocktest.Real{}, MaxAge: trust, IsWatcher: func() bool { return false },
-		ExtraAge: func() time.Duration { return extra },
-		OnSwitch: func(_ string, direct bool) { p.alone.Store(direct) },
+	p.sourceIsWatcher.Store(true)
+	p.watchesDirectly.Store(true)
+	p.source = kv.NewFanout(kv.FanoutOptions{Clock: clocktest.Real{}, MaxAge: maxAge, IsWatcher: p.sourceIsWatcher.Load})
+	p.other = kv.NewFanout(kv.FanoutOptions{Clock: clocktest.Real{}, MaxAge: maxAge, IsWatcher: func() bool { return false },
+		ExtraAge: func() time.Duration { return extraAge },
+		OnSwitch: func(_ string, direct bool) { p.watchesDirectly.Store(direct) },
 	})
 	p.store.Set("a/1", []byte("1"))
 	go kv.Follow(ctx, kv.FollowOptions{
@@ -84,29 +83,29 @@
 	})
 	poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "1"}))
 	poll.WaitOn(t, p.sourceSees.shows(map[string]string{"a/1": "1"}))
-	stop := clocktest.Real{}.Subscribe(20*time.Millisecond, func(time.Time) { p.handOn() })
+	stop := clocktest.Real{}.Subscribe(20*time.Millisecond, func(time.Time) { p.forward() })
 	t.Cleanup(stop)
-	poll.WaitOn(t, p.isAlone(false))
+	poll.WaitOn(t, p.watchesDirectlyIs(false))
 	return p
 }
 
-func (p *fanoutPair) isAlone(want bool) poll.Check {
+func (p *fanoutPair) watchesDirectlyIs(want bool) poll.Check {
 	return func(poll.LogT) poll.Result {
-		if p.alone.Load() != want {
+		if p.watchesDirectly.Load() != want {
 			return poll.Continue("alone is %v", !want)
 		}
 		return poll.Success()
 	}
 }
 
-// setCut sets whether something is handed on from now on.
+// setCut stops or resumes forwarding.
 func (p *fanoutPair) setCut(cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cut = cut
 }
 
-func (p *fanoutPair) handOn() {
+func (p *fanoutPair) forward() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cut {
@@ -116,9 +115,8 @@
 	p.other.Apply(p.source.Since(p.other.Revisions()), sent)
 }
 
-// TestFanoutSparesTheService checks that the second process sees each change without
-// watching the service itself.
-func TestFanoutSparesTheService(t *testing.T) {
+// TestFanoutDoesNotWatchService checks that other sees each change without watching the service.
+func TestFanoutDoesNotWatchService(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p := newFanoutPair(ctx, t, longMaxAge)
@@ -136,12 +134,12 @@
 	assert.Equal(t, p.direct.watches.Load(), before)
 }
 
-// TestFanoutCutOff checks that a process which receives nothing any more, or
-// something too old, watches the service itself.
+// TestFanoutCutOff checks that a process watches the service itself when forwarded data stops or
+// becomes too old.
 func TestFanoutCutOff(t *testing.T) {
 	tests := map[string]func(p *fanoutPair){
 		"nothing is handed on":             func(p *fanoutPair) { p.setCut(true) },
-		"the source sees nothing any more": func(p *fanoutPair) { p.source.Invalidate(); p.sourceIsSource.Store(false) },
+		"the source sees nothing any more": func(p *fanoutPair) { p.source.Invalidate(); p.sourceIsWatcher.Store(false) },
 		"the source is no longer one":      func(p *fanoutPair) { p.setCut(true); p.other.Invalidate() },
 	}
 	for name, cut := range tests {
@@ -152,13 +150,13 @@
 			cut(p)
 			p.store.Set("a/2", []byte("2"))
 			poll.WaitOn(t, p.otherSees.shows(map[string]string{"a/1": "1", "a/2": "2"}))
-			poll.WaitOn(t, p.isAlone(true))
+			poll.WaitOn(t, p.watchesDirectlyIs(true))
 		})
 	}
 }
 
-// TestFanoutAlone checks that a process which receives nothing sees changes at once:
-// what it read itself must not count as handed on.
+// TestFanoutAlone checks that a process without forwarded data sees changes at once: its own reads
+// of the service must not count as forwarded data.
 func TestFanoutAlone(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -174,8 +172,8 @@
 	}
 }
 
-// TestFanoutGap checks that changes which the source no longer has are not passed
-// over: the process asks the service.
+// TestFanoutGap checks that a process does not miss changes that the source has already dropped
+// from its log.
 func TestFanoutGap(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -197,8 +195,8 @@
 	poll.WaitOn(t, p.otherSees.shows(want))
 }
 
-// TestFanoutNeverGoesBack hands on what is older than what is known.
-func TestFanoutNeverGoesBack(t *testing.T) {
+// TestFanoutIgnoresOlderBatch checks that a batch older than the known data is ignored.
+func TestFanoutIgnoresOlderBatch(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p := newFanoutPair(ctx, t, shortMaxAge)
@@ -214,10 +212,9 @@
 	assert.Assert(t, p.other.Revisions()["a/"] > at)
 }
 
-// TestFanoutLeavesOutWhatDoesNotMatter checks that changes which leave the digest as
-// it was are not handed on, and that nothing of them is lost for a process that has
-// to watch the service again.
-func TestFanoutLeavesOutWhatDoesNotMatter(t *testing.T) {
+// TestFanoutFiltersByDigest checks that a change with an unchanged digest is not
+// forwarded, and that a process sees it once it watches the service itself.
+func TestFanoutFiltersByDigest(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	store := kvtest.New(clocktest.Real{})
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -31,15 +31,15 @@
 	return fleet.Resident{Name: name, Accelerator: acc, State: fleet.StateReady, MemoryMiB: mib}
 }
 
-func coming(name string, acc, mib int) fleet.Resident {
+func loading(name string, acc, mib int) fleet.Resident {
 	return fleet.Resident{Name: name, Accelerator: acc, State: fleet.StateLoading, MemoryMiB: mib}
 }
 
-func going(name string, acc, mib int) fleet.Resident {
+func unloading(name string, acc, mib int) fleet.Resident {
 	return fleet.Resident{Name: name, Accelerator: acc, State: fleet.StateUnloading, MemoryMiB: mib}
 }
 
-// server returns a server with accelerators of 100 MiB that hold the residents.
+// server returns a server with a number of accelerators of 100 MiB each and the given residents.
 func server(id string, accelerators int, residents ...fleet.Resident) fleet.Server {
 	s := fleet.Server{ID: id, Slots: 10, Residents: residents}
 	for range accelerators {
@@ -51,6 +51,7 @@
 	return s
 }
 
+// demand returns the server with demand for a name added.
 func demand(s fleet.Server, name string, slots float64) fleet.Server {
 	s.Demand = append(s.Demand, fleet.Demand{Name: name, Level: placement.LevelOf(slots)})
 	return s
@@ -70,7 +71,8 @@
 
 func size(mib int) placement.Size { return placement.Size{WeightMiB: mib} }
 
-func brief(orders []placement.Order) []string {
+// formatOrders formats orders as "operation name server/accelerator".
+func formatOrders(orders []placement.Order) []string {
 	var out []string
 	for _, o := range orders {
 		out = append(out, fmt.Sprintf("%s %s %s/%d", o.Op, o.Name, o.Server, o.Accelerator))
@@ -109,12 +111,12 @@
 		},
 		"copy on its way is not yet one that another may go for": {
 			[]table.Row{model("a"), model("b")},
-			[]fleet.Server{server("s", 1, ready("a", 0, 60)), server("t", 1, coming("a", 0, 60))}, nil,
+			[]fleet.Server{server("s", 1, ready("a", 0, 60)), server("t", 1, loading("a", 0, 60))}, nil,
 		},
 		"room that is being freed is waited for": {
 			[]table.Row{model("a"), model("b")},
 			[]fleet.Server{
-				server("s", 1, ready("a", 0, 60)), server("t", 1, ready("a", 0, 60)), server("u", 1, going("a", 0, 60)),
+				server("s", 1, ready("a", 0, 60)), server("t", 1, ready("a", 0, 60)), server("u", 1, unloading("a", 0, 60)),
 			}, nil,
 		},
 		"last copy stays though another has none": {
@@ -142,14 +144,13 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			p := placement.NewPlanner(placement.Options{})
-			got := brief(p.Plan(input(tc.rows, sizes, tc.servers...)))
+			got := formatOrders(p.Plan(input(tc.rows, sizes, tc.servers...)))
 			assert.DeepEqual(t, got, tc.want)
 		})
 	}
 }
 
-// TestHold checks that a surplus copy makes room for demand only after it has
-// been surplus for the hold.
+// TestHold checks that a surplus replica is evicted for demand only after Options.Hold.
 func TestHold(t *testing.T) {
 	sizes := map[string]placement.Size{"a": size(60), "b": size(60)}
 	rows := []table.Row{model("a"), model("b")}
@@ -163,76 +164,76 @@
 	in.Now = start.Add(59 * time.Second)
 	assert.Equal(t, len(p.Plan(in)), 0)
 	in.Now = start.Add(61 * time.Second)
-	assert.DeepEqual(t, brief(p.Plan(in)), []string{"unload a s/0"})
+	assert.DeepEqual(t, formatOrders(p.Plan(in)), []string{"unload a s/0"})
 }
 
-// TestFreedRoomIsKept frees room for a model without a copy while demand asks for
-// more copies of others: the room goes to the model that it was freed for.
-func TestFreedRoomIsKept(t *testing.T) {
-	w := &world{
+// TestFreedMemoryIsReserved checks that memory freed for a model without a replica is not used for an additional
+// replica of another model.
+func TestFreedMemoryIsReserved(t *testing.T) {
+	c := &testCell{
 		rows:  []table.Row{model("hint"), model("summary"), model("busy")},
 		sizes: map[string]placement.Size{"hint": size(40), "summary": size(90), "busy": size(20)},
 		servers: []fleet.Server{
 			server("a", 1, ready("hint", 0, 40)), server("b", 1, ready("hint", 0, 40), ready("busy", 0, 20)),
 		},
 	}
-	w.servers[1] = demand(w.servers[1], "busy", 20)
+	c.servers[1] = demand(c.servers[1], "busy", 20)
 	p := placement.NewPlanner(placement.Options{})
-	got := w.follow(t, p, 6)
+	got := c.planRounds(t, p, 6)
 	assert.DeepEqual(t, got, []string{"unload hint a/0", "load summary a/0"})
 }
 
-// TestPlanKeepsPromises plans for random systems and carries the orders out: no
-// accelerator is overcommitted, no last copy is dropped, and the plans end.
-func TestPlanKeepsPromises(t *testing.T) {
+// TestPlanInvariants plans for random cells and executes the orders. It checks that no accelerator is
+// overcommitted, that no last replica is evicted and that a state without further orders is reached.
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawWorld(t)
+		c := drawCell(t)
 		p := placement.NewPlanner(placement.Options{Hold: time.Second, MaxLoads: 100, MaxOrders: 100})
 		for round := range 30 {
-			in := w.input(start.Add(time.Duration(round) * 10 * time.Second))
-			had := w.copies()
+			in := c.input(start.Add(time.Duration(round) * 10 * time.Second))
+			had := c.replicaCounts()
 			for _, o := range p.Plan(in) {
-				w.carryOut(t, o)
+				c.execute(t, o)
 			}
 			for name, n := range had {
-				assert.Assert(t, n == 0 || w.copies()[name] > 0, "the last copy of %s was dropped", name)
+				assert.Assert(t, n == 0 || c.replicaCounts()[name] > 0, "the last copy of %s was dropped", name)
 			}
 		}
-		assert.Equal(t, len(p.Plan(w.input(start.Add(time.Hour)))), 0, "plans do not end")
+		assert.Equal(t, len(p.Plan(c.input(start.Add(time.Hour)))), 0, "plans do not end")
 	})
 }
 
-// A world is a cell whose servers carry orders out at once.
-type world struct {
+// A testCell is a cell whose servers execute orders immediately.
+type testCell struct {
 	rows    []table.Row
 	sizes   map[string]placement.Size
 	servers []fleet.Server
 }
 
-func drawWorld(t *rapid.T) *world {
-	w := &world{sizes: make(map[string]placement.Size)}
+func drawCell(t *rapid.T) *testCell {
+	c := &testCell{sizes: make(map[string]placement.Size)}
 	for i := range rapid.IntRange(1, 5).Draw(t, "servers") {
-		w.servers = append(w.servers, server(fmt.Sprint("s", i), rapid.IntRange(1, 2).Draw(t, "accelerators")))
+		c.servers = append(c.servers, server(fmt.Sprint("s", i), rapid.IntRange(1, 2).Draw(t, "accelerators")))
 	}
 	for i := range rapid.IntRange(1, 8).Draw(t, "models") {
 		name := fmt.Sprint("m", i)
-		w.rows = append(w.rows, model(name))
-		w.sizes[name] = size(rapid.IntRange(10, 70).Draw(t, "size"))
-		s := &w.servers[rapid.IntRange(0, len(w.servers)-1).Draw(t, "asks")]
+		c.rows = append(c.rows, model(name))
+		c.sizes[name] = size(rapid.IntRange(10, 70).Draw(t, "size"))
+		s := &c.servers[rapid.IntRange(0, len(c.servers)-1).Draw(t, "asks")]
 		*s = demand(*s, name, rapid.Float64Range(0, 40).Draw(t, "demand"))
 	}
-	return w
+	return c
 }
 
-func (w *world) input(now time.Time) placement.Input {
-	in := input(w.rows, w.sizes, w.servers...)
+func (c *testCell) input(now time.Time) placement.Input {
+	in := input(c.rows, c.sizes, c.servers...)
 	in.Now = now
 	return in
 }
 
-func (w *world) copies() map[string]int {
+func (c *testCell) replicaCounts() map[string]int {
 	n := make(map[string]int)
-	for _, s := range w.servers {
+	for _, s := range c.servers {
 		for _, r := range s.Residents {
 			n[r.Name]++
 		}
@@ -240,11 +241,11 @@
 	return n
 }
 
-func (w *world) carryOut(t assert.TestingT, o placement.Order) {
-	i := slices.IndexFunc(w.servers, func(s fleet.Server) bool { return s.ID == o.Server })
-	s := &w.servers[i]
+func (c *testCell) execute(t assert.TestingT, o placement.Order) {
+	i := slices.IndexFunc(c.servers, func(s fleet.Server) bool { return s.ID == o.Server })
+	s := &c.servers[i]
 	a := &s.Accelerators[o.Accelerator]
-	mib := w.sizes[o.Name].TotalMiB()
+	mib := c.sizes[o.Name].TotalMiB()
 	if o.Op == ledger.OpLoad {
 		a.ReservedMiB += mib
 		s.Residents = append(s.Residents, ready(o.Name, o.Accelerator, mib))
@@ -257,25 +258,24 @@
 	assert.Assert(t, a.FreeMiB() >= 0, "%s overcommits %s/%d", o.Name, o.Server, o.Accelerator)
 }
 
-// follow plans a number of times, a second apart, carries the orders out and
-// returns them.
-func (w *world) follow(t *testing.T, p *placement.Planner, rounds int) []string {
+// planRounds plans a number of times, one second apart, and executes and returns the orders.
+func (c *testCell) planRounds(t *testing.T, p *placement.Planner, rounds int) []string {
 	t.Helper()
 	var got []string
 	for round := range rounds {
-		orders := p.Plan(w.input(start.Add(time.Duration(round) * time.Second)))
-		got = append(got, brief(orders)...)
+		orders := p.Plan(c.input(start.Add(time.Duration(round) * time.Second)))
+		got = append(got, formatOrders(orders)...)
 		for _, o := range orders {
-			w.carryOut(t, o)
+			c.execute(t, o)
 		}
 	}
 	return got
 }
 
-// TestFreePieces starts with memory that is free only in pieces: a model that
-// fits none of them gets a place all the same, and no last copy goes.
-func TestFreePieces(t *testing.T) {
-	w := &world{
+// TestFragmentedMemory checks that a model is loaded even if the free memory is fragmented, without the eviction of a
+// last replica.
+func TestFragmentedMemory(t *testing.T) {
+	c := &testCell{
 		rows:  []table.Row{model("clue"), model("hint"), model("headline"), model("summary")},
 		sizes: map[string]placement.Size{"clue": size(62), "hint": size(42), "headline": size(31), "summary": size(83)},
 		servers: []fleet.Server{
@@ -283,12 +283,11 @@
 		},
 	}
 	p := placement.NewPlanner(placement.Options{})
-	got := w.follow(t, p, 5)
+	got := c.planRounds(t, p, 5)
 	assert.DeepEqual(t, got, []string{"load headline a/0", "unload headline c/0", "load summary c/0"})
 }
 
-// TestCellsAgree lets each cell plan from the same records: every model is
-// placed by exactly one of them.
+// TestCellsAgree checks that of several cells that plan from the same records, exactly one loads each model.
 func TestCellsAgree(t *testing.T) {
 	var rows []table.Row
 	sizes := make(map[string]placement.Size)
--- a/placement/relocate.go
+++ b/placement/relocate.go
@@ -8,23 +8,21 @@
 	"rockcleat/table"
 )
 
-// A relocation is a copy to be loaded on another accelerator so that the one it
-// sits on now can go.
+// A relocation is the load of a replica on another accelerator, so that the present replica can be evicted.
 type relocation struct {
 	row table.Row
-	to  *acc
+	to  *accelerator
 }
 
-// relocate makes room for a row whose memory is free only in pieces: it loads
-// the copies of one accelerator, those with the least memory, elsewhere as well.
-// When they are ready the copies there are no longer the last, and makeRoom
-// drops them.
+// relocate prepares room for a row when the free memory is fragmented over several accelerators. It chooses the
+// accelerator with the least memory to relocate and plans loads of its replicas on other accelerators. When they are
+// ready, the replicas on the chosen accelerator are no longer the last, and a later plan evicts them (evictFor).
 func (s *plan) relocate(r table.Row, reason string) {
 	need := s.in.Sizes[r.Name].TotalMiB()
 	var best []relocation
 	bestMiB := 0
-	for _, x := range s.accs {
-		if !s.suits(x, r) || s.unsettled(x) {
+	for _, x := range s.accelerators {
+		if !s.eligible(x, r) || s.hasOrderInProgress(x) {
 			continue
 		}
 		moves, mib := s.relocations(x, need-x.free)
@@ -37,9 +35,9 @@
 	}
 }
 
-// unsettled reports whether memory on the accelerator is about to change anyway.
-func (s *plan) unsettled(x *acc) bool {
-	for _, state := range x.members {
+// hasOrderInProgress reports whether a load or unload is in progress on the accelerator.
+func (s *plan) hasOrderInProgress(x *accelerator) bool {
+	for _, state := range x.residents {
 		if state != fleet.StateReady {
 			return true
 		}
@@ -47,19 +45,19 @@
 	return false
 }
 
-// relocations returns the copies to load elsewhere so that the memory can be
-// freed on x, and their size in MiB; nil if there is no way.
-func (s *plan) relocations(x *acc, need int) ([]relocation, int) {
-	taken := make(map[*acc]int)
+// relocations returns the replicas to load elsewhere so that an amount of memory can be freed on x, and their total
+// size in MiB. It returns nil if the memory cannot be freed.
+func (s *plan) relocations(x *accelerator, need int) ([]relocation, int) {
+	reserved := make(map[*accelerator]int)
 	var moves []relocation
 	total := 0
 	for _, row := range s.movable(x) {
 		mib := s.in.Sizes[row.Name].TotalMiB()
-		to := s.elsewhere(x, row, mib, taken)
+		to := s.bestFit(x, row, mib, reserved)
 		if to == nil {
 			continue
 		}
-		taken[to] += mib
+		reserved[to] += mib
 		moves = append(moves, relocation{row: row, to: to})
 		total += mib
 		if total >= need {
@@ -69,13 +67,13 @@
 	return nil, 0
 }
 
-// movable returns the rows of the copies on x that no adapter there needs, the
-// largest first, so that few are moved.
-func (s *plan) movable(x *acc) []table.Row {
+// movable returns the rows that are on x without an adapter there that depends on them, the largest first, so that
+// few have to be moved.
+func (s *plan) movable(x *accelerator) []table.Row {
 	var rows []table.Row
 	for _, r := range s.in.Rows {
-		_, has := x.members[r.Name]
-		if has && !s.carries(x, r.Name) {
+		_, has := x.residents[r.Name]
+		if has && !s.hasAdapterOf(x, r.Name) {
 			rows = append(rows, r)
 		}
 	}
@@ -85,16 +83,16 @@
 	return rows
 }
 
-// elsewhere returns the accelerator with the least room that still takes the
-// row beside what has been given to it, or nil.
-func (s *plan) elsewhere(x *acc, r table.Row, mib int, taken map[*acc]int) *acc {
-	var best *acc
-	for _, o := range s.accs {
-		room := o.free - taken[o]
-		if o == x || !s.suits(o, r) || room < mib {
+// bestFit returns the accelerator other than x with the least free memory in which the row fits (best fit), or
+// nil if there is none. reserved is the memory of other relocations to each accelerator, in MiB.
+func (s *plan) bestFit(x *accelerator, r table.Row, mib int, reserved map[*accelerator]int) *accelerator {
+	var best *accelerator
+	for _, o := range s.accelerators {
+		free := o.free - reserved[o]
+		if o == x || !s.eligible(o, r) || free < mib {
 			continue
 		}
-		if best == nil || room < best.free-taken[best] {
+		if best == nil || free < best.free-reserved[best] {
 			best = o
 		}
 	}
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -2,41 +2,45 @@
 
 import "rockcleat/exchange"
 
-// A Message tells a peer what has changed here and asks for what has changed there.
+// A Message sends changed records to a peer and requests the records that have changed there.
 type Message = exchange.Message[Record]
 
-// A Reply is the answer to a Message.
+// A Reply is the reply to a Message.
 type Reply = exchange.Reply[Record]
 
-// A Cursor is a place in the changes of one process's table.
+// A Cursor is a position in the sequence of changes of one table.
 type Cursor = exchange.Cursor
 
-// A Link is one process's side of the exchange with one peer at a time.
+// A Link is the local end of the exchange with one peer at a time.
 type Link = exchange.Link[Record]
 
-// NewLink returns a Link of a table with no peer, which tells of requests with a number of ends or more.
-func NewLink(t *Table, ends int) *Link { return exchange.NewLink(changes{table: t, ends: ends}) }
+// NewLink returns a Link of a table that has no peer yet. It sends the records of requests with at least the given
+// number of crashes.
+func NewLink(t *Table, minCrashes int) *Link {
+	return exchange.NewLink(changeLog{table: t, minCrashes: minCrashes})
+}
 
-// Answer takes in what a peer tells and returns what is new for it of the requests with a number of ends or
-// more; nil if nothing is.
-func (t *Table) Answer(m Message, ends int) *Reply {
-	return exchange.Answer(changes{table: t, ends: ends}, m)
+// Answer merges the records of a message and returns the records that are new for the peer, of requests with at
+// least the given number of crashes. It returns nil if there are none.
+func (t *Table) Answer(m Message, minCrashes int) *Reply {
+	return exchange.Answer(changeLog{table: t, minCrashes: minCrashes}, m)
 }
 
-// changes are those of a table that concern requests with a number of ends or more; it is an exchange.Log.
-type changes struct {
-	table *Table
-	ends  int
+// changeLog is the exchange.Log of a table for requests with at least a number of crashes.
+type changeLog struct {
+	table      *Table
+	minCrashes int
 }
 
 // Epoch implements exchange.Log.
-func (c changes) Epoch() uint32 { return c.table.epoch }
+func (c changeLog) Epoch() uint32 { return c.table.epoch }
 
 // Merge implements exchange.Log.
-func (c changes) Merge(records []Record) (before, after uint64) { return c.table.Merge(records) }
+func (c changeLog) Merge(records []Record) (before, after uint64) { return c.table.Merge(records) }
 
-// Since implements exchange.Log: it leaves out the requests with fewer ends, unless they were voided.
-func (c changes) Since(after uint64) ([]Record, uint64) {
+// Since implements exchange.Log. It leaves out requests with fewer than minCrashes crashes, unless they were cleared
+// before.
+func (c changeLog) Since(after uint64) ([]Record, uint64) {
 	t := c.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,7 +49,7 @@
 	}
 	var changed []Key
 	for k, e := range t.entries {
-		if e.version > after && (len(e.servers) >= c.ends || e.round > 0) {
+		if e.version > after && (len(e.servers) >= c.minCrashes || e.round > 0) {
 			changed = append(changed, k)
 		}
 	}
--- a/quota/bucket_test.go
+++ b/quota/bucket_test.go
@@ -14,7 +14,7 @@
 		after  time.Duration
 		amount float64
 		taken  bool
-		// until is the wait for the amount after that.
+		// until is the wait for the same amount after that.
 		until time.Duration
 	}{
 		"empty at first":                {amount: 1, until: 10 * time.Millisecond},
@@ -30,12 +30,12 @@
 			b := newBucket(start)
 			b.fill(limit, 1, start.Add(test.after))
 			assert.Equal(t, b.take(limit, test.amount), test.taken)
-			assert.Equal(t, b.until(limit, test.amount).Round(time.Microsecond), test.until)
+			assert.Equal(t, b.timeUntil(limit, test.amount).Round(time.Microsecond), test.until)
 		})
 	}
 }
 
-// TestLoweredLimit checks that a lower limit binds at once what has been saved up.
+// TestLoweredLimit checks that a lowered limit applies at once to the amount in the bucket.
 func TestLoweredLimit(t *testing.T) {
 	start := time.Unix(0, 0)
 	b := newBucket(start)
@@ -46,7 +46,7 @@
 	assert.Assert(t, !b.take(lower, 1))
 }
 
-// TestShareOfTheRate checks that a bucket whose share has changed counts the lesser one for the time between.
+// TestShareOfTheRate checks that the lower share applies to the period in which the share changed.
 func TestShareOfTheRate(t *testing.T) {
 	limit := Limit{Rate: 100, Burst: 1000}
 	start := time.Unix(0, 0)
--- a/residency/replicas.go
+++ b/residency/replicas.go
@@ -7,34 +7,32 @@
 	"rockcleat/table"
 )
 
-// replicaOffset is added to a model's number of replicas when its demand is divided by
-// them: below 1, so that a model's second replica counts for more than in proportion.
+// replicaOffset is added to the number of replicas by which a model's demand is divided. A value below 1 raises
+// the priority of a second replica.
 const replicaOffset = 0.5
 
-// demandExponent is the power of demand by which the spare memory is divided: less than in
-// proportion, so that models with little demand have replicas when theirs rises, which takes longer
-// to follow than to serve what there is. With many engines, where the busiest model needs some 30
-// replicas, the root leaves it with ten.
+// demandExponent is the power of demand in proportion to which the spare memory is divided. A value below 1
+// leaves more replicas to models with little demand, since replicas follow a rise in demand only with a delay.
 const demandExponent = 0.75
 
-// replicaTargets divides the memory of a number of engines among the models: one replica
-// each, but for those that need none and that nobody waits for, and the rest to whichever
-// model has the largest share of demand on each replica, until nothing fits any more. At
-// most one replica of a model fits on an engine.
-func replicaTargets(spec *table.EngineSpec, demands map[string]Demand, residences map[string]residence, engines int) map[string]int {
-	room := spec.WeightsMB * float64(engines)
+// replicaTargets divides the memory of a number of engines among the models and returns the number of replicas
+// of each. Every model gets one replica, except models that may be unloaded and have no waiting request. The
+// remaining memory goes, one replica at a time, to the model with the highest priority, until no replica fits.
+// An engine holds at most one replica of a model.
+func replicaTargets(spec *table.EngineSpec, demands map[string]Demand, policies map[string]loadPolicy, engines int) map[string]int {
+	freeMB := spec.WeightsMB * float64(engines)
 	var candidates replicaHeap
 	targets := make(map[string]int, len(spec.Models))
 	for i, m := range spec.Models {
 		d := demands[m.Name]
-		if residences[m.Name] != always && d.Waiting == 0 {
+		if policies[m.Name] != alwaysLoaded && d.Waiting == 0 {
 			continue
 		}
 		targets[m.Name] = 1
-		room -= m.WeightsMB
+		freeMB -= m.WeightsMB
 		if d.TokensPerSecond > 0 {
 			candidates = append(candidates, replicaCandidate{
-				index: i, replicas: 1, share: math.Pow(d.TokensPerSecond, demandExponent),
+				index: i, replicas: 1, scaledDemand: math.Pow(d.TokensPerSecond, demandExponent),
 			})
 		}
 	}
@@ -42,12 +40,12 @@
 	for len(candidates) > 0 {
 		c := &candidates[0]
 		m := &spec.Models[c.index]
-		if c.replicas >= engines || m.WeightsMB > room {
-			// Room only shrinks, so the model gets no further replica.
+		if c.replicas >= engines || m.WeightsMB > freeMB {
+			// The remaining memory only shrinks, so the model gets no further replica.
 			heap.Pop(&candidates)
 			continue
 		}
-		room -= m.WeightsMB
+		freeMB -= m.WeightsMB
 		c.replicas++
 		targets[m.Name] = c.replicas
 		heap.Fix(&candidates, 0)
@@ -55,17 +53,17 @@
 	return targets
 }
 
-// A replicaCandidate is a model that may get a further replica.
+// A replicaCandidate is a model that may get another replica.
 type replicaCandidate struct {
 	index    int
 	replicas int
-	// share is the model's demand to the power of demandExponent.
-	share float64
+	// scaledDemand is the model's demand to the power of demandExponent.
+	scaledDemand float64
 }
 
-// priority is the share on each replica.
+// priority returns the scaled demand per replica.
 func (c replicaCandidate) priority() float64 {
-	return c.share / (float64(c.replicas) + replicaOffset)
+	return c.scaledDemand / (float64(c.replicas) + replicaOffset)
 }
 
 // replicaHeap is a heap of candidates, the one with the highest priority first.
--- a/residency/residence.go
+++ b/residency/residence.go
@@ -2,55 +2,56 @@
 
 import "rockcleat/table"
 
-// A residence says when a model needs a replica.
-type residence int
+// A loadPolicy says when a model needs a replica.
+type loadPolicy int
 
 const (
-	// always: its requests cannot wait for a load.
-	always residence = iota
-	// whileCached: its demand is not expected to rise; the last replica may leave an engine
-	// whose machine keeps the weights cached, from where it is back in a second or two.
-	whileCached
-	// onRequest: its requests can wait until it is loaded.
-	onRequest
+	// alwaysLoaded requires a replica at all times, since requests cannot wait for a load.
+	alwaysLoaded loadPolicy = iota
+	// unloadIfCached allows the last replica to be evicted from an engine whose machine has the weights cached
+	// and can load them again quickly. It applies to models whose demand is not expected to rise.
+	unloadIfCached
+	// loadOnRequest allows the last replica to be evicted, since requests can wait for a load.
+	loadOnRequest
 )
 
-// When the last replica of a model may go: one of each would take most of the engines' memory for
-// models that few ask for.
+// Conditions under which the last replica of a model may be evicted. Without eviction, models with little
+// demand would take most of the engines' memory.
 const (
-	// onRequestLoads is how many times a model must be loadable from a disk within the
-	// objective of its requests: once for the unload before it and once for itself.
-	onRequestLoads = 2
-	// lastReplicaFactor is how many times the demand of a last replica's model the demand on
-	// each replica of the model in its place must be: a load on
-	// request takes its objective from each request that waits for it.
-	lastReplicaFactor = 40
-	// leastShare is the part of all demand, measured or expected, from which on a model
-	// always has a replica, since it would be loaded again at once.
-	leastShare = 0.02
-	// leastConfidence is how sure the order of rises must be for a model that is not next to
-	// count as not expected to rise.
-	leastConfidence = 0.5
+	// loadsWithinObjective is the number of load times from disk that must fit into the objective of a model's
+	// requests: one for the unload that makes room and one for the load.
+	loadsWithinObjective = 2
+	// lastReplicaDemandRatio is the ratio that must be exceeded between the demand per replica of the model to load
+	// and the demand of the model whose last replica is evicted. It is high because requests that wait for the
+	// evicted model to be loaded again use up their objective.
+	lastReplicaDemandRatio = 40
+	// alwaysLoadedShare is the fraction of the total demand, measured or expected, at or above which a model always
+	// has a replica, since it would be loaded again at once.
+	alwaysLoadedShare = 0.02
+	// minConfidence is the Confidence above which the demand of a model that is not next in the order of the list
+	// is not expected to rise.
+	minConfidence = 0.5
 )
 
-// residences returns when each model needs a replica, by name. Demands are those expected;
-// of a model that was never asked for nobody knows how long its requests can wait.
-func residences(spec *table.EngineSpec, demands map[string]Demand, confidence float64) map[string]residence {
+// loadPolicies returns the policy of each model, by name; a model without one is alwaysLoaded. The demands are those
+// of Forecast. A model that was never requested is never loadOnRequest, since it is unknown how long its requests can
+// wait.
+func loadPolicies(spec *table.EngineSpec, demands map[string]Demand, confidence float64) map[string]loadPolicy {
 	total := 0.0
 	for _, d := range demands {
 		total += d.TokensPerSecond
 	}
-	out := make(map[string]residence, len(spec.Models))
+	out := make(map[string]loadPolicy, len(spec.Models))
 	for _, m := range spec.Models {
 		d := demands[m.Name]
-		patient := d.Asked && m.DiskLoadTime > 0 && d.Objective >= onRequestLoads*m.DiskLoadTime
+		canWait := d.Asked && m.DiskLoadTime > 0 && d.Objective >= loadsWithinObjective*m.DiskLoadTime
 		switch {
-		case d.TokensPerSecond >= leastShare*total:
-			out[m.Name] = always
-		case patient:
-			out[m.Name] = onRequest
-		case confidence > leastConfidence:
-			out[m.Name] = whileCached
+		case d.TokensPerSecond >= alwaysLoadedShare*total:
+			out[m.Name] = alwaysLoaded
+		case canWait:
+			out[m.Name] = loadOnRequest
+		case confidence > minConfidence:
+			out[m.Name] = unloadIfCached
 		}
 	}
 	return out
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,72 +5,73 @@
 	"time"
 )
 
-// windowParts is the number of parts that a Window's time is counted in: counts go out of
-// the window a twentieth of its length late at most.
-const windowParts = 20
+// windowBuckets is the number of buckets that a Window's length is divided into. A count expires at
+// most one bucket late.
+const windowBuckets = 20
 
-// A Window bounds the retries in any span of a length by a ratio of the first tries in it
-// and a fixed number; it is safe for concurrent use.
+// A Window limits the retries within any span of its length to Ratio times the first attempts in
+// that span plus a share of Fixed. It is safe for concurrent use.
 //
-// Its zero value allows no retry.
+// The zero value allows no retries.
 type Window struct {
-	// Length is the span that retries are counted over.
+	// Length is the duration of the sliding window.
 	Length time.Duration
-	// Ratio is the number of retries allowed for each first try, without a unit.
+	// Ratio is the number of retries allowed per first attempt.
 	Ratio float64
-	// Fixed is the number of retries allowed beside those, in all processes together.
+	// Fixed is the number of retries allowed in addition to Ratio, summed over all processes.
 	Fixed float64
 
-	mu    sync.Mutex
-	parts [windowParts + 1]windowPart
+	mu      sync.Mutex
+	buckets [windowBuckets + 1]bucket
 }
 
-// windowPart counts one part of the time; number says which.
-type windowPart struct {
-	number          int64
-	firsts, retries int
+// A bucket counts the attempts in one interval; index is the number of that interval since the Unix
+// epoch.
+type bucket struct {
+	index                  int64
+	firstAttempts, retries int
 }
 
-// First counts a first try.
+// First records a first attempt.
 func (w *Window) First(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.part(now).firsts++
+	w.bucketAt(now).firstAttempts++
 }
 
-// Allow counts a retry and reports whether there was room for it; share is the part of
-// Fixed that is this process's own, 0 to 1.
+// Allow reports whether a retry is allowed and records it if so. share is the fraction of Fixed
+// that belongs to this process, 0 to 1.
 func (w *Window) Allow(now time.Time, share float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	firsts, retries := w.sum(now)
-	if float64(retries+1) > w.Ratio*float64(firsts)+w.Fixed*share {
+	firstAttempts, retries := w.totals(now)
+	if float64(retries+1) > w.Ratio*float64(firstAttempts)+w.Fixed*share {
 		return false
 	}
-	w.part(now).retries++
+	w.bucketAt(now).retries++
 	return true
 }
 
-func (w *Window) number(now time.Time) int64 {
-	return now.UnixNano() / max(int64(w.Length)/windowParts, 1)
+func (w *Window) indexAt(now time.Time) int64 {
+	return now.UnixNano() / max(int64(w.Length)/windowBuckets, 1)
 }
 
-func (w *Window) part(now time.Time) *windowPart {
-	n := w.number(now)
-	p := &w.parts[n%int64(len(w.parts))]
-	if p.number != n {
-		*p = windowPart{number: n}
+func (w *Window) bucketAt(now time.Time) *bucket {
+	i := w.indexAt(now)
+	b := &w.buckets[i%int64(len(w.buckets))]
+	if b.index != i {
+		*b = bucket{index: i}
 	}
-	return p
+	return b
 }
 
-func (w *Window) sum(now time.Time) (firsts, retries int) {
-	n := w.number(now)
-	for _, p := range w.parts {
-		if p.number > n-int64(len(w.parts)) && p.number <= n {
-			firsts += p.firsts
-			retries += p.retries
+func (w *Window) totals(now time.Time) (firstAttempts, retries int) {
+	current := w.indexAt(now)
+	for _, b := range w.buckets {
+		if b.index > current-int64(len(w.buckets)) && b.index <= current {
+			firstAttempts += b.firstAttempts
+			retries += b.retries
 		}
 	}
-	return firsts, retries
+	return firstAttempts, retries
 }
--- a/route/route.go
+++ b/route/route.go
@@ -10,151 +10,153 @@
 	"rockcleat/rendezvous"
 )
 
-// Constants of the choice.
 const (
-	// boundFactor is how far above the mean load a preferred server may be, as a factor.
-	boundFactor = 1.25
-	// loadMaxAge is how long a reported load counts.
-	loadMaxAge = 5 * time.Second
-	// avoidTime is how long a server that failed or refused is put last.
-	avoidTime = time.Second
+	// loadBoundFactor is the ratio to the mean load up to which a prefix keeps its preferred
+	// server.
+	loadBoundFactor = 1.25
+	// reportTTL is how long a reported load is used.
+	reportTTL = 5 * time.Second
+	// avoidDuration is how long a server that failed or refused a request is ordered last.
+	avoidDuration = time.Second
 )
 
-// A Candidate is a server that may take a request.
+// A Candidate is a server that can take a request.
 type Candidate struct {
 	ID   string
 	Hall string
 }
 
-// A load describes one server's work.
-type load struct {
-	// reported is the load that the server put on an answer, and reportedAt when it came.
+// A serverState is what a Table knows about one server.
+type serverState struct {
+	// reported is the load in the server's last response, in requests, and reportedAt the time of
+	// that response.
 	reported   int
 	reportedAt time.Time
-	// outstanding counts the requests that this process has there.
+	// outstanding is the number of requests that this process has sent there and not finished.
 	outstanding int
 	avoidUntil  time.Time
-	// leaving is the incarnation of the server that said that it is leaving.
-	leaving string
+	// leavingIncarnation is the incarnation that reported that it is draining; empty if none did.
+	leavingIncarnation string
 }
 
-// A Table holds the load of all servers that a process has dealt with; it is
-// safe for concurrent use and its zero value is empty.
+// A Table holds the loads of the servers that a process has sent requests to. It is safe for
+// concurrent use; its zero value is empty.
 type Table struct {
-	// Hall is the process's own hall, preferred between equals.
+	// Hall is the data hall of the process. Its servers are tried before those of other halls.
 	Hall string
 
-	mu    sync.Mutex
-	loads map[string]*load
+	mu      sync.Mutex
+	servers map[string]*serverState
 }
 
-// entry returns the load of a server; the Table is locked.
-func (t *Table) entry(id string) *load {
-	if t.loads == nil {
-		t.loads = make(map[string]*load)
+// state returns the state of a server, creating it if needed. t.mu must be held.
+func (t *Table) state(id string) *serverState {
+	if t.servers == nil {
+		t.servers = make(map[string]*serverState)
 	}
-	l, ok := t.loads[id]
+	s, ok := t.servers[id]
 	if !ok {
-		l = &load{}
-		t.loads[id] = l
+		s = &serverState{}
+		t.servers[id] = s
 	}
-	return l
+	return s
 }
 
-// Begin counts a request sent to a server and returns a function that ends it.
+// Begin counts a request as outstanding at a server. The caller must call end exactly once.
 func (t *Table) Begin(id string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.entry(id)
-	l.outstanding++
+	s := t.state(id)
+	s.outstanding++
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		l.outstanding--
+		s.outstanding--
 	}
 }
 
-// Report sets the load that a server put on an answer, in requests.
-func (t *Table) Report(id string, value int, now time.Time) {
+// Report records the load that a server put in a response, in requests.
+func (t *Table) Report(id string, load int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.entry(id)
-	l.reported, l.reportedAt = value, now
+	s := t.state(id)
+	s.reported, s.reportedAt = load, now
 }
 
-// Avoid puts a server last for a short while.
+// Avoid orders a server after all others for avoidDuration.
 func (t *Table) Avoid(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.entry(id).avoidUntil = now.Add(avoidTime)
+	t.state(id).avoidUntil = now.Add(avoidDuration)
 }
 
-// Leave records that an incarnation of a server said that it is leaving.
+// Leave records that an incarnation of a server reported that it is draining.
 func (t *Table) Leave(id, incarnation string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.entry(id).leaving = incarnation
+	t.state(id).leavingIncarnation = incarnation
 }
 
-// Leaving reports whether the incarnation said that it is leaving.
+// Leaving reports whether Leave was last called for this incarnation of the server.
 func (t *Table) Leaving(id, incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l, ok := t.loads[id]
-	return ok && l.leaving != "" && l.leaving == incarnation
+	s, ok := t.servers[id]
+	return ok && s.leavingIncarnation != "" && s.leavingIncarnation == incarnation
 }
 
-// Forget drops servers that are not among the live ones.
+// Forget removes the servers that are not in live and have no outstanding requests.
 func (t *Table) Forget(live map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, l := range t.loads {
-		if !live[id] && l.outstanding == 0 {
-			delete(t.loads, id)
+	for id, s := range t.servers {
+		if !live[id] && s.outstanding == 0 {
+			delete(t.servers, id)
 		}
 	}
 }
 
-// value returns the load that counts for a server, in requests.
-func (t *Table) value(id string, now time.Time) float64 {
-	l, ok := t.loads[id]
+// effectiveLoad returns the load of a server that the choice uses: the greater of the outstanding
+// requests and a recent report. t.mu must be held.
+func (t *Table) effectiveLoad(id string, now time.Time) float64 {
+	s, ok := t.servers[id]
 	if !ok {
 		return 0
 	}
-	v := float64(l.outstanding)
-	if now.Sub(l.reportedAt) < loadMaxAge {
-		v = max(v, float64(l.reported))
+	v := float64(s.outstanding)
+	if now.Sub(s.reportedAt) < reportTTL {
+		v = max(v, float64(s.reported))
 	}
 	return v
 }
 
-// avoided reports whether a server is put last now.
-func (t *Table) avoided(id string, now time.Time) bool {
-	l, ok := t.loads[id]
-	return ok && now.Before(l.avoidUntil)
+// isAvoided reports whether a server is ordered last now. t.mu must be held.
+func (t *Table) isAvoided(id string, now time.Time) bool {
+	s, ok := t.servers[id]
+	return ok && now.Before(s.avoidUntil)
 }
 
-// Order returns the candidates in the order in which to try them.
-//
-// A prefix of zero stands for none.
-func (t *Table) Order(cands []Candidate, prefix uint64, now time.Time) []Candidate {
-	order := slices.Clone(cands)
+// Order returns the candidates in the order in which to try them. prefix is the hash of the
+// prompt's prefix; 0 means none.
+func (t *Table) Order(candidates []Candidate, prefix uint64, now time.Time) []Candidate {
+	order := slices.Clone(candidates)
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	slices.SortStableFunc(order, func(a, b Candidate) int { return cmp.Compare(t.rank(a, now), t.rank(b, now)) })
-	usable := t.usable(order, now)
-	if first := t.first(order[:usable], prefix, now); first > 0 {
-		c := order[first]
-		order = slices.Insert(slices.Delete(order, first, first+1), 0, c)
+	usableCount := t.countUsable(order, now)
+	if firstIndex := t.pickFirst(order[:usableCount], prefix, now); firstIndex > 0 {
+		c := order[firstIndex]
+		order = slices.Insert(slices.Delete(order, firstIndex, firstIndex+1), 0, c)
 	}
 	return order
 }
 
-// rank puts avoided servers last and servers of the own hall first.
+// rank returns the sort key that orders avoided servers last and, within each group, servers of the
+// process's own hall first.
 func (t *Table) rank(c Candidate, now time.Time) int {
 	rank := 0
-	if t.avoided(c.ID, now) {
+	if t.isAvoided(c.ID, now) {
 		rank += 2
 	}
 	if c.Hall != t.Hall {
@@ -163,49 +165,50 @@
 	return rank
 }
 
-// usable returns how many of the ordered candidates are not put last.
-func (t *Table) usable(order []Candidate, now time.Time) int {
-	i := slices.IndexFunc(order, func(c Candidate) bool { return t.avoided(c.ID, now) })
+// countUsable returns the number of leading candidates in order that are not avoided.
+func (t *Table) countUsable(order []Candidate, now time.Time) int {
+	i := slices.IndexFunc(order, func(c Candidate) bool { return t.isAvoided(c.ID, now) })
 	if i < 0 {
 		return len(order)
 	}
 	return i
 }
 
-// first returns the index of the server to try first: the one that the prefix prefers, unless
-// its load is over the bound, or else the less loaded of two random ones.
-func (t *Table) first(order []Candidate, prefix uint64, now time.Time) int {
+// pickFirst returns the index of the server to try first: the one preferred for the prefix unless
+// its load is over the bound, otherwise the less loaded of two picked at random.
+func (t *Table) pickFirst(order []Candidate, prefix uint64, now time.Time) int {
 	if len(order) < 2 {
 		return 0
 	}
 	if prefix != 0 {
-		if i := t.preferred(order, prefix); t.value(order[i].ID, now) <= t.bound(order, now) {
+		if i := t.preferredIndex(order, prefix); t.effectiveLoad(order[i].ID, now) <= t.loadBound(order, now) {
 			return i
 		}
 	}
 	i, j := rand.IntN(len(order)), rand.IntN(len(order))
-	if t.value(order[j].ID, now) < t.value(order[i].ID, now) {
+	if t.effectiveLoad(order[j].ID, now) < t.effectiveLoad(order[i].ID, now) {
 		return j
 	}
 	return i
 }
 
-// bound returns the load up to which a preferred server is taken; one request more than the
-// mean is always allowed.
-func (t *Table) bound(order []Candidate, now time.Time) float64 {
+// loadBound returns the highest load at which a preferred server is still chosen: loadBoundFactor
+// times the mean, plus one request.
+func (t *Table) loadBound(order []Candidate, now time.Time) float64 {
 	sum := 0.0
 	for _, c := range order {
-		sum += t.value(c.ID, now)
+		sum += t.effectiveLoad(c.ID, now)
 	}
-	return boundFactor*sum/float64(len(order)) + 1
+	return loadBoundFactor*sum/float64(len(order)) + 1
 }
 
-// preferred returns the index with the highest rendezvous weight for the prefix.
-func (t *Table) preferred(order []Candidate, prefix uint64) int {
-	best, bestHash := 0, uint64(0)
+// preferredIndex returns the index of the candidate with the highest rendezvous weight for the
+// prefix.
+func (t *Table) preferredIndex(order []Candidate, prefix uint64) int {
+	best, bestWeight := 0, uint64(0)
 	for i, c := range order {
-		if h := rendezvous.Weight(c.ID, prefix); h >= bestHash {
-			best, bestHash = i, h
+		if weight := rendezvous.Weight(c.ID, prefix); weight >= bestWeight {
+			best, bestWeight = i, weight
 		}
 	}
 	return best
--- a/serverlimit/word.go
+++ b/serverlimit/word.go
@@ -1,35 +1,35 @@
 package serverlimit
 
-// A word is what is known of a server's limit.
-type word struct {
-	// sequence is one above that of the word that this one replaces.
+// An update is one state of a server's limit, with its place in the sequence of states.
+type update struct {
+	// sequence is one above the sequence of the update that this one replaces.
 	sequence uint64
 	limited  bool
-	// perSecond is the limit, if there is one.
+	// perSecond is the limit if limited is true, in requests per second.
 	perSecond float64
 }
 
-// isNewerThan reports whether a word replaces another one. Of two that replaced the same word the one that
-// allows less counts: both may be true of the same moment, and the server's next answer decides.
-func (w word) isNewerThan(o word) bool {
-	if w.sequence != o.sequence {
-		return w.sequence > o.sequence
+// isNewerThan reports whether u replaces other. Of two updates with the same sequence, made by different processes, the
+// one with the lower limit replaces the other, and one with a limit replaces one without. The next response of the
+// server corrects the result if necessary.
+func (u update) isNewerThan(other update) bool {
+	if u.sequence != other.sequence {
+		return u.sequence > other.sequence
 	}
-	if w.limited != o.limited {
-		return w.limited
+	if u.limited != other.limited {
+		return u.limited
 	}
-	return w.limited && w.perSecond < o.perSecond
+	return u.limited && u.perSecond < other.perSecond
 }
 
-// stateAfter returns what has become of the limit when another word follows; changed is false if it stands
-// as before.
-func (w word) stateAfter(next word) (s State, changed bool) {
+// transition returns how the next update changes the limit; changed is false if the limit remains the same.
+func (u update) transition(next update) (s State, changed bool) {
 	switch {
-	case next.limited && !w.limited:
+	case next.limited && !u.limited:
 		return Began, true
-	case !next.limited && w.limited:
+	case !next.limited && u.limited:
 		return Ended, true
-	case next.limited && next.perSecond != w.perSecond:
+	case next.limited && next.perSecond != u.perSecond:
 		return Changed, true
 	}
 	return "", false
--- a/table/csv.go
+++ b/table/csv.go
@@ -10,11 +10,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxCSV bounds what ReadCSV reads, in bytes: some hundred times the table of 510 models
-// (docs/CAPACITY.md).
-const maxCSV = 8 << 20
+// maxCSVBytes is the maximum number of bytes that ReadCSV reads, about a hundred times the size
+// of the table that the system is designed for (docs/CAPACITY.md).
+const maxCSVBytes = 8 << 20
 
-// WriteCSV writes a header and one line a row.
+// WriteCSV writes a header line and one line for each row.
 func WriteCSV(w io.Writer, rows []Row) error {
 	out := csv.NewWriter(w)
 	if err := out.Write(Columns); err != nil {
@@ -29,11 +29,12 @@
 	return eris.Wrap(out.Error(), "table: write csv")
 }
 
-// ReadCSV reads rows under a header that names the columns in any order.
+// ReadCSV reads rows below a header line that names the columns in any order.
 //
-// A cell's error is a CheckError, its row named "line N" while it has no name.
+// An invalid header or cell is reported as a CheckError. If the row has no name, the error
+// identifies it as "line N".
 func ReadCSV(r io.Reader) ([]Row, error) {
-	in := csv.NewReader(io.LimitReader(r, maxCSV))
+	in := csv.NewReader(io.LimitReader(r, maxCSVBytes))
 	header, err := in.Read()
 	if err != nil {
 		return nil, eris.Wrap(err, "table: read csv header")
@@ -52,21 +53,21 @@
 			return nil, eris.Wrap(err, "table: read csv")
 		}
 		line, _ := in.FieldPos(0)
-		row, err := rowOf(header, cells, line)
+		row, err := parseRow(header, cells, line)
 		if err != nil {
 			return nil, err
 		}
-		if first, twice := seen[row.Name]; twice {
+		if firstLine, duplicate := seen[row.Name]; duplicate {
 			return nil, CheckError{Row: row.Name, Column: columnName, Value: row.Name,
-				Allowed: fmt.Sprintf("each name once; lines %d and %d have it", first, line)}
+				Allowed: fmt.Sprintf("each name once; lines %d and %d have it", firstLine, line)}
 		}
 		seen[row.Name] = line
 		rows = append(rows, row)
 	}
 }
 
-// checkHeader returns an error unless the header names each column at most once, and the
-// name at all.
+// checkHeader verifies that the header has only known columns, none of them twice, and
+// includes the name column.
 func checkHeader(header []string) error {
 	seen := make(map[string]bool)
 	for _, c := range header {
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// rowOf returns the row of one line; columns that the header leaves out have their defaults.
-func rowOf(header, cells []string, line int) (Row, error) {
+// parseRow parses one line. Columns missing from the header get their default values.
+func parseRow(header, cells []string, line int) (Row, error) {
 	row := NewRow(cells[slices.Index(header, columnName)])
 	if row.Name == "" {
 		row.Name = fmt.Sprintf("line %d", line)
--- a/table/log.go
+++ b/table/log.go
@@ -14,41 +14,41 @@
 	"rockcleat/kv"
 )
 
-// headKey is the key of the table's head in the platform's key-value service.
+// headKey is the key of the head in the key-value service.
 const headKey = "table/head"
 
-// Sizes of the head's tail, in edits.
+// Lengths of the head's tail, in edits.
 const (
-	// maxEdits is the length from which on the tail is cut.
-	maxEdits = 64
-	// keptEdits is the length that it is cut to.
-	keptEdits = 32
+	maxTailLength = 64
+	// trimmedTailLength is the length to which a longer tail is trimmed.
+	trimmedTailLength = 32
 )
 
-// Waits between tries of a save, with doubling.
+// Exponential backoff between attempts of a save.
 const (
-	// firstRetryWait is the first one: some round trips to the service.
-	firstRetryWait = 20 * time.Millisecond
-	// maxRetryWait is the longest.
-	maxRetryWait = time.Second
+	// initialBackoff is several round trips to the key-value service.
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// Outcomes of a save.
+// Errors of a save.
 var (
-	// ErrRowConflict says that another operator changed the row first; nothing was saved.
+	// ErrRowConflict means that a row is not at the version that the edit expects. Nothing was
+	// saved.
 	ErrRowConflict = errors.New("table: row changed by another edit")
-	// ErrInvalid says that the table would not pass its checks; nothing was saved.
+	// ErrInvalid means that the edited table failed its checks. Nothing was saved.
 	ErrInvalid = errors.New("table: checks failed")
-	// ErrSaveUnknown says that no answer came in time; the same edit may be sent again.
+	// ErrSaveUnknown means that no response arrived in time. The same edit can be saved again
+	// safely.
 	ErrSaveUnknown = errors.New("table: outcome of save unknown")
 )
 
-// An InvalidError carries the errors that made a save fail; it is an ErrInvalid.
+// An InvalidError lists the errors found in an edited table. It matches ErrInvalid.
 type InvalidError struct {
 	Errors []CheckError
 }
 
-// Error returns the first error's message and how many there are.
+// Error returns the message of the first error and the number of further ones.
 func (e *InvalidError) Error() string {
 	if len(e.Errors) == 1 {
 		return e.Errors[0].Error()
@@ -56,57 +56,60 @@
 	return fmt.Sprintf("%s (and %d more)", e.Errors[0].Error(), len(e.Errors)-1)
 }
 
-// Is makes an InvalidError an ErrInvalid.
+// Is reports whether target is ErrInvalid.
 func (e *InvalidError) Is(target error) bool { return target == ErrInvalid }
 
-// A head is the one value whose compare-and-swap decides the next version.
+// A head is the value whose compare-and-swap commits the next version.
 type head struct {
 	Version uint64 `json:"version"`
-	Base    uint64 `json:"base"`
-	Tail    []Edit `json:"tail"`
+	// Base is the version of the snapshot, 0 if there is none.
+	Base uint64 `json:"base"`
+	// Tail lists the latest edits, oldest first.
+	Tail []Edit `json:"tail"`
 }
 
-// A Validator refuses tables for reasons beyond the rows themselves, such as
-// models that do not fit the accelerators; nil stands for none.
+// A Validator checks a table beyond its own rows, for example whether its models fit the
+// accelerators. A nil Validator accepts every table.
 type Validator func(next *Table) []CheckError
 
-// A Log is the table's record in the platform's key-value service.
+// A Log stores the table in the platform's key-value service.
 //
-// The record is a head, which holds the latest edits, and a snapshot that the
-// edits start from. An edit is saved by one compare-and-swap of the head.
+// The stored form is a head, which holds the latest edits, and a snapshot to which the edits
+// apply. An edit is committed by one compare-and-swap of the head.
 type Log struct {
 	store    kv.Store
 	clock    clock.Service
 	validate Validator
 }
 
-// NewLog returns the Log in a store.
+// NewLog returns a Log in the given store. The Validator may be nil.
 func NewLog(store kv.Store, c clock.Service, v Validator) *Log {
 	return &Log{store: store, clock: c, validate: v}
 }
 
-// Load returns the table in force and the head's revision; have is the newest
-// table already known, which spares reading what it holds.
-func (l *Log) Load(ctx context.Context, have *Table) (*Table, kv.Revision, error) {
-	t, _, rev, err := l.load(ctx, have)
+// Load returns the stored table and the revision of its head. The argument known is the newest
+// table that the caller has. Load applies the head's edits to it and reads a snapshot only if
+// earlier edits are missing.
+func (l *Log) Load(ctx context.Context, known *Table) (*Table, kv.Revision, error) {
+	t, _, rev, err := l.load(ctx, known)
 	return t, rev, err
 }
 
-// Watch waits for a head newer than the revision, or for at most wait, and
-// returns the table then in force with the head's revision.
-func (l *Log) Watch(ctx context.Context, have *Table, after kv.Revision, wait time.Duration) (*Table, kv.Revision, error) {
+// Watch waits until the head is newer than the revision after, or until wait has passed, and
+// returns the stored table and the revision of its head.
+func (l *Log) Watch(ctx context.Context, known *Table, after kv.Revision, wait time.Duration) (*Table, kv.Revision, error) {
 	e, err := l.store.Watch(ctx, headKey, after, wait)
 	if errors.Is(err, kv.ErrNotFound) {
-		return have, after, nil
+		return known, after, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	t, _, rev, err := l.decode(ctx, e, have)
+	t, _, rev, err := l.decode(ctx, e, known)
 	return t, rev, err
 }
 
-// History returns the latest edits, the newest last.
+// History returns the latest edits, oldest first.
 func (l *Log) History(ctx context.Context) ([]Edit, error) {
 	e, err := l.store.Get(ctx, headKey)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -119,51 +122,51 @@
 	return h.Tail, err
 }
 
-// Save applies the edit to the table in force and returns the table with it. The error is
-// ErrRowConflict, ErrInvalid, ErrSaveUnknown or one of package kv that says that nothing was
-// saved.
+// Save applies the edit to the stored table and returns the result. Its error is ErrRowConflict,
+// ErrInvalid, ErrSaveUnknown or an error of package kv, which means that nothing was saved.
 //
-// An edit whose ID is already in the record is not applied again. While the
-// outcome of a write is unknown Save asks and tries again until ctx ends.
+// Save is idempotent for edits that are still in the head: an edit with the ID of a stored edit
+// is not applied again. If a read or write fails, Save retries until ctx ends.
 func (l *Log) Save(ctx context.Context, e Edit) (*Table, error) {
-	have := &Table{}
-	wait := firstRetryWait
-	unknown := false
+	known := &Table{}
+	backoff := initialBackoff
+	outcomeUnknown := false
 	for {
-		t, retry, err := l.trySave(ctx, e, have)
+		t, retry, err := l.trySave(ctx, e, known)
 		if err == nil {
 			return t, nil
 		}
-		unknown = unknown || errors.Is(err, kv.ErrUnknown)
+		outcomeUnknown = outcomeUnknown || errors.Is(err, kv.ErrUnknown)
 		if !retry {
 			return nil, err
 		}
-		clock.Sleep(ctx, l.clock, wait)
+		clock.Sleep(ctx, l.clock, backoff)
 		if ctx.Err() != nil {
-			return nil, giveUp(unknown, err)
+			return nil, saveError(outcomeUnknown, err)
 		}
-		wait = min(2*wait, maxRetryWait)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// giveUp returns the error of a save that surely did not happen, or that of one that may have.
-func giveUp(unknown bool, last error) error {
-	if unknown {
+// saveError returns ErrSaveUnknown if the outcome of a write is unknown, and the last error otherwise.
+func saveError(outcomeUnknown bool, last error) error {
+	if outcomeUnknown {
 		return eris.Wrap(ErrSaveUnknown, last.Error())
 	}
 	return last
 }
 
-// trySave tries a save once; retry says that it may be tried again.
-func (l *Log) trySave(ctx context.Context, e Edit, have *Table) (t *Table, retry bool, err error) {
-	t, h, rev, err := l.load(ctx, have)
+// trySave makes one attempt to save the edit. If it fails, retry reports whether another attempt may
+// succeed.
+func (l *Log) trySave(ctx context.Context, e Edit, known *Table) (t *Table, retry bool, err error) {
+	t, h, rev, err := l.load(ctx, known)
 	if err != nil {
 		return nil, true, err
 	}
 	if slices.ContainsFunc(h.Tail, func(o Edit) bool { return o.ID == e.ID }) {
 		return t, false, nil
 	}
-	if err := conflict(t, e); err != nil {
+	if err := checkRowVersions(t, e); err != nil {
 		return nil, false, err
 	}
 	e.Version = t.Version() + 1
@@ -171,7 +174,7 @@
 	if errs := l.Check(next); len(errs) > 0 {
 		return nil, false, &InvalidError{Errors: errs}
 	}
-	h, err = l.append(ctx, h, e, next)
+	h, err = l.appendEdit(ctx, h, e, next)
 	if err != nil {
 		return nil, true, err
 	}
@@ -185,19 +188,19 @@
 	return next, false, nil
 }
 
-// conflict refuses changes to rows that are not as the operator saw them.
-func conflict(t *Table, e Edit) error {
+// checkRowVersions returns ErrRowConflict if a row is not at the version that the edit expects.
+func checkRowVersions(t *Table, e Edit) error {
 	for _, c := range e.Changes {
-		now, _ := t.Row(c.Name)
-		if now.Version != c.Seen {
-			return eris.Wrapf(ErrRowConflict, "row %q is at version %d, the edit saw %d", c.Name, now.Version, c.Seen)
+		current, _ := t.Row(c.Name)
+		if current.Version != c.Seen {
+			return eris.Wrapf(ErrRowConflict, "row %q is at version %d, the edit saw %d", c.Name, current.Version, c.Seen)
 		}
 	}
 	return nil
 }
 
-// Check returns why a table must not be saved, if anything: errors of its rows, or else those of
-// the Validator.
+// Check returns the errors that prevent a table from being saved: those of its rows, or, if there
+// are none, those of the Validator.
 func (l *Log) Check(t *Table) []CheckError {
 	errs := t.Check()
 	if len(errs) == 0 && l.validate != nil {
@@ -206,48 +209,48 @@
 	return errs
 }
 
-// append returns the head with the edit, moved onto a new snapshot when its
-// tail has grown long.
-func (l *Log) append(ctx context.Context, h head, e Edit, next *Table) (head, error) {
+// appendEdit returns the head with the edit appended. If the tail is then longer than maxTailLength,
+// appendEdit also stores a snapshot of next, the table with the edit, and trims the tail.
+func (l *Log) appendEdit(ctx context.Context, h head, e Edit, next *Table) (head, error) {
 	h.Version = e.Version
 	h.Tail = append(slices.Clone(h.Tail), e)
-	if len(h.Tail) <= maxEdits {
+	if len(h.Tail) <= maxTailLength {
 		return h, nil
 	}
-	old := h.Base
+	oldBase := h.Base
 	if err := l.writeSnapshot(ctx, next, e.ID); err != nil {
 		return h, err
 	}
 	h.Base = e.Version
-	h.Tail = h.Tail[len(h.Tail)-keptEdits:]
-	l.dropSnapshots(ctx, old)
+	h.Tail = h.Tail[len(h.Tail)-trimmedTailLength:]
+	l.deleteSnapshotsBefore(ctx, oldBase)
 	return h, nil
 }
 
-// load reads the head and returns the table in force.
-func (l *Log) load(ctx context.Context, have *Table) (*Table, head, kv.Revision, error) {
+// load reads the head and returns the stored table.
+func (l *Log) load(ctx context.Context, known *Table) (*Table, head, kv.Revision, error) {
 	e, err := l.store.Get(ctx, headKey)
 	if errors.Is(err, kv.ErrNotFound) {
-		return have, head{}, kv.Absent, nil
+		return known, head{}, kv.Absent, nil
 	}
 	if err != nil {
 		return nil, head{}, 0, err
 	}
-	return l.decode(ctx, e, have)
+	return l.decode(ctx, e, known)
 }
 
-// decode returns the table of a head: have with the edits that it lacks, or the head's snapshot
-// with them.
-func (l *Log) decode(ctx context.Context, e kv.Entry, have *Table) (*Table, head, kv.Revision, error) {
+// decode returns the table that a head describes. It applies the head's edits to known or, if known
+// lacks earlier edits, to the head's snapshot.
+func (l *Log) decode(ctx context.Context, e kv.Entry, known *Table) (*Table, head, kv.Revision, error) {
 	h, err := decodeHead(e.Value)
 	if err != nil {
 		return nil, head{}, 0, err
 	}
-	if have.Version() >= h.Version {
-		return have, h, e.Revision, nil
+	if known.Version() >= h.Version {
+		return known, h, e.Revision, nil
 	}
-	t := have
-	if !h.continues(have.Version()) {
+	t := known
+	if !h.hasAllEditsAfter(known.Version()) {
 		if t, err = l.readSnapshot(ctx, h); err != nil {
 			return nil, head{}, 0, err
 		}
@@ -260,8 +263,8 @@
 	return t, h, e.Revision, nil
 }
 
-// continues reports whether the tail holds every edit after the version.
-func (h head) continues(version uint64) bool {
+// hasAllEditsAfter reports whether the tail contains every edit after the given version.
+func (h head) hasAllEditsAfter(version uint64) bool {
 	return len(h.Tail) > 0 && h.Tail[0].Version <= version+1
 }
 
