--- a/internal/lab/call.go
+++ b/internal/lab/call.go
@@ -16,7 +16,7 @@
 	"rockcleat/internal/wire"
 )
 
-// An Response is the response to one request as the client saw it.
+// A Response is the response to one request as the client saw it.
 type Response struct {
 	Status     int
 	Outcome    wire.Outcome
@@ -29,11 +29,11 @@
 	Text string
 	// Tokens is the number of events of a stream that carry text.
 	Tokens int
-	// Complete reports whether the response is complete: a stream ended with [DONE], or another
-	// body was read to its end without an error.
+	// Complete is set if a stream contained [DONE], or if any other body was read to its end
+	// without an error.
 	Complete bool
 	// FirstToken is the time from sending to the first event of a stream, or to the end of
-	// another body.
+	// any other body.
 	FirstToken time.Duration
 	// Total is the time from sending to the end of the response.
 	Total time.Duration
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -34,7 +34,7 @@
 	defer log.Close()
 	cmd := exec.Command(program, args...)
 	cmd.Stdout, cmd.Stderr = log, log
-	// The kernel kills the process when the lab dies.
+	// The kernel kills the process when its parent dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, eris.Wrapf(err, "lab: start %s", name)
--- a/internal/proofs/leaving_test.go
+++ b/internal/proofs/leaving_test.go
@@ -21,8 +21,8 @@
 		return tr.chatRequest(tr.runningEntry(w+i).Addr, []string{"hint", "headline", lab.SmallModel}[(w+i)%3], 8)
 	})
 	var worst time.Duration
-	// waitIdle waits until the engine has started none of more than 30 consecutive requests. It adds
-	// the delay from start to the last request started by the engine to worst.
+	// waitIdle waits until the engine starts no request while more than 30 requests end. It raises
+	// worst to the delay from start to the engine's last request start, if that is longer.
 	waitIdle := func(b *lab.Backend, start time.Time) {
 		var s standin.EngineStats
 		tr.waitUntil("the leaver gets no new work", func() bool {
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -38,7 +38,7 @@
 		r := lab.Request{Addr: tr.runningEntry(worker + attempt).Addr, Path: lab.SmallPath, Body: []byte(key), Key: key}
 		a := tr.send(r, 0)
 		if a.Outcome == wire.OutcomeAnswered && a.Err == nil {
-			// A repetition after the response must not take effect again.
+			// A retry after the response must not take effect again.
 			tr.send(r, 0)
 			return true
 		}
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestAtMostOnce checks promise 5: a request that may not be repeated runs at most once.
+// TestAtMostOnce checks promise 5: a request that must not be retried runs at most once.
 func TestAtMostOnce(t *testing.T) {
 	tr := startTrial(t, 5, "at most once", func(o *lab.Options) { o.Services, o.Entries = 2, 3 })
 	var proxies []*faultProxy
--- a/internal/proofs/reachable_test.go
+++ b/internal/proofs/reachable_test.go
@@ -11,7 +11,7 @@
 	"rockcleat/internal/lab"
 )
 
-// TestReachable checks promise 2: every model and adapter stays reachable, except for a time after
+// TestReachable checks promise 2: every model and adapter stays reachable, except temporarily after
 // the loss of a server.
 func TestReachable(t *testing.T) {
 	tr := startTrial(t, 2, "every model reachable", func(o *lab.Options) { o.Engine.MemoryMiB = 36000 })
@@ -19,7 +19,7 @@
 	allowed := false
 	setAllowed := func(v bool) { mu.Lock(); allowed = v; mu.Unlock() }
 	names := slices.Sorted(func(yield func(string) bool) {
-		for n := range tr.readyCopies() {
+		for n := range tr.readyReplicas() {
 			if !yield(n) {
 				return
 			}
@@ -32,7 +32,7 @@
 		defer wg.Done()
 		for {
 			mu.Lock()
-			n := tr.readyCopies()
+			n := tr.readyReplicas()
 			for _, name := range names {
 				if n[name] == 0 && !allowed {
 					tr.recordViolation("%s had nowhere to run though no server was lost", name)
@@ -51,7 +51,7 @@
 		{"tenfold demand of one model", func() {
 			name := names[tr.rng.IntN(len(names))]
 			stop := tr.startLoad(24, func(_, i int) (lab.Request, int) { return tr.chatRequest(tr.runningEntry(i).Addr, name, 40) })
-			tr.waitUntil("a second copy of "+name+" is there", func() bool { return tr.readyCopies()[name] > 1 })
+			tr.waitUntil("a second copy of "+name+" is there", func() bool { return tr.readyReplicas()[name] > 1 })
 			stop()
 		}},
 		{"planner killed", func() { tr.restart(tr.awaitPlanner()) }},
@@ -63,7 +63,7 @@
 			b.Server.Kill()
 			b.Agent.Kill()
 			tr.waitUntil("every model has a place again", func() bool {
-				n := tr.readyCopies()
+				n := tr.readyReplicas()
 				return !slices.ContainsFunc(names, func(name string) bool { return n[name] == 0 })
 			})
 			worst = max(worst, time.Since(start))
--- a/internal/proofs/steps_test.go
+++ b/internal/proofs/steps_test.go
@@ -107,13 +107,13 @@
 func (tr *trial) awaitSwapped() {
 	in, out := swappedModels[tr.swaps%2], swappedModels[(tr.swaps+1)%2]
 	tr.waitUntil(in+" is there and "+out+" is gone", func() bool {
-		n := tr.readyCopies()
+		n := tr.readyReplicas()
 		return n[in] > 0 && n[out] == 0
 	})
 }
 
-// readyCopies returns the number of ready copies of each name, as reported by the engines.
-func (tr *trial) readyCopies() map[string]int {
+// readyReplicas returns the number of ready replicas of each name, as reported by the engines.
+func (tr *trial) readyReplicas() map[string]int {
 	n := make(map[string]int)
 	for _, b := range tr.engines() {
 		var st engine.Status
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,5 +1,5 @@
 // Package standin provides stand-ins, which are in-memory fakes, for the platform's
-// key-value service, its list of VMList and its weight store, and for two kinds of
+// key-value service, its list of VMs and its weight store, and for two kinds of
 // backend servers: a model engine and a plain service, which runs no models. Tests and
 // `make run` use them. The daemons do not import them.
 //
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -44,8 +44,8 @@
 	maxCachedPrefixes = 64
 )
 
-// exitCodeEndOn is the exit code of an engine ended by Faults.ExitOn.
-const exitCodeEndOn = 3
+// exitOnExitCode is the exit code of an engine that exits because of Faults.ExitOn.
+const exitOnExitCode = 3
 
 // handleCompletion handles a completion request. The tokens depend only on the model and the
 // prompt, so that another engine can continue a stream.
@@ -73,7 +73,7 @@
 	}
 	defer s.release(seq)
 	if trigger := s.currentFaults().ExitOn; trigger != "" && bytes.Contains(data, []byte(trigger)) {
-		os.Exit(exitCodeEndOn)
+		os.Exit(exitOnExitCode)
 	}
 	total := req.MaxTokens
 	if total <= 0 {
--- a/internal/standin/vms.go
+++ b/internal/standin/vms.go
@@ -18,7 +18,7 @@
 	at      time.Time
 }
 
-// VMList is a fake of the platform's list of VMList, which shows changes after a lag.
+// VMList is a fake of the platform's list of VMs, which shows changes after a lag.
 type VMList struct {
 	faultInjector
 	echo *echo.Echo
--- a/tools/lab/main.go
+++ b/tools/lab/main.go
@@ -1,4 +1,4 @@
-// Command lab starts rockcleat on the loopback interface with simulators of the platform's services,
+// Command lab starts rockcleat on the loopback interface with stand-ins for the platform's services,
 // for experiments and for a smoke test.
 package main
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// entryPort is the port of the entry that runSystem starts.
+// entryPort is the client port of the first entry that runSystem starts. The next port is its control port.
 const entryPort = 8080
 
 func runSystem(ctx context.Context, bin, dir string) error {
