--- a/internal/proofs/proxy_test.go
+++ b/internal/proofs/proxy_test.go
@@ -18,7 +18,8 @@
 	*toxiproxy.Proxy
 }
 
-// Directions of a toxic: data sent by the server and data sent by the client.
+// Directions of a toxic (a fault that toxiproxy injects): data sent by the server and data sent by
+// the client.
 const (
 	fromServer = "downstream"
 	fromClient = "upstream"
