--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -36,6 +36,6 @@
 // storeRestored handles the restoration of the store from a backup. Writes made since the backup, such as the lease's
 // record, are lost.
 func (g *Gateway) storeRestored(era int64) {
-	g.log.Warn("store came back from a copy", zap.Int64("era", era))
+	g.log.Warn("store restored from a backup", zap.Int64("era", era))
 	g.lease.ExpireBeforeEra(era)
 }
--- a/internal/gateway/store_copy_test.go
+++ b/internal/gateway/store_copy_test.go
@@ -48,7 +48,7 @@
 		assert.Assert(t, line.ContextMap()["server"] != added.id, "it was known before")
 	}
 	assert.Assert(t, env.storeCalls()-calls < 150, "%d calls in 3 s", env.storeCalls()-calls)
-	env.awaitLines("store came back from a copy", 3)
+	env.awaitLines("store restored from a backup", 3)
 
 	env.putServer(added, false)
 	env.putConfig()
