--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -12,8 +12,8 @@
 
 const (
 	// GrantTTL is how long a grant may be spent, counted from when it was requested. Prefetched grants let
-	// an organisation exceed its limit in a window by at most half a second's worth of the rate, since a
-	// prefetch is no larger than the demand in GrantTTL.
+	// an organisation exceed its limit in a window by at most half a second of the rate, since a prefetch
+	// is no larger than the demand in GrantTTL.
 	GrantTTL = 500 * time.Millisecond
 	// maxDenialTime bounds the time after a denial in which no grant is requested from the owner. The pause
 	// limits the requests for grants that an organisation far over its limit causes.
